--- a/pkg/bench/cluster.go
+++ b/pkg/bench/cluster.go
@@ -201,7 +201,7 @@
 	return waitFor(readyBound, "all daemons to be ready", func() bool {
 		for _, n := range c.nodes {
 			view := n.daemon.World.View
-			if !view.Ready() || view.Placement() == nil || view.Placement().Version == 0 || view.Members() < len(c.nodes) {
+			if !view.Ready() || view.Placement() == nil || view.Placement().Version == 0 || view.MemberCount() < len(c.nodes) {
 				return false
 			}
 		}
--- a/pkg/bench/oracle.go
+++ b/pkg/bench/oracle.go
@@ -32,18 +32,18 @@
 
 // Choose implements choose.Policy.
 func (o *oracle) Choose(req *choose.Request, rnd choose.Random) choose.Pick {
-	best, least, nearest := choose.None, 0.0, time.Duration(0)
-	offset := rnd.IntN(max(len(req.Set), 1))
-	for n := range req.Set {
-		i := (n + offset) % len(req.Set)
-		if req.Tried.Has(i) {
+	best, least, nearest := choose.NoCandidate, 0.0, time.Duration(0)
+	offset := rnd.IntN(max(len(req.CandidateSet), 1))
+	for n := range req.CandidateSet {
+		i := (n + offset) % len(req.CandidateSet)
+		if req.Excluded.Has(i) {
 			continue
 		}
-		calls, slots := o.inFlight[req.Set[i].Route.VM]()
+		calls, slots := o.inFlight[req.CandidateSet[i].Endpoint.VM]()
 		// Below its slots a gate has no wait, so only the distance counts.
 		wait := max(float64(calls+1-int64(slots))/float64(slots), 0)
-		distance := req.Set[i].Load.Distance()
-		if best == choose.None || wait < least || (wait == least && distance < nearest) {
+		distance := req.CandidateSet[i].Load.RoundTrip()
+		if best == choose.NoCandidate || wait < least || (wait == least && distance < nearest) {
 			best, least, nearest = i, wait, distance
 		}
 	}
--- a/pkg/choose/choose.go
+++ b/pkg/choose/choose.go
@@ -20,10 +20,10 @@
 type Request struct {
 	// Now is the time of the decision in nanoseconds of a steady clock.
 	Now int64
-	// Set holds the candidates; it is not changed.
-	Set []tables.Candidate
-	// Tried has a bit for each index of Set that refused this call already.
-	Tried Tried
+	// CandidateSet holds the candidates; it is not changed.
+	CandidateSet []tables.Candidate
+	// Excluded has a bit for each index of Set that refused this call already.
+	Excluded IndexSet
 }
 
 // Pick is a decision.
@@ -35,8 +35,8 @@
 	MaxCost time.Duration
 }
 
-// None is the pick when no candidate is left.
-const None = -1
+// NoCandidate is the pick when no candidate is left.
+const NoCandidate = -1
 
 // Policy picks a candidate. Implementations are safe for concurrent use.
 type Policy interface {
@@ -47,11 +47,11 @@
 // 16; one that is larger is tried at its first 64 places only.
 const maxTried = 64
 
-// Tried marks candidates that refused a call.
-type Tried uint64
+// IndexSet marks candidates that refused a call.
+type IndexSet uint64
 
 // With returns the marks with one more.
-func (t Tried) With(index int) Tried {
+func (t IndexSet) With(index int) IndexSet {
 	if index >= maxTried {
 		return t
 	}
@@ -59,14 +59,14 @@
 }
 
 // Has is true when the candidate refused already.
-func (t Tried) Has(index int) bool {
+func (t IndexSet) Has(index int) bool {
 	return index < maxTried && t&(1<<uint(index)) != 0
 }
 
 // pickUntried returns the n-th candidate that was not tried.
 func pickUntried(req *Request, n int) int {
-	for i := range req.Set {
-		if req.Tried.Has(i) {
+	for i := range req.CandidateSet {
+		if req.Excluded.Has(i) {
 			continue
 		}
 		if n == 0 {
@@ -74,13 +74,13 @@
 		}
 		n--
 	}
-	return None
+	return NoCandidate
 }
 
 func countUntried(req *Request) int {
 	count := 0
-	for i := range req.Set {
-		if !req.Tried.Has(i) {
+	for i := range req.CandidateSet {
+		if !req.Excluded.Has(i) {
 			count++
 		}
 	}
--- a/pkg/choose/choose_test.go
+++ b/pkg/choose/choose_test.go
@@ -23,19 +23,19 @@
 	out := map[string]Policy{}
 	for _, name := range []string{"random", "round_robin", "least_outstanding", "hot_cold", "expected_wait", "idle_hints"} {
 		// The names are those of New; the test of the settings has the list.
-		out[name], _ = New(name, Options{HalfLife: 20 * time.Millisecond})
+		out[name], _ = New(name, Options{StampHalfLife: 20 * time.Millisecond})
 	}
 	return out
 }
 
-func expected() *ExpectedWait { return &ExpectedWait{HalfLife: 20 * time.Millisecond} }
+func expected() *ExpectedWait { return &ExpectedWait{StampHalfLife: 20 * time.Millisecond} }
 
 // set makes candidates whose stamps came at a time and told of calls in flight.
 func set(at int64, inFlight ...uint32) []tables.Candidate {
 	var out []tables.Candidate
 	for _, n := range inFlight {
 		load := tables.NewLoad(slots)
-		load.Report(at, wire.Stamp{Seq: 1, Running: n, Limit: slots, ServiceUS: 5000})
+		load.ApplyStamp(at, wire.Stamp{Seq: 1, Running: n, Limit: slots, ServiceUS: 5000})
 		out = append(out, tables.Candidate{Load: load})
 	}
 	return out
@@ -44,7 +44,7 @@
 // picks counts how often each candidate is picked.
 func picks(p Policy, req *Request, n int) []int {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	out := make([]int, len(req.Set))
+	out := make([]int, len(req.CandidateSet))
 	for range n {
 		out[p.Choose(req, rnd).Index]++
 	}
@@ -56,22 +56,22 @@
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
 				loads := rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 20).Draw(t, "loads")
-				req := &Request{Now: 100 * ms, Set: set(rapid.Int64Range(1, 100*ms).Draw(t, "at"), loads...)}
+				req := &Request{Now: 100 * ms, CandidateSet: set(rapid.Int64Range(1, 100*ms).Draw(t, "at"), loads...)}
 				left := 0
 				for i := range loads {
 					if rapid.Bool().Draw(t, "tried") {
-						req.Tried = req.Tried.With(i)
+						req.Excluded = req.Excluded.With(i)
 					} else {
 						left++
 					}
 				}
 				pick := p.Choose(req, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)))
 				if left == 0 {
-					must.Eq(t, None, pick.Index)
+					must.Eq(t, NoCandidate, pick.Index)
 					return
 				}
 				must.Between(t, 0, pick.Index, len(loads)-1)
-				must.False(t, req.Tried.Has(pick.Index))
+				must.False(t, req.Excluded.Has(pick.Index))
 			})
 		})
 	}
@@ -82,7 +82,7 @@
 		if name == "round_robin" {
 			continue
 		}
-		req := &Request{Now: 10 * ms, Set: set(5*ms, 3, 9, 4, 12, 0)}
+		req := &Request{Now: 10 * ms, CandidateSet: set(5*ms, 3, 9, 4, 12, 0)}
 		test.Eq(t, picks(p, req, 500), picks(p, req, 500), test.Sprint(name))
 	}
 }
@@ -96,40 +96,40 @@
 		// least is the share that it must have.
 		least float64
 	}{
-		{"the emptiest is taken", func(req *Request) { req.Set = set(99*ms, 2, 14, 14, 14) }, 1, 1},
-		{"a full one is left", func(req *Request) { req.Set = set(99*ms, 14, 2, 2, 2) }, 0, 0},
+		{"the emptiest is taken", func(req *Request) { req.CandidateSet = set(99*ms, 2, 14, 14, 14) }, 1, 1},
+		{"a full one is left", func(req *Request) { req.CandidateSet = set(99*ms, 14, 2, 2, 2) }, 0, 0},
 		{"old news of an empty server does not attract", func(req *Request) {
 			fresh := set(99*ms, 8, 8, 8)
-			req.Set = append(set(-900*ms, 0), fresh...)
+			req.CandidateSet = append(set(-900*ms, 0), fresh...)
 		}, 0.5, 0},
 		{"a server that fails fast loses its share", func(req *Request) {
-			req.Set = set(99*ms, 0, 6, 6, 6)
+			req.CandidateSet = set(99*ms, 0, 6, 6, 6)
 			for range 10 {
-				req.Set[0].Load.Answered(true)
+				req.CandidateSet[0].Load.RecordAnswer(true)
 			}
 		}, 0.01, 0},
 		{"it gets its share back when it answers well", func(req *Request) {
-			req.Set = set(99*ms, 0, 13, 13, 13)
+			req.CandidateSet = set(99*ms, 0, 13, 13, 13)
 			for range 10 {
-				req.Set[0].Load.Answered(true)
+				req.CandidateSet[0].Load.RecordAnswer(true)
 			}
 			for range 40 {
-				req.Set[0].Load.Answered(false)
+				req.CandidateSet[0].Load.RecordAnswer(false)
 			}
 		}, 1, 0.9},
 		{"one that reports no load and answers nothing is left", func(req *Request) {
-			req.Set = set(10*ms, 0, 10, 10, 10)
+			req.CandidateSet = set(10*ms, 0, 10, 10, 10)
 			for range 4 {
-				req.Set[0].Load.Sent(11 * ms)
+				req.CandidateSet[0].Load.RecordSent(11 * ms)
 			}
 		}, 0, 0},
 		{"a far server is taken only when the near are full", func(req *Request) {
-			req.Set = set(99*ms, 4, 4, 4, 4)
-			req.Set[0].Load.SetDistance(2 * time.Millisecond)
+			req.CandidateSet = set(99*ms, 4, 4, 4, 4)
+			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
 		}, 0.01, 0},
 		{"and then it is", func(req *Request) {
-			req.Set = set(99*ms, 4, 30, 30, 30)
-			req.Set[0].Load.SetDistance(2 * time.Millisecond)
+			req.CandidateSet = set(99*ms, 4, 30, 30, 30)
+			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
 		}, 1, 1},
 	}
 	for _, s := range scenarios {
@@ -153,7 +153,7 @@
 		for i := range loads {
 			loads[i] = 8 + uint32(i%2)
 		}
-		got[expected().Choose(&Request{Now: 100 * ms, Set: set(99*ms, loads...)}, rnd).Index]++
+		got[expected().Choose(&Request{Now: 100 * ms, CandidateSet: set(99*ms, loads...)}, rnd).Index]++
 	}
 	for i, n := range got {
 		test.LessEq(t, 8, n, test.Sprintf("server %d", i))
@@ -162,13 +162,13 @@
 
 func TestMaxCostIsThatOfTheNextBest(t *testing.T) {
 	p := expected()
-	req := &Request{Now: 100 * ms, Set: set(100*ms, 0, 24)}
+	req := &Request{Now: 100 * ms, CandidateSet: set(100*ms, 0, 24)}
 	pick := p.Choose(req, rand.New(rand.NewPCG(1, 1)))
 	test.Eq(t, 0, pick.Index)
 	// The other: a run, and 13 ahead of it at 12 slots, and a quarter for both
 	// being near; use above 1 adds its own part.
 	test.Between(t, 11*time.Millisecond, pick.MaxCost, 20*time.Millisecond)
-	alone := p.Choose(&Request{Now: 100 * ms, Set: set(100*ms, 0)}, rand.New(rand.NewPCG(1, 1)))
+	alone := p.Choose(&Request{Now: 100 * ms, CandidateSet: set(100*ms, 0)}, rand.New(rand.NewPCG(1, 1)))
 	test.Eq(t, unbounded, alone.MaxCost)
 }
 
@@ -180,10 +180,10 @@
 				loads[i] = uint32(i % slots)
 			}
 			p := expected()
-			req := &Request{Now: 100 * ms, Set: set(99*ms, loads...)}
+			req := &Request{Now: 100 * ms, CandidateSet: set(99*ms, loads...)}
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Choose(req, Runtime{})
+				p.Choose(req, RuntimeRandom{})
 			}
 		})
 	}
--- a/pkg/choose/expected.go
+++ b/pkg/choose/expectedwait.go
@@ -30,9 +30,9 @@
 // its age towards what the candidates have on average, so that old news
 // neither attracts nor repels. Source: docs/design/choosing.md.
 type ExpectedWait struct {
-	// HalfLife is the age at which what a stamp says of the service time has
+	// StampHalfLife is the age at which what a stamp says of the service time has
 	// half its weight.
-	HalfLife time.Duration
+	StampHalfLife time.Duration
 }
 
 // scanMost is how many candidates are looked at for one call, from a random
@@ -50,7 +50,7 @@
 
 // look is what one decision reads of its candidates, once.
 type look struct {
-	known [scanMost]tables.Known
+	known [scanMost]tables.LoadSnapshot
 	// perLimit is 1 over the limit: divisions are what a choice costs most.
 	perLimit [scanMost]float64
 	index    [scanMost]int
@@ -62,19 +62,19 @@
 	var seen look
 	seen.read(req, rnd)
 	if seen.count == 0 {
-		return Pick{Index: None}
+		return Pick{Index: NoCandidate}
 	}
 	average := seen.prior()
 	// One draw breaks the ties of all candidates: each gets its own bits of it.
 	ties := uint64(rnd.IntN(math.MaxInt))
-	best, bestCost, bestRank := None, 0.0, math.Inf(1)
+	best, bestCost, bestRank := NoCandidate, 0.0, math.Inf(1)
 	second := math.Inf(1)
 	for n := range seen.count {
 		cost := e.cost(req.Now, &seen, n, average)
 		rank := cost + tieShare*average.service*tieOf(ties, n)
 		if rank < bestRank {
 			second = min(second, bestCost)
-			if best == None {
+			if best == NoCandidate {
 				second = math.Inf(1)
 			}
 			best, bestCost, bestRank = n, cost, rank
@@ -82,7 +82,7 @@
 		}
 		second = min(second, cost)
 	}
-	return Pick{Index: seen.index[best], MaxCost: maxCost(seen.known[best].Distance, second, average.service)}
+	return Pick{Index: seen.index[best], MaxCost: maxCost(seen.known[best].RoundTrip, second, average.service)}
 }
 
 // tieOf is a number from 0 up to 1 for a candidate (the multiplicative hash of
@@ -95,15 +95,15 @@
 
 // read looks at the untried candidates, from a random place on.
 func (l *look) read(req *Request, rnd Random) {
-	if len(req.Set) == 0 {
+	if len(req.CandidateSet) == 0 {
 		return
 	}
-	i := rnd.IntN(len(req.Set))
-	for range req.Set {
-		if i++; i >= len(req.Set) {
+	i := rnd.IntN(len(req.CandidateSet))
+	for range req.CandidateSet {
+		if i++; i >= len(req.CandidateSet) {
 			i = 0
 		}
-		if req.Tried.Has(i) {
+		if req.Excluded.Has(i) {
 			continue
 		}
 		l.add(req, i)
@@ -115,7 +115,7 @@
 
 func (l *look) add(req *Request, i int) {
 	known := &l.known[l.count]
-	req.Set[i].Load.Read(req.Now, known)
+	req.CandidateSet[i].Load.SnapshotInto(req.Now, known)
 	l.perLimit[l.count] = 1 / float64(known.Limit)
 	l.index[l.count] = i
 	l.count++
@@ -127,14 +127,14 @@
 	fastest := time.Duration(0)
 	for n := range l.count {
 		k := &l.known[n]
-		if k.StampAt == 0 {
+		if k.StampReceivedAt == 0 {
 			continue
 		}
 		out.use += float64(k.InFlight) * l.perLimit[n]
 		// The fastest, not the mean: an old stamp of a server that was slow
 		// must not make the others look slow.
-		if k.Service > 0 && (fastest == 0 || k.Service < fastest) {
-			fastest = k.Service
+		if k.ServiceTime > 0 && (fastest == 0 || k.ServiceTime < fastest) {
+			fastest = k.ServiceTime
 		}
 		heard++
 	}
@@ -154,7 +154,7 @@
 func (e *ExpectedWait) Cost(req *Request, i int) time.Duration {
 	var all look
 	all.add(req, i)
-	for n := range min(len(req.Set), scanMost-1) {
+	for n := range min(len(req.CandidateSet), scanMost-1) {
 		all.add(req, n)
 	}
 	return time.Duration(e.cost(req.Now, &all, 0, all.prior()))
@@ -172,24 +172,24 @@
 // cost is the expected time of a call at a candidate, in nanoseconds.
 func (e *ExpectedWait) cost(now int64, seen *look, n int, average prior) float64 {
 	known := &seen.known[n]
-	age := float64(max(now-known.StampAt, 0))
+	age := float64(max(now-known.StampReceivedAt, 0))
 	limit := float64(known.Limit)
 	inFlight := average.use * limit
 	service := average.service
-	if known.StampAt != 0 {
+	if known.StampReceivedAt != 0 {
 		// The calls at a gate change within a run: the count of a gate with
 		// free slots is correlated with itself as exp(-age/service).
 		inFlight += decay(age*average.perService) * (float64(known.InFlight) - inFlight)
 		// How fast a server is changes more seldom than its count of calls.
-		if known.Service != time.Duration(average.service) {
-			service += decay(math.Ln2*age/float64(e.HalfLife)) * (float64(known.Service) - service)
+		if known.ServiceTime != time.Duration(average.service) {
+			service += decay(math.Ln2*age/float64(e.StampHalfLife)) * (float64(known.ServiceTime) - service)
 		}
 	}
-	inFlight = max(inFlight+float64(known.SentSince), float64(known.Outstanding))
-	if quiet := float64(known.QuietFor); quiet > quietFactor*service {
+	inFlight = max(inFlight+float64(known.SentSinceStamp), float64(known.Outstanding))
+	if quiet := float64(known.NoAnswerFor); quiet > quietFactor*service {
 		service = quiet
 	}
-	cost := service + wait(inFlight, limit, seen.perLimit[n], service) + float64(known.Distance)
+	cost := service + wait(inFlight, limit, seen.perLimit[n], service) + float64(known.RoundTrip)
 	if known.FailureShare > failureFree {
 		cost += known.FailureShare * failureCost * average.service
 	}
--- a/pkg/choose/hotcold.go
+++ b/pkg/choose/hotcold.go
@@ -27,13 +27,13 @@
 func (HotCold) Choose(req *Request, rnd Random) Pick {
 	n := countUntried(req)
 	if n == 0 {
-		return Pick{Index: None}
+		return Pick{Index: NoCandidate}
 	}
 	threshold := hotThreshold(req)
-	best := hotColdView{index: None}
+	best := hotColdView{index: NoCandidate}
 	for range min(hotColdSample, n) {
 		next := viewOf(req, pickUntried(req, rnd.IntN(n)))
-		if best.index == None || next.betterThan(best, threshold) {
+		if best.index == NoCandidate || next.betterThan(best, threshold) {
 			best = next
 		}
 	}
@@ -41,11 +41,11 @@
 }
 
 func viewOf(req *Request, index int) hotColdView {
-	known := req.Set[index].Load.Known(req.Now)
+	known := req.CandidateSet[index].Load.Snapshot(req.Now)
 	return hotColdView{
 		index:    index,
-		inFlight: float64(known.InFlight+known.SentSince) / float64(known.Limit),
-		latency:  known.Service + req.Set[index].Load.Distance(),
+		inFlight: float64(known.InFlight+known.SentSinceStamp) / float64(known.Limit),
+		latency:  known.ServiceTime + req.CandidateSet[index].Load.RoundTrip(),
 	}
 }
 
@@ -64,7 +64,7 @@
 // most loaded candidate, which needs no sorting and no memory.
 func hotThreshold(req *Request) float64 {
 	low, high := 0.0, 0.0
-	for i := range req.Set {
+	for i := range req.CandidateSet {
 		inFlight := viewOf(req, i).inFlight
 		if i == 0 || inFlight < low {
 			low = inFlight
--- a/pkg/choose/idlehints.go
+++ b/pkg/choose/idlehints.go
@@ -8,18 +8,18 @@
 
 // Choose implements Policy.
 func (ih *IdleHints) Choose(req *Request, rnd Random) Pick {
-	best, newest := None, int64(0)
-	for i := range req.Set {
-		if req.Tried.Has(i) {
+	best, newest := NoCandidate, int64(0)
+	for i := range req.CandidateSet {
+		if req.Excluded.Has(i) {
 			continue
 		}
-		known := req.Set[i].Load.Known(req.Now)
-		idle := known.Limit - known.InFlight - known.SentSince
-		if idle > 0 && known.StampAt > newest {
-			best, newest = i, known.StampAt
+		known := req.CandidateSet[i].Load.Snapshot(req.Now)
+		idle := known.Limit - known.InFlight - known.SentSinceStamp
+		if idle > 0 && known.StampReceivedAt > newest {
+			best, newest = i, known.StampReceivedAt
 		}
 	}
-	if best == None {
+	if best == NoCandidate {
 		return ih.fallback.Choose(req, rnd)
 	}
 	return Pick{Index: best, MaxCost: unbounded}
--- a/pkg/choose/names.go
+++ b/pkg/choose/new.go
@@ -8,7 +8,7 @@
 
 // Options are what a policy needs besides its name.
 type Options struct {
-	HalfLife time.Duration
+	StampHalfLife time.Duration
 }
 
 // New makes the policy of a name. The names stand in the settings.
@@ -25,7 +25,7 @@
 	case "idle_hints":
 		return &IdleHints{}, nil
 	case "expected_wait":
-		return &ExpectedWait{HalfLife: opts.HalfLife}, nil
+		return &ExpectedWait{StampHalfLife: opts.StampHalfLife}, nil
 	}
 	return nil, errors.Errorf("there is no policy %q", name)
 }
--- a/pkg/choose/refusing.go
+++ b/pkg/choose/refusal.go
@@ -16,41 +16,41 @@
 
 // wouldBeRefused is true when a fresh stamp shows that the gate would refuse the
 // request, by the rules of the gate itself.
-func (r *Routed) wouldBeRefused(known *tables.Known, near bool) bool {
-	if known.StampAt == 0 || r.Now-known.StampAt > int64(freshFor) {
+func (r *RoutedRequest) wouldBeRefused(known *tables.LoadSnapshot, near bool) bool {
+	if known.StampReceivedAt == 0 || r.Now-known.StampReceivedAt > int64(freshFor) {
 		return false
 	}
 	if r.Soft {
 		return r.wouldBeRefusedSoftly(known, near)
 	}
-	if r.Within <= 0 || r.needs(known) <= float64(r.Within) {
+	if r.TimeToTarget <= 0 || r.needs(known) <= float64(r.TimeToTarget) {
 		return false
 	}
-	inFlight := known.InFlight + known.SentSince
-	takesLate := gate.SlotsForLate(inFlight, known.Limit) && float64(r.Left) > r.expected(known)
+	inFlight := known.InFlight + known.SentSinceStamp
+	takesLate := gate.SlotsForLate(inFlight, known.Limit) && float64(r.TimeToDeadline) > r.expected(known)
 	return !takesLate
 }
 
-func (r *Routed) wouldBeRefusedSoftly(known *tables.Known, near bool) bool {
-	if speed.Slowdown(known.Slowdown) > r.SoftSlowdown*max(speed.Slowdown(known.Usual), 1) {
+func (r *RoutedRequest) wouldBeRefusedSoftly(known *tables.LoadSnapshot, near bool) bool {
+	if speed.Slowdown(known.Slowdown) > r.SoftSlowdown*max(speed.Slowdown(known.UsualSlowdown), 1) {
 		return true
 	}
 	most := float64(known.Limit)
-	if near && r.Use > 0 {
-		most /= r.Use
+	if near && r.UsableShare > 0 {
+		most /= r.UsableShare
 	}
-	return float64(known.InFlight+known.SentSince) >= most
+	return float64(known.InFlight+known.SentSinceStamp) >= most
 }
 
 // expected is how long a run would take at the gate of a stamp, in nanoseconds.
-func (r *Routed) expected(known *tables.Known) float64 {
+func (r *RoutedRequest) expected(known *tables.LoadSnapshot) float64 {
 	return float64(r.Work) * max(speed.Slowdown(known.Slowdown), 1)
 }
 
 // needs is the time, in nanoseconds, that the request must have left at the gate of
 // a stamp to be admitted.
-func (r *Routed) needs(known *tables.Known) float64 {
-	behind := known.InFlight + known.SentSince - known.Limit + 1
+func (r *RoutedRequest) needs(known *tables.LoadSnapshot) float64 {
+	behind := known.InFlight + known.SentSinceStamp - known.Limit + 1
 	if behind <= 0 {
 		return r.expected(known)
 	}
--- a/pkg/choose/refusing_test.go
+++ b/pkg/choose/refusal_test.go
@@ -6,7 +6,7 @@
 
 	"github.com/shoenig/test"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -57,13 +57,13 @@
 				dataCentre = "here"
 			}
 			candidate := at(dataCentre, s.stamp, s.age, now)
-			req := &Routed{
-				Now: now, Set: []tables.Candidate{candidate}, Here: place.Here{DataCentre: "here"}, Work: work,
-				Soft: s.soft, SoftSlowdown: 1.8, Use: 0.8, Within: s.within, Left: s.left,
+			req := &RoutedRequest{
+				Now: now, CandidateSet: []tables.Candidate{candidate}, Location: proximity.Location{DataCentre: "here"}, Work: work,
+				Soft: s.soft, SoftSlowdown: 1.8, UsableShare: 0.8, TimeToTarget: s.within, TimeToDeadline: s.left,
 			}
-			pick := PickRouted(req, Runtime{})
-			test.Eq(t, s.passed, pick.Index == None)
-			test.Eq(t, s.passed, pick.Refusing == 1)
+			pick := PickRouted(req, RuntimeRandom{})
+			test.Eq(t, s.passed, pick.Index == NoCandidate)
+			test.Eq(t, s.passed, pick.PassedOver == 1)
 		})
 	}
 }
--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rushramp/rushramp/pkg/evacuation"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/rollout"
 	"github.com/rushramp/rushramp/pkg/routing"
 	"github.com/rushramp/rushramp/pkg/speed"
@@ -29,17 +29,17 @@
 	routedFailureCost = 6
 )
 
-// Costs are what crossing to each place costs, as a time; nothing for Near.
-type Costs [place.Count]time.Duration
+// CrossingCosts are what crossing to each place costs, as a time; nothing for Near.
+type CrossingCosts [proximity.Count]time.Duration
 
-// Routed is one decision's input for a routed request.
-type Routed struct {
+// RoutedRequest is one decision's input for a routed request.
+type RoutedRequest struct {
 	// Now is the time of the decision in nanoseconds of a steady clock.
 	Now int64
-	// Set holds the candidates; it is not changed.
-	Set []tables.Candidate
+	// CandidateSet holds the candidates; it is not changed.
+	CandidateSet []tables.Candidate
 	// Excluded has a bit for each index of Set that may not be picked.
-	Excluded Tried
+	Excluded IndexSet
 	// Allowed says in which data centres the request may be handled; empty: anywhere.
 	Allowed []string
 	// Evacuated are the data centres whose backend servers get nothing new.
@@ -48,20 +48,20 @@
 	// Lane is the request's.
 	Rollout *rollout.Traffic
 	Lane    rollout.Lane
-	// Here is where the entry stands, LeaveCost what crossing to each place costs.
-	Here      place.Here
-	LeaveCost Costs
+	// Location is where the entry stands, LeaveCost what crossing to each place costs.
+	Location      proximity.Location
+	CrossingCost CrossingCosts
 	// Soft is true for an attempt that a slowed backend server refuses at once.
 	Soft bool
 	// SoftSlowdown is the slowdown, 1 for none, above which gates refuse soft
 	// attempts, and Use the share of the slots that they use.
 	SoftSlowdown float64
-	Use          float64
-	// Within is the time left in which the request must end to be worth its run;
+	UsableShare          float64
+	// TimeToTarget is the time left in which the request must end to be worth its run;
 	// 0: no bound.
-	Within time.Duration
-	// Left is the time to the request's deadline.
-	Left time.Duration
+	TimeToTarget time.Duration
+	// TimeToDeadline is the time to the request's deadline.
+	TimeToDeadline time.Duration
 	// Work is how long the request runs at a backend server that works as usual.
 	Work time.Duration
 }
@@ -70,44 +70,44 @@
 type RoutedPick struct {
 	// Index points into the set; None: no candidate is left.
 	Index int
-	// Place is how far the candidate is, Cost what it was expected to cost, as a time
+	// Proximity is how far the candidate is, Cost what it was expected to cost, as a time
 	// in nanoseconds, and Expected the part of that which is time, and no price.
-	Place    place.Place
+	Proximity    proximity.Level
 	Cost     float64
-	Expected float64
-	// Refusing counts the candidates that were passed over because their gates
+	ExpectedTime float64
+	// PassedOver counts the candidates that were passed over because their gates
 	// have just shown that they would refuse the request.
-	Refusing int
+	PassedOver int
 }
 
 // PickRouted picks the candidate with the least expected time, where bytes that
 // leave the data centre are counted as time, too. Candidates whose gates would
 // refuse the request are passed over. Source: docs/design/platform.md, "The
 // first decisions".
-func PickRouted(req *Routed, rnd Random) RoutedPick {
-	out := RoutedPick{Index: None, Cost: math.Inf(1)}
-	for i := range req.Set {
-		candidate := &req.Set[i]
-		if req.Excluded.Has(i) || !req.allows(candidate.Route) {
+func PickRouted(req *RoutedRequest, rnd Random) RoutedPick {
+	out := RoutedPick{Index: NoCandidate, Cost: math.Inf(1)}
+	for i := range req.CandidateSet {
+		candidate := &req.CandidateSet[i]
+		if req.Excluded.Has(i) || !req.allows(candidate.Endpoint) {
 			continue
 		}
-		var known tables.Known
-		candidate.Load.Read(req.Now, &known)
-		at := req.Here.Of(candidate.Route.DataCentre, candidate.Route.Region)
-		if req.wouldBeRefused(&known, at == place.Near) {
-			out.Refusing++
+		var known tables.LoadSnapshot
+		candidate.Load.SnapshotInto(req.Now, &known)
+		at := req.Location.To(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
+		if req.wouldBeRefused(&known, at == proximity.SameDataCentre) {
+			out.PassedOver++
 			continue
 		}
 		expected := req.time(&known)
-		cost := expected + float64(req.LeaveCost[at]) + tieShare*float64(req.Work)*rnd.Float64()
+		cost := expected + float64(req.CrossingCost[at]) + tieShare*float64(req.Work)*rnd.Float64()
 		if cost < out.Cost {
-			out.Index, out.Place, out.Cost, out.Expected = i, at, cost, expected
+			out.Index, out.Proximity, out.Cost, out.ExpectedTime = i, at, cost, expected
 		}
 	}
 	return out
 }
 
-func (r *Routed) allows(route *tables.Route) bool {
+func (r *RoutedRequest) allows(route *tables.Endpoint) bool {
 	dataCentre := route.DataCentre
 	if r.Evacuated.Has(dataCentre) {
 		return false
@@ -119,7 +119,7 @@
 }
 
 // time is the expected time of the request at a candidate, in nanoseconds.
-func (r *Routed) time(known *tables.Known) float64 {
+func (r *RoutedRequest) time(known *tables.LoadSnapshot) float64 {
 	limit := float64(known.Limit)
 	inFlight := float64(known.Outstanding)
 	usual := usualSlowdown
@@ -127,19 +127,19 @@
 		usual = softSlowdown
 	}
 	slowdown := usual
-	if known.StampAt != 0 {
-		age := float64(max(r.Now-known.StampAt, 0))
-		inFlight = max(inFlight, decay(age/float64(max(r.Work, 1)))*float64(known.InFlight)+float64(known.SentSince))
+	if known.StampReceivedAt != 0 {
+		age := float64(max(r.Now-known.StampReceivedAt, 0))
+		inFlight = max(inFlight, decay(age/float64(max(r.Work, 1)))*float64(known.InFlight)+float64(known.SentSinceStamp))
 		if known.Slowdown > 0 {
 			slowdown += decay(math.Ln2*age/float64(slowdownHalfLife)) * (speed.Slowdown(known.Slowdown) - usual)
 		}
 	}
 	service := float64(r.Work) * slowdown
-	cost := service + wait(inFlight, limit, 1/limit, service) + float64(known.Distance)
-	if quiet := float64(known.QuietFor); quiet > quietFactor*service {
+	cost := service + wait(inFlight, limit, 1/limit, service) + float64(known.RoundTrip)
+	if quiet := float64(known.NoAnswerFor); quiet > quietFactor*service {
 		cost += quiet
 	}
-	if known.SilentFor > 0 && known.SilentFor < silentFor {
+	if known.UnresponsiveFor > 0 && known.UnresponsiveFor < silentFor {
 		cost += float64(silentFor)
 	}
 	if known.FailureShare > failureFree {
--- a/pkg/choose/routed_bench_test.go
+++ b/pkg/choose/routed_bench_test.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rushramp/rushramp/pkg/evacuation"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -24,13 +24,13 @@
 		"one evacuated":  evacuation.Set{}.With(1, []evacuation.Change{{DataCentre: "far", Evacuated: true}}),
 	} {
 		b.Run(name, func(b *testing.B) {
-			req := &Routed{
-				Now: now, Set: set, Here: place.Here{DataCentre: "here"}, LeaveCost: Costs{place.Region: work, place.Other: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, Use: 0.8,
-				Within: 4 * work, Left: 8 * work, Evacuated: evacuated,
+			req := &RoutedRequest{
+				Now: now, CandidateSet: set, Location: proximity.Location{DataCentre: "here"}, CrossingCost: CrossingCosts{proximity.Region: work, proximity.OtherRegion: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, UsableShare: 0.8,
+				TimeToTarget: 4 * work, TimeToDeadline: 8 * work, Evacuated: evacuated,
 			}
 			b.ReportAllocs()
 			for b.Loop() {
-				PickRouted(req, Runtime{})
+				PickRouted(req, RuntimeRandom{})
 			}
 		})
 	}
--- a/pkg/choose/routed_test.go
+++ b/pkg/choose/routed_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test"
 
 	"github.com/rushramp/rushramp/pkg/evacuation"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -19,9 +19,9 @@
 	load := tables.NewLoad(10)
 	stamp.Seq = 1
 	if stamp.Limit > 0 {
-		load.Report(now-int64(age), stamp)
+		load.ApplyStamp(now-int64(age), stamp)
 	}
-	return tables.Candidate{Route: &tables.Route{DataCentre: dataCentre, Load: load}, Load: load}
+	return tables.Candidate{Endpoint: &tables.Endpoint{DataCentre: dataCentre, Load: load}, Load: load}
 }
 
 func TestPickRouted(t *testing.T) {
@@ -36,11 +36,11 @@
 		{"another one while the own is slowed", []tables.Candidate{at("there", idle, 0, now), at("here", slow, 0, now)}, 0},
 		{"the own one when its slowness is long ago", []tables.Candidate{at("there", idle, 0, now), at("here", slow, 2*time.Second, now)}, 1},
 		{"another one while the own is full", []tables.Candidate{at("there", idle, 0, now), at("here", full, 0, now)}, 0},
-		{"nobody", nil, None},
+		{"nobody", nil, NoCandidate},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			req := &Routed{Now: now, Set: s.set, Here: place.Here{DataCentre: "here"}, LeaveCost: Costs{place.Region: 2 * work / 3, place.Other: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, Use: 0.8}
+			req := &RoutedRequest{Now: now, CandidateSet: s.set, Location: proximity.Location{DataCentre: "here"}, CrossingCost: CrossingCosts{proximity.Region: 2 * work / 3, proximity.OtherRegion: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, UsableShare: 0.8}
 			for seed := range uint64(20) {
 				test.Eq(t, s.want, PickRouted(req, rand.New(rand.NewPCG(1, seed))).Index)
 			}
@@ -54,7 +54,7 @@
 	now := int64(time.Hour)
 	server := func(dataCentre, region string, running uint32) tables.Candidate {
 		c := at(dataCentre, wire.Stamp{Limit: 10, Running: running, Slowdown: 100}, 0, now)
-		c.Route.Region = region
+		c.Endpoint.Region = region
 		return c
 	}
 	for _, s := range []struct {
@@ -67,9 +67,9 @@
 		{"near fuller, the region too", 15, 15, 0, 0},
 		{"both fuller than the dear crossing is worth", 35, 35, 0, 2},
 	} {
-		req := &Routed{
-			Now: now, Set: []tables.Candidate{server("a", "r", s.near), server("b", "r", s.region), server("c", "x", s.other)},
-			Here: here("a", "r"), Work: work, LeaveCost: crossing(work/4, 2*work),
+		req := &RoutedRequest{
+			Now: now, CandidateSet: []tables.Candidate{server("a", "r", s.near), server("b", "r", s.region), server("c", "x", s.other)},
+			Location: here("a", "r"), Work: work, CrossingCost: crossing(work/4, 2*work),
 		}
 		for seed := range uint64(20) {
 			test.Eq(t, s.want, PickRouted(req, rand.New(rand.NewPCG(1, seed))).Index, test.Sprint(s.name))
@@ -77,36 +77,36 @@
 	}
 }
 
-func here(dataCentre, region string) place.Here {
-	return place.Here{DataCentre: dataCentre, Region: region}
+func here(dataCentre, region string) proximity.Location {
+	return proximity.Location{DataCentre: dataCentre, Region: region}
 }
 
-func crossing(region, other time.Duration) Costs {
-	return Costs{place.Region: region, place.Other: other}
+func crossing(region, other time.Duration) CrossingCosts {
+	return CrossingCosts{proximity.Region: region, proximity.OtherRegion: other}
 }
 
 func TestPickRoutedKeepsOutWhatMayNotBePicked(t *testing.T) {
 	now := int64(time.Hour)
 	idle := wire.Stamp{Limit: 10, Slowdown: 100}
-	req := &Routed{
-		Now: now, Set: []tables.Candidate{at("here", idle, 0, now), at("there", idle, 0, now), at("far", idle, 0, now)},
-		Excluded: Tried(0).With(0), Allowed: []string{"here", "far"}, Here: place.Here{DataCentre: "here"}, Work: work,
+	req := &RoutedRequest{
+		Now: now, CandidateSet: []tables.Candidate{at("here", idle, 0, now), at("there", idle, 0, now), at("far", idle, 0, now)},
+		Excluded: IndexSet(0).With(0), Allowed: []string{"here", "far"}, Location: proximity.Location{DataCentre: "here"}, Work: work,
 	}
-	test.Eq(t, 2, PickRouted(req, Runtime{}).Index)
+	test.Eq(t, 2, PickRouted(req, RuntimeRandom{}).Index)
 	req.Evacuated = evacuation.Set{}.With(1, []evacuation.Change{{DataCentre: "far", Evacuated: true}})
-	test.Eq(t, None, PickRouted(req, Runtime{}).Index)
+	test.Eq(t, NoCandidate, PickRouted(req, RuntimeRandom{}).Index)
 	req.Evacuated = evacuation.Set{}
 	req.Excluded = req.Excluded.With(2)
-	test.Eq(t, None, PickRouted(req, Runtime{}).Index)
+	test.Eq(t, NoCandidate, PickRouted(req, RuntimeRandom{}).Index)
 }
 
 func TestPickRoutedSpreadsWhatIsAlike(t *testing.T) {
 	now := int64(time.Hour)
 	idle := wire.Stamp{Limit: 10, Slowdown: 100}
-	req := &Routed{Now: now, Set: []tables.Candidate{at("here", idle, 0, now), at("here", idle, 0, now)}, Here: place.Here{DataCentre: "here"}, Work: work}
+	req := &RoutedRequest{Now: now, CandidateSet: []tables.Candidate{at("here", idle, 0, now), at("here", idle, 0, now)}, Location: proximity.Location{DataCentre: "here"}, Work: work}
 	counts := [2]int{}
 	for range 200 {
-		counts[PickRouted(req, Runtime{}).Index]++
+		counts[PickRouted(req, RuntimeRandom{}).Index]++
 	}
 	test.Between(t, 50, counts[0], 150)
 }
--- a/pkg/choose/simple.go
+++ b/pkg/choose/simple.go
@@ -16,7 +16,7 @@
 func (RandomPolicy) Choose(req *Request, rnd Random) Pick {
 	n := countUntried(req)
 	if n == 0 {
-		return Pick{Index: None}
+		return Pick{Index: NoCandidate}
 	}
 	return Pick{Index: pickUntried(req, rnd.IntN(n)), MaxCost: unbounded}
 }
@@ -28,7 +28,7 @@
 func (r *RoundRobin) Choose(req *Request, _ Random) Pick {
 	n := countUntried(req)
 	if n == 0 {
-		return Pick{Index: None}
+		return Pick{Index: NoCandidate}
 	}
 	turn := r.next.Add(1) % uint64(n)
 	return Pick{Index: pickUntried(req, int(turn)), MaxCost: unbounded}
@@ -41,10 +41,10 @@
 // Choose implements Policy.
 func (LeastOutstanding) Choose(req *Request, rnd Random) Pick {
 	a, b := twoOf(req, rnd)
-	if a == None {
-		return Pick{Index: None}
+	if a == NoCandidate {
+		return Pick{Index: NoCandidate}
 	}
-	if b != None && req.Set[b].Load.Outstanding() < req.Set[a].Load.Outstanding() {
+	if b != NoCandidate && req.CandidateSet[b].Load.Outstanding() < req.CandidateSet[a].Load.Outstanding() {
 		a = b
 	}
 	return Pick{Index: a, MaxCost: unbounded}
@@ -55,9 +55,9 @@
 	n := countUntried(req)
 	switch n {
 	case 0:
-		return None, None
+		return NoCandidate, NoCandidate
 	case 1:
-		return pickUntried(req, 0), None
+		return pickUntried(req, 0), NoCandidate
 	}
 	i := rnd.IntN(n)
 	j := rnd.IntN(n - 1)
--- a/pkg/common/common.go
+++ b/pkg/common/common.go
@@ -11,7 +11,7 @@
 	"github.com/rushramp/rushramp/pkg/clock"
 	"github.com/rushramp/rushramp/pkg/events"
 	"github.com/rushramp/rushramp/pkg/measure"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/quarantine"
 	"github.com/rushramp/rushramp/pkg/quota"
 	"github.com/rushramp/rushramp/pkg/settings"
@@ -25,7 +25,7 @@
 	Metrics  *metrics.Set
 	Measure  *measure.Budget
 	// Traffic accounts for what is sent to other daemons.
-	Traffic *traffic.Account
+	Traffic *traffic.Counters
 	// Bodies bounds what bodies of requests hold.
 	Bodies *bodies.Budget
 	// Quarantine remembers which requests ended backend servers.
@@ -42,7 +42,7 @@
 	return &Common{
 		Log: log, Settings: s, Metrics: set,
 		Measure: measure.NewBudget(s.Measurement, set),
-		Traffic: traffic.NewAccount(set),
+		Traffic: traffic.NewCounters(set),
 		Bodies:  bodies.NewBudget(s.Limits.BodiesBytes, set),
 		Clock:   clock.New(),
 
@@ -51,8 +51,8 @@
 }
 
 // Here is where the daemon stands.
-func (c *Common) Here() place.Here {
-	return place.Here{DataCentre: c.Settings.VM.DataCentre, Region: c.Settings.VM.Region}
+func (c *Common) Here() proximity.Location {
+	return proximity.Location{DataCentre: c.Settings.VM.DataCentre, Region: c.Settings.VM.Region}
 }
 
 // Now is the time since the daemon's start in nanoseconds, on a clock that never jumps
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -83,7 +83,7 @@
 		opts.Platform = adapter.Store
 	}
 	if opts.Policy == nil {
-		policy, err := choose.New(s.Choosing.Policy, choose.Options{HalfLife: s.Choosing.StampHalfLife})
+		policy, err := choose.New(s.Choosing.Policy, choose.Options{StampHalfLife: s.Choosing.StampHalfLife})
 		if err != nil {
 			return nil, err
 		}
@@ -167,7 +167,7 @@
 // noteRestored has the systems write again what the store has lost.
 func (d *Daemon) noteRestored() {
 	d.Log.Event(events.StoreRestored)
-	d.World.Inbox.Post(true, func(m *tables.Mail) { m.Restored = true })
+	d.World.Inbox.Post(true, func(m *tables.Mail) { m.StoreRestored = true })
 }
 
 // dialFrom dials from the IP number that the daemon listens on, so that others
--- a/pkg/daemon/observe.go
+++ b/pkg/daemon/observe.go
@@ -12,7 +12,7 @@
 func (d *Daemon) Traffic() link.Traffic {
 	var out link.Traffic
 	d.ask(func(w *tables.World) {
-		w.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) {
+		w.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
 			t := peer.Traffic()
 			out.BytesIn += t.BytesIn
 			out.BytesOut += t.BytesOut
@@ -31,10 +31,10 @@
 }
 
 // Members counts the VMs that this daemon knows of.
-func (d *Daemon) Members() int { return d.World.View.Members() }
+func (d *Daemon) Members() int { return d.World.View.MemberCount() }
 
 func (d *Daemon) ask(query func(*tables.World)) {
-	d.World.Inbox.Ask(d.env.Background.Done(), query)
+	d.World.Inbox.RunQuery(d.env.Background.Done(), query)
 }
 
 // Apply makes changes on top of the placement in force here, as an operator's
--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -63,7 +63,7 @@
 	var err error
 	r.runner, err = runner.NewRunner(d.Common, runner.Deps{
 		Headers: adapter.Backend, Lifecycle: r.lifecycle, Load: r.load, Checker: r.checker, Service: r.service, Route: r.route,
-		ShareOf:  d.World.View.ShareOf,
+		ShareOf:  d.World.View.VMShareOf,
 		Recorder: r.recorder,
 	})
 	if err != nil {
--- a/pkg/daemon/teams.go
+++ b/pkg/daemon/teams.go
@@ -12,7 +12,7 @@
 func newQuota(s *settings.Settings, view *tables.View) *quota.Node {
 	return quota.NewNode(quota.Options{
 		Self: s.VM.ID, Slack: s.Teams.LimitSlack, Window: s.Teams.LimitWindow,
-		Restarted: !s.Platform.FirstStart, RestartAfter: s.Platform.RestartAfter, Limit: view.LimitOf,
+		Restarted: !s.Platform.FirstStart, RestartAfter: s.Platform.RestartAfter, Limit: view.TeamLimit,
 	})
 }
 
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -53,7 +53,7 @@
 		view:    w.View,
 		inbox:   w.Inbox,
 		policy:  policy,
-		random:  choose.Runtime{},
+		random:  choose.RuntimeRandom{},
 		sealer:  sealer,
 		budgets: newBudgets(c.Settings.Retries),
 		stats:   newStats(c.Metrics, c.Settings.Retries.HedgeQuantile),
@@ -86,14 +86,14 @@
 
 func (e *Entry) checkKind(req *Request, kind *tables.KindView) (*Misplaced, *errkind.Error) {
 	switch {
-	case kind.Kind.Strict && e.view.Unsure():
+	case kind.Kind.Strict && e.view.PlacementUnsure():
 		return nil, errkind.New(errkind.PlacementUnsure, "version %d may have been replaced", kind.Kind.Version)
 	case kind.Kind.NeverRepeat && kind.Kind.Key == placement.KeyRequired && req.Key == "":
 		return nil, errkind.New(errkind.KeyMissing, "kind %s may never be repeated", kind.Kind.Name)
 	case req.Outside && !kind.Kind.Allows(e.Settings.VM.DataCentre):
 		return &Misplaced{
 			Refusal:   errkind.New(errkind.WrongPlace, "kind %s may be handled in %v", kind.Kind.Name, kind.Kind.DataCentres),
-			Addresses: kind.Redirect,
+			Addresses: kind.RedirectAddresses,
 		}, nil
 	}
 	return nil, nil
@@ -118,7 +118,7 @@
 	if p := e.view.Placement(); p == nil || p.Service(name) == nil {
 		return nil, errkind.New(errkind.UnknownService, "service %q is not placed", name)
 	}
-	e.inbox.Post(true, func(m *tables.Mail) { m.Wanted = append(m.Wanted, name) })
+	e.inbox.Post(true, func(m *tables.Mail) { m.RequestedServices = append(m.RequestedServices, name) })
 	var found *tables.ServiceView
 	waitUntil(ctx, func() bool {
 		found = e.view.Service(name)
@@ -168,8 +168,8 @@
 	t := &try{
 		owner: e, ctx: ctx, plan: plan, body: body,
 		budget: e.budgets.of(plan.Request.Service),
-		req:    choose.Request{Set: set},
-		lane:   e.view.Rollout(plan.Request.Service).Next(plan.View.Kind.Name),
+		req:    choose.Request{CandidateSet: set},
+		lane:   e.view.RolloutTraffic(plan.Request.Service).Next(plan.View.Kind.Name),
 		claim:  wire.Claim{Generation: 1},
 		left:   e.Settings.Retries.Attempts,
 		soft:   e.Settings.Choosing.SoftFirst && len(set) > 1,
@@ -182,10 +182,10 @@
 
 // candidates returns the linked candidates, and waits for the first link.
 func (e *Entry) candidates(ctx context.Context, plan *Plan) ([]tables.Candidate, *errkind.Error) {
-	if len(plan.View.Ready) > 0 {
-		return plan.View.Ready, nil
+	if len(plan.View.LinkedCandidates) > 0 {
+		return plan.View.LinkedCandidates, nil
 	}
-	if len(plan.View.Unlinked) == 0 {
+	if len(plan.View.UnlinkedEndpoints) == 0 {
 		return nil, errkind.New(errkind.NoBackendServer, "no backend server is live in %v", plan.View.Kind.DataCentres)
 	}
 	kind := plan.View.Kind
@@ -197,12 +197,12 @@
 		if v := service.Match(plan.Request.Method, executor.PathOf(plan.Request.URI)); v != nil {
 			plan.View = v
 		}
-		return len(plan.View.Ready) > 0 || e.Now() >= plan.deadline
+		return len(plan.View.LinkedCandidates) > 0 || e.Now() >= plan.deadline
 	})
-	if len(plan.View.Ready) == 0 {
+	if len(plan.View.LinkedCandidates) == 0 {
 		return nil, errkind.New(errkind.LinkUnavailable, "no daemon of service %s could be reached", kind.Service)
 	}
-	return plan.View.Ready, nil
+	return plan.View.LinkedCandidates, nil
 }
 
 // failed is true for what counts against a backend server, so that one that
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -48,12 +48,12 @@
 type inOrder struct{}
 
 func (inOrder) Choose(req *choose.Request, _ choose.Random) choose.Pick {
-	for i := range req.Set {
-		if !req.Tried.Has(i) {
+	for i := range req.CandidateSet {
+		if !req.Excluded.Has(i) {
 			return choose.Pick{Index: i, MaxCost: time.Second}
 		}
 	}
-	return choose.Pick{Index: choose.None}
+	return choose.Pick{Index: choose.NoCandidate}
 }
 
 // sealer is a fake that says how seals end.
@@ -76,9 +76,9 @@
 	w := tables.NewWorld("vm", "here")
 	view := &tables.KindView{Kind: compiled.Service("s").Kinds[0]}
 	for i, runner := range servers {
-		route := &tables.Route{VM: fmt.Sprint("server-", i), Load: tables.NewLoad(4)}
+		route := &tables.Endpoint{VM: fmt.Sprint("server-", i), Load: tables.NewLoad(4)}
 		route.SetRunner(runner)
-		view.Ready = append(view.Ready, tables.Candidate{Route: route, Load: route.Load})
+		view.LinkedCandidates = append(view.LinkedCandidates, tables.Candidate{Endpoint: route, Load: route.Load})
 	}
 	w.View.SetPlacement(compiled)
 	w.View.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{view}))
@@ -233,7 +233,7 @@
 	for range depth - 1 {
 		above := newEntry(placement.Kind{}, &sealer{}, answers(0))
 		view := above.view.Service("s").Match("GET", "/a")
-		view.Ready[0].Route.SetRunner(&level{next: e})
+		view.LinkedCandidates[0].Endpoint.SetRunner(&level{next: e})
 		e = above
 	}
 	for range offered {
--- a/pkg/entry/hedge.go
+++ b/pkg/entry/hedge.go
@@ -66,11 +66,11 @@
 func (t *try) newHedge(first *flight, ends chan landed) *hedge {
 	out := &hedge{try: t, first: first, ends: ends, open: 1}
 	kind := t.plan.View.Kind
-	if !kind.HedgeSafe || kind.NeverRepeat || len(t.req.Set) < 2 {
+	if !kind.HedgeSafe || kind.NeverRepeat || len(t.req.CandidateSet) < 2 {
 		return out
 	}
 	out.after = t.owner.stats.kindOf(t.plan).quantile.get()
-	early := earlyLook * first.to.Load.Known(first.sentAt).Service
+	early := earlyLook * first.to.Load.Snapshot(first.sentAt).ServiceTime
 	if early <= 0 {
 		early = out.after
 	}
@@ -110,13 +110,13 @@
 // slowed is true when stamps that came since tell that the first flight's
 // server is much slower than another candidate.
 func (h *hedge) slowed(now int64) bool {
-	mine := h.first.to.Load.Known(now)
-	if mine.StampAt < h.first.sentAt || mine.Service == 0 {
+	mine := h.first.to.Load.Snapshot(now)
+	if mine.StampReceivedAt < h.first.sentAt || mine.ServiceTime == 0 {
 		return false
 	}
-	for i := range h.try.req.Set {
-		other := h.try.req.Set[i].Load.Known(now)
-		if other.Service > 0 && slowHint*other.Service < mine.Service {
+	for i := range h.try.req.CandidateSet {
+		other := h.try.req.CandidateSet[i].Load.Snapshot(now)
+		if other.ServiceTime > 0 && slowHint*other.ServiceTime < mine.ServiceTime {
 			return true
 		}
 	}
@@ -126,9 +126,9 @@
 func (h *hedge) send(now int64) {
 	req := h.try.req
 	req.Now = now
-	req.Tried = req.Tried.With(h.first.index)
+	req.Excluded = req.Excluded.With(h.first.index)
 	pick := h.try.owner.policy.Choose(&req, h.try.owner.random)
-	if pick.Index == choose.None {
+	if pick.Index == choose.NoCandidate {
 		return
 	}
 	// A hedge never queues: it must not be one more call for a full server.
--- a/pkg/entry/lane_test.go
+++ b/pkg/entry/lane_test.go
@@ -19,15 +19,15 @@
 // of v2, is the canary of a roll-out in a phase, with a share in thousandths.
 func underRollout(phase rollout.Phase, perMille uint32, servers ...*server) *Entry {
 	e := newEntry(placement.Kind{}, nil, servers...)
-	for i, c := range e.view.Service("s").Match("GET", "/a").Ready {
-		c.Route.SetVersion([]string{"v1", "v2"}[i])
+	for i, c := range e.view.Service("s").Match("GET", "/a").LinkedCandidates {
+		c.Endpoint.SetVersion([]string{"v1", "v2"}[i])
 	}
 	book := rollout.NewBook()
 	book.Take(rollout.News{Plans: []rollout.Plan{{
 		Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: phase,
 		Canaries: []string{"server-1"}, PerMille: perMille,
 	}}})
-	e.view.SetRollouts(&tables.Rollouts{Traffic: map[string]*rollout.Traffic{"s": book.Traffic("s")}})
+	e.view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.Traffic{"s": book.Traffic("s")}})
 	return e
 }
 
--- a/pkg/entry/try.go
+++ b/pkg/entry/try.go
@@ -23,7 +23,7 @@
 	budget *budget
 	req    choose.Request
 	// tried are the candidates that refused this call, or were silent.
-	tried choose.Tried
+	tried choose.IndexSet
 	// lane is the side of the service's roll-out on which the next attempt goes.
 	lane rollout.Lane
 	// claim is the generation of the key in which the next attempt may run.
@@ -47,7 +47,7 @@
 			return call.Result{Refusal: refusal, RetryAfter: left}
 		}
 		pick := t.pick()
-		if pick.Index == choose.None {
+		if pick.Index == choose.NoCandidate {
 			return last
 		}
 		result := t.attempt(pick.Index, t.maxCost(pick))
@@ -71,13 +71,13 @@
 // pick chooses the next candidate in the call's lane. Where its lane has none left it
 // goes to the other one, so that a roll-out that tries a few calls refuses none for it.
 func (t *try) pick() choose.Pick {
-	traffic := t.owner.view.Rollout(t.plan.Request.Service)
+	traffic := t.owner.view.RolloutTraffic(t.plan.Request.Service)
 	if t.attempts > 0 {
 		t.lane = traffic.Again()
 	}
 	t.attempts++
 	pick := t.pickIn(traffic)
-	if next := traffic.Again(); pick.Index == choose.None && next != t.lane {
+	if next := traffic.Again(); pick.Index == choose.NoCandidate && next != t.lane {
 		t.lane = next
 		return t.pickIn(traffic)
 	}
@@ -86,10 +86,10 @@
 
 // pickIn chooses among the candidates that the call's lane allows.
 func (t *try) pickIn(traffic *rollout.Traffic) choose.Pick {
-	t.req.Tried = t.tried
-	for i := range t.req.Set {
-		if route := t.req.Set[i].Route; traffic != nil && !traffic.Takes(t.lane, route.Version(), route.VM) {
-			t.req.Tried = t.req.Tried.With(i)
+	t.req.Excluded = t.tried
+	for i := range t.req.CandidateSet {
+		if route := t.req.CandidateSet[i].Endpoint; traffic != nil && !traffic.Takes(t.lane, route.Version(), route.VM) {
+			t.req.Excluded = t.req.Excluded.With(i)
 		}
 	}
 	return t.owner.policy.Choose(&t.req, t.owner.random)
@@ -180,18 +180,18 @@
 
 // launch sends the call to a candidate. ends receives its end.
 func (t *try) launch(index int, cost time.Duration, ends chan<- landed) (*flight, *errkind.Error) {
-	to := &t.req.Set[index]
+	to := &t.req.CandidateSet[index]
 	now := t.owner.Now()
 	left := time.Duration(t.plan.deadline - now)
 	if left <= 0 {
 		return nil, errkind.New(errkind.DeadlineBeforeRun, "the time ran out at the entry")
 	}
-	runner := to.Route.Runner()
+	runner := to.Endpoint.Runner()
 	if runner == nil {
-		return nil, errkind.New(errkind.LinkUnavailable, "the link to %s is down", to.Route.VM)
+		return nil, errkind.New(errkind.LinkUnavailable, "the link to %s is down", to.Endpoint.VM)
 	}
 	f := &flight{to: to, index: index, sentAt: now}
-	to.Load.Sent(now)
+	to.Load.RecordSent(now)
 	frame := t.frame(left, cost)
 	frame.WantStamp = t.wantStamp(to, now, cost)
 	f.cancel = runner.Execute(frame, t.body, func(r call.Result) { ends <- landed{flight: f, result: t.land(f, r)} })
@@ -202,13 +202,13 @@
 // when nobody waits for it any more.
 func (t *try) land(f *flight, result call.Result) call.Result {
 	now := t.owner.Now()
-	f.to.Load.Ended(now)
+	f.to.Load.RecordEnded(now)
 	if result.Stamp.Seq > 0 {
-		f.to.Load.Report(now, result.Stamp)
+		f.to.Load.ApplyStamp(now, result.Stamp)
 	}
-	f.to.Load.Answered(failed(result))
-	result.Network = f.to.Load.Distance()
-	result.Server, result.DataCentre = f.to.Route.VM, f.to.Route.DataCentre
+	f.to.Load.RecordAnswer(failed(result))
+	result.Network = f.to.Load.RoundTrip()
+	result.Server, result.DataCentre = f.to.Endpoint.VM, f.to.Endpoint.DataCentre
 	return result
 }
 
@@ -246,11 +246,11 @@
 // attempt, which may be refused because of what the stamp then says, or when
 // the newest one is old. A stamp of this daemon's own gate costs nothing.
 func (t *try) wantStamp(to *tables.Candidate, now int64, cost time.Duration) bool {
-	if to.Route.VM == t.owner.Settings.VM.ID {
+	if to.Endpoint.VM == t.owner.Settings.VM.ID {
 		return true
 	}
 	value := measure.Low
-	if at := to.Load.StampAt(); cost > 0 || at == 0 || now-at > int64(t.owner.Settings.Choosing.StampHalfLife) {
+	if at := to.Load.StampReceivedAt(); cost > 0 || at == 0 || now-at > int64(t.owner.Settings.Choosing.StampHalfLife) {
 		value = measure.High
 	}
 	return t.owner.Measure.Spend(now, typicalStamp, value)
--- a/pkg/evacuation/register.go
+++ b/pkg/evacuation/register.go
@@ -42,7 +42,7 @@
 			return nil, err
 		}
 		after := before.With(before.Revision, []Change{c})
-		if after.Same(before) {
+		if after.SameDataCentres(before) {
 			return nil, nil
 		}
 		value, err := json.Marshal(after.DataCentres)
--- a/pkg/evacuation/set.go
+++ b/pkg/evacuation/set.go
@@ -46,5 +46,5 @@
 // IsEmpty is true when no data centre is evacuated.
 func (s Set) IsEmpty() bool { return len(s.DataCentres) == 0 }
 
-// Same is true when two sets evacuate the same data centres.
-func (s Set) Same(other Set) bool { return slices.Equal(s.DataCentres, other.DataCentres) }
+// SameDataCentres is true when two sets evacuate the same data centres.
+func (s Set) SameDataCentres(other Set) bool { return slices.Equal(s.DataCentres, other.DataCentres) }
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -6,7 +6,7 @@
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/choose"
 	"github.com/rushramp/rushramp/pkg/errkind"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/rollout"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/wire"
@@ -16,7 +16,7 @@
 func (a *attempts) send(pick choose.RoutedPick, soft bool) call.Result {
 	to := &a.set[pick.Index]
 	began := a.owner.Now()
-	note := noteAttempt(began, to, soft, a.placeOf(to), pick.Refusing)
+	note := noteAttempt(began, to, soft, a.placeOf(to), pick.PassedOver)
 	note.target = a.lane == rollout.LaneTarget
 	result := a.sendTo(to, soft)
 	note.end(&result, time.Duration(a.owner.Now()-began))
@@ -25,12 +25,12 @@
 }
 
 func (a *attempts) sendTo(to *tables.Candidate, soft bool) call.Result {
-	runner := to.Route.Runner()
+	runner := to.Endpoint.Runner()
 	if runner == nil {
-		return call.Refused(errkind.LinkUnavailable, "the link to %s is down", to.Route.VM)
+		return call.Refused(errkind.LinkUnavailable, "the link to %s is down", to.Endpoint.VM)
 	}
 	now := a.owner.Now()
-	to.Load.Sent(now)
+	to.Load.RecordSent(now)
 	ends := make(chan call.Result, 1)
 	cancel := runner.Execute(a.frame(to, soft), a.req.Body, func(r call.Result) { ends <- a.land(to, r) })
 	return a.await(to, runner, cancel, ends)
@@ -43,11 +43,11 @@
 	if a.offered+1 >= a.route.Attempts || a.left() < leastLeft || a.owner.budgets.of(a.service).left() < 1 {
 		return false
 	}
-	traffic := a.owner.view.Rollout(a.service)
+	traffic := a.owner.view.RolloutTraffic(a.service)
 	lane := traffic.Again()
 	for i := range a.set {
 		other := &a.set[i]
-		if other != from && !a.closed.Has(i) && a.mayTake(other) && traffic.Takes(lane, other.Route.Version(), other.Route.VM) && other.Route.Runner() != nil {
+		if other != from && !a.closed.Has(i) && a.mayTake(other) && traffic.Takes(lane, other.Endpoint.Version(), other.Endpoint.VM) && other.Endpoint.Runner() != nil {
 			return true
 		}
 	}
@@ -69,10 +69,10 @@
 			if !watch.silent() {
 				continue
 			}
-			to.Load.Silent(a.owner.Now())
+			to.Load.MarkUnresponsive(a.owner.Now())
 			if a.route.Repeatable && a.mayGoOn(to) {
 				cancel()
-				return a.unheard(errkind.New(errkind.LinkLost, "%s gives no sign of life", to.Route.VM))
+				return a.unheard(errkind.New(errkind.LinkLost, "%s gives no sign of life", to.Endpoint.VM))
 			}
 		case <-bound.C:
 			select {
@@ -82,7 +82,7 @@
 			default:
 			}
 			cancel()
-			return a.unheard(errkind.New(errkind.DeadlineWhileRunning, "no word of %s in time", to.Route.VM))
+			return a.unheard(errkind.New(errkind.DeadlineWhileRunning, "no word of %s in time", to.Endpoint.VM))
 		case <-a.ctx.Done():
 			cancel()
 			return a.unheard(errkind.New(errkind.CallerGone, "the caller left").Maybe())
@@ -99,24 +99,24 @@
 // waits for it any more.
 func (a *attempts) land(to *tables.Candidate, result call.Result) call.Result {
 	now := a.owner.Now()
-	to.Load.Ended(now)
+	to.Load.RecordEnded(now)
 	if result.Stamp.Seq > 0 {
-		to.Load.Report(now, result.Stamp)
+		to.Load.ApplyStamp(now, result.Stamp)
 		a.owner.called.note(a.route.Name, result.Origin)
 	}
 	switch {
 	case result.Answer != nil:
 		result.Offered = true
-		to.Load.Answered(result.Answer.Status >= 500)
+		to.Load.RecordAnswer(result.Answer.Status >= 500)
 		if result.Answer.Status < 500 {
 			a.owner.work.Note(a.route.Name, result.Answer.Run, result.Answer.Slowdown)
 			a.owner.sizes.note(a.route.Name, len(a.req.Body), len(result.Answer.Body))
 		}
 	case result.Refusal.Ran == errkind.RanMaybe:
 		result.Offered = true
-		to.Load.Answered(result.Refusal.Kind != errkind.CallerGone)
+		to.Load.RecordAnswer(result.Refusal.Kind != errkind.CallerGone)
 	}
-	result.Server, result.DataCentre = to.Route.VM, to.Route.DataCentre
+	result.Server, result.DataCentre = to.Endpoint.VM, to.Endpoint.DataCentre
 	return result
 }
 
@@ -135,7 +135,7 @@
 		Routed: wire.Routed{
 			ID: a.req.ID, Host: a.req.Host, Caller: a.owner.Settings.BackendServer.Service,
 			Repeatable: a.route.Repeatable, Priority: a.route.Priority, Soft: soft,
-			Near: a.placeOf(to) == place.Near, Target: a.target - elapsed,
+			Near: a.placeOf(to) == proximity.SameDataCentre, Target: a.target - elapsed,
 		},
 	}
 	if a.team != nil {
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -8,7 +8,7 @@
 	"github.com/rushramp/rushramp/pkg/choose"
 	"github.com/rushramp/rushramp/pkg/errkind"
 	"github.com/rushramp/rushramp/pkg/gate"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/quarantine"
 	"github.com/rushramp/rushramp/pkg/rollout"
 	"github.com/rushramp/rushramp/pkg/routing"
@@ -52,8 +52,8 @@
 	// softLeft is how many attempts may still be refused softly; softTried are
 	// the candidates that did so, and closed those not to be asked again.
 	softLeft  int
-	softTried choose.Tried
-	closed    choose.Tried
+	softTried choose.IndexSet
+	closed    choose.IndexSet
 	// tries counts all attempts, offered those that reached a backend server.
 	tries   int
 	offered int
@@ -89,11 +89,11 @@
 			return a.conclude(*refusal)
 		}
 		pick, soft := a.pick()
-		if pick.Refusing > 0 {
-			last = call.Refused(errkind.Overloaded, "%d gates have just shown that they would refuse it", pick.Refusing)
+		if pick.PassedOver > 0 {
+			last = call.Refused(errkind.Overloaded, "%d gates have just shown that they would refuse it", pick.PassedOver)
 		}
 		index := pick.Index
-		if index == choose.None {
+		if index == choose.NoCandidate {
 			a.stopped = stoppedByChoice
 			a.notePassedOver()
 			break
@@ -156,20 +156,20 @@
 func (a *attempts) pick() (pick choose.RoutedPick, soft bool) {
 	a.refresh()
 	a.renewRules()
-	traffic := a.owner.view.Rollout(a.service)
+	traffic := a.owner.view.RolloutTraffic(a.service)
 	if a.tries > 0 {
 		a.lane = traffic.Again()
 	}
 	pick, soft = a.pickIn(traffic)
 	next := traffic.Again()
-	if next == a.lane || pick.Index != choose.None && (soft || a.softLeft == 0) {
+	if next == a.lane || pick.Index != choose.NoCandidate && (soft || a.softLeft == 0) {
 		return pick, soft
 	}
 	// Its lane's backend servers are gone, not linked here, or full by what is known: a
 	// roll-out that tries a few requests refuses none for it, nor lets one queue.
 	first := a.lane
 	a.lane = next
-	if other, otherSoft := a.pickIn(traffic); other.Index != choose.None || pick.Index == choose.None {
+	if other, otherSoft := a.pickIn(traffic); other.Index != choose.NoCandidate || pick.Index == choose.NoCandidate {
 		return other, otherSoft
 	}
 	a.lane = first
@@ -178,22 +178,22 @@
 
 // pickIn chooses among the backend servers that the request's lane allows.
 func (a *attempts) pickIn(traffic *rollout.Traffic) (pick choose.RoutedPick, soft bool) {
-	req := choose.Routed{
-		Now: a.owner.Now(), Set: a.set, Allowed: a.rules.allowed, Evacuated: a.owner.view.Evacuation(),
+	req := choose.RoutedRequest{
+		Now: a.owner.Now(), CandidateSet: a.set, Allowed: a.rules.allowed, Evacuated: a.owner.view.Evacuation(),
 		Rollout: traffic, Lane: a.lane,
-		Here: a.owner.Here(), LeaveCost: a.leaveCost(), Work: a.work(),
+		Location: a.owner.Here(), CrossingCost: a.leaveCost(), Work: a.work(),
 		// What gates refuse by, so that the entry knows before it asks.
-		SoftSlowdown: a.owner.Settings.Routing.SoftSlowdown, Use: a.owner.Settings.Routing.Use,
-		Within: a.within(), Left: a.left(),
+		SoftSlowdown: a.owner.Settings.Routing.SoftSlowdown, UsableShare: a.owner.Settings.Routing.Use,
+		TimeToTarget: a.within(), TimeToDeadline: a.left(),
 	}
 	if a.softLeft > 0 {
 		req.Soft = true
 		req.Excluded = a.softTried | a.closed
-		if pick = choose.PickRouted(&req, a.owner.random); pick.Index != choose.None && pick.Place != place.Other {
+		if pick = choose.PickRouted(&req, a.owner.random); pick.Index != choose.NoCandidate && pick.Proximity != proximity.OtherRegion {
 			return pick, true
 		}
 	}
-	crosses := req.Soft && pick.Index != choose.None
+	crosses := req.Soft && pick.Index != choose.NoCandidate
 	if crosses && !a.isLarge() {
 		return pick, true
 	}
@@ -201,7 +201,7 @@
 	earnest.Soft = false
 	earnest.Excluded = a.closed
 	waits := choose.PickRouted(&earnest, a.owner.random)
-	if crosses && !waitsNearer(&pick, &waits, req.Within) {
+	if crosses && !waitsNearer(&pick, &waits, req.TimeToTarget) {
 		return pick, true
 	}
 	return waits, false
@@ -218,8 +218,8 @@
 // region: it costs less, and the request is expected to end in time all the same, with
 // the spread that gates allow for. The price of a crossing makes no request late.
 func waitsNearer(crosses, waits *choose.RoutedPick, within time.Duration) bool {
-	nearer := waits.Index != choose.None && waits.Place < crosses.Place
-	return nearer && waits.Cost < crosses.Cost && gate.SpreadFactor*waits.Expected <= float64(within)
+	nearer := waits.Index != choose.NoCandidate && waits.Proximity < crosses.Proximity
+	return nearer && waits.Cost < crosses.Cost && gate.SpreadFactor*waits.ExpectedTime <= float64(within)
 }
 
 // within is the time in which the request must end to be worth its run: its
@@ -241,7 +241,7 @@
 		return
 	}
 	if kind := service.Match(a.req.Method, a.req.Path); kind != nil {
-		a.set = kind.Ready
+		a.set = kind.LinkedCandidates
 	}
 }
 
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -86,8 +86,8 @@
 	return &Forwarder{
 		Common:  c,
 		view:    view,
-		random:  choose.Runtime{},
-		budgets: newBudgets(c, view.Members),
+		random:  choose.RuntimeRandom{},
+		budgets: newBudgets(c, view.MemberCount),
 		work:    worktime.NewTimes(),
 		called:  newCalledRoutes(),
 		sizes:   newSizes(),
@@ -217,7 +217,7 @@
 	return &attempts{
 		owner: f, ctx: ctx, req: req, route: route, version: version, service: service,
 		rules: rules{version, route.DataCentres},
-		lane:  f.view.Rollout(service).Next(route.Name),
+		lane:  f.view.RolloutTraffic(service).Next(route.Name),
 		began: began, deadline: began + int64(timeout), target: target,
 		softLeft: f.Settings.Routing.SoftAttempts,
 	}
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -84,11 +84,11 @@
 	view.SetPlacement(compiled)
 	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0]}
 	for range runners {
-		route := &tables.Route{DataCentre: "here", Load: tables.NewLoad(4)}
-		kind.Ready = append(kind.Ready, tables.Candidate{Route: route, Load: route.Load})
+		route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
+		kind.LinkedCandidates = append(kind.LinkedCandidates, tables.Candidate{Endpoint: route, Load: route.Load})
 	}
 	for i, r := range runners {
-		kind.Ready[i].Route.SetRunner(r)
+		kind.LinkedCandidates[i].Endpoint.SetRunner(r)
 	}
 	view.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{kind}))
 	return NewForwarder(common.NewCommon(events.Discard(), &s), view, nil)
@@ -220,8 +220,8 @@
 
 // stamped reports a stamp of each candidate's gate, as of now.
 func stamped(f *Forwarder, stamp wire.Stamp) {
-	for _, candidate := range f.view.Service("s").Match("GET", "/").Ready {
-		candidate.Load.Report(f.Now(), stamp)
+	for _, candidate := range f.view.Service("s").Match("GET", "/").LinkedCandidates {
+		candidate.Load.ApplyStamp(f.Now(), stamp)
 	}
 }
 
--- a/pkg/forward/rollout_test.go
+++ b/pkg/forward/rollout_test.go
@@ -17,9 +17,9 @@
 // new one, under a plan in a phase that gives the new one a quarter of the requests.
 func rollingOut(phase rollout.Phase, old, target *fakeRunner) *Forwarder {
 	f := newForwarder(old, target)
-	for i, c := range f.view.Service("s").Match("GET", "/").Ready {
-		c.Route.VM = []string{"old", "new"}[i]
-		c.Route.SetVersion([]string{"v1", "v2"}[i])
+	for i, c := range f.view.Service("s").Match("GET", "/").LinkedCandidates {
+		c.Endpoint.VM = []string{"old", "new"}[i]
+		c.Endpoint.SetVersion([]string{"v1", "v2"}[i])
 	}
 	setPlan(f.view, phase)
 	return f
@@ -34,7 +34,7 @@
 			Canaries: []string{"new"}, PerMille: 250,
 		}},
 	})
-	view.SetRollouts(&tables.Rollouts{Traffic: map[string]*rollout.Traffic{"s": book.Traffic("s")}, Digest: book.Digest()})
+	view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.Traffic{"s": book.Traffic("s")}, Digest: book.Digest()})
 }
 
 // TestWhoGetsTheRequestsInEachPhase of 1000.
@@ -75,7 +75,7 @@
 	}
 	old := &fakeRunner{answer: answers(200)}
 	f := rollingOut(rollout.Canary, old, &fakeRunner{answer: answers(200)})
-	f.view.Service("s").Match("GET", "/").Ready[1].Route.SetVersion("v1")
+	f.view.Service("s").Match("GET", "/").LinkedCandidates[1].Endpoint.SetVersion("v1")
 	for range 20 {
 		must.NotNil(t, f.Forward(t.Context(), request("/read/1")).Answer, must.Sprint("nobody is on trial"))
 	}
@@ -124,11 +124,11 @@
 	first, second := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: answers(200)}
 	f, view := newWeighted(first, second)
 	for _, service := range []string{"first", "second"} {
-		view.Service(service).Match("GET", "/").Ready[0].Route.SetVersion("v1")
+		view.Service(service).Match("GET", "/").LinkedCandidates[0].Endpoint.SetVersion("v1")
 	}
 	book := rollout.NewBook()
 	book.Take(rollout.News{Plans: []rollout.Plan{{Service: "second", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
-	view.SetRollouts(&tables.Rollouts{Traffic: map[string]*rollout.Traffic{"second": book.Traffic("second")}})
+	view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.Traffic{"second": book.Traffic("second")}})
 	const requests = 100
 	refused := 0
 	for range requests {
@@ -154,8 +154,8 @@
 	}}
 	full := func() *Forwarder {
 		f := rollingOut(rollout.Canary, old, target)
-		canary := f.view.Service("s").Match("GET", "/").Ready[1]
-		canary.Load.Report(f.Now(), wire.Stamp{Seq: 1, Limit: 8, Running: 8, Queued: 0, Slowdown: 100})
+		canary := f.view.Service("s").Match("GET", "/").LinkedCandidates[1]
+		canary.Load.ApplyStamp(f.Now(), wire.Stamp{Seq: 1, Limit: 8, Running: 8, Queued: 0, Slowdown: 100})
 		return f
 	}
 	f := full()
@@ -166,7 +166,7 @@
 	test.Eq(t, 100, total(old))
 
 	f = full()
-	f.view.Service("s").Match("GET", "/").Ready[0].Route.SetVersion("v2")
+	f.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetVersion("v2")
 	for range 100 {
 		f.Forward(t.Context(), request("/read/1"))
 	}
--- a/pkg/forward/rules.go
+++ b/pkg/forward/rules.go
@@ -28,7 +28,7 @@
 
 // mayTake is true when the rules allow a candidate's data centre.
 func (a *attempts) mayTake(to *tables.Candidate) bool {
-	dataCentre := to.Route.DataCentre
+	dataCentre := to.Endpoint.DataCentre
 	return !a.owner.view.Evacuation().Has(dataCentre) && routing.Allows(a.rules.allowed, dataCentre)
 }
 
--- a/pkg/forward/rules_test.go
+++ b/pkg/forward/rules_test.go
@@ -11,7 +11,7 @@
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/choose"
 	"github.com/rushramp/rushramp/pkg/errkind"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
 	"github.com/rushramp/rushramp/pkg/routing"
 	"github.com/rushramp/rushramp/pkg/tables"
@@ -26,9 +26,9 @@
 	for i := range doc.Routes {
 		doc.Routes[i].DataCentres = allowed
 	}
-	set := f.view.Service("s").Match("GET", "/read/").Ready
+	set := f.view.Service("s").Match("GET", "/read/").LinkedCandidates
 	for i, place := range places {
-		set[i].Route.DataCentre = place
+		set[i].Endpoint.DataCentre = place
 	}
 	f.view.SetPlacement(placement.Compile(&doc))
 }
@@ -101,7 +101,7 @@
 	f := newForwarder(&fakeRunner{answer: answers(200)})
 	f.Settings.VM.Region = "r"
 	for region, want := range map[string]string{"r": "vm-1 region load=unknown -> x", "s": "vm-1 other load=unknown -> x"} {
-		to := &tables.Candidate{Route: &tables.Route{VM: "vm-1", DataCentre: "there", Region: region}, Load: tables.NewLoad(4)}
+		to := &tables.Candidate{Endpoint: &tables.Endpoint{VM: "vm-1", DataCentre: "there", Region: region}, Load: tables.NewLoad(4)}
 		a := &attempts{owner: f}
 		note := noteAttempt(1, to, false, a.placeOf(to), 0)
 		note.outcome = "x"
@@ -115,11 +115,11 @@
 	f := newForwarder(&fakeRunner{answer: answers(200)})
 	f.Settings.Routing.LeaveCost = 0.5
 	a := &attempts{owner: f, target: time.Second, req: request("/read/1"), route: f.view.Placement().Routes.Match("h", "/read/1")}
-	test.Eq(t, choose.Costs{place.Region: 500 * time.Millisecond, place.Other: 500 * time.Millisecond}, a.leaveCost(), test.Sprint("not measured"))
+	test.Eq(t, choose.CrossingCosts{proximity.Region: 500 * time.Millisecond, proximity.OtherRegion: 500 * time.Millisecond}, a.leaveCost(), test.Sprint("not measured"))
 	f.view.SetRegionShare(0.125)
-	test.Eq(t, 62500*time.Microsecond, a.leaveCost()[place.Region])
+	test.Eq(t, 62500*time.Microsecond, a.leaveCost()[proximity.Region])
 	f.Settings.Routing.RegionShare = 0.25
-	test.Eq(t, choose.Costs{place.Region: 125 * time.Millisecond, place.Other: 500 * time.Millisecond}, a.leaveCost())
+	test.Eq(t, choose.CrossingCosts{proximity.Region: 125 * time.Millisecond, proximity.OtherRegion: 500 * time.Millisecond}, a.leaveCost())
 }
 
 // TestACrossingIsPricedByItsBytes: an upload of 60 kB beside lookups of 5.
@@ -143,14 +143,14 @@
 func crossable(near, other *fakeRunner, share float64) *Forwarder {
 	f := newForwarder(near, other)
 	f.Settings.VM.Region = "r"
-	set := f.view.Service("s").Match("GET", "/read/").Ready
-	set[0].Route.Region = "r"
-	set[1].Route.DataCentre, set[1].Route.Region = "there", "x"
+	set := f.view.Service("s").Match("GET", "/read/").LinkedCandidates
+	set[0].Endpoint.Region = "r"
+	set[1].Endpoint.DataCentre, set[1].Endpoint.Region = "there", "x"
 	f.sizes.note("read", 0, 1000)
 	f.sizes.all.mean = (frameBytes + 1000) / share
 	full := wire.Stamp{Seq: 1, Limit: 4, Running: 4, Queued: 1, Slowdown: 100}
-	set[0].Load.Report(f.Now(), full)
-	set[1].Load.Report(f.Now(), wire.Stamp{Seq: 1, Limit: 4, Slowdown: 100})
+	set[0].Load.ApplyStamp(f.Now(), full)
+	set[1].Load.ApplyStamp(f.Now(), wire.Stamp{Seq: 1, Limit: 4, Slowdown: 100})
 	return f
 }
 
@@ -181,19 +181,19 @@
 
 // TestThePriceOfACrossingMakesNoRequestLate.
 func TestThePriceOfACrossingMakesNoRequestLate(t *testing.T) {
-	crosses := choose.RoutedPick{Index: 1, Place: place.Other, Cost: 1000, Expected: 100}
+	crosses := choose.RoutedPick{Index: 1, Proximity: proximity.OtherRegion, Cost: 1000, ExpectedTime: 100}
 	for _, s := range []struct {
 		name   string
 		waits  choose.RoutedPick
 		within time.Duration
 		want   bool
 	}{
-		{"cheaper and in time", choose.RoutedPick{Place: place.Region, Cost: 500, Expected: 500}, 800, true},
-		{"cheaper, and too late with the spread of runs", choose.RoutedPick{Place: place.Region, Cost: 500, Expected: 500}, 600, false},
-		{"dearer", choose.RoutedPick{Place: place.Region, Cost: 1500, Expected: 1500}, 9000, false},
-		{"cheaper and no nearer", choose.RoutedPick{Place: place.Other, Cost: 500, Expected: 500}, 800, false},
-		{"nobody to wait at", choose.RoutedPick{Index: choose.None}, 9000, false},
-		{"late already", choose.RoutedPick{Place: place.Region, Cost: 500, Expected: 500}, -1, false},
+		{"cheaper and in time", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, 800, true},
+		{"cheaper, and too late with the spread of runs", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, 600, false},
+		{"dearer", choose.RoutedPick{Proximity: proximity.Region, Cost: 1500, ExpectedTime: 1500}, 9000, false},
+		{"cheaper and no nearer", choose.RoutedPick{Proximity: proximity.OtherRegion, Cost: 500, ExpectedTime: 500}, 800, false},
+		{"nobody to wait at", choose.RoutedPick{Index: choose.NoCandidate}, 9000, false},
+		{"late already", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, -1, false},
 	} {
 		test.Eq(t, s.want, waitsNearer(&crosses, &s.waits, s.within), test.Sprint(s.name))
 	}
--- a/pkg/forward/trail.go
+++ b/pkg/forward/trail.go
@@ -7,7 +7,7 @@
 
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/events"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
@@ -16,12 +16,12 @@
 type attemptNote struct {
 	vm   string
 	soft bool
-	at   place.Place
+	at   proximity.Level
 	// target is true for an attempt at the version that a roll-out moves to.
 	target bool
 	// known is what the entry knew of the backend server, age how old it was; a
 	// negative age: nothing.
-	known tables.Known
+	known tables.LoadSnapshot
 	age   time.Duration
 	// refusing counts the candidates that were passed over for this attempt.
 	refusing int
@@ -31,11 +31,11 @@
 }
 
 // noteAttempt begins the note of an attempt.
-func noteAttempt(now int64, to *tables.Candidate, soft bool, at place.Place, refusing int) attemptNote {
-	out := attemptNote{vm: to.Route.VM, soft: soft, at: at, refusing: refusing, age: -1}
-	to.Load.Read(now, &out.known)
-	if out.known.StampAt != 0 {
-		out.age = time.Duration(max(now-out.known.StampAt, 0))
+func noteAttempt(now int64, to *tables.Candidate, soft bool, at proximity.Level, refusing int) attemptNote {
+	out := attemptNote{vm: to.Endpoint.VM, soft: soft, at: at, refusing: refusing, age: -1}
+	to.Load.SnapshotInto(now, &out.known)
+	if out.known.StampReceivedAt != 0 {
+		out.age = time.Duration(max(now-out.known.StampReceivedAt, 0))
 	}
 	return out
 }
@@ -76,14 +76,14 @@
 	if n.soft {
 		out.WriteString(" soft")
 	}
-	if n.at != place.Near {
+	if n.at != proximity.SameDataCentre {
 		out.WriteString(" " + n.at.String())
 	}
 	if n.target {
 		out.WriteString(" target")
 	}
 	if n.age >= 0 {
-		out.WriteString(" load=" + strconv.FormatInt(n.known.InFlight+n.known.SentSince, 10) + "/" + strconv.FormatInt(n.known.Limit, 10))
+		out.WriteString(" load=" + strconv.FormatInt(n.known.InFlight+n.known.SentSinceStamp, 10) + "/" + strconv.FormatInt(n.known.Limit, 10))
 		out.WriteString(" slowdown=" + strconv.FormatInt(n.known.Slowdown, 10))
 		out.WriteString(" age=" + events.Milliseconds(n.age))
 	} else {
--- a/pkg/forward/trail_test.go
+++ b/pkg/forward/trail_test.go
@@ -50,8 +50,8 @@
 				f := newForwarder(s.runners...)
 				var out bytes.Buffer
 				f.Log = events.NewLog(&out, events.Info)
-				for i, candidate := range f.view.Service("s").Match("GET", "/").Ready {
-					candidate.Route.VM = "vm-" + string(rune('0'+i))
+				for i, candidate := range f.view.Service("s").Match("GET", "/").LinkedCandidates {
+					candidate.Endpoint.VM = "vm-" + string(rune('0'+i))
 				}
 				stamped(f, wire.Stamp{Seq: 1, Limit: 4, Running: 2, Slowdown: 100})
 				time.Sleep(40 * time.Millisecond)
--- a/pkg/forward/watch_test.go
+++ b/pkg/forward/watch_test.go
@@ -25,7 +25,7 @@
 
 // withRunner puts a runner in the place of the first backend server's.
 func withRunner(f *Forwarder, r call.Runner) {
-	f.view.Service("s").Match("GET", "/").Ready[0].Route.SetRunner(r)
+	f.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetRunner(r)
 }
 
 func TestARequestThatMayBeRepeatedLeavesASilentExecutor(t *testing.T) {
@@ -98,7 +98,7 @@
 		},
 		"no other backend server": func(f *Forwarder) {
 			kind := f.view.Service("s").Match("GET", "/")
-			kind.Ready = kind.Ready[:1]
+			kind.LinkedCandidates = kind.LinkedCandidates[:1]
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 				dead := &lateRunner{quietRunner{heard: func() time.Duration { return time.Since(began) + time.Second }}}
 				f := newForwarder(&fakeRunner{}, &fakeRunner{answer: answers(200)})
 				withRunner(f, dead)
-				f.view.Service("s").Match("GET", "/").Ready[1].Load.Silent(f.Now())
+				f.view.Service("s").Match("GET", "/").LinkedCandidates[1].Load.MarkUnresponsive(f.Now())
 				prepare(f)
 				got := f.Forward(t.Context(), request("/read/"))
 				must.NotNil(t, got.Answer)
--- a/pkg/forward/weighted_test.go
+++ b/pkg/forward/weighted_test.go
@@ -33,9 +33,9 @@
 		dataCentre string
 		runner     *fakeRunner
 	}{"first": {"here", first}, "second": {"there", second}} {
-		route := &tables.Route{DataCentre: at.dataCentre, Load: tables.NewLoad(4)}
+		route := &tables.Endpoint{DataCentre: at.dataCentre, Load: tables.NewLoad(4)}
 		route.SetRunner(at.runner)
-		kind := &tables.KindView{Kind: compiled.Service(service).Kinds[0], Ready: []tables.Candidate{{Route: route, Load: route.Load}}}
+		kind := &tables.KindView{Kind: compiled.Service(service).Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
 		view.SetService(service, tables.NewServiceView(compiled.Service(service), []*tables.KindView{kind}))
 	}
 	return NewForwarder(common.NewCommon(events.Discard(), &s), view, nil), view
--- a/pkg/ingress/bench_test.go
+++ b/pkg/ingress/bench_test.go
@@ -32,12 +32,12 @@
 		{Name: "o", Host: "h", Prefix: "/o/", Parts: []routing.Part{{Service: "s", Weight: 1}}},
 	}})
 	view.SetPlacement(compiled)
-	route := &tables.Route{DataCentre: "here", Load: tables.NewLoad(4)}
+	route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
 	body := make([]byte, 5000)
 	route.SetRunner(runnerFunc(func(*wire.Call, []byte) call.Result {
 		return call.Result{Answer: &call.Answer{Status: 200, Body: body}}
 	}))
-	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], Ready: []tables.Candidate{{Route: route, Load: route.Load}}}
+	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
 	view.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{kind}))
 	c := common.NewCommon(events.Discard(), &s)
 	server := &Server{Common: c, headers: DefaultHeaders(), forwarder: forward.NewForwarder(c, view, nil), limits: func() routing.Limits { return routing.Limits{} }}
--- a/pkg/ingress/framing_test.go
+++ b/pkg/ingress/framing_test.go
@@ -53,7 +53,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, manyBeside)
 		seen := &recorder{}
-		w.view.Service("s").Match("GET", "/").Ready[0].Route.SetRunner(seen)
+		w.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetRunner(seen)
 		l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 		stop := serve(w, l)
 		caller := l.dial().conn
--- a/pkg/ingress/pipeline_world_test.go
+++ b/pkg/ingress/pipeline_world_test.go
@@ -108,9 +108,9 @@
 	out.limits.Store(&routing.Limits{MaxBodyBytes: 1000})
 	compiled := routesOf(*out.limits.Load(), true)
 	out.view.SetPlacement(compiled)
-	route := &tables.Route{DataCentre: "here", Load: tables.NewLoad(100)}
+	route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(100)}
 	route.SetRunner(out.backend)
-	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], Ready: []tables.Candidate{{Route: route, Load: route.Load}}}
+	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
 	out.view.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{kind}))
 	c := common.NewCommon(events.Discard(), &s)
 	out.server = &Server{
--- a/pkg/ingress/pipelined_test.go
+++ b/pkg/ingress/pipelined_test.go
@@ -266,7 +266,7 @@
 		c.send(get("a") + get("b"))
 		other.send(get("o"))
 		kind := w.view.Service("s").Match("GET", "/")
-		kind.Ready[0].Route.SetRunner(panicking{})
+		kind.LinkedCandidates[0].Endpoint.SetRunner(panicking{})
 		c.send(get("c"))
 		test.Eq(t, "end", c.answers())
 		test.Eq(t, 2, w.backend.cancels())
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -42,9 +42,9 @@
 		Name: "r", Host: "h", Prefix: "/p/", Parts: []routing.Part{{Service: "s", Weight: 1}}, Timeout: time.Minute,
 	}}, Limits: routing.Limits{MaxBodyBytes: 1000}})
 	view.SetPlacement(compiled)
-	route := &tables.Route{DataCentre: "here", Load: tables.NewLoad(4)}
+	route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
 	route.SetRunner(run)
-	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], Ready: []tables.Candidate{{Route: route, Load: route.Load}}}
+	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
 	view.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{kind}))
 	c := common.NewCommon(events.Discard(), &s)
 	server := &Server{
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -14,7 +14,7 @@
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/common"
 	"github.com/rushramp/rushramp/pkg/errkind"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
@@ -38,7 +38,7 @@
 	*Peer
 	control Control
 	maxBody int
-	here    place.Here
+	here    proximity.Location
 
 	mu sync.Mutex
 	// lastID is the id of the newest call.
@@ -91,7 +91,7 @@
 // Run serves the link until it ends. The first frame must be the greeting.
 func (cl *Client) Run() {
 	_, err := cl.serve(func() {
-		cl.setPlace(cl.here.Of(cl.Hello.DataCentre, cl.Hello.Region))
+		cl.setPlace(cl.here.To(cl.Hello.DataCentre, cl.Hello.Region))
 		cl.ping()
 		cl.control.Up(cl.Peer)
 		cl.control.News(cl.Peer, &cl.Hello.State)
--- a/pkg/link/conn.go
+++ b/pkg/link/conn.go
@@ -14,7 +14,7 @@
 	"github.com/pkg/errors"
 
 	"github.com/rushramp/rushramp/pkg/netdial"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/traffic"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -54,7 +54,7 @@
 	// saidIdle is how long this side last said that it may be silent; 0: it did not.
 	saidIdle time.Duration
 
-	account *traffic.Account
+	account *traffic.Counters
 	// place is a place.Place: how far the peer is, once it has greeted.
 	place atomic.Uint32
 
@@ -73,7 +73,7 @@
 }
 
 // newConn starts the writer.
-func newConn(ws *websocket.Conn, codec *wire.Codec, account *traffic.Account, pace *Pace) *Conn {
+func newConn(ws *websocket.Conn, codec *wire.Codec, account *traffic.Counters, pace *Pace) *Conn {
 	c := &Conn{ws: ws, codec: codec, account: account, pace: pace, start: time.Now(), lastSent: time.Now()}
 	c.wake = sync.NewCond(&c.mu)
 	ws.SetReadLimit(wire.MaxMessage)
@@ -197,10 +197,10 @@
 }
 
 // setPlace notes how far the peer is.
-func (c *Conn) setPlace(p place.Place) { c.place.Store(uint32(p)) }
+func (c *Conn) setPlace(p proximity.Level) { c.place.Store(uint32(p)) }
 
 // Place is how far the peer is; Unknown until it has greeted.
-func (c *Conn) Place() place.Place { return place.Place(c.place.Load()) }
+func (c *Conn) Place() proximity.Level { return proximity.Level(c.place.Load()) }
 
 // HeartbeatDue is true when nothing was sent for the idle time. A longer one than
 // the peer was told of holds once it was: that heartbeat goes at the former pace.
@@ -276,7 +276,7 @@
 		if err := c.codec.Append(buf, frame); err != nil {
 			return err
 		}
-		c.account.Sent(c.Place(), frame.Type(), buf.Len()-before)
+		c.account.CountSent(c.Place(), frame.Type(), buf.Len()-before)
 		if buf.Len() < batchBytes && i < len(batch)-1 {
 			continue
 		}
--- a/pkg/link/pace.go
+++ b/pkg/link/pace.go
@@ -4,7 +4,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 )
 
 // MissedHeartbeats is how many idle times without a frame end a link, and how
@@ -46,9 +46,9 @@
 
 // Idle is the time without traffic after which a heartbeat is due on a link to a
 // place.
-func (p *Pace) Idle(to place.Place) time.Duration {
+func (p *Pace) Idle(to proximity.Level) time.Duration {
 	idle := time.Duration(p.idle.Load())
-	if to == place.Other {
+	if to == proximity.OtherRegion {
 		return max(idle, min(idle*otherStretch, longestIdle))
 	}
 	return idle
--- a/pkg/link/pace_test.go
+++ b/pkg/link/pace_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test"
 	"github.com/shoenig/test/must"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
@@ -33,19 +33,19 @@
 // peer may ask for.
 func TestHeartbeatsAcrossRegionsAreRarer(t *testing.T) {
 	pace := NewPace(500 * time.Millisecond)
-	for _, at := range []place.Place{place.Unknown, place.Near, place.Region} {
+	for _, at := range []proximity.Level{proximity.Unknown, proximity.SameDataCentre, proximity.Region} {
 		test.Eq(t, 500*time.Millisecond, pace.Idle(at))
 	}
-	test.Eq(t, 500*time.Millisecond*otherStretch, pace.Idle(place.Other))
+	test.Eq(t, 500*time.Millisecond*otherStretch, pace.Idle(proximity.OtherRegion))
 	pace.Set(2*time.Second, 6*time.Second)
-	test.Eq(t, longestIdle, pace.Idle(place.Other))
+	test.Eq(t, longestIdle, pace.Idle(proximity.OtherRegion))
 	pace.Set(8*time.Second, 24*time.Second)
-	test.Eq(t, 8*time.Second, pace.Idle(place.Other), test.Sprint("never sooner than within the region"))
+	test.Eq(t, 8*time.Second, pace.Idle(proximity.OtherRegion), test.Sprint("never sooner than within the region"))
 
 	c := NewClosedConn()
 	c.closed = false
 	c.pace = NewPace(time.Second)
-	c.setPlace(place.Other)
+	c.setPlace(proximity.OtherRegion)
 	must.NoError(t, c.Send(&wire.Hello{State: wire.State{IdleTenths: 10}}))
 	test.True(t, c.HeartbeatDue(c.lastSent.Add(time.Second)), test.Sprint("the peer was told of a second"))
 	must.NoError(t, c.Send(&wire.State{IdleTenths: 30}))
--- a/pkg/operators/evacuate.go
+++ b/pkg/operators/evacuate.go
@@ -34,7 +34,7 @@
 	se.World.Inbox.Post(true, func(m *tables.Mail) { m.Evacuation = &set })
 	// In force here before the operator is answered. Where the daemon is too busy for
 	// that, it is in force with its next tick.
-	se.World.Inbox.Ask(ctx.Done(), func(*tables.World) {})
+	se.World.Inbox.RunQuery(ctx.Done(), func(*tables.World) {})
 	se.Log.Event(events.EvacuationOrdered, events.F("data_centre", in.GetDataCentre()), events.F("back", in.GetBack()), events.F("author", author), events.F("revision", set.Revision))
 	return &api.EvacuateResponse{Evacuated: set.DataCentres, Revision: set.Revision}, nil
 }
--- a/pkg/operators/rollout.go
+++ b/pkg/operators/rollout.go
@@ -51,7 +51,7 @@
 // GetRollouts implements the call of the schema.
 func (se *Server) GetRollouts(ctx context.Context, in *api.GetRolloutsRequest) (*api.RolloutsResponse, error) {
 	out := &api.RolloutsResponse{}
-	asked := se.World.Inbox.Ask(ctx.Done(), func(w *tables.World) {
+	asked := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
 		out.Revision = w.Rollouts.News().Orders.Revision
 		for _, r := range se.rollouts(w) {
 			if in.GetService() == "" || r.Service == in.GetService() {
@@ -87,9 +87,9 @@
 func (se *Server) isRun(ctx context.Context, service string) error {
 	var members, versioned int
 	services := map[string]bool{}
-	asked := se.World.Inbox.Ask(ctx.Done(), func(w *tables.World) {
-		w.Members.Rows(func(row int) {
-			m := &w.Members.Row[row]
+	asked := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
+		w.Members.EachRow(func(row int) {
+			m := &w.Members.Record[row]
 			services[m.Service] = true
 			if m.Service == service {
 				members++
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, explainOrder(asked, err)
 	}
-	se.World.Inbox.Post(true, func(m *tables.Mail) { m.TakeOrders(orders) })
+	se.World.Inbox.Post(true, func(m *tables.Mail) { m.KeepNewestOrders(orders) })
 	se.Log.Event(events.RolloutAsked, events.F("service", asked.Service), events.F("version", asked.Version), events.F("duration", asked.Duration),
 		events.F("author", author), events.F("change", asked.ID), events.F("revision", orders.Revision))
 	out, err := se.GetRollouts(ctx, &api.GetRolloutsRequest{Service: asked.Service})
@@ -206,8 +206,8 @@
 
 // countServers counts the live backend servers of the version and of others.
 func countServers(w *tables.World, out *api.Rollout) {
-	w.Members.Service(out.Service, func(row int) {
-		m := &w.Members.Row[row]
+	w.Members.EachRowOfService(out.Service, func(row int) {
+		m := &w.Members.Record[row]
 		switch {
 		case m.State != wire.MemberLive || m.Backend != wire.BackendLive:
 		case m.Version == out.Target:
--- a/pkg/operators/rollout_test.go
+++ b/pkg/operators/rollout_test.go
@@ -39,8 +39,8 @@
 			case <-w.Inbox.Wake():
 			}
 			mail := w.Inbox.Take()
-			if mail.Orders != nil {
-				w.Rollouts.Take(rollout.News{Orders: *mail.Orders})
+			if mail.RolloutOrders != nil {
+				w.Rollouts.Take(rollout.News{Orders: *mail.RolloutOrders})
 			}
 			for _, query := range mail.Queries {
 				query(w)
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -174,14 +174,14 @@
 	if err != nil {
 		return err
 	}
-	v := tables.Version{Document: doc, Hash: hash, FromStore: true}
+	v := tables.ReceivedPlacement{Document: doc, Hash: hash, FromStore: true}
 	if doc.Version == p.Base.Version+1 {
 		v.Entries = []placement.LogEntry{{
 			Version: doc.Version, ChangeID: p.ChangeID, Author: p.Author, At: p.At,
 			Changes: p.Changes, Hash: hash, RollbackOf: p.RollbackOf,
 		}}
 	}
-	se.World.Inbox.Post(true, func(m *tables.Mail) { m.Documents = append(m.Documents, v) })
+	se.World.Inbox.Post(true, func(m *tables.Mail) { m.Placements = append(m.Placements, v) })
 	return nil
 }
 
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -22,7 +22,7 @@
 func (se *Server) Status(ctx context.Context, _ *api.StatusRequest) (*api.StatusResponse, error) {
 	out := &api.StatusResponse{
 		Vm: se.Settings.VM.ID, DataCentre: se.Settings.VM.DataCentre, Service: se.Settings.BackendServer.Service,
-		Ready: se.World.View.Ready(), Leaving: se.World.View.Leaving(), Unsure: se.World.View.Unsure(),
+		Ready: se.World.View.Ready(), Leaving: se.World.View.Leaving(), Unsure: se.World.View.PlacementUnsure(),
 		StoreAgeMs: -1,
 	}
 	budget := se.Measure.Report()
@@ -33,7 +33,7 @@
 		out.Running, out.Queued, out.Limit = stamp.Running, stamp.Queued, stamp.Limit
 		out.Slots = uint32(se.Executor.Gate().Slots())
 	}
-	asked := se.World.Inbox.Ask(ctx.Done(), func(w *tables.World) { se.fillStatus(w, out) })
+	asked := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) { se.fillStatus(w, out) })
 	if !asked {
 		return nil, status.Error(codes.DeadlineExceeded, "the daemon did not answer in time")
 	}
@@ -41,19 +41,19 @@
 }
 
 func (se *Server) fillStatus(w *tables.World, out *api.StatusResponse) {
-	out.Placement = w.Version()
+	out.Placement = w.PlacementVersion()
 	evacuated := w.View.Evacuation()
 	out.Evacuated, out.EvacuationRevision = evacuated.DataCentres, evacuated.Revision
 	out.Rollouts = se.rollouts(w)
-	if age, ok := w.StoreAge(se.Now()); ok {
+	if age, ok := w.StoreReadAge(se.Now()); ok {
 		out.StoreAgeMs = age.Milliseconds()
 	}
-	told := map[string]uint64{w.VM: w.Version()}
-	w.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
-		told[peer.Hello.VM] = max(told[peer.Hello.VM], row.Placement)
+	told := map[string]uint64{w.VM: w.PlacementVersion()}
+	w.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
+		told[peer.Hello.VM] = max(told[peer.Hello.VM], row.PlacementVersion)
 	})
-	w.Members.Rows(func(row int) {
-		vm := &w.Members.Row[row]
+	w.Members.EachRow(func(row int) {
+		vm := &w.Members.Record[row]
 		_, linked := told[vm.VM]
 		out.Members = append(out.Members, &api.Member{
 			Vm: vm.VM, DataCentre: vm.DataCentre, Service: vm.Service,
@@ -83,7 +83,7 @@
 		return &api.ExplainResponse{Verdict: "unknown_request_kind: no kind of the service matches this method and path, so calls are refused as not run"}, nil
 	}
 	out := &api.ExplainResponse{Kind: kind.Name, DataCentres: kind.DataCentres}
-	if !se.World.Inbox.Ask(ctx.Done(), func(w *tables.World) { se.fillExplain(w, kind, out) }) {
+	if !se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) { se.fillExplain(w, kind, out) }) {
 		return nil, status.Error(codes.DeadlineExceeded, "the daemon did not answer in time")
 	}
 	return out, nil
@@ -95,18 +95,18 @@
 	for _, route := range systems.Subset(w, se.Settings.Choosing, kind) {
 		inSubset[route.VM] = true
 		if route.Runner() != nil {
-			req.Set = append(req.Set, tables.Candidate{Route: route, Load: route.Load})
+			req.CandidateSet = append(req.CandidateSet, tables.Candidate{Endpoint: route, Load: route.Load})
 		}
 	}
 	costs := se.costs(req)
 	out.Rollout = se.rollout(w, kind.Service)
-	w.Members.Service(kind.Service, func(row int) {
-		vm := &w.Members.Row[row]
+	w.Members.EachRowOfService(kind.Service, func(row int) {
+		vm := &w.Members.Record[row]
 		c := &api.Candidate{Vm: vm.VM, DataCentre: vm.DataCentre, ExpectedUs: -1, Version: vm.Version}
 		c.Reason = reason(w, row, kind, inSubset[vm.VM])
 		c.Eligible = c.Reason == eligible || c.Reason == trying
-		known := w.Members.Route[row].Load.Known(req.Now)
-		c.InFlight, c.Outstanding, c.ServiceTimeUs = known.InFlight, known.Outstanding, known.Service.Microseconds()
+		known := w.Members.Endpoint[row].Load.Snapshot(req.Now)
+		c.InFlight, c.Outstanding, c.ServiceTimeUs = known.InFlight, known.Outstanding, known.ServiceTime.Microseconds()
 		if cost, ok := costs[vm.VM]; ok {
 			c.ExpectedUs = cost
 		}
@@ -122,8 +122,8 @@
 	if !ok {
 		return out
 	}
-	for i, c := range req.Set {
-		out[c.Route.VM] = policy.Cost(req, i).Microseconds()
+	for i, c := range req.CandidateSet {
+		out[c.Endpoint.VM] = policy.Cost(req, i).Microseconds()
 	}
 	return out
 }
@@ -135,23 +135,23 @@
 )
 
 func reason(w *tables.World, row int, kind *placement.CompiledKind, inSubset bool) string {
-	traffic, version := w.View.Rollout(kind.Service), w.Members.Row[row].Version
-	takes := traffic.Takes(rollout.LaneOld, version, w.Members.Row[row].VM)
-	tries := !takes && traffic.Takes(rollout.LaneTarget, version, w.Members.Row[row].VM)
+	traffic, version := w.View.RolloutTraffic(kind.Service), w.Members.Record[row].Version
+	takes := traffic.Takes(rollout.LaneOld, version, w.Members.Record[row].VM)
+	tries := !takes && traffic.Takes(rollout.LaneTarget, version, w.Members.Record[row].VM)
 	switch {
-	case w.View.Evacuation().Has(w.Members.Row[row].DataCentre):
+	case w.View.Evacuation().Has(w.Members.Record[row].DataCentre):
 		return "its data centre is evacuated"
-	case !kind.Allows(w.Members.Row[row].DataCentre):
+	case !kind.Allows(w.Members.Record[row].DataCentre):
 		return "the placement does not allow its data centre"
 	case w.Members.Leaving(row):
 		return "it is leaving"
-	case w.Members.Row[row].Backend != wire.BackendLive:
+	case w.Members.Record[row].Backend != wire.BackendLive:
 		return "its backend server takes nothing now"
 	case !takes && !tries:
 		return "a roll-out lets its version " + version + " run nothing"
 	case !inSubset:
 		return "it is outside the subset of this entry (choosing.subset)"
-	case w.Members.Route[row].Runner() == nil:
+	case w.Members.Endpoint[row].Runner() == nil:
 		return "there is no link to it yet"
 	case tries:
 		return trying
--- a/pkg/operators/teams.go
+++ b/pkg/operators/teams.go
@@ -18,7 +18,7 @@
 		return nil, status.Error(codes.Unavailable, "this daemon has no placement yet; ask another one, or come back later")
 	}
 	out := &api.TeamsResponse{Version: current.Version, ProofAgeMs: -1}
-	if at := se.World.View.ProvenAt(); at > 0 {
+	if at := se.World.View.PlacementProvenAt(); at > 0 {
 		out.ProofAgeMs = time.Duration(se.Now() - at).Milliseconds()
 	}
 	for _, team := range current.Teams.All() {
--- a/pkg/place/place.go
+++ b/pkg/proximity/proximity.go
@@ -1,40 +1,40 @@
 // Package place says how far another VM is, in steps that bytes are priced by:
 // the own data centre, another one of the own region, another region. Source:
 // docs/design/regions.md.
-package place
+package proximity
 
-// Place is one of these steps.
-type Place uint32
+// Level is one of these steps.
+type Level uint32
 
 // The places, nearest first. A place is Unknown until a peer has greeted.
 const (
-	Unknown Place = iota
-	Near
+	Unknown Level = iota
+	SameDataCentre
 	Region
-	Other
+	OtherRegion
 	Count
 )
 
 // String returns the place's label in metrics and log lines.
-func (p Place) String() string {
+func (p Level) String() string {
 	return [...]string{"unknown", "near", "region", "other", "count"}[min(p, Count)]
 }
 
-// Here is where a daemon stands.
-type Here struct {
+// Location is where a daemon stands.
+type Location struct {
 	DataCentre string
 	// Region is empty in a deployment without regions, which is then one.
 	Region string
 }
 
-// Of is the place of a VM. A region that is not known where others are counts as
+// To is the place of a VM. A region that is not known where others are counts as
 // another one.
-func (h Here) Of(dataCentre, region string) Place {
+func (h Location) To(dataCentre, region string) Level {
 	switch {
 	case dataCentre == h.DataCentre:
-		return Near
+		return SameDataCentre
 	case region == h.Region:
 		return Region
 	}
-	return Other
+	return OtherRegion
 }
--- a/pkg/systems/account.go
+++ b/pkg/systems/account.go
@@ -7,7 +7,7 @@
 
 	"github.com/rushramp/rushramp/pkg/events"
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/store"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/traffic"
@@ -22,7 +22,7 @@
 type account struct {
 	*Env
 	due   due
-	sent  map[traffic.Line]traffic.Line
+	sent  map[traffic.Total]traffic.Total
 	calls map[string]uint64
 }
 
@@ -37,25 +37,25 @@
 
 func (a *account) logTraffic() {
 	if a.sent == nil {
-		a.sent = map[traffic.Line]traffic.Line{}
+		a.sent = map[traffic.Total]traffic.Total{}
 	}
 	var frames []string
-	for _, line := range a.Traffic.Lines() {
-		key := traffic.Line{To: line.To, Kind: line.Kind}
+	for _, line := range a.Traffic.Totals() {
+		key := traffic.Total{To: line.To, Kind: line.Kind}
 		before := a.sent[key]
 		a.sent[key] = line
 		if line.Frames > before.Frames {
 			frames = append(frames, fmt.Sprintf("%s/%s:%d/%d", line.Kind, line.To, line.Frames-before.Frames, line.Bytes-before.Bytes))
 		}
 	}
-	opened, at := 0, [place.Count]int{}
-	a.World.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) {
+	opened, at := 0, [proximity.Count]int{}
+	a.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
 		if peer.Outgoing {
 			opened++
 		}
 		at[a.placeOf(peer)]++
 	})
-	a.Log.Event(events.LinkTraffic, events.F("links", a.World.Peers.Len()), events.F("opened", opened), events.F("near", at[place.Near]), events.F("region", at[place.Region]), events.F("other", at[place.Other]),
+	a.Log.Event(events.LinkTraffic, events.F("links", a.World.Peers.Len()), events.F("opened", opened), events.F("near", at[proximity.SameDataCentre]), events.F("region", at[proximity.Region]), events.F("other", at[proximity.OtherRegion]),
 		events.F("members", a.World.Members.Len()), events.F("frames_and_bytes", strings.Join(frames, " ")))
 }
 
--- a/pkg/systems/backendwatch.go
+++ b/pkg/systems/backendwatch.go
@@ -18,14 +18,14 @@
 	if !ok {
 		return
 	}
-	said := b.World.Members.Row[row]
+	said := b.World.Members.Record[row]
 	if said.Backend == b.backendState() && said.Version == b.Backend.Version() || said.Incarnation != b.Control.Incarnation() {
 		return
 	}
 	said.Backend, said.Version = b.backendState(), b.Backend.Version()
 	said.Revision++
 	if _, changed := b.World.Members.Merge(now, nil, said); changed {
-		b.World.Touch(said.Service)
+		b.World.MarkDirty(said.Service)
 	}
 }
 
--- a/pkg/systems/compare.go
+++ b/pkg/systems/compare.go
@@ -41,11 +41,11 @@
 
 // Tick implements System.
 func (c *compare) Tick(now int64, mail *tables.Mail) {
-	if changes := c.World.Members.Changes(); changes != c.changes {
+	if changes := c.World.Members.ChangeCount(); changes != c.changes {
 		c.changes, c.digest = changes, c.World.Members.Digest()
-		c.World.Peers.Rows(func(_ *link.Peer, row *tables.PeerRow) { row.DiffersSince = 0 })
+		c.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) { row.MembersDifferSince = 0 })
 	}
-	for _, n := range mail.News {
+	for _, n := range mail.PeerStates {
 		c.note(now, n)
 	}
 	every := compareEvery
@@ -57,29 +57,29 @@
 	}
 }
 
-func (c *compare) note(now int64, n tables.PeerNews) {
-	row := c.World.Peers.Put(n.Peer)
+func (c *compare) note(now int64, n tables.PeerState) {
+	row := c.World.Peers.GetOrAdd(n.Peer)
 	switch {
 	case n.State.Members == c.digest:
-		row.DiffersSince = 0
-	case row.DiffersSince == 0 || n.State.Members != row.Members:
-		row.DiffersSince = now
+		row.MembersDifferSince = 0
+	case row.MembersDifferSince == 0 || n.State.Members != row.MembersDigest:
+		row.MembersDifferSince = now
 	}
-	row.Members = n.State.Members
-	if _, known := c.World.Members.Find(n.Peer.Hello.VM); !known && row.DiffersSince != 0 {
+	row.MembersDigest = n.State.Members
+	if _, known := c.World.Members.Find(n.Peer.Hello.VM); !known && row.MembersDifferSince != 0 {
 		// A daemon that this one has not heard of: its list is the newer one.
-		row.DiffersSince = min(row.DiffersSince, now-int64(differFor))
+		row.MembersDifferSince = min(row.MembersDifferSince, now-int64(differFor))
 	}
 }
 
 func (c *compare) ask(now int64) {
 	var longest *link.Peer
 	var longestOver int64
-	c.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
-		if row.DiffersSince == 0 {
+	c.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
+		if row.MembersDifferSince == 0 {
 			return
 		}
-		if over := now - row.DiffersSince - int64(c.wait(peer)); over >= 0 && (longest == nil || over > longestOver) {
+		if over := now - row.MembersDifferSince - int64(c.wait(peer)); over >= 0 && (longest == nil || over > longestOver) {
 			longest, longestOver = peer, over
 		}
 	})
@@ -87,8 +87,8 @@
 		return
 	}
 	c.patience = rand.N(farPatience)
-	c.World.Peers.Put(longest).DiffersSince = now
-	_ = longest.Send(&wire.MembersAsk{Buckets: c.World.Members.Buckets()})
+	c.World.Peers.GetOrAdd(longest).MembersDifferSince = now
+	_ = longest.Send(&wire.MembersAsk{Buckets: c.World.Members.BucketDigests()})
 }
 
 // wait is how long a peer's table must differ before the peer is asked.
--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -56,21 +56,21 @@
 }
 
 func (c *Control) post(e tables.LinkEvent) {
-	c.World.Inbox.Post(true, func(m *tables.Mail) { m.Links = append(m.Links, e) })
+	c.World.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
 }
 
 // News implements link.Control. Only what cannot wait wakes the systems.
 func (c *Control) News(peer *link.Peer, state *wire.State) {
 	urgent := state.Leaving || state.Placement > c.version() || c.isEvacuationNews(state)
-	n := tables.PeerNews{Peer: peer, State: state, At: c.Now()}
-	c.World.Inbox.Post(urgent, func(m *tables.Mail) { m.News = append(m.News, n) })
+	n := tables.PeerState{Peer: peer, State: state, At: c.Now()}
+	c.World.Inbox.Post(urgent, func(m *tables.Mail) { m.PeerStates = append(m.PeerStates, n) })
 }
 
 // isEvacuationNews is true where a peer knows of a change of the evacuated data
 // centres that this daemon has not taken over.
 func (c *Control) isEvacuationNews(state *wire.State) bool {
 	known := c.World.View.Evacuation()
-	return state.Evacuation.Revision > known.Revision && !state.Evacuation.Same(known)
+	return state.Evacuation.Revision > known.Revision && !state.Evacuation.SameDataCentres(known)
 }
 
 func (c *Control) version() uint64 {
@@ -100,13 +100,13 @@
 
 // MembersAsk implements link.Control.
 func (c *Control) MembersAsk(peer *link.Peer, ask *wire.MembersAsk) {
-	a := tables.PeerAsk{Peer: peer, Buckets: ask.Buckets}
-	c.World.Inbox.Post(false, func(m *tables.Mail) { m.Asks = append(m.Asks, a) })
+	a := tables.PeerMembersAsk{Peer: peer, Buckets: ask.Buckets}
+	c.World.Inbox.Post(false, func(m *tables.Mail) { m.MembersAsks = append(m.MembersAsks, a) })
 }
 
 // Departures implements link.Control.
 func (c *Control) Departures(peer *link.Peer, said *wire.Departures) {
-	d := tables.PeerDepartures{Peer: peer, Said: said}
+	d := tables.PeerDepartures{Peer: peer, Frame: said}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PeerDepartures = append(m.PeerDepartures, d) })
 }
 
@@ -124,7 +124,7 @@
 // Quarantine implements link.Control. It wakes the systems: each run of a content that is
 // to be held back may cost a backend server.
 func (c *Control) Quarantine(peer *link.Peer, said *wire.Quarantine) {
-	q := tables.PeerQuarantine{Peer: peer, Said: said}
+	q := tables.PeerQuarantine{Peer: peer, Frame: said}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PeerQuarantines = append(m.PeerQuarantines, q) })
 }
 
@@ -149,7 +149,7 @@
 type routeControl struct {
 	link.Control
 	world  *tables.World
-	route  *tables.Route
+	route  *tables.Endpoint
 	client *link.Client
 }
 
@@ -158,14 +158,14 @@
 
 // Up implements link.Control.
 func (r *routeControl) Up(peer *link.Peer) {
-	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Route: r.route, Up: true})
+	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Endpoint: r.route, Up: true})
 }
 
 // Down implements link.Control.
 func (r *routeControl) Down(peer *link.Peer, cause error) {
-	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Route: r.route, Cause: cause})
+	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Endpoint: r.route, Cause: cause})
 }
 
 func (r *routeControl) post(e tables.LinkEvent) {
-	r.world.Inbox.Post(true, func(m *tables.Mail) { m.Links = append(m.Links, e) })
+	r.world.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
 }
--- a/pkg/systems/converge_test.go
+++ b/pkg/systems/converge_test.go
@@ -38,8 +38,8 @@
 func connect(a, b *tableNode) {
 	toB, toA := peerOf(b), peerOf(a)
 	a.byPeer[toB], b.byPeer[toA] = b, a
-	a.env.World.Peers.Put(toB)
-	b.env.World.Peers.Put(toA)
+	a.env.World.Peers.GetOrAdd(toB)
+	b.env.World.Peers.GetOrAdd(toA)
 }
 
 func peerOf(n *tableNode) *link.Peer {
@@ -49,7 +49,7 @@
 // passOn hands on what is new at a daemon; some frames are lost. It returns
 // whether anything was sent.
 func (n *tableNode) passOn(lost func() bool) bool {
-	fresh := n.members().TakeFresh()
+	fresh := n.members().TakeChanges()
 	plan := n.spread.plan(n.spread.saidByDaemons(fresh))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
@@ -84,7 +84,7 @@
 					if from.members().Digest() == n.members().Digest() {
 						continue
 					}
-					for _, row := range from.members().Differing(n.members().Buckets()) {
+					for _, row := range from.members().DifferingRows(n.members().BucketDigests()) {
 						n.members().Merge(1, peer, row)
 					}
 				}
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -51,15 +51,15 @@
 		d.own = map[string]int64{}
 	}
 	var own, heard []string
-	for _, id := range mail.Departed {
+	for _, id := range mail.LocalDepartures {
 		own = d.add(now, own, id)
 		d.own[id] = now
 	}
-	if mail.Restored {
+	if mail.StoreRestored {
 		d.keepAgain(now)
 	}
 	for _, p := range mail.PeerDepartures {
-		heard = d.takeOver(now, heard, p.Said)
+		heard = d.takeOver(now, heard, p.Frame)
 	}
 	d.tell(own, heard)
 	d.greet()
@@ -115,19 +115,19 @@
 
 // greet sends the whole set over each new link, once this daemon is informed.
 func (d *departures) greet() {
-	if !d.Backend.IsInformed() || d.greeted == d.World.Peers.Added() {
+	if !d.Backend.IsInformed() || d.greeted == d.World.Peers.AddedCount() {
 		return
 	}
-	d.greeted = d.World.Peers.Added()
+	d.greeted = d.World.Peers.AddedCount()
 	frame := &wire.Departures{Informed: true}
 	for id := range d.World.Departures {
 		frame.IDs = append(frame.IDs, id)
 	}
-	d.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
-		if row.Told {
+	d.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
+		if row.DeparturesSent {
 			return
 		}
-		row.Told = true
+		row.DeparturesSent = true
 		// A link that has closed leaves the table with its next event.
 		_ = peer.Send(frame)
 	})
@@ -156,7 +156,7 @@
 		return
 	}
 	d.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Said: said})
+		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Frame: said})
 	})
 }
 
@@ -165,7 +165,7 @@
 // until ctx ends. Only then may the announcement be acknowledged.
 func (e *Env) KeepDeparture(ctx context.Context, of backend.Incarnation) {
 	instance := of.String()
-	e.World.Inbox.Post(true, func(m *tables.Mail) { m.Departed = append(m.Departed, instance) })
+	e.World.Inbox.Post(true, func(m *tables.Mail) { m.LocalDepartures = append(m.LocalDepartures, instance) })
 	e.writeDeparture(ctx, instance)
 }
 
--- a/pkg/systems/departures_test.go
+++ b/pkg/systems/departures_test.go
@@ -58,12 +58,12 @@
 	env, platform, tick := departuresEnv(t, false)
 	platform.SetFaults(fakestore.Faults{Down: true})
 	env.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Said: &wire.Departures{IDs: []string{"i-1"}}})
+		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Frame: &wire.Departures{IDs: []string{"i-1"}}})
 	})
 	tick()
 	test.False(t, env.Backend.IsInformed())
 	env.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Said: &wire.Departures{Informed: true}})
+		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Frame: &wire.Departures{Informed: true}})
 	})
 	tick()
 	test.True(t, env.Backend.IsInformed())
@@ -109,16 +109,16 @@
 func TestEachNewLinkIsToldOfTheDeparturesOnce(t *testing.T) {
 	env, _, tick := departuresEnv(t, false)
 	first := &link.Peer{Conn: link.NewClosedConn()}
-	env.World.Peers.Put(first)
+	env.World.Peers.GetOrAdd(first)
 	tick()
-	test.False(t, env.World.Peers.Put(first).Told, test.Sprint("a daemon that is not informed tells nothing"))
+	test.False(t, env.World.Peers.GetOrAdd(first).DeparturesSent, test.Sprint("a daemon that is not informed tells nothing"))
 	env.Backend.Informed()
 	tick()
-	test.True(t, env.World.Peers.Put(first).Told)
+	test.True(t, env.World.Peers.GetOrAdd(first).DeparturesSent)
 	second := &link.Peer{Conn: link.NewClosedConn()}
-	env.World.Peers.Put(second)
+	env.World.Peers.GetOrAdd(second)
 	tick()
-	test.True(t, env.World.Peers.Put(second).Told)
+	test.True(t, env.World.Peers.GetOrAdd(second).DeparturesSent)
 }
 
 // TestADepartureCrossesIntoOtherDataCentresAFewTimes: of sixty daemons that hear of
--- a/pkg/systems/dialing.go
+++ b/pkg/systems/dialing.go
@@ -18,7 +18,7 @@
 
 // dialing keeps the routes that are being dialled.
 type dialing struct {
-	routes map[*tables.Route]struct{}
+	routes map[*tables.Endpoint]struct{}
 	// recent are the beginnings within the window, oldest first, in nanoseconds.
 	recent []int64
 	// leftOver is true when a route was not dialled for the bound's sake, so that
@@ -26,10 +26,10 @@
 	leftOver bool
 }
 
-func newDialing() *dialing { return &dialing{routes: map[*tables.Route]struct{}{}} }
+func newDialing() *dialing { return &dialing{routes: map[*tables.Endpoint]struct{}{}} }
 
 // begin is true when a route may be dialled now.
-func (d *dialing) begin(now int64, route *tables.Route) bool {
+func (d *dialing) begin(now int64, route *tables.Endpoint) bool {
 	if _, already := d.routes[route]; already {
 		return false
 	}
@@ -46,4 +46,4 @@
 }
 
 // ended notes that a dial has ended, well or not.
-func (d *dialing) ended(route *tables.Route) { delete(d.routes, route) }
+func (d *dialing) ended(route *tables.Endpoint) { delete(d.routes, route) }
--- a/pkg/systems/dialing_test.go
+++ b/pkg/systems/dialing_test.go
@@ -33,9 +33,9 @@
 
 func TestDialsAreBoundedForATime(t *testing.T) {
 	d := newDialing()
-	routes := make([]*tables.Route, dialsAtOnce+1)
+	routes := make([]*tables.Endpoint, dialsAtOnce+1)
 	for i := range routes {
-		routes[i] = &tables.Route{}
+		routes[i] = &tables.Endpoint{}
 	}
 	for _, route := range routes[:dialsAtOnce] {
 		test.True(t, d.begin(1, route))
@@ -64,7 +64,7 @@
 			doc.Services = append(doc.Services, placement.Service{
 				Name: service, Kinds: []placement.Kind{{Name: "k", Path: "/*", DataCentres: []string{"here"}}},
 			})
-			env.World.Wanted[service] = struct{}{}
+			env.World.RequestedServices[service] = struct{}{}
 			for n := range 30 {
 				env.World.Members.Merge(1, nil, wire.Member{
 					VM: fmt.Sprint(service, n), DataCentre: "here", Service: service, Links: service,
--- a/pkg/systems/distances.go
+++ b/pkg/systems/distances.go
@@ -3,15 +3,15 @@
 import (
 	"time"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 )
 
 // distances are the least round trips to each place: what the lines take, without
 // what busy daemons add.
-type distances [place.Count]time.Duration
+type distances [proximity.Count]time.Duration
 
 // note takes a link's round trip; 0: it is not known.
-func (d *distances) note(at place.Place, roundTrip time.Duration) {
+func (d *distances) note(at proximity.Level, roundTrip time.Duration) {
 	if roundTrip > 0 && (d[at] == 0 || roundTrip < d[at]) {
 		d[at] = roundTrip
 	}
@@ -21,7 +21,7 @@
 // at most; ok is false while one of them is not known. What was measured before
 // then holds: while a region is cut off, lines cost what they did.
 func (d *distances) regionShare() (share float64, ok bool) {
-	within, across := d[place.Region], d[place.Other]
+	within, across := d[proximity.Region], d[proximity.OtherRegion]
 	if within == 0 || across == 0 {
 		return 0, false
 	}
--- a/pkg/systems/distances_test.go
+++ b/pkg/systems/distances_test.go
@@ -6,26 +6,26 @@
 
 	"github.com/shoenig/test"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
 func TestTheRegionShareIsThatOfTheLeastRoundTrips(t *testing.T) {
 	const ms = time.Millisecond
 	var d distances
-	d.note(place.Region, 3*ms)
-	d.note(place.Region, 9*ms)
+	d.note(proximity.Region, 3*ms)
+	d.note(proximity.Region, 9*ms)
 	_, ok := d.regionShare()
 	test.False(t, ok, test.Sprint("no link to another region"))
-	d.note(place.Other, 0)
+	d.note(proximity.OtherRegion, 0)
 	_, ok = d.regionShare()
 	test.False(t, ok, test.Sprint("a link that was not measured yet"))
-	d.note(place.Other, 40*ms)
-	d.note(place.Other, 24*ms)
+	d.note(proximity.OtherRegion, 40*ms)
+	d.note(proximity.OtherRegion, 24*ms)
 	share, ok := d.regionShare()
 	test.True(t, ok)
 	test.Eq(t, 0.125, share)
-	d.note(place.Other, ms)
+	d.note(proximity.OtherRegion, ms)
 	share, _ = d.regionShare()
 	test.Eq(t, 1, share, test.Sprint("another region is never cheaper"))
 }
--- a/pkg/systems/doubt.go
+++ b/pkg/systems/doubt.go
@@ -24,16 +24,16 @@
 	if !d.due.at(now, doubtEvery) {
 		return
 	}
-	age, ok := d.World.StoreAge(now)
+	age, ok := d.World.StoreReadAge(now)
 	stale := !ok || age > d.Settings.Placement.UnsureAfter
 	d.World.View.SetStoreStale(stale)
 	unsure := d.World.Placement != nil && stale && d.someoneSilent(now)
-	if unsure == d.World.View.Unsure() {
+	if unsure == d.World.View.PlacementUnsure() {
 		return
 	}
-	d.World.View.SetUnsure(unsure)
+	d.World.View.SetPlacementUnsure(unsure)
 	if unsure {
-		d.Log.Event(events.PlacementUnsure, events.F("version", d.World.Version()))
+		d.Log.Event(events.PlacementUnsure, events.F("version", d.World.PlacementVersion()))
 	}
 }
 
@@ -41,12 +41,12 @@
 func (d *doubt) someoneSilent(now int64) bool {
 	bound := d.Settings.Placement.UnsureAfter
 	silent := false
-	d.World.Members.Rows(func(row int) {
-		dc := d.World.Members.Row[row].DataCentre
+	d.World.Members.EachRow(func(row int) {
+		dc := d.World.Members.Record[row].DataCentre
 		if dc == d.World.DataCentre {
 			return
 		}
-		at, heard := d.World.Heard[dc]
+		at, heard := d.World.DataCentreHeardAt[dc]
 		if !heard || time.Duration(now-at) > bound {
 			silent = true
 		}
--- a/pkg/systems/evacuations.go
+++ b/pkg/systems/evacuations.go
@@ -20,7 +20,7 @@
 	if mail.Evacuation != nil {
 		ev.take(*mail.Evacuation, "")
 	}
-	for _, n := range mail.News {
+	for _, n := range mail.PeerStates {
 		ev.take(n.State.Evacuation, n.Peer.Hello.VM)
 	}
 }
@@ -33,16 +33,16 @@
 		return
 	}
 	ev.World.View.SetEvacuation(set)
-	if set.Same(known) {
+	if set.SameDataCentres(known) {
 		return
 	}
 	ev.Log.Event(events.EvacuationChanged, events.F("data_centres", strings.Join(set.DataCentres, ",")), events.F("revision", set.Revision), events.F("from", from))
 	ev.enforce(set.Has(ev.World.DataCentre))
-	for service := range ev.World.Wanted {
-		ev.World.Touch(service)
+	for service := range ev.World.RequestedServices {
+		ev.World.MarkDirty(service)
 	}
 	state := ev.Control.State()
-	ev.World.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
+	ev.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
 }
 
 // enforce has the executors of this daemon refuse new work while its own data
@@ -59,7 +59,7 @@
 // tellEvacuation tells a peer whose greeting shows another set than this daemon's.
 // The set may have changed between this daemon's greeting and now.
 func (l *links) tellEvacuation(peer *link.Peer) {
-	if !peer.Hello.State.Evacuation.Same(l.World.View.Evacuation()) {
+	if !peer.Hello.State.Evacuation.SameDataCentres(l.World.View.Evacuation()) {
 		_ = peer.Send(l.Control.State())
 	}
 }
--- a/pkg/systems/evacuations_test.go
+++ b/pkg/systems/evacuations_test.go
@@ -22,8 +22,8 @@
 }
 
 // told is a peer's word on the evacuated data centres.
-func told(set evacuation.Set) tables.PeerNews {
-	return tables.PeerNews{Peer: &link.Peer{Hello: wire.Hello{VM: "peer"}}, State: &wire.State{Evacuation: set}}
+func told(set evacuation.Set) tables.PeerState {
+	return tables.PeerState{Peer: &link.Peer{Hello: wire.Hello{VM: "peer"}}, State: &wire.State{Evacuation: set}}
 }
 
 // TestTheNewestSetOfEvacuatedDataCentresHolds hands out what stood in the store at
@@ -45,7 +45,7 @@
 			if rapid.Bool().Draw(t, "from the store") {
 				mail.Evacuation = &set
 			} else {
-				mail.News = []tables.PeerNews{told(set)}
+				mail.PeerStates = []tables.PeerState{told(set)}
 			}
 			system.Tick(0, mail)
 			test.Eq(t, history[newest], env.World.View.Evacuation())
--- a/pkg/systems/firststart_test.go
+++ b/pkg/systems/firststart_test.go
@@ -181,7 +181,7 @@
 	env.World.Members.Merge(1, nil, wire.Member{VM: "x", DataCentre: "b"})
 	env.World.Members.Merge(1, nil, wire.Member{VM: "y", DataCentre: "c"})
 	(&placements{Env: env}).Tick(1, &tables.Mail{Updates: []tables.PeerUpdate{update(t, "b", 4)}})
-	test.Eq(t, 4, env.World.Version())
+	test.Eq(t, 4, env.World.PlacementVersion())
 }
 
 // TestPeersOfTheOwnDataCentreAreComparedWithFirst: where a whole data centre
--- a/pkg/systems/flood.go
+++ b/pkg/systems/flood.go
@@ -4,7 +4,7 @@
 	"slices"
 
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/utils"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -39,7 +39,7 @@
 	}
 	abroad := frame(everywhere)
 	for to, peers := range far {
-		if to.at == place.Other {
+		if to.at == proximity.OtherRegion {
 			peers = draw(peers, floodCrossings)
 		}
 		for _, peer := range peers {
--- a/pkg/systems/follower.go
+++ b/pkg/systems/follower.go
@@ -100,7 +100,7 @@
 
 // Tick implements System.
 func (f *follower) Tick(now int64, mail *tables.Mail) {
-	if mail.Restored {
+	if mail.StoreRestored {
 		// It hangs on a version that is void.
 		f.reopen()
 	}
@@ -110,7 +110,7 @@
 		f.first.Store(f.ahead() == 0)
 	}
 	f.started.Do(func() { go f.run() })
-	if f.World.Version() <= f.told.Load() {
+	if f.World.PlacementVersion() <= f.told.Load() {
 		f.aheadSince = 0
 		return
 	}
@@ -148,7 +148,7 @@
 	group := f.readers()
 	mine := utils.Rendezvous(group.name, f.World.VM)
 	before := map[string]struct{}{}
-	f.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
+	f.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		hello := &peer.Hello
 		if group.has(f.placeOf(peer)) && !row.Leaving && utils.Rendezvous(group.name, hello.VM) > mine {
 			before[hello.VM] = struct{}{}
@@ -253,7 +253,7 @@
 		f.Log.Event(events.RolloutRefused, events.F("cause", refused))
 	}
 	if !at.known || len(update.Rollouts) > 0 {
-		f.World.Inbox.Post(true, func(m *tables.Mail) { m.Orders = &next.orders })
+		f.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutOrders = &next.orders })
 	}
 	if update.Document != nil {
 		err = f.take(update.Document)
@@ -314,7 +314,7 @@
 		f.told.Store(doc.Version)
 	}
 	f.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.Documents = append(m.Documents, tables.Version{Document: doc, Hash: hash, FromStore: true})
+		m.Placements = append(m.Placements, tables.ReceivedPlacement{Document: doc, Hash: hash, FromStore: true})
 	})
 	return nil
 }
--- a/pkg/systems/follower_test.go
+++ b/pkg/systems/follower_test.go
@@ -91,11 +91,11 @@
 		}}
 		env, tick := follow(t, feed)
 		for range 40 {
-			before := env.World.Version()
+			before := env.World.PlacementVersion()
 			tick(50 * time.Millisecond)
-			must.GreaterEq(t, before, env.World.Version())
+			must.GreaterEq(t, before, env.World.PlacementVersion())
 		}
-		test.Eq(t, 6, env.World.Version())
+		test.Eq(t, 6, env.World.PlacementVersion())
 		// After the lost history it read the newest version whole, and went on
 		// from where that was.
 		test.Eq(t, []uint64{0, 10, 11, 0, 9, 13}, feed.asked)
@@ -110,7 +110,7 @@
 		must.Eq(t, []uint64{0, 10}, feed.asked)
 		env.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, update(t, "there", 7)) })
 		tick(2 * feedTrust)
-		test.Eq(t, 7, env.World.Version())
+		test.Eq(t, 7, env.World.PlacementVersion())
 		must.SliceLen(t, 3, feed.asked)
 		test.Eq(t, 10, feed.asked[2])
 	})
@@ -128,7 +128,7 @@
 		feed.steps = append(feed.steps, tells(5, 11))
 		feed.mu.Unlock()
 		tick(3*time.Second + feedRest)
-		test.Eq(t, 5, env.World.Version())
+		test.Eq(t, 5, env.World.PlacementVersion())
 	})
 }
 
@@ -150,7 +150,7 @@
 		feed.steps = append(feed.steps, tells(5, 11))
 		feed.mu.Unlock()
 		tick(firstWaitMost + firstSlack + 2*feedRest)
-		test.Eq(t, 5, env.World.Version())
+		test.Eq(t, 5, env.World.PlacementVersion())
 	})
 }
 
@@ -174,13 +174,13 @@
 		env, tick := follow(t, feed)
 		env.Settings.Placement.FeedReaders = 1
 		tick(feedLook)
-		must.Eq(t, 4, env.World.Version(), must.Sprint("a daemon without a version reads it"))
+		must.Eq(t, 4, env.World.PlacementVersion(), must.Sprint("a daemon without a version reads it"))
 		rank := utils.Rendezvous("here", "vm")
 		var peers []*link.Peer
 		for n := 0; len(peers) < 2; n++ {
 			if vm := fmt.Sprint("other", n); utils.Rendezvous("here", vm) > rank {
 				peers = append(peers, &link.Peer{Hello: wire.Hello{VM: vm, DataCentre: "here"}})
-				env.World.Peers.Put(peers[len(peers)-1])
+				env.World.Peers.GetOrAdd(peers[len(peers)-1])
 			}
 		}
 		tick(4 * feedLook)
@@ -194,6 +194,6 @@
 		env.World.Peers.Remove(peers[0])
 		env.World.Peers.Remove(peers[1])
 		tick(2 * feedLook)
-		must.Eq(t, 5, env.World.Version(), must.Sprint("one that is alone follows"))
+		must.Eq(t, 5, env.World.PlacementVersion(), must.Sprint("one that is alone follows"))
 	})
 }
--- a/pkg/systems/head.go
+++ b/pkg/systems/head.go
@@ -29,7 +29,7 @@
 		return
 	}
 	if h.busy.CompareAndSwap(false, true) {
-		go h.read(now, h.World.Version(), h.World.Placement)
+		go h.read(now, h.World.PlacementVersion(), h.World.Placement)
 	}
 }
 
@@ -59,7 +59,7 @@
 		h.Log.Event(events.PlacementRejected, events.F("version", head.Version), events.F("cause", err))
 		return
 	}
-	h.World.Inbox.Post(true, func(m *tables.Mail) { m.Documents = append(m.Documents, version) })
+	h.World.Inbox.Post(true, func(m *tables.Mail) { m.Placements = append(m.Placements, version) })
 }
 
 // readOrders reads the orders of roll-outs. A row that cannot be read must not keep
@@ -68,30 +68,30 @@
 	orders, err := h.Orders.Read(ctx)
 	h.ordersOutage.Note(err)
 	if err == nil {
-		h.World.Inbox.Post(true, func(m *tables.Mail) { m.TakeOrders(orders) })
+		h.World.Inbox.Post(true, func(m *tables.Mail) { m.KeepNewestOrders(orders) })
 	}
 }
 
 // fetch reads the changes since base, or the snapshot when that is shorter.
-func (h *headReader) fetch(ctx context.Context, head placement.Head, base *placement.Document) (tables.Version, error) {
+func (h *headReader) fetch(ctx context.Context, head placement.Head, base *placement.Document) (tables.ReceivedPlacement, error) {
 	if version, ok := h.fetchChanges(ctx, head, base); ok {
 		return version, nil
 	}
 	doc, err := h.Store.Snapshot(ctx, head)
-	return tables.Version{Document: doc, Hash: head.Hash, FromStore: true}, err
+	return tables.ReceivedPlacement{Document: doc, Hash: head.Hash, FromStore: true}, err
 }
 
-func (h *headReader) fetchChanges(ctx context.Context, head placement.Head, base *placement.Document) (tables.Version, bool) {
-	if base == nil || head.Version-base.Version > tables.LogLength {
-		return tables.Version{}, false
+func (h *headReader) fetchChanges(ctx context.Context, head placement.Head, base *placement.Document) (tables.ReceivedPlacement, bool) {
+	if base == nil || head.Version-base.Version > tables.MaxPlacementLog {
+		return tables.ReceivedPlacement{}, false
 	}
 	entries, err := h.Store.History(ctx, base.Version, int(head.Version-base.Version))
 	if err != nil {
-		return tables.Version{}, false
+		return tables.ReceivedPlacement{}, false
 	}
 	doc, err := placement.Replay(base, entries, head.Hash)
 	if err != nil {
-		return tables.Version{}, false
+		return tables.ReceivedPlacement{}, false
 	}
-	return tables.Version{Document: doc, Hash: head.Hash, Entries: entries, FromStore: true}, true
+	return tables.ReceivedPlacement{Document: doc, Hash: head.Hash, Entries: entries, FromStore: true}, true
 }
--- a/pkg/systems/head_test.go
+++ b/pkg/systems/head_test.go
@@ -29,12 +29,12 @@
 	h := headOf(t, platform)
 	h.read(1, 0, nil)
 	mail := h.World.Inbox.Take()
-	test.Eq(t, &rollout.Orders{}, mail.Orders)
+	test.Eq(t, &rollout.Orders{}, mail.RolloutOrders)
 	made, err := h.Orders.Change(t.Context(), rollout.Asked{ID: "1", Service: "s", Version: "v2", Duration: time.Minute})
 	must.NoError(t, err)
 	h.read(1, 0, nil)
 	mail = h.World.Inbox.Take()
-	test.Eq(t, &made, mail.Orders)
+	test.Eq(t, &made, mail.RolloutOrders)
 }
 
 // TestOrdersThatCannotBeReadKeepNobodyFromThePlacement, nor from evacuations.
@@ -44,7 +44,7 @@
 	h := headOf(t, platform)
 	h.read(1, 0, nil)
 	mail := h.World.Inbox.Take()
-	test.Nil(t, mail.Orders)
+	test.Nil(t, mail.RolloutOrders)
 	test.True(t, mail.HeadKnown)
 	test.NotNil(t, mail.Evacuation)
 }
@@ -54,7 +54,7 @@
 func TestOlderOrdersTakeNoNewerOnesPlace(t *testing.T) {
 	var mail tables.Mail
 	for _, revision := range []uint64{3, 5, 4} {
-		mail.TakeOrders(rollout.Orders{Revision: revision})
+		mail.KeepNewestOrders(rollout.Orders{Revision: revision})
 	}
-	test.Eq(t, 5, mail.Orders.Revision)
+	test.Eq(t, 5, mail.RolloutOrders.Revision)
 }
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -52,23 +52,23 @@
 // wait. Each fourth heartbeat of a link says which data centres were heard, and each
 // one how long the link may be idle, which hangs on how far the peer is.
 func (h *heartbeats) send(at time.Time, all bool, state *wire.State, heard []wire.Heard) {
-	var brief, full [place.Count]wire.State
-	for to := range place.Count {
+	var brief, full [proximity.Count]wire.State
+	for to := range proximity.Count {
 		brief[to] = *state
 		brief[to].IdleTenths = h.idleTenths(to)
 		full[to] = brief[to]
 		full[to].Heard = heard
 	}
-	h.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
+	h.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if !all && !peer.HeartbeatDue(at) {
 			return
 		}
 		to := h.placeOf(peer)
 		state := &brief[to]
-		if row.Heartbeats%heardEvery == 0 {
+		if row.HeartbeatsSent%heardEvery == 0 {
 			state = &full[to]
 		}
-		row.Heartbeats++
+		row.HeartbeatsSent++
 		// A link that has closed leaves the table with its next event.
 		_ = peer.Send(state)
 	})
@@ -76,7 +76,7 @@
 
 // idleTenths is for how long this daemon may say nothing on an idle link to a place;
 // 0: it does not say.
-func (h *heartbeats) idleTenths(to place.Place) uint32 {
+func (h *heartbeats) idleTenths(to proximity.Level) uint32 {
 	if h.Dial.Pace == nil {
 		return 0
 	}
@@ -84,11 +84,11 @@
 }
 
 func (h *heartbeats) refresh(now int64) {
-	state := wire.State{StoreAgeMS: wire.StoreNever, Members: h.World.Members.Digest(), IdleTenths: h.idleTenths(place.Near)}
-	if age, ok := h.World.StoreAge(now); ok {
+	state := wire.State{StoreAgeMS: wire.StoreNever, Members: h.World.Members.Digest(), IdleTenths: h.idleTenths(proximity.SameDataCentre)}
+	if age, ok := h.World.StoreReadAge(now); ok {
 		state.StoreAgeMS = uint64(age.Milliseconds())
 	}
-	if proven := h.World.View.ProvenAt(); proven > 0 && h.Settings.Teams.RevokeWithin > 0 {
+	if proven := h.World.View.PlacementProvenAt(); proven > 0 && h.Settings.Teams.RevokeWithin > 0 {
 		// The state is told until it is made again.
 		age := time.Duration(now-proven) + h.Settings.Links.Heartbeat/4
 		state.ProofMS = uint64(age.Milliseconds()) + 1
@@ -98,7 +98,7 @@
 
 func (h *heartbeats) heard(now int64) []wire.Heard {
 	var out []wire.Heard
-	for dc, at := range h.World.Heard {
+	for dc, at := range h.World.DataCentreHeardAt {
 		if dc != h.World.DataCentre {
 			out = append(out, wire.Heard{DataCentre: dc, AgeMS: uint64((now - at) / int64(time.Millisecond))})
 		}
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -197,6 +197,6 @@
 		return
 	}
 	q.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.PeerQuarantines = append(m.PeerQuarantines, tables.PeerQuarantine{Said: said})
+		m.PeerQuarantines = append(m.PeerQuarantines, tables.PeerQuarantine{Frame: said})
 	})
 }
--- a/pkg/systems/linkevents.go
+++ b/pkg/systems/linkevents.go
@@ -3,7 +3,7 @@
 import (
 	"github.com/rushramp/rushramp/pkg/events"
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -11,18 +11,18 @@
 // take takes over that a link came up or ended.
 func (l *links) take(now int64, e tables.LinkEvent) {
 	if e.Up {
-		l.World.Peers.Put(e.Peer)
+		l.World.Peers.GetOrAdd(e.Peer)
 		l.tellFormer(e.Peer)
 		l.newProcess(now, e)
 		l.greet(now, e.Peer)
 	} else {
 		l.World.Peers.Remove(e.Peer)
 	}
-	if e.Route == nil {
+	if e.Endpoint == nil {
 		return
 	}
-	l.dialing.ended(e.Route)
-	l.World.Touch(e.Route.Service)
+	l.dialing.ended(e.Endpoint)
+	l.World.MarkDirty(e.Endpoint.Service)
 	if e.Up {
 		l.up(e)
 		return
@@ -34,47 +34,47 @@
 // peer that was restarted be dialled again without a rest.
 func (l *links) greet(now int64, peer *link.Peer) {
 	if row, ok := l.World.Members.Find(l.World.VM); ok {
-		send(peer, []wire.Member{l.World.Members.Row[row]})
+		send(peer, []wire.Member{l.World.Members.Record[row]})
 	}
 	l.tellEvacuation(peer)
 	row, ok := l.World.Members.Find(peer.Hello.VM)
 	if !ok {
 		return
 	}
-	said := l.World.Members.Row[row]
+	said := l.World.Members.Record[row]
 	if said.Incarnation > peer.Hello.Incarnation {
 		// The peer's process is a new one with a lower number: it must count on.
 		send(peer, []wire.Member{said})
 	}
-	route := l.World.Members.Route[row]
+	route := l.World.Members.Endpoint[row]
 	l.restUntil[route] = now
 	delete(l.failures, route)
 	l.unreached.forget(route)
 }
 
 func (l *links) up(e tables.LinkEvent) {
-	row, ok := l.World.Members.Find(e.Route.VM)
-	if !ok || l.World.Members.Route[row] != e.Route {
+	row, ok := l.World.Members.Find(e.Endpoint.VM)
+	if !ok || l.World.Members.Endpoint[row] != e.Endpoint {
 		e.Client.Close()
 		return
 	}
-	if e.Peer.Hello.VM != e.Route.VM {
+	if e.Peer.Hello.VM != e.Endpoint.VM {
 		// Another VM has the address: the one that was meant is gone.
-		gone := l.World.Members.Row[row]
+		gone := l.World.Members.Record[row]
 		gone.State = wire.MemberGone
 		l.World.Members.Merge(l.Now(), nil, gone)
-		l.World.Touch(e.Route.Service)
-		l.Log.Event(events.MemberGone, events.F("vm", e.Route.VM), events.F("replaced_by", e.Peer.Hello.VM))
+		l.World.MarkDirty(e.Endpoint.Service)
+		l.Log.Event(events.MemberGone, events.F("vm", e.Endpoint.VM), events.F("replaced_by", e.Peer.Hello.VM))
 		e.Client.Close()
 		return
 	}
-	delete(l.failures, e.Route)
-	l.unreached.forget(e.Route)
+	delete(l.failures, e.Endpoint)
+	l.unreached.forget(e.Endpoint)
 	// The members may have told of the new process before this link came up.
-	e.Route.Load.Begin(e.Peer.Hello.Incarnation, int(l.World.Members.Row[row].Slots))
-	l.open[e.Route] = e.Client
-	e.Route.SetRunner(e.Client)
-	l.Log.Event(events.LinkUp, events.F("peer", e.Route.VM))
+	e.Endpoint.Load.BeginIncarnation(e.Peer.Hello.Incarnation, int(l.World.Members.Record[row].Slots))
+	l.open[e.Endpoint] = e.Client
+	e.Endpoint.SetRunner(e.Client)
+	l.Log.Event(events.LinkUp, events.F("peer", e.Endpoint.VM))
 }
 
 // tellFormer tells a daemon that was started again the row of its former process: its
@@ -82,10 +82,10 @@
 // a price, so those of its own tell it.
 func (l *links) tellFormer(peer *link.Peer) {
 	row, ok := l.World.Members.Find(peer.Hello.VM)
-	if !ok || peer.Outgoing || l.placeOf(peer) != place.Near {
+	if !ok || peer.Outgoing || l.placeOf(peer) != proximity.SameDataCentre {
 		return
 	}
-	if former := l.World.Members.Row[row]; former.Incarnation > 0 && former.Incarnation < peer.Hello.Incarnation {
+	if former := l.World.Members.Record[row]; former.Incarnation > 0 && former.Incarnation < peer.Hello.Incarnation {
 		send(peer, []wire.Member{former})
 	}
 }
@@ -95,10 +95,10 @@
 func (l *links) newProcess(now int64, e tables.LinkEvent) {
 	hello := &e.Peer.Hello
 	row, ok := l.World.Members.Find(hello.VM)
-	if !ok || hello.Incarnation <= l.World.Members.Row[row].Incarnation {
+	if !ok || hello.Incarnation <= l.World.Members.Record[row].Incarnation {
 		return
 	}
-	said := l.World.Members.Row[row]
+	said := l.World.Members.Record[row]
 	said.Incarnation = hello.Incarnation
 	said.Revision = 0
 	said.State = wire.MemberLive
@@ -106,29 +106,29 @@
 		said.State = wire.MemberLeaving
 	}
 	l.World.Members.Merge(now, e.Peer, said)
-	l.World.Members.Route[row].Load.Reset(int(said.Slots))
-	l.World.Touch(said.Service)
+	l.World.Members.Endpoint[row].Load.Reset(int(said.Slots))
+	l.World.MarkDirty(said.Service)
 }
 
 func (l *links) down(now int64, e tables.LinkEvent) {
-	if l.surplus.takeClosed(e.Route) && l.open[e.Route] == e.Client {
-		delete(l.open, e.Route)
-		e.Route.SetRunner(nil)
+	if l.surplus.takeClosed(e.Endpoint) && l.open[e.Endpoint] == e.Client {
+		delete(l.open, e.Endpoint)
+		e.Endpoint.SetRunner(nil)
 		return
 	}
-	l.failures[e.Route]++
-	rest := redialAfter << min(l.failures[e.Route]-1, redialDoublings)
-	l.restUntil[e.Route] = now + int64(rest)
-	if l.failures[e.Route] >= unreachedAfter {
-		l.unreached.note(e.Route, l.restUntil[e.Route])
+	l.failures[e.Endpoint]++
+	rest := redialAfter << min(l.failures[e.Endpoint]-1, redialDoublings)
+	l.restUntil[e.Endpoint] = now + int64(rest)
+	if l.failures[e.Endpoint] >= unreachedAfter {
+		l.unreached.note(e.Endpoint, l.restUntil[e.Endpoint])
 	}
-	if l.open[e.Route] == e.Client && e.Client != nil {
-		delete(l.open, e.Route)
-		e.Route.SetRunner(nil)
-		l.Log.Event(events.LinkDown, events.F("peer", e.Route.VM), events.F("cause", e.Cause))
+	if l.open[e.Endpoint] == e.Client && e.Client != nil {
+		delete(l.open, e.Endpoint)
+		e.Endpoint.SetRunner(nil)
+		l.Log.Event(events.LinkDown, events.F("peer", e.Endpoint.VM), events.F("cause", e.Cause))
 		return
 	}
 	if e.Client == nil {
-		l.Log.Event(events.LinkRefused, events.F("peer", e.Route.VM), events.F("cause", e.Cause))
+		l.Log.Event(events.LinkRefused, events.F("peer", e.Endpoint.VM), events.F("cause", e.Cause))
 	}
 }
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -22,15 +22,15 @@
 // for, and to a small sample of other daemons. Source: docs/design/members.md.
 type links struct {
 	*Env
-	open      map[*tables.Route]*link.Client
+	open      map[*tables.Endpoint]*link.Client
 	dialing   *dialing
-	restUntil map[*tables.Route]int64
+	restUntil map[*tables.Endpoint]int64
 	// failures counts a route's failed dials and ended links in a row.
-	failures  map[*tables.Route]int
+	failures  map[*tables.Endpoint]int
 	surplus   *surplus
 	unreached *unreached
 	sampleDue due
-	sample    []*tables.Route
+	sample    []*tables.Endpoint
 	// drawnAt is the state of the members that the sample was drawn from.
 	drawnAt  uint64
 	retryDue due
@@ -39,19 +39,19 @@
 // Tick implements System.
 func (l *links) Tick(now int64, mail *tables.Mail) {
 	if l.open == nil {
-		l.open = map[*tables.Route]*link.Client{}
+		l.open = map[*tables.Endpoint]*link.Client{}
 		l.dialing = newDialing()
-		l.restUntil = map[*tables.Route]int64{}
-		l.failures = map[*tables.Route]int{}
+		l.restUntil = map[*tables.Endpoint]int64{}
+		l.failures = map[*tables.Endpoint]int{}
 		l.surplus = newSurplus()
 		l.unreached = newUnreached(l.World)
 	}
-	for _, e := range mail.Links {
+	for _, e := range mail.LinkEvents {
 		l.take(now, e)
 	}
-	for _, service := range mail.Wanted {
-		l.World.Wanted[service] = struct{}{}
-		l.World.Touch(service)
+	for _, service := range mail.RequestedServices {
+		l.World.RequestedServices[service] = struct{}{}
+		l.World.MarkDirty(service)
 	}
 	retry := l.retryDue.at(now, redialAfter)
 	if retry {
@@ -63,14 +63,14 @@
 	l.dialing.leftOver = false
 	l.openServices(now, retry || again)
 	if retry {
-		l.openAll(now, l.World.Watchers)
-		l.openAll(now, l.World.Counters)
+		l.openAll(now, l.World.RolloutWatchers)
+		l.openAll(now, l.World.QuotaCounters)
 	}
 	if again {
 		l.openAll(now, l.sample)
 	}
 	if l.sampleDue.at(now, sampleEvery) {
-		if changes := l.World.Members.Changes(); changes != l.drawnAt {
+		if changes := l.World.Members.ChangeCount(); changes != l.drawnAt {
 			l.drawnAt = changes
 			l.drawSample()
 			l.closeGone()
@@ -83,8 +83,8 @@
 func (l *links) noteDistances() {
 	var distances distances
 	for route, client := range l.open {
-		distances.note(l.World.Here().Of(route.DataCentre, route.Region), client.RoundTrip())
-		route.Load.SetDistance(client.RoundTrip())
+		distances.note(l.World.Here().To(route.DataCentre, route.Region), client.RoundTrip())
+		route.Load.SetRoundTrip(client.RoundTrip())
 		client.MeasureAgain()
 	}
 	if share, ok := distances.regionShare(); ok {
@@ -108,9 +108,9 @@
 // order, so that a daemon that has just started has a few links for each of them
 // first.
 func (l *links) openServices(now int64, all bool) {
-	var subsets [][]*tables.Route
-	for service := range l.World.Wanted {
-		if _, dirty := l.World.Dirty[service]; dirty || all {
+	var subsets [][]*tables.Endpoint
+	for service := range l.World.RequestedServices {
+		if _, dirty := l.World.DirtyServices[service]; dirty || all {
 			subsets = append(subsets, l.subsetsOf(service)...)
 		}
 	}
@@ -127,7 +127,7 @@
 }
 
 // subsetsOf are the subsets of a service, one a kind.
-func (l *links) subsetsOf(service string) [][]*tables.Route {
+func (l *links) subsetsOf(service string) [][]*tables.Endpoint {
 	view := l.World.View.Placement()
 	if view == nil {
 		return nil
@@ -136,20 +136,20 @@
 	if compiled == nil {
 		return nil
 	}
-	var out [][]*tables.Route
+	var out [][]*tables.Endpoint
 	for _, kind := range compiled.Kinds {
 		out = append(out, l.subset(kind))
 	}
 	return out
 }
 
-func (l *links) openAll(now int64, routes []*tables.Route) {
+func (l *links) openAll(now int64, routes []*tables.Endpoint) {
 	for _, route := range routes {
 		l.openOne(now, route)
 	}
 }
 
-func (l *links) openOne(now int64, route *tables.Route) {
+func (l *links) openOne(now int64, route *tables.Endpoint) {
 	if _, open := l.open[route]; open || route.VM == l.World.VM || now < l.restUntil[route] {
 		return
 	}
@@ -158,13 +158,13 @@
 	}
 }
 
-func (l *links) dial(route *tables.Route) {
+func (l *links) dial(route *tables.Endpoint) {
 	ctx, cancel := context.WithTimeout(l.Background, dialTime)
 	defer cancel()
-	client, err := link.DialClient(ctx, l.Common, &routeControl{Control: l.Control, world: l.World, route: route}, route.Links, l.Dial)
+	client, err := link.DialClient(ctx, l.Common, &routeControl{Control: l.Control, world: l.World, route: route}, route.LinkAddress, l.Dial)
 	if err != nil {
 		l.World.Inbox.Post(false, func(m *tables.Mail) {
-			m.Links = append(m.Links, tables.LinkEvent{Route: route, Cause: err})
+			m.LinkEvents = append(m.LinkEvents, tables.LinkEvent{Endpoint: route, Cause: err})
 		})
 		return
 	}
@@ -175,7 +175,7 @@
 func (l *links) closeGone() {
 	for route, client := range l.open {
 		row, ok := l.World.Members.Find(route.VM)
-		if !ok || l.World.Members.Route[row] != route {
+		if !ok || l.World.Members.Endpoint[row] != route {
 			client.Close()
 		}
 	}
--- a/pkg/systems/links_test.go
+++ b/pkg/systems/links_test.go
@@ -32,23 +32,23 @@
 	env.World.Members.Merge(1, nil, row)
 	at, ok := env.World.Members.Find("b")
 	must.True(t, ok)
-	route := env.World.Members.Route[at]
+	route := env.World.Members.Endpoint[at]
 	l := &links{Env: env}
 	l.Tick(1, &tables.Mail{})
 	up := func(incarnation uint64) {
 		client := &link.Client{Peer: &link.Peer{Hello: wire.Hello{VM: "b", Incarnation: incarnation}}}
-		l.Tick(2, &tables.Mail{Links: []tables.LinkEvent{{Up: true, Peer: client.Peer, Client: client, Route: route}}})
+		l.Tick(2, &tables.Mail{LinkEvents: []tables.LinkEvent{{Up: true, Peer: client.Peer, Client: client, Endpoint: route}}})
 	}
 	up(old)
-	route.Load.Report(3, wire.Stamp{Seq: 500, Limit: 9, Running: 9})
+	route.Load.ApplyStamp(3, wire.Stamp{Seq: 500, Limit: 9, Running: 9})
 	row.Incarnation = restarted
 	env.World.Members.Merge(4, nil, row)
 	up(restarted)
-	route.Load.Report(5, wire.Stamp{Seq: 1, Limit: 9, Running: 2})
-	test.Eq(t, 2, route.Load.Known(6).InFlight)
+	route.Load.ApplyStamp(5, wire.Stamp{Seq: 1, Limit: 9, Running: 2})
+	test.Eq(t, 2, route.Load.Snapshot(6).InFlight)
 	// A second link to the same process forgets nothing.
 	up(restarted)
-	test.Eq(t, 2, route.Load.Known(6).InFlight)
+	test.Eq(t, 2, route.Load.Snapshot(6).InFlight)
 }
 
 // TestALinkWhosePeerOwesASignOfLifeIsClosedWhileCallsWait: heartbeats are rare in
@@ -70,13 +70,13 @@
 	env.Settings.Links.Heartbeat = 10 * time.Millisecond
 	client, err := link.DialClient(t.Context(), env.Common, env.Control, strings.TrimPrefix(server.URL, "http://"), link.DialOptions{Pace: link.NewPace(time.Minute)})
 	must.NoError(t, err)
-	route := &tables.Route{Load: tables.NewLoad(1)}
-	l := &links{Env: env, open: map[*tables.Route]*link.Client{route: client}}
+	route := &tables.Endpoint{Load: tables.NewLoad(1)}
+	l := &links{Env: env, open: map[*tables.Endpoint]*link.Client{route: client}}
 	client.Probe()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return client.Unanswered() > link.MissedHeartbeats*env.Settings.Links.Heartbeat }), wait.Timeout(10*time.Second)))
 	l.closeSilent()
 	must.NoError(t, client.Send(&wire.Cancel{}), must.Sprint("nobody waits for it"))
-	route.Load.Sent(1)
+	route.Load.RecordSent(1)
 	l.closeSilent()
 	must.ErrorIs(t, client.Send(&wire.Cancel{}), link.ErrClosed)
 }
--- a/pkg/systems/members.go
+++ b/pkg/systems/members.go
@@ -39,8 +39,8 @@
 		me.Leave()
 	}
 	me.introduce(now)
-	if mail.List != nil {
-		me.takeList(now, mail.List)
+	if mail.VMList != nil {
+		me.takeList(now, mail.VMList)
 	}
 	for _, m := range mail.Members {
 		for _, row := range m.Rows {
@@ -48,8 +48,8 @@
 		}
 	}
 	me.refuteGone(now)
-	for _, ask := range mail.Asks {
-		send(ask.Peer, me.World.Members.Differing(ask.Buckets))
+	for _, ask := range mail.MembersAsks {
+		send(ask.Peer, me.World.Members.DifferingRows(ask.Buckets))
 	}
 }
 
@@ -75,7 +75,7 @@
 		me.merge(now, nil, me.rowOf(vm))
 		if row, ok := me.World.Members.Find(vm.ID); ok {
 			me.World.Members.Listed[row] = true
-			me.World.Members.Missing[row] = 0
+			me.World.Members.MissedReads[row] = 0
 		}
 	}
 	if me.Registrar == nil {
@@ -94,11 +94,11 @@
 	if vm.State == store.VMLeaving {
 		out.State = wire.MemberLeaving
 	}
-	if row, ok := me.World.Members.Find(vm.ID); ok && me.World.Members.Row[row].Started == vm.Started {
-		out.Incarnation = me.World.Members.Row[row].Incarnation
-		out.Revision = me.World.Members.Row[row].Revision
-		out.Backend = me.World.Members.Row[row].Backend
-		out.Version = me.World.Members.Row[row].Version
+	if row, ok := me.World.Members.Find(vm.ID); ok && me.World.Members.Record[row].Started == vm.Started {
+		out.Incarnation = me.World.Members.Record[row].Incarnation
+		out.Revision = me.World.Members.Record[row].Revision
+		out.Backend = me.World.Members.Record[row].Backend
+		out.Version = me.World.Members.Record[row].Version
 	}
 	return out
 }
@@ -107,18 +107,18 @@
 func (me *members) buryUnlisted(now int64, dataCentre string, listed map[string]struct{}) {
 	var gone []wire.Member
 	m := me.World.Members
-	m.Rows(func(row int) {
-		_, ok := listed[m.Row[row].VM]
-		mayKnow := m.Listed[row] || now-m.Since[row] > int64(unlistedAfter)
-		elsewhere := dataCentre != "" && m.Row[row].DataCentre != dataCentre
+	m.EachRow(func(row int) {
+		_, ok := listed[m.Record[row].VM]
+		mayKnow := m.Listed[row] || now-m.AddedAt[row] > int64(unlistedAfter)
+		elsewhere := dataCentre != "" && m.Record[row].DataCentre != dataCentre
 		// A daemon does not bury itself: it knows better.
-		if ok || !mayKnow || elsewhere || m.Row[row].VM == me.World.VM {
+		if ok || !mayKnow || elsewhere || m.Record[row].VM == me.World.VM {
 			return
 		}
-		if m.Missing[row]++; m.Missing[row] < missingReads {
+		if m.MissedReads[row]++; m.MissedReads[row] < missingReads {
 			return
 		}
-		dead := m.Row[row]
+		dead := m.Record[row]
 		dead.State = wire.MemberGone
 		gone = append(gone, dead)
 	})
@@ -132,9 +132,9 @@
 	if !changed {
 		return
 	}
-	me.World.Touch(said.Service)
+	me.World.MarkDirty(said.Service)
 	if ended != nil {
-		me.World.Touch(ended.Service)
+		me.World.MarkDirty(ended.Service)
 	}
 	me.note(said)
 	if said.VM == me.World.VM {
@@ -160,7 +160,7 @@
 // list says so without an incarnation.
 func (me *members) aboutSelf(now int64, said wire.Member) {
 	if row, ok := me.World.Members.Find(me.World.VM); ok && me.Runner != nil {
-		me.World.Members.Route[row].SetRunner(me.Runner)
+		me.World.Members.Endpoint[row].SetRunner(me.Runner)
 	}
 	own := me.Control.Incarnation()
 	switch {
--- a/pkg/systems/news.go
+++ b/pkg/systems/news.go
@@ -15,17 +15,17 @@
 
 // Tick implements System.
 func (ne *news) Tick(now int64, mail *tables.Mail) {
-	if mail.StoreReadAt > ne.World.StoreSeen {
-		ne.World.StoreSeen = mail.StoreReadAt
+	if mail.StoreReadAt > ne.World.NewestStoreReadAt {
+		ne.World.NewestStoreReadAt = mail.StoreReadAt
 	}
-	for _, n := range mail.News {
+	for _, n := range mail.PeerStates {
 		ne.take(n)
 	}
 }
 
-func (ne *news) take(n tables.PeerNews) {
-	row := ne.World.Peers.Put(n.Peer)
-	row.Placement = max(row.Placement, n.State.Placement)
+func (ne *news) take(n tables.PeerState) {
+	row := ne.World.Peers.GetOrAdd(n.Peer)
+	row.PlacementVersion = max(row.PlacementVersion, n.State.Placement)
 	ne.hear(n)
 	if n.State.Leaving && !row.Leaving {
 		row.Leaving = true
@@ -35,15 +35,15 @@
 
 // hear takes over how fresh the peer's knowledge of the store and of the data
 // centres is. Ages, not times, travel: clocks of VMs differ.
-func (ne *news) hear(n tables.PeerNews) {
-	ne.World.Heard[n.Peer.Hello.DataCentre] = n.At
+func (ne *news) hear(n tables.PeerState) {
+	ne.World.DataCentreHeardAt[n.Peer.Hello.DataCentre] = n.At
 	for _, h := range n.State.Heard {
 		at := n.At - int64(time.Duration(h.AgeMS)*time.Millisecond)
-		ne.World.Heard[h.DataCentre] = max(ne.World.Heard[h.DataCentre], at)
+		ne.World.DataCentreHeardAt[h.DataCentre] = max(ne.World.DataCentreHeardAt[h.DataCentre], at)
 	}
 	if n.State.StoreAgeMS < wire.StoreNever {
 		at := n.At - int64(time.Duration(n.State.StoreAgeMS)*time.Millisecond)
-		ne.World.StoreSeen = max(ne.World.StoreSeen, at)
+		ne.World.NewestStoreReadAt = max(ne.World.NewestStoreReadAt, at)
 	}
 }
 
@@ -51,14 +51,14 @@
 // so seconds later; members passes it on.
 func (ne *news) markLeaving(now int64, peer *link.Peer) {
 	row, ok := ne.World.Members.Find(peer.Hello.VM)
-	if !ok || ne.World.Members.Row[row].Incarnation > peer.Hello.Incarnation {
+	if !ok || ne.World.Members.Record[row].Incarnation > peer.Hello.Incarnation {
 		return
 	}
-	said := ne.World.Members.Row[row]
+	said := ne.World.Members.Record[row]
 	said.Incarnation = peer.Hello.Incarnation
 	said.State = wire.MemberLeaving
 	if _, changed := ne.World.Members.Merge(now, peer, said); changed {
-		ne.World.Touch(said.Service)
+		ne.World.MarkDirty(said.Service)
 		ne.Log.Event(events.MemberLeaving, events.F("vm", said.VM), events.F("from", "link"))
 	}
 }
--- a/pkg/systems/peersfirst.go
+++ b/pkg/systems/peersfirst.go
@@ -31,8 +31,8 @@
 
 // hasKnowingPeer is true while there is a link to a daemon that has a version in force.
 func (e *Env) hasKnowingPeer() (has bool) {
-	e.World.Peers.Rows(func(_ *link.Peer, row *tables.PeerRow) {
-		has = has || row.Placement > 0 && !row.Leaving
+	e.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) {
+		has = has || row.PlacementVersion > 0 && !row.Leaving
 	})
 	return has
 }
--- a/pkg/systems/peersfirst_test.go
+++ b/pkg/systems/peersfirst_test.go
@@ -16,7 +16,7 @@
 // knowingPeer puts a link into the table to a daemon that has a version in force.
 func knowingPeer(env *Env, version uint64) {
 	peer := &link.Peer{Conn: link.NewClosedConn(), Hello: wire.Hello{VM: "seed", DataCentre: "here", Incarnation: 1}}
-	env.World.Peers.Put(peer).Placement = version
+	env.World.Peers.GetOrAdd(peer).PlacementVersion = version
 }
 
 // TestARestartWithPeersCostsNoCalls: neither the list is read nor the entry written where
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -23,7 +23,7 @@
 	pullDue due
 	// offers are versions that peers gave while this daemon had none, by the
 	// peer's data centre.
-	offers map[string]tables.Version
+	offers map[string]tables.ReceivedPlacement
 	// packed is the document of packedVersion as peers get it.
 	packed        []byte
 	packedVersion uint64
@@ -33,7 +33,7 @@
 
 // Tick implements System.
 func (pl *placements) Tick(now int64, mail *tables.Mail) {
-	for _, v := range mail.Documents {
+	for _, v := range mail.Placements {
 		pl.take(v)
 	}
 	for _, u := range mail.Updates {
@@ -42,7 +42,7 @@
 	for _, p := range mail.Pulls {
 		pl.answer(p)
 	}
-	if len(mail.News) > 0 {
+	if len(mail.PeerStates) > 0 {
 		pl.pull(now)
 	}
 }
@@ -57,8 +57,8 @@
 	pl.take(v)
 }
 
-func (pl *placements) take(v tables.Version) {
-	if pl.World.Placement != nil && v.Document.Version <= pl.World.Version() && !pl.corrects(v) {
+func (pl *placements) take(v tables.ReceivedPlacement) {
+	if pl.World.Placement != nil && v.Document.Version <= pl.World.PlacementVersion() && !pl.corrects(v) {
 		return
 	}
 	if pl.World.Placement == nil && !v.FromStore {
@@ -72,17 +72,17 @@
 
 // corrects is true for the store's own reading of the version in force where a peer
 // read that otherwise: one of another release leaves out rules that it does not know.
-func (pl *placements) corrects(v tables.Version) bool {
-	return pl.fromPeer && v.FromStore && v.Document.Version == pl.World.Version() && v.Hash != pl.World.Hash
+func (pl *placements) corrects(v tables.ReceivedPlacement) bool {
+	return pl.fromPeer && v.FromStore && v.Document.Version == pl.World.PlacementVersion() && v.Hash != pl.World.PlacementHash
 }
 
 // weigh decides on a peer's version while this daemon has none and the store
 // has not answered: the highest of peers in more than one data centre, so that
 // a data centre that is cut off by itself does not start new daemons on an old
 // version. Where the members know of one data centre only, one is enough.
-func (pl *placements) weigh(v tables.Version) tables.Version {
+func (pl *placements) weigh(v tables.ReceivedPlacement) tables.ReceivedPlacement {
 	if pl.offers == nil {
-		pl.offers = map[string]tables.Version{}
+		pl.offers = map[string]tables.ReceivedPlacement{}
 	}
 	dc := v.Peer.Hello.DataCentre
 	if old, ok := pl.offers[dc]; !ok || old.Document.Version < v.Document.Version {
@@ -90,9 +90,9 @@
 	}
 	// At the first start of the whole system there is no old version.
 	if !pl.Settings.Platform.FirstStart && len(pl.offers) < min(2, pl.dataCentres()) {
-		return tables.Version{}
+		return tables.ReceivedPlacement{}
 	}
-	best := tables.Version{}
+	best := tables.ReceivedPlacement{}
 	for _, o := range pl.offers {
 		if best.Document == nil || o.Document.Version > best.Document.Version {
 			best = o
@@ -103,27 +103,27 @@
 
 func (pl *placements) dataCentres() int {
 	seen := map[string]struct{}{}
-	pl.World.Members.Rows(func(row int) { seen[pl.World.Members.Row[row].DataCentre] = struct{}{} })
+	pl.World.Members.EachRow(func(row int) { seen[pl.World.Members.Record[row].DataCentre] = struct{}{} })
 	return len(seen)
 }
 
 // force takes a version over: from here on the hot path uses it.
-func (pl *placements) force(v tables.Version) {
+func (pl *placements) force(v tables.ReceivedPlacement) {
 	old := pl.World.Placement
 	compiled := placement.Compile(v.Document)
 	for _, service := range compiled.RoutedServices() {
 		// Callers of routed requests ask for all of them sooner or later.
-		pl.World.Wanted[service] = struct{}{}
+		pl.World.RequestedServices[service] = struct{}{}
 	}
 	pl.touchChanged(old, v.Document)
-	pl.World.Placement, pl.World.Hash = v.Document, v.Hash
+	pl.World.Placement, pl.World.PlacementHash = v.Document, v.Hash
 	pl.fromPeer, pl.packed = !v.FromStore, nil
 	pl.keepLog(old, v)
 	pl.offers = nil
 	pl.World.View.SetPlacement(compiled)
 	pl.Log.Event(events.PlacementInForce, events.F("version", compiled.Version), events.F("services", compiled.Services()), events.F("routes", compiled.Routes.Len()), events.F("from_store", v.FromStore))
 	state := pl.Control.State()
-	pl.World.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
+	pl.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
 }
 
 // touchChanged marks the services whose kinds differ between two versions.
@@ -133,44 +133,44 @@
 	}
 	// Compiled kinds belong to one version, so each wanted service gets a new
 	// view; the cost grows with what this entry uses, not with the placement.
-	for service := range pl.World.Wanted {
-		pl.World.Touch(service)
+	for service := range pl.World.RequestedServices {
+		pl.World.MarkDirty(service)
 	}
 	for _, c := range placement.Diff(old, now) {
-		pl.World.Touch(c.Service)
+		pl.World.MarkDirty(c.Service)
 	}
 }
 
 // keepLog keeps the newest changes, unless there is a gap before them.
-func (pl *placements) keepLog(old *placement.Document, v tables.Version) {
+func (pl *placements) keepLog(old *placement.Document, v tables.ReceivedPlacement) {
 	follows := old != nil && len(v.Entries) > 0 && v.Entries[0].Version == old.Version+1
 	if !follows {
-		pl.World.Log = nil
+		pl.World.PlacementLog = nil
 		return
 	}
-	pl.World.Log = append(pl.World.Log, v.Entries...)
-	if extra := len(pl.World.Log) - tables.LogLength; extra > 0 {
-		pl.World.Log = append([]placement.LogEntry(nil), pl.World.Log[extra:]...)
+	pl.World.PlacementLog = append(pl.World.PlacementLog, v.Entries...)
+	if extra := len(pl.World.PlacementLog) - tables.MaxPlacementLog; extra > 0 {
+		pl.World.PlacementLog = append([]placement.LogEntry(nil), pl.World.PlacementLog[extra:]...)
 	}
 }
 
 // pull asks a peer that is ahead. One at a time: the answer comes to all that
 // wait, and 300 peers with the same news are not asked 300 times.
 func (pl *placements) pull(now int64) {
-	have := pl.World.Version()
+	have := pl.World.PlacementVersion()
 	var best *link.Peer
 	var bestRow *tables.PeerRow
-	pl.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
-		ahead := row.Placement > have || (pl.World.Placement == nil && row.Placement > 0 && !pl.offered(peer))
-		if ahead && (best == nil || row.Placement > bestRow.Placement || row.Placement == bestRow.Placement && pl.isNearer(peer, best)) {
+	pl.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
+		ahead := row.PlacementVersion > have || (pl.World.Placement == nil && row.PlacementVersion > 0 && !pl.offered(peer))
+		if ahead && (best == nil || row.PlacementVersion > bestRow.PlacementVersion || row.PlacementVersion == bestRow.PlacementVersion && pl.isNearer(peer, best)) {
 			best, bestRow = peer, row
 		}
 	})
-	if best == nil || (now < pl.pullDue.next && bestRow.PulledAt != 0) {
+	if best == nil || (now < pl.pullDue.next && bestRow.PlacementPulledAt != 0) {
 		return
 	}
 	pl.pullDue.next = now + int64(pullAgain)
-	bestRow.PulledAt = now
+	bestRow.PlacementPulledAt = now
 	_ = best.Send(&wire.Pull{Have: have})
 }
 
@@ -189,7 +189,7 @@
 	if doc == nil || doc.Version <= p.Have {
 		return
 	}
-	update := &wire.Update{Version: doc.Version, Hash: pl.World.Hash}
+	update := &wire.Update{Version: doc.Version, Hash: pl.World.PlacementHash}
 	if entries, ok := pl.since(p.Have); ok {
 		update.From = p.Have
 		update.Entries = entries
@@ -218,7 +218,7 @@
 }
 
 func (pl *placements) since(have uint64) ([][]byte, bool) {
-	log := pl.World.Log
+	log := pl.World.PlacementLog
 	if have == 0 || len(log) == 0 || log[0].Version > have+1 {
 		return nil, false
 	}
@@ -238,8 +238,8 @@
 
 // readUpdate turns a peer's update into a version. base is the version in
 // force here, or nil.
-func readUpdate(peer *link.Peer, update *wire.Update, base *placement.Document) (tables.Version, error) {
-	out := tables.Version{Hash: update.Hash, Peer: peer}
+func readUpdate(peer *link.Peer, update *wire.Update, base *placement.Document) (tables.ReceivedPlacement, error) {
+	out := tables.ReceivedPlacement{Hash: update.Hash, Peer: peer}
 	if update.From == 0 {
 		doc, err := placement.Unpack(update.Document, update.Hash)
 		out.Document = doc
--- a/pkg/systems/placements_release_test.go
+++ b/pkg/systems/placements_release_test.go
@@ -30,15 +30,15 @@
 	env.World.Placement = &placement.Document{Version: 4}
 	hash, err := boundRoute(false).Hash()
 	must.NoError(t, err)
-	pl.take(tables.Version{Document: boundRoute(false), Hash: hash, Peer: &link.Peer{Hello: wire.Hello{VM: "old", DataCentre: "a"}}})
+	pl.take(tables.ReceivedPlacement{Document: boundRoute(false), Hash: hash, Peer: &link.Peer{Hello: wire.Hello{VM: "old", DataCentre: "a"}}})
 	hash, err = boundRoute(true).Hash()
 	must.NoError(t, err)
-	pl.take(tables.Version{Document: boundRoute(true), Hash: hash, FromStore: true})
+	pl.take(tables.ReceivedPlacement{Document: boundRoute(true), Hash: hash, FromStore: true})
 	route := env.World.View.Placement().Routes.Match("h", "/x")
 	must.NotNil(t, route)
 	test.False(t, route.AllowsHere("n1", "north"))
 	hash, err = boundRoute(false).Hash()
 	must.NoError(t, err)
-	pl.take(tables.Version{Document: boundRoute(false), Hash: hash, Peer: &link.Peer{Hello: wire.Hello{VM: "old", DataCentre: "a"}}})
+	pl.take(tables.ReceivedPlacement{Document: boundRoute(false), Hash: hash, Peer: &link.Peer{Hello: wire.Hello{VM: "old", DataCentre: "a"}}})
 	test.False(t, env.World.View.Placement().Routes.Match("h", "/x").AllowsHere("n1", "north"), test.Sprint("a peer corrects nothing"))
 }
--- a/pkg/systems/placements_test.go
+++ b/pkg/systems/placements_test.go
@@ -54,13 +54,13 @@
 			n := rapid.Uint64Range(1, 9).Draw(t, "version")
 			mail := &tables.Mail{}
 			if rapid.Bool().Draw(t, "from the store") {
-				mail.Documents = []tables.Version{{Document: version(n), FromStore: true}}
+				mail.Placements = []tables.ReceivedPlacement{{Document: version(n), FromStore: true}}
 			} else {
 				mail.Updates = []tables.PeerUpdate{update(t, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer's data centre"), n)}
 			}
 			system.Tick(1, mail)
-			must.GreaterEq(t, highest, env.World.Version())
-			highest = env.World.Version()
+			must.GreaterEq(t, highest, env.World.PlacementVersion())
+			highest = env.World.PlacementVersion()
 			if highest > 0 {
 				must.Eq(t, highest, env.World.View.Placement().Version)
 			}
@@ -71,11 +71,11 @@
 func TestAVersionThatDoesNotMatchItsHashIsRefused(t *testing.T) {
 	env := testEnv()
 	system := &placements{Env: env}
-	system.Tick(1, &tables.Mail{Documents: []tables.Version{{Document: version(1), FromStore: true}}})
+	system.Tick(1, &tables.Mail{Placements: []tables.ReceivedPlacement{{Document: version(1), FromStore: true}}})
 	bad := update(t, "a", 2)
 	bad.Update.Hash = "0000"
 	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{bad}})
-	test.Eq(t, 1, env.World.Version())
+	test.Eq(t, 1, env.World.PlacementVersion())
 }
 
 func TestANewDaemonTrustsPeersInTwoDataCentres(t *testing.T) {
@@ -89,7 +89,7 @@
 	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{update(t, "a", 5)}})
 	test.Nil(t, env.World.Placement)
 	system.Tick(3, &tables.Mail{Updates: []tables.PeerUpdate{update(t, "b", 4)}})
-	test.Eq(t, 5, env.World.Version())
+	test.Eq(t, 5, env.World.PlacementVersion())
 }
 
 func TestSubsetIsStableAndEven(t *testing.T) {
@@ -107,7 +107,7 @@
 			counts[route.VM]++
 		}
 		// One that is not in the subset leaves: nobody else moves.
-		for _, route := range w.Members.Route {
+		for _, route := range w.Members.Endpoint {
 			if !contains(before, route) {
 				said := wire.Member{VM: route.VM, Started: 1, State: wire.MemberGone, DataCentre: "here", Service: "s"}
 				w.Members.Merge(2, nil, said)
@@ -125,7 +125,7 @@
 	test.Less(t, 1.15, overMean)
 }
 
-func contains(routes []*tables.Route, wanted *tables.Route) bool {
+func contains(routes []*tables.Endpoint, wanted *tables.Endpoint) bool {
 	for _, r := range routes {
 		if r == wanted {
 			return true
@@ -134,7 +134,7 @@
 	return false
 }
 
-func names(routes []*tables.Route) []string {
+func names(routes []*tables.Endpoint) []string {
 	var out []string
 	for _, r := range routes {
 		out = append(out, r.VM)
--- a/pkg/systems/placeof.go
+++ b/pkg/systems/placeof.go
@@ -2,28 +2,28 @@
 
 import (
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
 // placeOf is how far a peer is, as it said itself.
-func (e *Env) placeOf(peer *link.Peer) place.Place {
-	return e.World.Here().Of(peer.Hello.DataCentre, peer.Hello.Region)
+func (e *Env) placeOf(peer *link.Peer) proximity.Level {
+	return e.World.Here().To(peer.Hello.DataCentre, peer.Hello.Region)
 }
 
 // group is a set of peers that news is sent to as one: a data centre of the own
 // region, or another region whole, since bytes between regions have the higher price.
 // Whoever hears news there passes it on.
 type group struct {
-	at   place.Place
+	at   proximity.Level
 	name string
 }
 
 // groupOf is the group of a VM. One whose region is not known stands for its data
 // centre.
 func (e *Env) groupOf(dataCentre, region string) group {
-	at := e.World.Here().Of(dataCentre, region)
-	if at == place.Other && region != "" {
+	at := e.World.Here().To(dataCentre, region)
+	if at == proximity.OtherRegion && region != "" {
 		return group{at, region}
 	}
 	return group{at, dataCentre}
@@ -34,7 +34,7 @@
 func (e *Env) peersByGroup() (near []*link.Peer, far map[group][]*link.Peer) {
 	seen := map[string]struct{}{}
 	far = map[group][]*link.Peer{}
-	e.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
+	e.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if _, known := seen[peer.Hello.VM]; known || row.Leaving {
 			return
 		}
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -72,17 +72,17 @@
 }
 
 // take takes over how calls ended.
-func (p *planRows) take(now int64, ended []tables.PlanRow) {
+func (p *planRows) take(now int64, ended []tables.RolloutPlanResult) {
 	for _, row := range ended {
 		p.busy = false
-		p.fresh = !row.Wrote && row.Err == nil && row.Service == p.Settings.BackendServer.Service
+		p.fresh = !row.IsWrite && row.Err == nil && row.Service == p.Settings.BackendServer.Service
 		if row.Err == nil {
 			p.took(&row)
 			continue
 		}
-		p.Log.Event(events.RolloutRowFailed, events.F("service", row.Service), events.F("write", row.Wrote),
+		p.Log.Event(events.RolloutRowFailed, events.F("service", row.Service), events.F("write", row.IsWrite),
 			events.F("conflict", errors.Is(row.Err, store.ErrConflict)), events.F("cause", row.Err))
-		p.conflicted = p.conflicted || row.Wrote && errors.Is(row.Err, store.ErrConflict)
+		p.conflicted = p.conflicted || row.IsWrite && errors.Is(row.Err, store.ErrConflict)
 		p.restUntil = now + int64(p.rest)
 		p.rest = min(2*p.rest, p.restMost(row.Err))
 	}
@@ -90,12 +90,12 @@
 
 // took takes over a call that went well. Rests grow on while writes conflict, though
 // the reads between them go well.
-func (p *planRows) took(row *tables.PlanRow) {
-	p.conflicted = p.conflicted && !row.Wrote
+func (p *planRows) took(row *tables.RolloutPlanResult) {
+	p.conflicted = p.conflicted && !row.IsWrite
 	if !p.conflicted {
 		p.rest = planRest
 	}
-	if row.Wrote {
+	if row.IsWrite {
 		return
 	}
 	p.clock.take(row.Began, row.Stored.Now)
@@ -169,8 +169,8 @@
 func (p *planRows) isReader(service string) bool {
 	run, ahead := false, 0
 	own := utils.Rendezvous(service, p.World.VM)
-	p.World.Members.Rows(func(row int) {
-		route := p.World.Members.Route[row]
+	p.World.Members.EachRow(func(row int) {
+		route := p.World.Members.Endpoint[row]
 		_, unreached := p.World.Unreached[route]
 		if p.World.Members.Leaving(row) || unreached {
 			return
@@ -206,8 +206,8 @@
 		at := time.Now()
 		stored, err := do(ctx)
 		store.Count(p.Metrics, purpose, at, err)
-		row := tables.PlanRow{Service: service, Wrote: write, Stored: stored, Err: err, Began: began}
-		p.World.Inbox.Post(true, func(m *tables.Mail) { m.PlanRows = append(m.PlanRows, row) })
+		row := tables.RolloutPlanResult{Service: service, IsWrite: write, Stored: stored, Err: err, Began: began}
+		p.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutPlanResults = append(m.RolloutPlanResults, row) })
 	}()
 }
 
--- a/pkg/systems/planrows_test.go
+++ b/pkg/systems/planrows_test.go
@@ -23,7 +23,7 @@
 		env.Rollouts = &fakeRegister{}
 		system := newRollouts(env)
 		watch := newRolloutWatch(env, system)
-		mail := tables.Mail{Orders: ordersOf(9, orderOf("nobody", 8))}
+		mail := tables.Mail{RolloutOrders: ordersOf(9, orderOf("nobody", 8))}
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			system.Tick(env.Now(), &mail)
 			watch.Tick(env.Now(), &mail)
@@ -70,7 +70,7 @@
 		register := &unreadableRegister{}
 		env, known, watch := watched(t, &fakeRegister{})
 		env.Rollouts = register
-		play(env, known, watch, tables.Mail{Orders: ordersOf(9, orderOf("s", 8))}, time.Minute)
+		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, time.Minute)
 		test.LessEq(t, 10, register.reads)
 		register.reads = 0
 		play(env, known, watch, tables.Mail{}, time.Minute)
@@ -97,7 +97,7 @@
 		register := &clockedRegister{began: time.Now()}
 		env, known, watch := watched(t, &register.fakeRegister)
 		env.Rollouts = register
-		play(env, known, watch, tables.Mail{Orders: ordersOf(9, orderOf("s", 8))}, time.Second)
+		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, time.Second)
 		register.row = rollout.Plan{}
 		play(env, known, watch, tables.Mail{}, 70*time.Second)
 		writes, reads := register.writes, register.reads
--- a/pkg/systems/proof.go
+++ b/pkg/systems/proof.go
@@ -14,17 +14,17 @@
 
 // Tick implements System.
 func (p *proof) Tick(_ int64, mail *tables.Mail) {
-	at := p.World.View.ProvenAt()
+	at := p.World.View.PlacementProvenAt()
 	// A head that is newer than the version in force is read before that version is.
-	if behind := mail.HeadKnown && mail.Head.Version > p.World.Version(); p.World.Placement != nil && !behind {
+	if behind := mail.HeadKnown && mail.Head.Version > p.World.PlacementVersion(); p.World.Placement != nil && !behind {
 		at = max(at, mail.StoreReadAt)
 	}
-	for _, n := range mail.News {
-		if n.State.ProofMS > 0 && n.State.Placement <= p.World.Version() {
+	for _, n := range mail.PeerStates {
+		if n.State.ProofMS > 0 && n.State.Placement <= p.World.PlacementVersion() {
 			at = max(at, n.At-int64(time.Duration(n.State.ProofMS)*time.Millisecond))
 		}
 	}
-	p.World.View.SetProvenAt(at)
+	p.World.View.SetPlacementProvenAt(at)
 }
 
 const (
--- a/pkg/systems/publish.go
+++ b/pkg/systems/publish.go
@@ -19,24 +19,24 @@
 
 // Tick implements System.
 func (p *publish) Tick(_ int64, _ *tables.Mail) {
-	p.World.View.SetMembers(p.World.Members.Len())
-	if changes := p.World.Members.Changes(); changes != p.members {
+	p.World.View.SetMemberCount(p.World.Members.Len())
+	if changes := p.World.Members.ChangeCount(); changes != p.members {
 		p.members = changes
-		p.World.View.SetServiceVMs(p.World.Members.VMsByService())
+		p.World.View.SetVMsByService(p.World.Members.VMsByService())
 	}
 	p.becomeReady()
-	if len(p.World.Dirty) == 0 {
+	if len(p.World.DirtyServices) == 0 {
 		return
 	}
 	current := p.World.View.Placement()
-	for service := range p.World.Dirty {
-		_, wanted := p.World.Wanted[service]
+	for service := range p.World.DirtyServices {
+		_, wanted := p.World.RequestedServices[service]
 		if !wanted || current == nil {
 			continue
 		}
 		p.World.View.SetService(service, p.serviceView(current, service))
 	}
-	clear(p.World.Dirty)
+	clear(p.World.DirtyServices)
 }
 
 func (p *publish) becomeReady() {
@@ -44,7 +44,7 @@
 		return
 	}
 	p.World.View.SetReady()
-	p.Log.Event(events.DaemonReady, events.F("placement", p.World.Version()), events.F("members", p.World.Members.Len()))
+	p.Log.Event(events.DaemonReady, events.F("placement", p.World.PlacementVersion()), events.F("members", p.World.Members.Len()))
 }
 
 func (p *publish) serviceView(current *placement.Compiled, name string) *tables.ServiceView {
@@ -63,13 +63,13 @@
 	out := &tables.KindView{Kind: kind}
 	for _, route := range p.subset(kind) {
 		if route.Runner() == nil {
-			out.Unlinked = append(out.Unlinked, route)
+			out.UnlinkedEndpoints = append(out.UnlinkedEndpoints, route)
 			continue
 		}
-		out.Ready = append(out.Ready, tables.Candidate{Route: route, Load: route.Load})
+		out.LinkedCandidates = append(out.LinkedCandidates, tables.Candidate{Endpoint: route, Load: route.Load})
 	}
 	if !kind.Allows(p.World.DataCentre) {
-		out.Redirect = p.redirects(kind)
+		out.RedirectAddresses = p.redirects(kind)
 	}
 	return out
 }
@@ -83,12 +83,12 @@
 	}
 	var best []weighed
 	evacuated := p.World.View.Evacuation()
-	p.World.Members.Rows(func(row int) {
-		route := p.World.Members.Route[row]
-		if p.World.Members.Leaving(row) || !kind.Allows(route.DataCentre) || evacuated.Has(route.DataCentre) || route.Callers == "" {
+	p.World.Members.EachRow(func(row int) {
+		route := p.World.Members.Endpoint[row]
+		if p.World.Members.Leaving(row) || !kind.Allows(route.DataCentre) || evacuated.Has(route.DataCentre) || route.CallerAddress == "" {
 			return
 		}
-		best = append(best, weighed{route.Callers, utils.Rendezvous(p.World.VM, route.VM)})
+		best = append(best, weighed{route.CallerAddress, utils.Rendezvous(p.World.VM, route.VM)})
 		for i := len(best) - 1; i > 0 && best[i].weight > best[i-1].weight; i-- {
 			best[i], best[i-1] = best[i-1], best[i]
 		}
--- a/pkg/systems/publish_vms_test.go
+++ b/pkg/systems/publish_vms_test.go
@@ -19,6 +19,6 @@
 	}{{"1", "a", 1}, {"2", "b", 0.5}, {"3", "b", 1.0 / 3}} {
 		env.World.Members.Merge(1, nil, wire.Member{VM: s.vm, DataCentre: "here", Service: s.service})
 		p.Tick(1, &tables.Mail{})
-		test.Eq(t, s.want, env.World.View.ShareOf([]string{"a"}))
+		test.Eq(t, s.want, env.World.View.VMShareOf([]string{"a"}))
 	}
 }
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -56,13 +56,13 @@
 	own := q.Quarantine.TakeOwn()
 	var heard quarantine.News
 	for _, p := range mail.PeerQuarantines {
-		heard.Add(q.Quarantine.Merge(now, p.Said.News()))
-		q.informed = q.informed || p.Said.Informed
+		heard.Add(q.Quarantine.Merge(now, p.Frame.News()))
+		q.informed = q.informed || p.Frame.Informed
 	}
 	q.tell(own, heard)
 	q.greet(now)
 	q.noteHeld(now, &own, &heard)
-	if mail.Restored {
+	if mail.StoreRestored {
 		for _, row := range q.rows {
 			row.saved = 0
 		}
@@ -113,17 +113,17 @@
 
 // greet tells all over each new link, once this daemon is informed.
 func (q *quarantines) greet(now int64) {
-	if !q.informed || q.greeted == q.World.Peers.Added() {
+	if !q.informed || q.greeted == q.World.Peers.AddedCount() {
 		return
 	}
-	q.greeted = q.World.Peers.Added()
+	q.greeted = q.World.Peers.AddedCount()
 	all := q.Quarantine.All(now)
 	frame := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: true}
-	q.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
-		if row.ToldHeld {
+	q.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
+		if row.QuarantinesSent {
 			return
 		}
-		row.ToldHeld = true
+		row.QuarantinesSent = true
 		// A link that has closed leaves the table with its next event.
 		_ = peer.Send(frame)
 	})
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -207,14 +207,14 @@
 		platform.SetFaults(fakestore.Faults{Down: true})
 		h := newHolding(t, platform, false)
 		peer := &link.Peer{Conn: link.NewClosedConn()}
-		h.World.Peers.Put(peer)
+		h.World.Peers.GetOrAdd(peer)
 		h.tick()
-		test.False(t, h.World.Peers.Put(peer).ToldHeld)
+		test.False(t, h.World.Peers.GetOrAdd(peer).QuarantinesSent)
 		h.World.Inbox.Post(true, func(m *tables.Mail) {
-			m.PeerQuarantines = append(m.PeerQuarantines, tables.PeerQuarantine{Said: &wire.Quarantine{Informed: true}})
+			m.PeerQuarantines = append(m.PeerQuarantines, tables.PeerQuarantine{Frame: &wire.Quarantine{Informed: true}})
 		})
 		h.tick()
-		test.True(t, h.World.Peers.Put(peer).ToldHeld)
+		test.True(t, h.World.Peers.GetOrAdd(peer).QuarantinesSent)
 	})
 }
 
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -54,7 +54,7 @@
 
 // Tick implements System.
 func (q *quotas) Tick(now int64, mail *tables.Mail) {
-	wholeList := mail.List != nil && mail.List.DataCentre == ""
+	wholeList := mail.VMList != nil && mail.VMList.DataCentre == ""
 	q.counted = q.counted || wholeList || q.Settings.Platform.FirstStart && now > int64(membersKnownAfter)
 	if q.Quota == nil || q.World.Placement == nil || len(q.World.Placement.Teams) == 0 {
 		return
@@ -82,28 +82,28 @@
 // drawCounters works out which daemons should count, to keep links with them, and how many
 // share the limits: one that can not be reached may live and use its part.
 func (q *quotas) drawCounters() {
-	changes := q.World.Members.Changes()
+	changes := q.World.Members.ChangeCount()
 	if q.drawn && changes == q.members && q.unreached == q.World.UnreachedChanges {
 		return
 	}
 	q.drawn, q.members, q.unreached = true, changes, q.World.UnreachedChanges
 	q.live = 0
-	var routes []*tables.Route
-	q.World.Members.Rows(func(row int) {
+	var routes []*tables.Endpoint
+	q.World.Members.EachRow(func(row int) {
 		if q.World.Members.Leaving(row) {
 			return
 		}
 		q.live++
-		route := q.World.Members.Route[row]
+		route := q.World.Members.Endpoint[row]
 		if _, unreached := q.World.Unreached[route]; !unreached {
 			routes = append(routes, route)
 		}
 	})
-	q.World.Counters = q.World.Counters[:0]
+	q.World.QuotaCounters = q.World.QuotaCounters[:0]
 	for g := range quota.Groups {
 		for _, route := range highest(groupNames[g], routes, countersLinked) {
-			if !slices.Contains(q.World.Counters, route) {
-				q.World.Counters = append(q.World.Counters, route)
+			if !slices.Contains(q.World.QuotaCounters, route) {
+				q.World.QuotaCounters = append(q.World.QuotaCounters, route)
 			}
 		}
 	}
@@ -131,8 +131,8 @@
 }
 
 func (q *quotas) linkState() linkState {
-	out := linkState{added: q.World.Peers.Added(), links: q.World.Peers.Len(), leaving: q.World.View.Leaving()}
-	q.World.Peers.Rows(func(_ *link.Peer, row *tables.PeerRow) {
+	out := linkState{added: q.World.Peers.AddedCount(), links: q.World.Peers.Len(), leaving: q.World.View.Leaving()}
+	q.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) {
 		if row.Leaving {
 			out.leaves++
 		}
@@ -157,7 +157,7 @@
 func (q *quotas) candidates() []candidate {
 	own := candidate{vm: q.World.VM, leaving: q.World.View.Leaving(), peer: quota.Peer{Process: q.World.VM}}
 	byVM := map[string]candidate{}
-	q.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
+	q.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		vm, incarnation := peer.Hello.VM, peer.Hello.Incarnation
 		known, ok := byVM[vm]
 		// Of two links to one process that which this daemon opened, so that it stays.
--- a/pkg/systems/quotas_test.go
+++ b/pkg/systems/quotas_test.go
@@ -23,12 +23,12 @@
 	doc := &placement.Document{Version: 1, Teams: []teams.Team{{Name: "red", Limit: teams.Limit{Rate: 1}}}}
 	env.World.Placement = doc
 	env.World.View.SetPlacement(placement.Compile(doc))
-	env.Quota = quota.NewNode(quota.Options{Self: env.World.VM, Limit: env.World.View.LimitOf})
+	env.Quota = quota.NewNode(quota.Options{Self: env.World.VM, Limit: env.World.View.TeamLimit})
 	for n := range members {
 		env.World.Members.Merge(1, nil, wire.Member{VM: fmt.Sprint("m", n), DataCentre: "here", Service: "s", Incarnation: 1})
 	}
 	peer := &link.Peer{Conn: link.NewClosedConn(), Hello: wire.Hello{VM: "m0", DataCentre: "here", Incarnation: 1}}
-	env.World.Peers.Put(peer)
+	env.World.Peers.GetOrAdd(peer)
 	return newQuotas(env), peer
 }
 
@@ -49,20 +49,20 @@
 	test.Eq(t, 4, counts(q, 5))
 
 	q, _ = quotasEnv(3)
-	q.Tick(int64(time.Second), &tables.Mail{List: &tables.VMList{DataCentre: "here"}})
+	q.Tick(int64(time.Second), &tables.Mail{VMList: &tables.VMList{DataCentre: "here"}})
 	test.Eq(t, 0, counts(q, int64(time.Second)), test.Sprint("a part of the list tells nothing of the whole"))
-	q.Tick(int64(time.Second), &tables.Mail{List: &tables.VMList{}})
+	q.Tick(int64(time.Second), &tables.Mail{VMList: &tables.VMList{}})
 	test.Eq(t, 3, counts(q, int64(time.Second)))
 }
 
 // TestThoseWhoLeaveShareNoLimits, nor do they count first.
 func TestThoseWhoLeaveShareNoLimits(t *testing.T) {
 	q, _ := quotasEnv(3)
-	q.Tick(1, &tables.Mail{List: &tables.VMList{}})
+	q.Tick(1, &tables.Mail{VMList: &tables.VMList{}})
 	q.World.Members.Merge(2, nil, wire.Member{VM: "m2", DataCentre: "here", Service: "s", Incarnation: 1, State: wire.MemberLeaving})
 	test.Eq(t, 2, counts(q, 3))
-	must.SliceNotEmpty(t, q.World.Counters)
-	for _, route := range q.World.Counters {
+	must.SliceNotEmpty(t, q.World.QuotaCounters)
+	for _, route := range q.World.QuotaCounters {
 		test.NotEq(t, "m2", route.VM)
 	}
 }
--- a/pkg/systems/readers.go
+++ b/pkg/systems/readers.go
@@ -1,7 +1,7 @@
 package systems
 
 import (
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
@@ -15,25 +15,25 @@
 type readers struct {
 	// name is what they are ranked by, upTo the farthest place of theirs.
 	name string
-	upTo place.Place
+	upTo proximity.Level
 }
 
 // has is true for daemons at a place.
-func (r readers) has(at place.Place) bool { return at != place.Unknown && at <= r.upTo }
+func (r readers) has(at proximity.Level) bool { return at != proximity.Unknown && at <= r.upTo }
 
 // readers are those among which the followers of the feed are drawn: the region where
 // there are several, since each region hears the others over its links and the store
 // stands in one of them; else the data centre.
 func (e *Env) readers() readers {
-	if e.World.Members.Regions() > 1 && e.World.Region != "" {
-		return readers{e.World.Region, place.Region}
+	if e.World.Members.RegionCount() > 1 && e.World.Region != "" {
+		return readers{e.World.Region, proximity.Region}
 	}
-	return readers{e.World.DataCentre, place.Near}
+	return readers{e.World.DataCentre, proximity.SameDataCentre}
 }
 
 // aheadInDataCentre counts the members of this data centre that come before this
 // daemon by rendezvous hash.
-func (e *Env) aheadInDataCentre() int { return e.aheadIn(readers{e.World.DataCentre, place.Near}) }
+func (e *Env) aheadInDataCentre() int { return e.aheadIn(readers{e.World.DataCentre, proximity.SameDataCentre}) }
 
 // aheadIn counts the members among some readers that come before this daemon by
 // rendezvous hash.
@@ -41,9 +41,9 @@
 	mine := utils.Rendezvous(group.name, e.World.VM)
 	ahead := 0
 	m := e.World.Members
-	m.Rows(func(row int) {
-		vm := &m.Row[row]
-		if !group.has(e.World.Here().Of(vm.DataCentre, vm.Region)) || vm.VM == e.World.VM || m.Leaving(row) {
+	m.EachRow(func(row int) {
+		vm := &m.Record[row]
+		if !group.has(e.World.Here().To(vm.DataCentre, vm.Region)) || vm.VM == e.World.VM || m.Leaving(row) {
 			return
 		}
 		if utils.Rendezvous(group.name, vm.VM) > mine {
--- a/pkg/systems/regions_test.go
+++ b/pkg/systems/regions_test.go
@@ -8,7 +8,7 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -31,7 +31,7 @@
 		counts[l.groupOf(route.DataCentre, route.Region)]++
 	}
 	test.Eq(t, map[group]int{
-		{place.Near, "a1"}: sampleNear, {place.Region, "a2"}: 1, {place.Other, "b"}: 1, {place.Other, "c1"}: 1,
+		{proximity.SameDataCentre, "a1"}: sampleNear, {proximity.Region, "a2"}: 1, {proximity.OtherRegion, "b"}: 1, {proximity.OtherRegion, "c1"}: 1,
 	}, counts, test.Sprint("a VM that does not say its region stands for its data centre"))
 }
 
@@ -71,7 +71,7 @@
 		for _, other := range nodes {
 			n.members().Merge(1, nil, rowOf(other, 1))
 		}
-		n.members().TakeFresh()
+		n.members().TakeChanges()
 	}
 	passOn := func() (crossed int) {
 		for again := true; again; {
@@ -106,7 +106,7 @@
 			if apart(n, other) {
 				want = 1
 			}
-			must.Eq(t, want, n.members().Row[row].Revision, must.Sprint("each side goes on by itself"))
+			must.Eq(t, want, n.members().Record[row].Revision, must.Sprint("each side goes on by itself"))
 		}
 	}
 	// Links come back, one a daemon; one daemon of a side asks.
@@ -130,7 +130,7 @@
 
 // ask has a daemon ask a peer for the rows in which their tables differ.
 func ask(n, from *tableNode) {
-	for _, row := range from.members().Differing(n.members().Buckets()) {
+	for _, row := range from.members().DifferingRows(n.members().BucketDigests()) {
 		n.members().Merge(1, peerOf(from), row)
 	}
 }
@@ -138,7 +138,7 @@
 // passOnCounted is passOn without losses. It counts the rows that went to daemons for
 // which apart is true.
 func (n *tableNode) passOnCounted(apart func(a, b *tableNode) bool) (sent bool, crossed int) {
-	plan := n.spread.plan(n.spread.saidByDaemons(n.members().TakeFresh()))
+	plan := n.spread.plan(n.spread.saidByDaemons(n.members().TakeChanges()))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
 		if apart(n, to) {
@@ -165,7 +165,7 @@
 						name := fmt.Sprint(dataCentre, other)
 						env.World.Members.Merge(1, nil, wire.Member{VM: name, DataCentre: dataCentre, Region: region(dataCentre), Service: "s"})
 						if name != env.World.VM {
-							env.World.Peers.Put(&link.Peer{Hello: wire.Hello{VM: name, DataCentre: dataCentre, Region: region(dataCentre)}})
+							env.World.Peers.GetOrAdd(&link.Peer{Hello: wire.Hello{VM: name, DataCentre: dataCentre, Region: region(dataCentre)}})
 						}
 					}
 				}
--- a/pkg/systems/register.go
+++ b/pkg/systems/register.go
@@ -34,17 +34,17 @@
 
 // Tick implements System.
 func (r *register) Tick(now int64, mail *tables.Mail) {
-	if mail.Restored {
+	if mail.StoreRestored {
 		r.writeAgain(now)
 	}
 	if r.Registrar == nil || r.done.Load() {
 		return
 	}
-	if mail.List != nil && r.isListed(mail.List) || r.isKnownFromBefore(mail) {
+	if mail.VMList != nil && r.isListed(mail.VMList) || r.isKnownFromBefore(mail) {
 		r.done.Store(true)
 		return
 	}
-	waits := !r.Settings.Platform.FirstStart && mail.List == nil && (now < int64(listFirst) || r.peersFirst(now))
+	waits := !r.Settings.Platform.FirstStart && mail.VMList == nil && (now < int64(listFirst) || r.peersFirst(now))
 	if waits || !r.due.at(now, registerEvery) {
 		return
 	}
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -138,8 +138,8 @@
 // other members: it has heard of none, or one of them has not said its version.
 func (g *rolloutGuard) areOthersUnknown(service string) bool {
 	others, unknown := 0, false
-	g.World.Members.Service(service, func(row int) {
-		if m := &g.World.Members.Row[row]; m.VM != g.World.VM {
+	g.World.Members.EachRowOfService(service, func(row int) {
+		if m := &g.World.Members.Record[row]; m.VM != g.World.VM {
 			others++
 			unknown = unknown || m.Version == ""
 		}
@@ -149,13 +149,13 @@
 
 // noteSeen notes which versions the service has.
 func (g *rolloutGuard) noteSeen(now int64, service string) {
-	changes := g.World.Members.ServiceChanges(service)
+	changes := g.World.Members.ServiceChangeCount(service)
 	if changes == g.seenAt {
 		return
 	}
 	g.seenAt = changes
-	g.World.Members.Service(service, func(row int) {
-		version := g.World.Members.Row[row].Version
+	g.World.Members.EachRowOfService(service, func(row int) {
+		version := g.World.Members.Record[row].Version
 		if _, known := g.seen[version]; !known && len(g.seen) < mostVersionsSeen {
 			g.seen[version] = now
 		}
@@ -174,8 +174,8 @@
 
 // othersLive is true where the service has a live backend server of another version.
 func (g *rolloutGuard) othersLive(service, version string) (found bool) {
-	g.World.Members.Service(service, func(row int) {
-		m := &g.World.Members.Row[row]
+	g.World.Members.EachRowOfService(service, func(row int) {
+		m := &g.World.Members.Record[row]
 		if m.VM != g.World.VM && m.State == wire.MemberLive && m.Backend == wire.BackendLive && m.Version != "" && m.Version != version {
 			found = true
 		}
@@ -204,7 +204,7 @@
 // judges itself must be able to tell others.
 func (g *rolloutGuard) isHeard() bool {
 	if g.watch.rank >= 0 {
-		return g.World.Peers.Len() > 0 || len(g.World.Watchers) == 0
+		return g.World.Peers.Len() > 0 || len(g.World.RolloutWatchers) == 0
 	}
 	return len(g.watchers()) > 0
 }
@@ -212,10 +212,10 @@
 // watchers returns one link to each daemon that judges the roll-out, but this one.
 func (g *rolloutGuard) watchers() map[string]*link.Peer {
 	out := map[string]*link.Peer{}
-	for _, route := range g.World.Watchers {
+	for _, route := range g.World.RolloutWatchers {
 		out[route.VM] = nil
 	}
-	g.World.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) {
+	g.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
 		if _, is := out[peer.Hello.VM]; is {
 			out[peer.Hello.VM] = peer
 		}
--- a/pkg/systems/rolloutlinks.go
+++ b/pkg/systems/rolloutlinks.go
@@ -15,12 +15,12 @@
 
 // noteLinks notes which daemons have a link with this one.
 func (w *rolloutWatch) noteLinks(now int64) {
-	w.World.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) {
+	w.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
 		w.linkedAt[peer.Hello.VM], w.wasLinked[peer.Hello.VM] = now, true
 	})
 	others, linked := false, false
-	w.World.Members.Service(w.Settings.BackendServer.Service, func(row int) {
-		vm := w.World.Members.Row[row].VM
+	w.World.Members.EachRowOfService(w.Settings.BackendServer.Service, func(row int) {
+		vm := w.World.Members.Record[row].VM
 		others = others || vm != w.World.VM
 		linked = linked || vm != w.World.VM && w.wasLinked[vm] && w.linkedAt[vm] == now
 		if _, known := w.linkedAt[vm]; !known {
@@ -55,8 +55,8 @@
 
 // areVersionsUnknown is true where a member of the service has not said its version.
 func (w *rolloutWatch) areVersionsUnknown() (unknown bool) {
-	w.World.Members.Service(w.Settings.BackendServer.Service, func(row int) {
-		unknown = unknown || w.World.Members.Row[row].Version == ""
+	w.World.Members.EachRowOfService(w.Settings.BackendServer.Service, func(row int) {
+		unknown = unknown || w.World.Members.Record[row].Version == ""
 	})
 	return unknown
 }
--- a/pkg/systems/rolloutlinks_test.go
+++ b/pkg/systems/rolloutlinks_test.go
@@ -50,7 +50,7 @@
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 		}
 		t.Log("rank before:", watch.rank)
-		play(env, known, watch, tables.Mail{Orders: ordersOf(9, orderOf("s", 8))}, 1300*time.Millisecond)
+		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, 1300*time.Millisecond)
 		t.Log("rank:", watch.rank, "writes:", register.writes, "cause:", register.row.Cause)
 		test.Eq(t, rollout.Switching, register.row.Phase)
 	})
@@ -67,12 +67,12 @@
 		known.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{plan}}, nil)
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
-			env.World.Peers.Put(&link.Peer{Hello: wire.Hello{VM: vm}})
+			env.World.Peers.GetOrAdd(&link.Peer{Hello: wire.Hello{VM: vm}})
 		}
 		play(env, known, watch, tables.Mail{}, time.Second)
 		must.Eq(t, 0, register.writes, must.Sprintf("cause %s, peers %d", register.row.Cause, env.World.Peers.Len()))
 		// (writes here send nothing: the fake peers have no connection)
-		env.World.Peers.Rows(func(p *link.Peer, _ *tables.PeerRow) { env.World.Peers.Remove(p) })
+		env.World.Peers.EachRow(func(p *link.Peer, _ *tables.PeerRow) { env.World.Peers.Remove(p) })
 		play(env, known, watch, tables.Mail{}, 500*time.Millisecond)
 		test.Eq(t, 0, register.writes, test.Sprintf("cause %s, half a second after the links went", register.row.Cause))
 		play(env, known, watch, tables.Mail{}, 4*time.Second)
@@ -92,7 +92,7 @@
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 		}
-		play(env, known, watch, tables.Mail{Orders: ordersOf(9, orderOf("s", 8))}, 1300*time.Millisecond)
+		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, 1300*time.Millisecond)
 		test.Eq(t, []string{"b"}, register.row.Canaries, test.Sprintf("rank %d, %d writes", watch.rank, register.writes))
 	})
 }
@@ -105,7 +105,7 @@
 		env, known, watch := watched(t, register)
 		env.World.Members.Merge(1, nil, wire.Member{VM: env.World.VM, Service: "s", Version: "v2", Revision: 1, Slots: 12})
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Slots: 12})
-		play(env, known, watch, tables.Mail{Orders: ordersOf(9, orderOf("s", 8))}, linksStood/2)
+		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, linksStood/2)
 		test.Eq(t, 0, register.writes)
 		play(env, known, watch, tables.Mail{}, 2*linksStood)
 		test.Eq(t, 1, register.writes)
@@ -121,7 +121,7 @@
 		register := &fakeRegister{row: plan}
 		env, known, watch := watched(t, register)
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
-		play(env, known, watch, tables.Mail{Orders: ordersOf(9, orderOf("s", 8))}, 5*time.Second)
+		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, 5*time.Second)
 		test.Eq(t, rollout.RolledBack, register.row.Phase)
 		test.Less(t, plan.Deadline, register.row.Since)
 	})
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -61,23 +61,23 @@
 	if ro.began == 0 {
 		ro.began = now
 	}
-	if mail.Orders != nil {
-		ro.takeOrders(*mail.Orders)
+	if mail.RolloutOrders != nil {
+		ro.takeOrders(*mail.RolloutOrders)
 	}
 	for _, n := range mail.RolloutNews {
 		ro.take(n.News, n.Peer)
 	}
-	for _, row := range mail.PlanRows {
+	for _, row := range mail.RolloutPlanResults {
 		if row.Err == nil && row.Stored.Plan.Revision > 0 {
 			ro.take(rollout.News{Plans: []rollout.Plan{row.Stored.Plan}}, nil)
 		}
 	}
-	for _, e := range mail.Links {
+	for _, e := range mail.LinkEvents {
 		if e.Up {
 			ro.compare(e.Peer, e.Peer.Hello.State.Rollouts)
 		}
 	}
-	for _, n := range mail.News {
+	for _, n := range mail.PeerStates {
 		ro.compare(n.Peer, n.State.Rollouts)
 	}
 	ro.noteLone(now)
@@ -112,7 +112,7 @@
 // not take its own version for the only one.
 func (ro *rollouts) loneOf(now int64, service string) string {
 	had, known := ro.lone[service]
-	changes := ro.World.Members.ServiceChanges(service)
+	changes := ro.World.Members.ServiceChangeCount(service)
 	if !known || had.changes != changes {
 		version := ro.onlyVersion(service)
 		if !known || version != had.version {
@@ -137,8 +137,8 @@
 // than one, or one of them has not said it.
 func (ro *rollouts) onlyVersion(service string) (version string) {
 	first, same := true, true
-	ro.World.Members.Service(service, func(row int) {
-		said := ro.World.Members.Row[row].Version
+	ro.World.Members.EachRowOfService(service, func(row int) {
+		said := ro.World.Members.Record[row].Version
 		same = same && (first || said == version)
 		version, first = said, false
 	})
@@ -172,15 +172,15 @@
 		return
 	}
 	for _, service := range changed {
-		ro.World.Touch(service)
+		ro.World.MarkDirty(service)
 		ro.logOrder(orders, service, from)
 		ro.logStop(service, from)
 		ro.logPlan(service, from)
 	}
 	say := &wire.RolloutNews{News: onlyOf(book.News(), changed)}
-	ro.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
+	ro.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		// Heartbeats that are on their way show the old digest, and need no answer.
-		row.RolloutsTold, row.RolloutsToldAt = book.Digest(), ro.now
+		row.RolloutsSentDigest, row.RolloutsSentAt = book.Digest(), ro.now
 		if peer != from {
 			_ = peer.Send(say)
 		}
@@ -206,7 +206,7 @@
 // publish gives the hot path, and the heartbeats, what is known now.
 func (ro *rollouts) publish() {
 	book := ro.World.Rollouts
-	known := &tables.Rollouts{Traffic: map[string]*rollout.Traffic{}}
+	known := &tables.RolloutView{Traffic: map[string]*rollout.Traffic{}}
 	news := book.News()
 	if len(news.Orders.List)+len(news.Plans)+len(news.Stops) > 0 {
 		known.Digest = book.Digest()
@@ -232,11 +232,11 @@
 	if own == 0 {
 		return
 	}
-	row := ro.World.Peers.Put(peer)
-	if row.RolloutsTold == own && ro.now-row.RolloutsToldAt < int64(tellAgain) {
+	row := ro.World.Peers.GetOrAdd(peer)
+	if row.RolloutsSentDigest == own && ro.now-row.RolloutsSentAt < int64(tellAgain) {
 		return
 	}
-	row.RolloutsTold, row.RolloutsToldAt = own, ro.now
+	row.RolloutsSentDigest, row.RolloutsSentAt = own, ro.now
 	_ = peer.Send(&wire.RolloutNews{News: ro.World.Rollouts.News()})
 }
 
