--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -36,27 +36,27 @@
 func TestHeartbeatsTellNothingWithoutARollOut(t *testing.T) {
 	env := testEnv()
 	system := newRollouts(env)
-	system.Tick(1, &tables.Mail{Orders: ordersOf(7)})
+	system.Tick(1, &tables.Mail{RolloutOrders: ordersOf(7)})
 	test.Eq(t, 0, env.Control.State().Rollouts)
-	system.Tick(2, &tables.Mail{Orders: ordersOf(9, orderOf("s", 8))})
+	system.Tick(2, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
 	test.NotEq(t, 0, env.Control.State().Rollouts)
-	test.NotNil(t, env.World.View.Rollout("s"))
-	test.Nil(t, env.World.View.Rollout("other"))
-	system.Tick(3, &tables.Mail{Orders: ordersOf(11)})
+	test.NotNil(t, env.World.View.RolloutTraffic("s"))
+	test.Nil(t, env.World.View.RolloutTraffic("other"))
+	system.Tick(3, &tables.Mail{RolloutOrders: ordersOf(11)})
 	test.Eq(t, 0, env.Control.State().Rollouts)
-	test.Nil(t, env.World.View.Rollout("s"))
+	test.Nil(t, env.World.View.RolloutTraffic("s"))
 }
 
 // TestMoreOrdersThanADaemonKeeps leave those in force that were there.
 func TestMoreOrdersThanADaemonKeeps(t *testing.T) {
 	env := testEnv()
 	system := newRollouts(env)
-	system.Tick(1, &tables.Mail{Orders: ordersOf(9, orderOf("s", 8))})
+	system.Tick(1, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
 	many := ordersOf(5000)
 	for n := range 1000 {
 		many.List = append(many.List, orderOf(fmt.Sprintf("s%04d", n), uint64(n+1)))
 	}
-	system.Tick(2, &tables.Mail{Orders: many})
+	system.Tick(2, &tables.Mail{RolloutOrders: many})
 	test.Eq(t, []rollout.Order{orderOf("s", 8)}, env.World.Rollouts.News().Orders.List)
 }
 
@@ -141,7 +141,7 @@
 			turn := func() {
 				synctest.Wait()
 				mail := env.World.Inbox.Take()
-				rows.take(env.Now(), mail.PlanRows)
+				rows.take(env.Now(), mail.RolloutPlanResults)
 			}
 			test.False(t, rows.ready(env.Now(), "s"))
 			turn()
@@ -170,15 +170,15 @@
 		env.Rollouts = &fakeRegister{row: planOf("s", 8, 12, rollout.Completed)}
 		system := newRollouts(env)
 		watch := newRolloutWatch(env, system)
-		mail := tables.Mail{Orders: ordersOf(9, orderOf("s", 8))}
+		mail := tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}
 		for end := time.Now().Add(3 * unplannedFor); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			system.Tick(env.Now(), &mail)
 			watch.Tick(env.Now(), &mail)
 			synctest.Wait()
 			mail = env.World.Inbox.Take()
 		}
-		test.True(t, env.World.View.Rollout("s").Admits("v2", "x"))
-		test.False(t, env.World.View.Rollout("s").Admits("v1", "x"))
+		test.True(t, env.World.View.RolloutTraffic("s").Admits("v2", "x"))
+		test.False(t, env.World.View.RolloutTraffic("s").Admits("v1", "x"))
 		test.Eq(t, 1, env.Rollouts.(*fakeRegister).reads)
 	})
 }
@@ -238,9 +238,9 @@
 	g := guardOf(false, "v2", "v1")
 	g.known.synced = true
 	test.NotEq(t, "", g.newcomer(1, "s"))
-	g.known.Tick(2, &tables.Mail{Orders: ordersOf(9, orderOf("s", 8))})
+	g.known.Tick(2, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
 	test.Eq(t, "", g.newcomer(2, "s"))
-	test.False(t, g.World.View.Rollout("s").Admits("v2", "vm"))
+	test.False(t, g.World.View.RolloutTraffic("s").Admits("v2", "vm"))
 }
 
 // TestWhatNobodyHearsMustNotRun while it is on trial; the old version goes on, and so
@@ -254,7 +254,7 @@
 		g := guardOf(false, c.version, "v1")
 		g.known.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, c.phase)}}, nil)
 		must.Eq(t, "", g.unheard(1, "s"))
-		g.World.Watchers = []*tables.Route{{VM: "far"}}
+		g.World.RolloutWatchers = []*tables.Endpoint{{VM: "far"}}
 		test.Eq(t, c.waits, g.unheard(1+int64(unheardFor), "s") != "", test.Sprint(name))
 	}
 }
@@ -265,14 +265,14 @@
 	g := guardOf(false, "v1", "v1", "v1", "v2", "v2", "v1")
 	w := g.watch
 	w.choose("s", orderOf("s", 8))
-	must.Len(t, watchersMost, w.World.Watchers)
-	first := w.World.Watchers[0]
+	must.Len(t, watchersMost, w.World.RolloutWatchers)
+	first := w.World.RolloutWatchers[0]
 	w.World.Unreached[first] = struct{}{}
-	second, third := w.World.Watchers[1], w.World.Watchers[2]
+	second, third := w.World.RolloutWatchers[1], w.World.RolloutWatchers[2]
 	w.choose("s", orderOf("s", 8))
-	must.Len(t, watchersMost, w.World.Watchers)
-	test.Eq(t, second, w.World.Watchers[0])
-	test.Eq(t, third, w.World.Watchers[1])
+	must.Len(t, watchersMost, w.World.RolloutWatchers)
+	test.Eq(t, second, w.World.RolloutWatchers[0])
+	test.Eq(t, third, w.World.RolloutWatchers[1])
 	test.Eq(t, -1, w.rank)
 }
 
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -64,7 +64,7 @@
 
 // Tick implements System.
 func (w *rolloutWatch) Tick(now int64, mail *tables.Mail) {
-	w.rows.take(now, mail.PlanRows)
+	w.rows.take(now, mail.RolloutPlanResults)
 	w.rows.readUnplanned(now)
 	if w.Rollouts == nil || w.Backend == nil {
 		return
@@ -73,7 +73,7 @@
 	order, _ := w.World.Rollouts.Order(service)
 	plan, _ := w.World.Rollouts.Plan(service)
 	if !w.isUnderWay(order, plan) {
-		w.World.Watchers = nil
+		w.World.RolloutWatchers = nil
 		w.setRank(-1, order)
 		return
 	}
@@ -103,24 +103,24 @@
 
 // choose works out who judges, in their order.
 func (w *rolloutWatch) choose(service string, order rollout.Order) {
-	var all []*tables.Route
-	w.World.Members.Service(service, func(row int) {
-		route := w.World.Members.Route[row]
+	var all []*tables.Endpoint
+	w.World.Members.EachRowOfService(service, func(row int) {
+		route := w.World.Members.Endpoint[row]
 		_, unreached := w.World.Unreached[route]
 		if !w.World.Members.Leaving(row) && !unreached {
 			all = append(all, route)
 		}
 	})
-	slices.SortFunc(all, func(a, b *tables.Route) int {
+	slices.SortFunc(all, func(a, b *tables.Endpoint) int {
 		return cmp.Compare(utils.Rendezvous(service, b.VM), utils.Rendezvous(service, a.VM))
 	})
 	all = all[:min(len(all), watchersMost)]
-	own := slices.IndexFunc(all, func(r *tables.Route) bool { return r.VM == w.World.VM })
+	own := slices.IndexFunc(all, func(r *tables.Endpoint) bool { return r.VM == w.World.VM })
 	w.setRank(own, order)
 	if own >= 0 {
 		all = slices.Delete(all, own, own+1)
 	}
-	w.World.Watchers = all
+	w.World.RolloutWatchers = all
 }
 
 func (w *rolloutWatch) setRank(rank int, order rollout.Order) {
@@ -204,8 +204,8 @@
 func (w *rolloutWatch) servers(now int64, service string, plan rollout.Plan) []rollout.Server {
 	evacuated := w.World.View.Evacuation()
 	var out []rollout.Server
-	w.World.Members.Service(service, func(row int) {
-		m := &w.World.Members.Row[row]
+	w.World.Members.EachRowOfService(service, func(row int) {
+		m := &w.World.Members.Record[row]
 		if m.Version == "" && m.Backend != wire.BackendLive {
 			return
 		}
--- a/pkg/systems/sample.go
+++ b/pkg/systems/sample.go
@@ -1,7 +1,7 @@
 package systems
 
 import (
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
@@ -17,9 +17,9 @@
 // It keeps links to those besides that should follow the store's feed for it: each daemon
 // that has no link to them takes itself for one of them, and asks the store too.
 func (l *links) drawSample() {
-	byGroup := map[group][]*tables.Route{}
-	l.World.Members.Rows(func(row int) {
-		route := l.World.Members.Route[row]
+	byGroup := map[group][]*tables.Endpoint{}
+	l.World.Members.EachRow(func(row int) {
+		route := l.World.Members.Endpoint[row]
 		if route.VM == l.World.VM || l.World.Members.Leaving(row) {
 			return
 		}
@@ -29,7 +29,7 @@
 	l.sample = append(l.sample[:0], l.firstFollowers()...)
 	for in, routes := range byGroup {
 		most := 1
-		if in.at == place.Near {
+		if in.at == proximity.SameDataCentre {
 			most = sampleNear
 		}
 		l.sample = append(l.sample, highest(l.World.VM, routes, most)...)
@@ -39,16 +39,16 @@
 // firstFollowers are the daemons that should follow the feed of the store for this one's
 // data centre. Where they follow for a region, a link more to each would cross between data
 // centres, which costs more than a call.
-func (l *links) firstFollowers() []*tables.Route {
+func (l *links) firstFollowers() []*tables.Endpoint {
 	group := l.readers()
-	if l.Feed == nil || group.upTo != place.Near {
+	if l.Feed == nil || group.upTo != proximity.SameDataCentre {
 		return nil
 	}
-	var routes []*tables.Route
-	l.World.Members.Rows(func(row int) {
-		route := l.World.Members.Route[row]
+	var routes []*tables.Endpoint
+	l.World.Members.EachRow(func(row int) {
+		route := l.World.Members.Endpoint[row]
 		_, unreached := l.World.Unreached[route]
-		if !unreached && !l.World.Members.Leaving(row) && group.has(l.World.Here().Of(route.DataCentre, route.Region)) {
+		if !unreached && !l.World.Members.Leaving(row) && group.has(l.World.Here().To(route.DataCentre, route.Region)) {
 			routes = append(routes, route)
 		}
 	})
--- a/pkg/systems/sample_test.go
+++ b/pkg/systems/sample_test.go
@@ -26,12 +26,12 @@
 		linked := slices.Clone(l.sample)
 		for n := range others {
 			row, _ := env.World.Members.Find(fmt.Sprint("vm-", (own+1+n)%size))
-			linked = append(linked, env.World.Members.Route[row])
+			linked = append(linked, env.World.Members.Endpoint[row])
 		}
 		for _, route := range linked {
 			if route.VM != env.World.VM {
 				peer := &link.Peer{Hello: wire.Hello{VM: route.VM, DataCentre: "here"}}
-				env.World.Peers.Put(peer)
+				env.World.Peers.GetOrAdd(peer)
 			}
 		}
 		f := &follower{Env: env}
--- a/pkg/systems/selfrow_test.go
+++ b/pkg/systems/selfrow_test.go
@@ -37,7 +37,7 @@
 		if !ok || left {
 			return wire.Member{State: wire.MemberGone}
 		}
-		return env.World.Members.Row[row]
+		return env.World.Members.Record[row]
 	}
 }
 
--- a/pkg/systems/spread.go
+++ b/pkg/systems/spread.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/tables"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
@@ -39,16 +39,16 @@
 	*Env
 	due due
 	// waiting are the rows to pass on, the newest of each VM.
-	waiting map[string]tables.Fresh
+	waiting map[string]tables.MemberChange
 }
 
 // Tick implements System.
 func (s *spread) Tick(now int64, _ *tables.Mail) {
-	s.collect(s.World.Members.TakeFresh())
+	s.collect(s.World.Members.TakeChanges())
 	if len(s.waiting) == 0 || !s.due.at(now, spreadEvery) {
 		return
 	}
-	said := make([]tables.Fresh, 0, len(s.waiting))
+	said := make([]tables.MemberChange, 0, len(s.waiting))
 	for _, f := range s.waiting {
 		said = append(said, f)
 	}
@@ -59,7 +59,7 @@
 }
 
 // collect notes the rows to pass on that changed since the last tick.
-func (s *spread) collect(fresh []tables.Fresh) {
+func (s *spread) collect(fresh []tables.MemberChange) {
 	if len(fresh) == 0 || len(fresh) > spreadMost {
 		return
 	}
@@ -67,15 +67,15 @@
 		s.spreadList(fresh)
 	}
 	if s.waiting == nil {
-		s.waiting = map[string]tables.Fresh{}
+		s.waiting = map[string]tables.MemberChange{}
 	}
 	for _, f := range s.saidByDaemons(fresh) {
-		s.waiting[f.Row.VM] = f
+		s.waiting[f.Record.VM] = f
 	}
 }
 
 // plan says which rows go over which links.
-func (s *spread) plan(said []tables.Fresh) map[*link.Peer][]wire.Member {
+func (s *spread) plan(said []tables.MemberChange) map[*link.Peer][]wire.Member {
 	out := map[*link.Peer][]wire.Member{}
 	if len(said) == 0 {
 		return out
@@ -94,21 +94,21 @@
 
 // spreadList passes a reader's news of the platform's list on over all links.
 // Where daemons write the list themselves, each reads it at its start.
-func (s *spread) spreadList(fresh []tables.Fresh) {
-	var listed []tables.Fresh
+func (s *spread) spreadList(fresh []tables.MemberChange) {
+	var listed []tables.MemberChange
 	for _, f := range fresh {
-		if f.From == nil && f.Row.VM != s.World.VM {
+		if f.From == nil && f.Record.VM != s.World.VM {
 			listed = append(listed, f)
 		}
 	}
-	s.World.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) { send(peer, except(peer, listed)) })
+	s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { send(peer, except(peer, listed)) })
 }
 
 // saidByDaemons are the rows that a daemon said, this one or another.
-func (s *spread) saidByDaemons(fresh []tables.Fresh) []tables.Fresh {
-	var out []tables.Fresh
+func (s *spread) saidByDaemons(fresh []tables.MemberChange) []tables.MemberChange {
+	var out []tables.MemberChange
 	for _, f := range fresh {
-		if f.From != nil || f.Row.VM == s.World.VM {
+		if f.From != nil || f.Record.VM == s.World.VM {
 			out = append(out, f)
 		}
 	}
@@ -120,12 +120,12 @@
 // all groups, those of other regions to the data centres of the own one, where a row
 // that crossed into one must reach the others. Rows of the own region's other data
 // centres are relayed by these.
-func (s *spread) relayed(to group, said []tables.Fresh) []tables.Fresh {
-	chance := spreadRelays / float64(max(s.World.Members.InDataCentre(s.World.DataCentre), 1))
-	var out []tables.Fresh
+func (s *spread) relayed(to group, said []tables.MemberChange) []tables.MemberChange {
+	chance := spreadRelays / float64(max(s.World.Members.CountInDataCentre(s.World.DataCentre), 1))
+	var out []tables.MemberChange
 	for _, f := range said {
-		from := s.World.Here().Of(f.Row.DataCentre, f.Row.Region)
-		relays := from == place.Near || from == place.Other && to.at == place.Region
+		from := s.World.Here().To(f.Record.DataCentre, f.Record.Region)
+		relays := from == proximity.SameDataCentre || from == proximity.OtherRegion && to.at == proximity.Region
 		if relays && rand.Float64() < chance {
 			out = append(out, f)
 		}
@@ -140,11 +140,11 @@
 }
 
 // except are the rows that did not come from a peer.
-func except(peer *link.Peer, fresh []tables.Fresh) []wire.Member {
+func except(peer *link.Peer, fresh []tables.MemberChange) []wire.Member {
 	var rows []wire.Member
 	for _, f := range fresh {
 		if f.From == nil || f.From.Hello.VM != peer.Hello.VM {
-			rows = append(rows, f.Row)
+			rows = append(rows, f.Record)
 		}
 	}
 	return rows
--- a/pkg/systems/spread_test.go
+++ b/pkg/systems/spread_test.go
@@ -21,7 +21,7 @@
 			vm := fmt.Sprint(dataCentre, n)
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, DataCentre: dataCentre, Service: "s"})
 			for range 2 {
-				env.World.Peers.Put(&link.Peer{Hello: wire.Hello{VM: vm, DataCentre: dataCentre}})
+				env.World.Peers.GetOrAdd(&link.Peer{Hello: wire.Hello{VM: vm, DataCentre: dataCentre}})
 			}
 		}
 	}
@@ -34,12 +34,12 @@
 func TestNewsGoesToAFewDaemonsOfTheOwnDataCentre(t *testing.T) {
 	s := spreadFleet(60)
 	far := &link.Peer{Hello: wire.Hello{VM: "there5", DataCentre: "there"}}
-	for _, f := range []tables.Fresh{
-		{Row: wire.Member{VM: "vm", DataCentre: "here"}},
-		{Row: wire.Member{VM: "there9", DataCentre: "there"}, From: far},
+	for _, f := range []tables.MemberChange{
+		{Record: wire.Member{VM: "vm", DataCentre: "here"}},
+		{Record: wire.Member{VM: "there9", DataCentre: "there"}, From: far},
 	} {
 		reached := map[string]int{}
-		for peer, rows := range s.plan([]tables.Fresh{f}) {
+		for peer, rows := range s.plan([]tables.MemberChange{f}) {
 			if peer.Hello.DataCentre == "here" {
 				reached[peer.Hello.VM] += len(rows)
 			}
@@ -57,9 +57,9 @@
 	near := &link.Peer{Hello: wire.Hello{VM: "here5", DataCentre: "here"}}
 	crossed := map[string]int{}
 	for range daemons * rounds {
-		plan := s.plan([]tables.Fresh{
-			{Row: wire.Member{VM: "own", DataCentre: "here"}, From: near},
-			{Row: wire.Member{VM: "foreign", DataCentre: "there"}, From: near},
+		plan := s.plan([]tables.MemberChange{
+			{Record: wire.Member{VM: "own", DataCentre: "here"}, From: near},
+			{Record: wire.Member{VM: "foreign", DataCentre: "there"}, From: near},
 		})
 		for peer, rows := range plan {
 			for _, row := range rows {
@@ -82,7 +82,7 @@
 		for n := range each {
 			vm, region := fmt.Sprint(dataCentre, n), dataCentre[:1]
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, DataCentre: dataCentre, Region: region, Service: "s"})
-			env.World.Peers.Put(&link.Peer{Hello: wire.Hello{VM: vm, DataCentre: dataCentre, Region: region}})
+			env.World.Peers.GetOrAdd(&link.Peer{Hello: wire.Hello{VM: vm, DataCentre: dataCentre, Region: region}})
 		}
 	}
 	return &spread{Env: env}
@@ -96,10 +96,10 @@
 	from := &link.Peer{Hello: wire.Hello{VM: "a15", DataCentre: "a1", Region: "a"}}
 	crossed := map[string]int{}
 	for range daemons * rounds {
-		plan := s.plan([]tables.Fresh{
-			{Row: wire.Member{VM: "own", DataCentre: "a1", Region: "a"}, From: from},
-			{Row: wire.Member{VM: "region", DataCentre: "a2", Region: "a"}, From: from},
-			{Row: wire.Member{VM: "other", DataCentre: "b1", Region: "b"}, From: from},
+		plan := s.plan([]tables.MemberChange{
+			{Record: wire.Member{VM: "own", DataCentre: "a1", Region: "a"}, From: from},
+			{Record: wire.Member{VM: "region", DataCentre: "a2", Region: "a"}, From: from},
+			{Record: wire.Member{VM: "other", DataCentre: "b1", Region: "b"}, From: from},
 		})
 		for peer, rows := range plan {
 			for _, row := range rows {
@@ -124,7 +124,7 @@
 	s := spreadFleet(spreadRelays)
 	for range 100 {
 		sent := 0
-		for peer, rows := range s.plan([]tables.Fresh{{Row: wire.Member{VM: "vm", DataCentre: "here"}}}) {
+		for peer, rows := range s.plan([]tables.MemberChange{{Record: wire.Member{VM: "vm", DataCentre: "here"}}}) {
 			if peer.Hello.DataCentre == "there" {
 				sent += len(rows)
 			}
@@ -136,7 +136,7 @@
 func TestARowDoesNotGoBackToTheDaemonItCameFrom(t *testing.T) {
 	from := &link.Peer{Hello: wire.Hello{VM: "a"}}
 	otherWay := &link.Peer{Hello: wire.Hello{VM: "a"}}
-	fresh := []tables.Fresh{{Row: wire.Member{VM: "x"}, From: from}, {Row: wire.Member{VM: "y"}}}
+	fresh := []tables.MemberChange{{Record: wire.Member{VM: "x"}, From: from}, {Record: wire.Member{VM: "y"}}}
 	test.Len(t, 1, except(otherWay, fresh))
 	test.Len(t, 2, except(&link.Peer{Hello: wire.Hello{VM: "b"}}, fresh))
 }
@@ -159,7 +159,7 @@
 	change("c", 1)
 	s.Tick(3, &tables.Mail{})
 	must.MapLen(t, 2, s.waiting)
-	test.Eq(t, 2, s.waiting["b"].Row.Revision)
+	test.Eq(t, 2, s.waiting["b"].Record.Revision)
 	s.Tick(1+int64(spreadEvery), &tables.Mail{})
 	test.MapEmpty(t, s.waiting)
 }
--- a/pkg/systems/subset.go
+++ b/pkg/systems/subset.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
 	"github.com/rushramp/rushramp/pkg/rollout"
 	"github.com/rushramp/rushramp/pkg/routing"
@@ -28,16 +28,16 @@
 // a roll-out moves to are taken as if they were a service of their own, so that links to
 // them are open once all requests move, and those that try it are always among them, as
 // they are few. Source: docs/design/members.md, "Links", and docs/design/regions.md.
-func Subset(w *tables.World, choosing settings.Choosing, kind *placement.CompiledKind) []*tables.Route {
+func Subset(w *tables.World, choosing settings.Choosing, kind *placement.CompiledKind) []*tables.Endpoint {
 	var others, targets side
-	var trying []*tables.Route
-	evacuated, traffic, target := w.View.Evacuation(), w.View.Rollout(kind.Service), movingTo(w, kind.Service)
-	w.Members.Service(kind.Service, func(row int) {
-		takes := !w.Members.Leaving(row) && w.Members.Row[row].Backend == wire.BackendLive
-		if !takes || !kind.Allows(w.Members.Row[row].DataCentre) || evacuated.Has(w.Members.Row[row].DataCentre) {
+	var trying []*tables.Endpoint
+	evacuated, traffic, target := w.View.Evacuation(), w.View.RolloutTraffic(kind.Service), movingTo(w, kind.Service)
+	w.Members.EachRowOfService(kind.Service, func(row int) {
+		takes := !w.Members.Leaving(row) && w.Members.Record[row].Backend == wire.BackendLive
+		if !takes || !kind.Allows(w.Members.Record[row].DataCentre) || evacuated.Has(w.Members.Record[row].DataCentre) {
 			return
 		}
-		route := w.Members.Route[row]
+		route := w.Members.Endpoint[row]
 		if _, unreached := w.Unreached[route]; unreached {
 			return
 		}
@@ -74,23 +74,23 @@
 
 // side is a set of routes to choose from, by how far they are.
 type side struct {
-	at  [place.Count][]*tables.Route
-	all []*tables.Route
+	at  [proximity.Count][]*tables.Endpoint
+	all []*tables.Endpoint
 }
 
-func (s *side) add(w *tables.World, route *tables.Route) {
-	where := w.Here().Of(route.DataCentre, route.Region)
+func (s *side) add(w *tables.World, route *tables.Endpoint) {
+	where := w.Here().To(route.DataCentre, route.Region)
 	s.at[where], s.all = append(s.at[where], route), append(s.all, route)
 }
 
-func (s *side) choose(w *tables.World, choosing settings.Choosing, kind *placement.CompiledKind) []*tables.Route {
+func (s *side) choose(w *tables.World, choosing settings.Choosing, kind *placement.CompiledKind) []*tables.Endpoint {
 	if len(s.all) <= choosing.Subset {
 		return highest(w.VM, s.all, choosing.Subset)
 	}
 	least := choosing.Subset / 2
-	chosen := highest(w.VM, s.at[place.Near], nearMost(choosing, len(kind.Limits)))
-	chosen = append(chosen, highest(w.VM, s.at[place.Region], max(choosing.Far, least-len(chosen)))...)
-	chosen = append(chosen, highest(w.VM, s.at[place.Other], max(otherRegions, least-len(chosen)))...)
+	chosen := highest(w.VM, s.at[proximity.SameDataCentre], nearMost(choosing, len(kind.Limits)))
+	chosen = append(chosen, highest(w.VM, s.at[proximity.Region], max(choosing.Far, least-len(chosen)))...)
+	chosen = append(chosen, highest(w.VM, s.at[proximity.OtherRegion], max(otherRegions, least-len(chosen)))...)
 	return fillUp(w.VM, chosen, s.all, kind.Limits, choosing.Subset)
 }
 
@@ -112,11 +112,11 @@
 // fillUp adds to a subset, for each list of data centres that routes name, allowed
 // backend servers until it holds enough of them. A route that the own data centre
 // may not handle would else find none but the few of others.
-func fillUp(vm string, chosen, all []*tables.Route, lists [][]string, enough int) []*tables.Route {
+func fillUp(vm string, chosen, all []*tables.Endpoint, lists [][]string, enough int) []*tables.Endpoint {
 	if len(lists) == 0 {
 		return chosen
 	}
-	has := make(map[*tables.Route]struct{}, subsetMost)
+	has := make(map[*tables.Endpoint]struct{}, subsetMost)
 	for _, route := range chosen {
 		has[route] = struct{}{}
 	}
@@ -124,7 +124,7 @@
 	enough = min(enough, max(1, (subsetMost-len(chosen))/len(lists)))
 	for _, list := range lists {
 		held := 0
-		var others []*tables.Route
+		var others []*tables.Endpoint
 		for _, route := range all {
 			switch _, is := has[route]; {
 			case !routing.Allows(list, route.DataCentre):
@@ -152,19 +152,19 @@
 		unreached uint64
 		evacuated uint64
 		rollout   *rollout.Traffic
-		routes    []*tables.Route
+		routes    []*tables.Endpoint
 	}
 )
 
 // subset is Subset, worked out again only after something that it hangs on has
 // changed: several systems ask for it at each tick. The result is not changed.
-func (e *Env) subset(kind *placement.CompiledKind) []*tables.Route {
+func (e *Env) subset(kind *placement.CompiledKind) []*tables.Endpoint {
 	if e.subsets == nil {
 		e.subsets = map[subsetKey]subsetRow{}
 	}
 	key := subsetKey{kind.Service, kind.Name}
-	row, changes := e.subsets[key], e.World.Members.ServiceChanges(kind.Service)
-	evacuated, traffic := e.World.View.Evacuation().Revision, e.World.View.Rollout(kind.Service)
+	row, changes := e.subsets[key], e.World.Members.ServiceChangeCount(kind.Service)
+	evacuated, traffic := e.World.View.Evacuation().Revision, e.World.View.RolloutTraffic(kind.Service)
 	if row.kind != kind || row.members != changes || row.unreached != e.World.UnreachedChanges || row.evacuated != evacuated || row.rollout != traffic {
 		row = subsetRow{
 			kind: kind, members: changes, unreached: e.World.UnreachedChanges, evacuated: evacuated, rollout: traffic,
--- a/pkg/systems/subset_test.go
+++ b/pkg/systems/subset_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test"
 	"github.com/shoenig/test/must"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
 	"github.com/rushramp/rushramp/pkg/routing"
 	"github.com/rushramp/rushramp/pkg/settings"
@@ -31,7 +31,7 @@
 	return w, kind
 }
 
-func countNear(routes []*tables.Route) (near, far int) {
+func countNear(routes []*tables.Endpoint) (near, far int) {
 	for _, route := range routes {
 		if route.DataCentre == "a" {
 			near++
@@ -79,16 +79,16 @@
 	} {
 		w, kind := subsetWorld(tc.each...)
 		w.Region = "r"
-		w.Members.Rows(func(row int) {
-			if route := w.Members.Route[row]; route.DataCentre != "c" {
+		w.Members.EachRow(func(row int) {
+			if route := w.Members.Endpoint[row]; route.DataCentre != "c" {
 				route.Region = "r"
 			}
 		})
-		var counts [place.Count]int
+		var counts [proximity.Count]int
 		for _, route := range Subset(w, choosing, kind) {
-			counts[w.Here().Of(route.DataCentre, route.Region)]++
+			counts[w.Here().To(route.DataCentre, route.Region)]++
 		}
-		test.Eq(t, [place.Count]int{place.Near: tc.near, place.Region: tc.region, place.Other: tc.other}, counts, test.Sprint(tc.name))
+		test.Eq(t, [proximity.Count]int{proximity.SameDataCentre: tc.near, proximity.Region: tc.region, proximity.OtherRegion: tc.other}, counts, test.Sprint(tc.name))
 	}
 }
 
@@ -158,7 +158,7 @@
 	w, kind := subsetWorld(2, 20, 20)
 	env.World = w
 	before := env.subset(kind)
-	var dead *tables.Route
+	var dead *tables.Endpoint
 	for _, route := range before {
 		if route.DataCentre != "a" {
 			dead = route
@@ -241,7 +241,7 @@
 }
 
 // allowedIn counts the backend servers of a subset that a list of data centres allows.
-func allowedIn(subset []*tables.Route, list []string) int {
+func allowedIn(subset []*tables.Endpoint, list []string) int {
 	allowed := 0
 	for _, route := range subset {
 		if routing.Allows(list, route.DataCentre) {
--- a/pkg/systems/surplus.go
+++ b/pkg/systems/surplus.go
@@ -18,19 +18,19 @@
 // it ever needed would in the end have one to most others.
 type surplus struct {
 	// since is when a route was first not needed.
-	since map[*tables.Route]int64
+	since map[*tables.Endpoint]int64
 	// closed are the routes whose links were closed here, until they are down.
-	closed map[*tables.Route]struct{}
+	closed map[*tables.Endpoint]struct{}
 }
 
 func newSurplus() *surplus {
-	return &surplus{since: map[*tables.Route]int64{}, closed: map[*tables.Route]struct{}{}}
+	return &surplus{since: map[*tables.Endpoint]int64{}, closed: map[*tables.Endpoint]struct{}{}}
 }
 
 // due returns the open routes that have not been needed for long. Routes with
 // calls on their way are left.
-func (s *surplus) due(now int64, open, needed map[*tables.Route]struct{}) []*tables.Route {
-	var out []*tables.Route
+func (s *surplus) due(now int64, open, needed map[*tables.Endpoint]struct{}) []*tables.Endpoint {
+	var out []*tables.Endpoint
 	for route := range s.since {
 		if _, still := open[route]; !still {
 			delete(s.since, route)
@@ -54,7 +54,7 @@
 }
 
 // takeClosed is true once for a link that was closed as surplus.
-func (s *surplus) takeClosed(route *tables.Route) bool {
+func (s *surplus) takeClosed(route *tables.Endpoint) bool {
 	_, was := s.closed[route]
 	delete(s.closed, route)
 	return was
@@ -62,7 +62,7 @@
 
 // closeSurplus closes links that neither calls nor the sample need.
 func (l *links) closeSurplus(now int64) {
-	open := make(map[*tables.Route]struct{}, len(l.open))
+	open := make(map[*tables.Endpoint]struct{}, len(l.open))
 	for route := range l.open {
 		open[route] = struct{}{}
 	}
@@ -74,12 +74,12 @@
 }
 
 // needed are the routes that this daemon keeps links to.
-func (l *links) needed() map[*tables.Route]struct{} {
-	out := map[*tables.Route]struct{}{}
-	for _, route := range slices.Concat(l.sample, l.World.Watchers, l.World.Counters) {
+func (l *links) needed() map[*tables.Endpoint]struct{} {
+	out := map[*tables.Endpoint]struct{}{}
+	for _, route := range slices.Concat(l.sample, l.World.RolloutWatchers, l.World.QuotaCounters) {
 		out[route] = struct{}{}
 	}
-	for service := range l.World.Wanted {
+	for service := range l.World.RequestedServices {
 		for _, routes := range l.subsetsOf(service) {
 			for _, route := range routes {
 				out[route] = struct{}{}
--- a/pkg/systems/suspension.go
+++ b/pkg/systems/suspension.go
@@ -28,7 +28,7 @@
 	s.seen = total
 	s.Log.Event(events.Suspended, events.F("took", events.Milliseconds(grown)), events.F("total", events.Milliseconds(total)))
 	if s.outlastsLinks(grown) {
-		s.World.Peers.Rows(func(peer *link.Peer, _ *tables.PeerRow) { peer.Close() })
+		s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { peer.Close() })
 	}
 }
 
--- a/pkg/systems/tick_bench_test.go
+++ b/pkg/systems/tick_bench_test.go
@@ -33,7 +33,7 @@
 	for s := range services {
 		name := fmt.Sprint("s", s)
 		doc.Services = append(doc.Services, placement.Service{Name: name, Kinds: []placement.Kind{{Name: "k", Path: "/*", DataCentres: []string{"here"}}}})
-		env.World.Wanted[name] = struct{}{}
+		env.World.RequestedServices[name] = struct{}{}
 	}
 	env.World.Placement = doc
 	env.World.View.SetPlacement(placement.Compile(doc))
@@ -41,10 +41,10 @@
 		row := wire.Member{VM: fmt.Sprint("m", n), DataCentre: fmt.Sprint("dc", n%18), Service: fmt.Sprint("s", n%services)}
 		env.World.Members.Merge(1, nil, row)
 		if n < links {
-			env.World.Peers.Put(&link.Peer{Conn: link.NewClosedConn(), Hello: wire.Hello{VM: row.VM, DataCentre: row.DataCentre}})
+			env.World.Peers.GetOrAdd(&link.Peer{Conn: link.NewClosedConn(), Hello: wire.Hello{VM: row.VM, DataCentre: row.DataCentre}})
 		}
 	}
-	env.World.Members.TakeFresh()
+	env.World.Members.TakeChanges()
 	sc := NewScheduler(env)
 	row := wire.Member{VM: "m7", DataCentre: "dc7", Service: "s7"}
 	from := &link.Peer{Hello: wire.Hello{VM: "m1"}}
--- a/pkg/systems/unreached.go
+++ b/pkg/systems/unreached.go
@@ -12,22 +12,22 @@
 // dialled again.
 type unreached struct {
 	world *tables.World
-	until map[*tables.Route]int64
+	until map[*tables.Endpoint]int64
 }
 
 func newUnreached(w *tables.World) *unreached {
-	return &unreached{world: w, until: map[*tables.Route]int64{}}
+	return &unreached{world: w, until: map[*tables.Endpoint]int64{}}
 }
 
 // note puts a route among them until a time in nanoseconds.
-func (u *unreached) note(route *tables.Route, until int64) {
+func (u *unreached) note(route *tables.Endpoint, until int64) {
 	u.until[route] = until
 	u.world.Unreached[route] = struct{}{}
 	u.changed(route)
 }
 
 // forget takes a route out: its daemon was heard.
-func (u *unreached) forget(route *tables.Route) {
+func (u *unreached) forget(route *tables.Endpoint) {
 	if _, known := u.until[route]; !known {
 		return
 	}
@@ -45,7 +45,7 @@
 	}
 }
 
-func (u *unreached) changed(route *tables.Route) {
+func (u *unreached) changed(route *tables.Endpoint) {
 	u.world.UnreachedChanges++
-	u.world.Touch(route.Service)
+	u.world.MarkDirty(route.Service)
 }
--- a/pkg/systems/vmlist.go
+++ b/pkg/systems/vmlist.go
@@ -112,8 +112,8 @@
 		return own
 	}
 	first, next := own, ""
-	v.World.Members.Rows(func(row int) {
-		dc := v.World.Members.Row[row].DataCentre
+	v.World.Members.EachRow(func(row int) {
+		dc := v.World.Members.Record[row].DataCentre
 		if dc < first {
 			first = dc
 		}
@@ -138,5 +138,5 @@
 	}
 	v.began.Store(true)
 	list := &tables.VMList{DataCentre: part, VMs: vms}
-	v.World.Inbox.Post(false, func(m *tables.Mail) { m.List = list })
+	v.World.Inbox.Post(false, func(m *tables.Mail) { m.VMList = list })
 }
--- a/pkg/tables/inbox.go
+++ b/pkg/tables/inbox.go
@@ -21,21 +21,21 @@
 
 // Mail is what an Inbox held.
 type Mail struct {
-	// List is the newest list of the platform; nil when none came.
-	List *VMList
+	// VMList is the newest list of the platform; nil when none came.
+	VMList *VMList
 	// Members are rows that peers sent, Asks what they asked for.
 	Members []PeerMembers
-	Asks    []PeerAsk
-	// Links are links that came up or ended.
-	Links []LinkEvent
-	// News are states of peers, oldest first.
-	News []PeerNews
+	MembersAsks    []PeerMembersAsk
+	// LinkEvents are links that came up or ended.
+	LinkEvents []LinkEvent
+	// PeerStates are states of peers, oldest first.
+	PeerStates []PeerState
 	// Pulls are requests of peers for the placement.
 	Pulls []PeerPull
 	// Updates are placements that peers sent.
 	Updates []PeerUpdate
-	// Documents are versions that were read from the store.
-	Documents []Version
+	// Placements are versions that were read from the store.
+	Placements []ReceivedPlacement
 	// StoreReadAt is when the head was last read by this daemon; 0: not since.
 	StoreReadAt int64
 	// Head is the newest head read; Version 0 when there was none.
@@ -45,34 +45,34 @@
 	// Evacuation is the newest set of evacuated data centres that this daemon read
 	// in the store; nil: it read none.
 	Evacuation *evacuation.Set
-	// Orders is the newest set of orders for roll-outs that this daemon read in the
+	// RolloutOrders is the newest set of orders for roll-outs that this daemon read in the
 	// store; nil: it read none. RolloutNews and RolloutReports came from peers.
-	Orders         *rollout.Orders
+	RolloutOrders         *rollout.Orders
 	RolloutNews    []PeerRollouts
 	RolloutReports []rollout.Report
-	// PlanRows are calls to the store about plans that have ended.
-	PlanRows []PlanRow
-	// Wanted are services that a call asked for and that have no view yet.
-	Wanted []string
-	// Departed are processes of backend servers that said here that they leave.
-	Departed []string
+	// RolloutPlanResults are calls to the store about plans that have ended.
+	RolloutPlanResults []RolloutPlanResult
+	// RequestedServices are services that a call asked for and that have no view yet.
+	RequestedServices []string
+	// LocalDepartures are processes of backend servers that said here that they leave.
+	LocalDepartures []string
 	// PeerDepartures are those that peers told of.
 	PeerDepartures []PeerDepartures
 	// PeerQuarantines are what peers told of requests that end backend servers.
 	PeerQuarantines []PeerQuarantine
-	// Restored is true when the store has come back from an older copy.
-	Restored bool
+	// StoreRestored is true when the store has come back from an older copy.
+	StoreRestored bool
 	// Queries are questions about the tables, asked by operators.
 	Queries []func(*World)
 	// Leave is true when this daemon was told to leave.
 	Leave bool
 }
 
-// TakeOrders notes a set of orders that was read in the store, unless a newer one was
+// KeepNewestOrders notes a set of orders that was read in the store, unless a newer one was
 // noted already: two that read it may end in any order.
-func (m *Mail) TakeOrders(orders rollout.Orders) {
-	if m.Orders == nil || orders.Revision > m.Orders.Revision {
-		m.Orders = &orders
+func (m *Mail) KeepNewestOrders(orders rollout.Orders) {
+	if m.RolloutOrders == nil || orders.Revision > m.RolloutOrders.Revision {
+		m.RolloutOrders = &orders
 	}
 }
 
@@ -88,8 +88,8 @@
 	Rows []wire.Member
 }
 
-// PeerAsk is a peer's question in what the two tables of members differ.
-type PeerAsk struct {
+// PeerMembersAsk is a peer's question in what the two tables of members differ.
+type PeerMembersAsk struct {
 	Peer    *link.Peer
 	Buckets []uint32
 }
@@ -99,14 +99,14 @@
 type LinkEvent struct {
 	Peer   *link.Peer
 	Client *link.Client
-	// Route is the route that the link was opened for.
-	Route *Route
+	// Endpoint is the route that the link was opened for.
+	Endpoint *Endpoint
 	Up    bool
 	Cause error
 }
 
-// PeerNews is a state that a peer sent, and when it came.
-type PeerNews struct {
+// PeerState is a state that a peer sent, and when it came.
+type PeerState struct {
 	Peer  *link.Peer
 	State *wire.State
 	At    int64
@@ -127,14 +127,14 @@
 // PeerDepartures are departures that a peer told of.
 type PeerDepartures struct {
 	Peer *link.Peer
-	Said *wire.Departures
+	Frame *wire.Departures
 }
 
 // PeerQuarantine is what a peer, or the store where Peer is nil, told of requests that
 // end backend servers.
 type PeerQuarantine struct {
 	Peer *link.Peer
-	Said *wire.Quarantine
+	Frame *wire.Quarantine
 }
 
 // PeerRollouts is what a peer told of roll-outs.
@@ -143,20 +143,20 @@
 	News rollout.News
 }
 
-// PlanRow is how a call to the store about the plan of a service ended.
-type PlanRow struct {
+// RolloutPlanResult is how a call to the store about the plan of a service ended.
+type RolloutPlanResult struct {
 	Service string
-	// Wrote is true for a write, false for a read.
-	Wrote  bool
+	// IsWrite is true for a write, false for a read.
+	IsWrite  bool
 	Stored rollout.Stored
 	Err    error
 	// Began is when the call began, in nanoseconds of the daemon's clock.
 	Began int64
 }
 
-// Version is a placement document with its digest, and the changes that led
+// ReceivedPlacement is a placement document with its digest, and the changes that led
 // to it where they are known.
-type Version struct {
+type ReceivedPlacement struct {
 	Document *placement.Document
 	Hash     string
 	Entries  []placement.LogEntry
@@ -186,9 +186,9 @@
 	}
 }
 
-// Ask runs a question between two ticks and waits for it; false when the
+// RunQuery runs a question between two ticks and waits for it; false when the
 // systems did not come to it before the channel closed.
-func (i *Inbox) Ask(done <-chan struct{}, query func(*World)) bool {
+func (i *Inbox) RunQuery(done <-chan struct{}, query func(*World)) bool {
 	answered := make(chan struct{})
 	i.Post(true, func(m *Mail) {
 		m.Queries = append(m.Queries, func(w *World) {
--- a/pkg/tables/load.go
+++ b/pkg/tables/load.go
@@ -46,25 +46,25 @@
 	return l
 }
 
-// Sent notes a call on its way to the backend server. now is in nanoseconds.
-func (l *Load) Sent(now int64) {
+// RecordSent notes a call on its way to the backend server. now is in nanoseconds.
+func (l *Load) RecordSent(now int64) {
 	if l.outstanding.Add(1) == 1 {
 		l.quietFrom.Store(now)
 	}
 	l.sentSince.Add(1)
 }
 
-// Ended notes that a call is no longer outstanding, whatever came of it.
-func (l *Load) Ended(now int64) {
+// RecordEnded notes that a call is no longer outstanding, whatever came of it.
+func (l *Load) RecordEnded(now int64) {
 	l.outstanding.Add(-1)
 	l.quietFrom.Store(now)
 }
 
-// Silent notes that the daemon gives no sign of life.
-func (l *Load) Silent(now int64) { l.silentAt.Store(now) }
+// MarkUnresponsive notes that the daemon gives no sign of life.
+func (l *Load) MarkUnresponsive(now int64) { l.silentAt.Store(now) }
 
-// Answered notes how a call that the backend server answered ended.
-func (l *Load) Answered(failed bool) {
+// RecordAnswer notes how a call that the backend server answered ended.
+func (l *Load) RecordAnswer(failed bool) {
 	old := l.failures.Load()
 	target := int64(0)
 	if failed {
@@ -74,8 +74,8 @@
 	l.failures.Store(old + (target-old)>>failureShift)
 }
 
-// Report takes a stamp over, unless a newer one is known.
-func (l *Load) Report(now int64, stamp wire.Stamp) {
+// ApplyStamp takes a stamp over, unless a newer one is known.
+func (l *Load) ApplyStamp(now int64, stamp wire.Stamp) {
 	for {
 		seen := l.stampSeq.Load()
 		if stamp.Seq <= seen {
@@ -95,10 +95,10 @@
 	l.sentSince.Store(0)
 }
 
-// Begin notes which process of the daemon a new link leads to. What was known of
+// BeginIncarnation notes which process of the daemon a new link leads to. What was known of
 // another one is forgotten: its stamps are numbered anew, and those of the old
 // one would keep them out.
-func (l *Load) Begin(incarnation uint64, slots int) {
+func (l *Load) BeginIncarnation(incarnation uint64, slots int) {
 	if l.incarnation.Swap(incarnation) != incarnation {
 		l.Reset(slots)
 	}
@@ -118,63 +118,63 @@
 	l.limit.Store(int64(max(slots, 1)))
 }
 
-// Known is a consistent enough reading of a Load: each field by itself is
+// LoadSnapshot is a consistent enough reading of a Load: each field by itself is
 // right, and two fields may be some nanoseconds apart.
-type Known struct {
-	// StampAt is when the stamp was received; 0: never.
-	StampAt int64
+type LoadSnapshot struct {
+	// StampReceivedAt is when the stamp was received; 0: never.
+	StampReceivedAt int64
 	// InFlight counts calls at the gate in the stamp, running and queued.
 	InFlight int64
 	// Limit is how many calls the gate runs at once.
 	Limit int64
-	// Service is the estimated time of one run; 0: not known.
-	Service time.Duration
+	// ServiceTime is the estimated time of one run; 0: not known.
+	ServiceTime time.Duration
 	// Outstanding counts this entry's own calls without an answer.
 	Outstanding int64
-	// SentSince counts this entry's own calls sent after the stamp arrived.
-	SentSince int64
-	// QuietFor is how long calls have been outstanding without any answer.
-	QuietFor time.Duration
-	// Distance is the time of a round trip to the daemon.
-	Distance time.Duration
+	// SentSinceStamp counts this entry's own calls sent after the stamp arrived.
+	SentSinceStamp int64
+	// NoAnswerFor is how long calls have been outstanding without any answer.
+	NoAnswerFor time.Duration
+	// RoundTrip is the time of a round trip to the daemon.
+	RoundTrip time.Duration
 	// Slowdown is how long work takes there, in percent of what is usual; 0: not
 	// known.
 	Slowdown int64
-	// Usual is the slowdown there outside of slow spells, in percent; 0: none.
-	Usual int64
-	// SilentFor is how long ago the daemon was found silent; 0: it was not, or
+	// UsualSlowdown is the slowdown there outside of slow spells, in percent; 0: none.
+	UsualSlowdown int64
+	// UnresponsiveFor is how long ago the daemon was found silent; 0: it was not, or
 	// was heard since.
-	SilentFor time.Duration
+	UnresponsiveFor time.Duration
 	// FailureShare is the weighted share of recent answers that were failures.
 	FailureShare float64
 }
 
-// Known reads the row at time now.
-func (l *Load) Known(now int64) Known {
-	var out Known
-	l.Read(now, &out)
+// Snapshot reads the row at time now.
+func (l *Load) Snapshot(now int64) LoadSnapshot {
+	var out LoadSnapshot
+	l.SnapshotInto(now, &out)
 	return out
 }
 
-// Read reads the row at time now into out, in place: choosing does it for each
+// SnapshotInto reads the row at time now into out, in place: choosing does it for each
 // candidate of each call.
-func (l *Load) Read(now int64, out *Known) {
-	out.StampAt = l.stampAt.Load()
+func (l *Load) SnapshotInto(now int64, out *LoadSnapshot) {
+	out.StampReceivedAt = l.stampAt.Load()
 	out.InFlight = l.inFlight.Load()
 	out.Limit = l.limit.Load()
-	out.Service = time.Duration(l.service.Load())
+	out.ServiceTime = time.Duration(l.service.Load())
 	out.Outstanding = l.outstanding.Load()
-	out.SentSince = l.sentSince.Load()
-	out.Distance = time.Duration(l.distance.Load())
+	out.SentSinceStamp = l.sentSince.Load()
+	out.RoundTrip = time.Duration(l.distance.Load())
 	out.Slowdown = l.slowdown.Load()
-	out.Usual = l.usual.Load()
-	out.SilentFor = 0
+	out.UsualSlowdown = l.usual.Load()
+	out.UnresponsiveFor = 0
 	if at := l.silentAt.Load(); at > 0 {
-		out.SilentFor = time.Duration(max(now-at, 1))
+		out.UnresponsiveFor = time.Duration(max(now-at, 1))
 	}
-	out.QuietFor = 0
+	out.NoAnswerFor = 0
 	if out.Outstanding > 0 {
-		out.QuietFor = time.Duration(max(now-l.quietFrom.Load(), 0))
+		out.NoAnswerFor = time.Duration(max(now-l.quietFrom.Load(), 0))
 	}
 	out.FailureShare = 0
 	if failures := l.failures.Load(); failures > 0 {
@@ -185,12 +185,12 @@
 // Outstanding counts this entry's own calls without an answer.
 func (l *Load) Outstanding() int64 { return l.outstanding.Load() }
 
-// StampAt is when the newest stamp was received; 0: never.
-func (l *Load) StampAt() int64 { return l.stampAt.Load() }
+// StampReceivedAt is when the newest stamp was received; 0: never.
+func (l *Load) StampReceivedAt() int64 { return l.stampAt.Load() }
 
-// SetDistance notes the time of a round trip to the daemon.
-func (l *Load) SetDistance(d time.Duration) { l.distance.Store(int64(d)) }
+// SetRoundTrip notes the time of a round trip to the daemon.
+func (l *Load) SetRoundTrip(d time.Duration) { l.distance.Store(int64(d)) }
 
-// Distance is the time of a round trip to the daemon; 0 for this daemon itself
+// RoundTrip is the time of a round trip to the daemon; 0 for this daemon itself
 // and while it is not known.
-func (l *Load) Distance() time.Duration { return time.Duration(l.distance.Load()) }
+func (l *Load) RoundTrip() time.Duration { return time.Duration(l.distance.Load()) }
--- a/pkg/tables/members.go
+++ b/pkg/tables/members.go
@@ -11,16 +11,16 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Route is what the hot path needs of a member that guards a backend server.
+// Endpoint is what the hot path needs of a member that guards a backend server.
 // A row keeps its Route as long as the VM is known.
-type Route struct {
+type Endpoint struct {
 	// VM, Service, DataCentre and the addresses never change.
 	VM         string
 	Service    string
 	DataCentre string
 	Region     string
-	Links      string
-	Callers    string
+	LinkAddress      string
+	CallerAddress    string
 	Load       *Load
 	runner     atomic.Pointer[call.Runner]
 	// version is the one of the backend server now: another one may take its place.
@@ -28,7 +28,7 @@
 }
 
 // Version is the version that the backend server has said; empty: not known.
-func (ro *Route) Version() string {
+func (ro *Endpoint) Version() string {
 	if v := ro.version.Load(); v != nil {
 		return *v
 	}
@@ -36,10 +36,10 @@
 }
 
 // SetVersion notes the version that the backend server has said.
-func (ro *Route) SetVersion(version string) { ro.version.Store(&version) }
+func (ro *Endpoint) SetVersion(version string) { ro.version.Store(&version) }
 
 // SetRunner says who runs calls of this route; nil when there is no link.
-func (ro *Route) SetRunner(r call.Runner) {
+func (ro *Endpoint) SetRunner(r call.Runner) {
 	if r == nil {
 		ro.runner.Store(nil)
 		return
@@ -48,7 +48,7 @@
 }
 
 // Runner returns who runs calls of this route, or nil.
-func (ro *Route) Runner() call.Runner {
+func (ro *Endpoint) Runner() call.Runner {
 	if r := ro.runner.Load(); r != nil {
 		return *r
 	}
@@ -66,14 +66,14 @@
 // Members is the table of VMs, one row each, columns by row number. Rows of
 // VMs that are gone are used again.
 type Members struct {
-	Row   []wire.Member
-	Route []*Route
+	Record   []wire.Member
+	Endpoint []*Endpoint
 	// Listed is true for a member that the platform's list has shown to this
 	// daemon; Missing counts the reads since that did not. Since is when the
 	// row was made.
 	Listed  []bool
-	Missing []int
-	Since   []int64
+	MissedReads []int
+	AddedAt   []int64
 
 	inUse     []bool
 	free      []int
@@ -89,13 +89,13 @@
 	digests  [buckets]uint32
 	changes  uint64
 	// fresh are rows that changed and were not passed on yet.
-	fresh []Fresh
+	fresh []MemberChange
 }
 
-// Fresh is a row that changed here, and the link that it came over; nil when
+// MemberChange is a row that changed here, and the link that it came over; nil when
 // this daemon learnt it in another way.
-type Fresh struct {
-	Row  wire.Member
+type MemberChange struct {
+	Record  wire.Member
 	From *link.Peer
 }
 
@@ -116,18 +116,18 @@
 // Len counts the rows in use.
 func (me *Members) Len() int { return len(me.byID) }
 
-// Changes grows with each change of the table, so that a system can see
+// ChangeCount grows with each change of the table, so that a system can see
 // cheaply that there was none.
-func (me *Members) Changes() uint64 { return me.changes }
+func (me *Members) ChangeCount() uint64 { return me.changes }
 
-// ServiceChanges grows with each change of a row of a service.
-func (me *Members) ServiceChanges(name string) uint64 { return me.serviceChanges[name] }
+// ServiceChangeCount grows with each change of a row of a service.
+func (me *Members) ServiceChangeCount(name string) uint64 { return me.serviceChanges[name] }
 
-// InDataCentre counts the members of a data centre.
-func (me *Members) InDataCentre(name string) int { return me.inDataCentre[name] }
+// CountInDataCentre counts the members of a data centre.
+func (me *Members) CountInDataCentre(name string) int { return me.inDataCentre[name] }
 
-// Regions counts the regions that members stand in; one that is not known is one.
-func (me *Members) Regions() int { return len(me.inRegion) }
+// RegionCount counts the regions that members stand in; one that is not known is one.
+func (me *Members) RegionCount() int { return len(me.inRegion) }
 
 // VMsByService counts the VMs beside each service.
 func (me *Members) VMsByService() map[string]int {
@@ -147,10 +147,10 @@
 }
 
 // Leaving is true for a member that takes no new calls.
-func (me *Members) Leaving(row int) bool { return me.Row[row].State == wire.MemberLeaving }
+func (me *Members) Leaving(row int) bool { return me.Record[row].State == wire.MemberLeaving }
 
-// Rows calls do for each row in use, in no particular order.
-func (me *Members) Rows(do func(row int)) {
+// EachRow calls do for each row in use, in no particular order.
+func (me *Members) EachRow(do func(row int)) {
 	for row, used := range me.inUse {
 		if used {
 			do(row)
@@ -158,8 +158,8 @@
 	}
 }
 
-// Service calls do for each member of a service.
-func (me *Members) Service(name string, do func(row int)) {
+// EachRowOfService calls do for each member of a service.
+func (me *Members) EachRowOfService(name string, do func(row int)) {
 	for row := range me.byService[name] {
 		do(row)
 	}
@@ -191,24 +191,24 @@
 // Merge takes what somebody says of a VM over, when it is newer than what is
 // known. It returns the route that this ended, if any, and whether anything
 // changed. now is in nanoseconds; from is the link that it came over, or nil.
-func (me *Members) Merge(now int64, from *link.Peer, said wire.Member) (ended *Route, changed bool) {
+func (me *Members) Merge(now int64, from *link.Peer, said wire.Member) (ended *Endpoint, changed bool) {
 	ended, changed = me.merge(now, said)
 	if changed {
-		me.fresh = append(me.fresh, Fresh{Row: said, From: from})
+		me.fresh = append(me.fresh, MemberChange{Record: said, From: from})
 	}
 	return ended, changed
 }
 
-// TakeFresh returns the rows to pass on, and forgets them.
-func (me *Members) TakeFresh() []Fresh {
+// TakeChanges returns the rows to pass on, and forgets them.
+func (me *Members) TakeChanges() []MemberChange {
 	out := me.fresh
 	me.fresh = nil
 	return out
 }
 
-func (me *Members) merge(now int64, said wire.Member) (ended *Route, changed bool) {
+func (me *Members) merge(now int64, said wire.Member) (ended *Endpoint, changed bool) {
 	row, known := me.byID[said.VM]
-	if known && !newer(&me.Row[row], &said) {
+	if known && !newer(&me.Record[row], &said) {
 		return nil, false
 	}
 	if stone, dead := me.gone[said.VM]; !known && dead && !newer(&stone.row, &said) {
@@ -218,7 +218,7 @@
 		me.bury(now, said)
 		return me.remove(said.VM), known
 	}
-	if known && samePlace(&me.Row[row], &said) {
+	if known && samePlace(&me.Record[row], &said) {
 		me.put(row, said)
 		return nil, true
 	}
@@ -233,23 +233,23 @@
 }
 
 func (me *Members) put(row int, said wire.Member) {
-	me.count(&me.Row[row])
-	me.Row[row] = said
-	me.Route[row].SetVersion(said.Version)
+	me.count(&me.Record[row])
+	me.Record[row] = said
+	me.Endpoint[row].SetVersion(said.Version)
 	me.count(&said)
 }
 
 func (me *Members) add(now int64, said wire.Member) {
 	row := me.newRow()
-	me.Row[row] = said
+	me.Record[row] = said
 	me.Listed[row] = false
-	me.Missing[row] = 0
-	me.Since[row] = now
-	me.Route[row] = &Route{
+	me.MissedReads[row] = 0
+	me.AddedAt[row] = now
+	me.Endpoint[row] = &Endpoint{
 		VM: said.VM, Service: said.Service, DataCentre: said.DataCentre, Region: said.Region,
-		Links: said.Links, Callers: said.Callers, Load: NewLoad(int(said.Slots)),
+		LinkAddress: said.Links, CallerAddress: said.Callers, Load: NewLoad(int(said.Slots)),
 	}
-	me.Route[row].SetVersion(said.Version)
+	me.Endpoint[row].SetVersion(said.Version)
 	me.inUse[row] = true
 	me.byID[said.VM] = row
 	delete(me.gone, said.VM)
@@ -268,22 +268,22 @@
 		me.free = me.free[:n-1]
 		return row
 	}
-	me.Row = append(me.Row, wire.Member{})
-	me.Route = append(me.Route, nil)
-	me.Missing = append(me.Missing, 0)
+	me.Record = append(me.Record, wire.Member{})
+	me.Endpoint = append(me.Endpoint, nil)
+	me.MissedReads = append(me.MissedReads, 0)
 	me.Listed = append(me.Listed, false)
-	me.Since = append(me.Since, 0)
+	me.AddedAt = append(me.AddedAt, 0)
 	me.inUse = append(me.inUse, false)
-	return len(me.Row) - 1
+	return len(me.Record) - 1
 }
 
-func (me *Members) remove(id string) *Route {
+func (me *Members) remove(id string) *Endpoint {
 	row, ok := me.byID[id]
 	if !ok {
 		return nil
 	}
-	me.count(&me.Row[row])
-	route := me.Route[row]
+	me.count(&me.Record[row])
+	route := me.Endpoint[row]
 	delete(me.byID, id)
 	delete(me.byService[route.Service], row)
 	me.inDataCentre[route.DataCentre]--
@@ -291,7 +291,7 @@
 		delete(me.inRegion, route.Region)
 	}
 	me.inUse[row] = false
-	me.Route[row] = nil
+	me.Endpoint[row] = nil
 	me.free = append(me.free, row)
 	return route
 }
@@ -343,20 +343,20 @@
 	return out
 }
 
-// Buckets returns the digest of each bucket.
-func (me *Members) Buckets() []uint32 { return append([]uint32(nil), me.digests[:]...) }
+// BucketDigests returns the digest of each bucket.
+func (me *Members) BucketDigests() []uint32 { return append([]uint32(nil), me.digests[:]...) }
 
-// Differing returns the rows, those of VMs that are gone too, of the buckets
+// DifferingRows returns the rows, those of VMs that are gone too, of the buckets
 // in which a peer's digests differ from this table's.
-func (me *Members) Differing(theirs []uint32) []wire.Member {
+func (me *Members) DifferingRows(theirs []uint32) []wire.Member {
 	if len(theirs) != buckets {
 		return nil
 	}
 	differs := func(id string) bool { b := bucketOf(id); return theirs[b] != me.digests[b] }
 	var out []wire.Member
-	me.Rows(func(row int) {
-		if differs(me.Row[row].VM) {
-			out = append(out, me.Row[row])
+	me.EachRow(func(row int) {
+		if differs(me.Record[row].VM) {
+			out = append(out, me.Record[row])
 		}
 	})
 	for id, stone := range me.gone {
--- a/pkg/tables/members_test.go
+++ b/pkg/tables/members_test.go
@@ -39,7 +39,7 @@
 			row, known := m.Find("vm")
 			must.Eq(t, s.known, known)
 			if known {
-				test.Eq(t, s.last, m.Row[row])
+				test.Eq(t, s.last, m.Record[row])
 			}
 		})
 	}
@@ -63,7 +63,7 @@
 		}
 		must.Eq(t, a.Len(), b.Len())
 		must.Eq(t, a.Digest(), b.Digest())
-		must.SliceEmpty(t, a.Differing(b.Buckets()))
+		must.SliceEmpty(t, a.DifferingRows(b.BucketDigests()))
 	})
 }
 
@@ -79,7 +79,7 @@
 				part.Merge(1, nil, row)
 			}
 		}
-		for _, row := range full.Differing(part.Buckets()) {
+		for _, row := range full.DifferingRows(part.BucketDigests()) {
 			part.Merge(1, nil, row)
 		}
 		must.Eq(t, full.Digest(), part.Digest())
@@ -88,17 +88,17 @@
 
 func TestALoadTakesNoOlderStamp(t *testing.T) {
 	load := NewLoad(12)
-	load.Report(10, wire.Stamp{Seq: 5, Running: 7, Limit: 12})
-	load.Report(20, wire.Stamp{Seq: 4, Running: 1, Limit: 12})
-	known := load.Known(30)
+	load.ApplyStamp(10, wire.Stamp{Seq: 5, Running: 7, Limit: 12})
+	load.ApplyStamp(20, wire.Stamp{Seq: 4, Running: 1, Limit: 12})
+	known := load.Snapshot(30)
 	test.Eq(t, 7, known.InFlight)
-	test.Eq(t, 10, known.StampAt)
-	load.Sent(40)
-	load.Sent(50)
-	known = load.Known(60)
-	test.Eq(t, 2, known.SentSince)
-	test.Eq(t, 20, known.QuietFor)
+	test.Eq(t, 10, known.StampReceivedAt)
+	load.RecordSent(40)
+	load.RecordSent(50)
+	known = load.Snapshot(60)
+	test.Eq(t, 2, known.SentSinceStamp)
+	test.Eq(t, 20, known.NoAnswerFor)
 	load.Reset(12)
-	load.Report(70, wire.Stamp{Seq: 1, Running: 2, Limit: 12})
-	test.Eq(t, 2, load.Known(80).InFlight)
+	load.ApplyStamp(70, wire.Stamp{Seq: 1, Running: 2, Limit: 12})
+	test.Eq(t, 2, load.Snapshot(80).InFlight)
 }
--- a/pkg/tables/peers.go
+++ b/pkg/tables/peers.go
@@ -12,31 +12,31 @@
 
 // PeerRow is what a peer said last.
 type PeerRow struct {
-	Placement uint64
+	PlacementVersion uint64
 	Leaving   bool
-	// Members is the digest that the peer told last, DiffersSince since when it
+	// MembersDigest is the digest that the peer told last, DiffersSince since when it
 	// and the own one differ, both unchanged; 0: they do not.
-	Members      uint64
-	DiffersSince int64
-	// Heartbeats counts those sent over the link.
-	Heartbeats int
-	// Told is true once the peer was told which backend servers have departed.
-	Told bool
-	// ToldHeld is true once the peer was told which requests end backend servers.
-	ToldHeld bool
-	// RolloutsTold is the digest of the news of roll-outs that the peer was sent last,
+	MembersDigest      uint64
+	MembersDifferSince int64
+	// HeartbeatsSent counts those sent over the link.
+	HeartbeatsSent int
+	// DeparturesSent is true once the peer was told which backend servers have departed.
+	DeparturesSent bool
+	// QuarantinesSent is true once the peer was told which requests end backend servers.
+	QuarantinesSent bool
+	// RolloutsSentDigest is the digest of the news of roll-outs that the peer was sent last,
 	// RolloutsToldAt when.
-	RolloutsTold   uint64
-	RolloutsToldAt int64
-	// PulledAt is when this daemon last asked the peer for its placement.
-	PulledAt int64
+	RolloutsSentDigest   uint64
+	RolloutsSentAt int64
+	// PlacementPulledAt is when this daemon last asked the peer for its placement.
+	PlacementPulledAt int64
 }
 
 // NewPeers makes an empty table.
 func NewPeers() *Peers { return &Peers{rows: map[*link.Peer]*PeerRow{}} }
 
-// Put returns the row of a link, a new one for a new link.
-func (p *Peers) Put(peer *link.Peer) *PeerRow {
+// GetOrAdd returns the row of a link, a new one for a new link.
+func (p *Peers) GetOrAdd(peer *link.Peer) *PeerRow {
 	row := p.rows[peer]
 	if row == nil {
 		row = &PeerRow{}
@@ -49,16 +49,16 @@
 // Remove takes a link out.
 func (p *Peers) Remove(peer *link.Peer) { delete(p.rows, peer) }
 
-// Rows calls do for each link.
-func (p *Peers) Rows(do func(peer *link.Peer, row *PeerRow)) {
+// EachRow calls do for each link.
+func (p *Peers) EachRow(do func(peer *link.Peer, row *PeerRow)) {
 	for peer, row := range p.rows {
 		do(peer, row)
 	}
 }
 
-// Added grows with each new link, so that a system can see cheaply that there
+// AddedCount grows with each new link, so that a system can see cheaply that there
 // was none.
-func (p *Peers) Added() uint64 { return p.added }
+func (p *Peers) AddedCount() uint64 { return p.added }
 
 // Len counts the links.
 func (p *Peers) Len() int { return len(p.rows) }
--- a/pkg/tables/view.go
+++ b/pkg/tables/view.go
@@ -14,7 +14,7 @@
 
 // Candidate is a backend server that the placement allows for a kind.
 type Candidate struct {
-	Route *Route
+	Endpoint *Endpoint
 	// Load repeats Route.Load, one step nearer for the scan.
 	Load *Load
 }
@@ -23,12 +23,12 @@
 // never changes; a tick that changed something publishes another one.
 type KindView struct {
 	Kind *placement.CompiledKind
-	// Ready are the candidates with a link.
-	Ready []Candidate
-	// Unlinked are candidates that have no link yet.
-	Unlinked []*Route
-	// Redirect are callers' addresses of daemons in allowed data centres.
-	Redirect []string
+	// LinkedCandidates are the candidates with a link.
+	LinkedCandidates []Candidate
+	// UnlinkedEndpoints are candidates that have no link yet.
+	UnlinkedEndpoints []*Endpoint
+	// RedirectAddresses are callers' addresses of daemons in allowed data centres.
+	RedirectAddresses []string
 }
 
 // ServiceView holds the kinds of one service.
@@ -80,20 +80,20 @@
 	// regionShare holds the bits of a float; 0: it was not measured.
 	regionShare atomic.Uint64
 	// rollouts is nil while no roll-out is known.
-	rollouts atomic.Pointer[Rollouts]
+	rollouts atomic.Pointer[RolloutView]
 	provenAt atomic.Int64
 }
 
-// Rollouts is what is known of roll-outs; it never changes.
-type Rollouts struct {
+// RolloutView is what is known of roll-outs; it never changes.
+type RolloutView struct {
 	// Traffic is by service.
 	Traffic map[string]*rollout.Traffic
 	// Digest is what peers compare; 0: nothing is known.
 	Digest uint64
 }
 
-// Rollout returns how a roll-out divides the requests of a service, or nil.
-func (vi *View) Rollout(service string) *rollout.Traffic {
+// RolloutTraffic returns how a roll-out divides the requests of a service, or nil.
+func (vi *View) RolloutTraffic(service string) *rollout.Traffic {
 	known := vi.rollouts.Load()
 	if known == nil {
 		return nil
@@ -110,14 +110,14 @@
 }
 
 // SetRollouts publishes what is known of roll-outs.
-func (vi *View) SetRollouts(known *Rollouts) { vi.rollouts.Store(known) }
+func (vi *View) SetRollouts(known *RolloutView) { vi.rollouts.Store(known) }
 
 // Placement returns the version in force, or nil.
 func (vi *View) Placement() *placement.Compiled { return vi.placement.Load() }
 
-// LimitOf returns the limit of a team under the version in force; ok is false where that
+// TeamLimit returns the limit of a team under the version in force; ok is false where that
 // names no such team.
-func (vi *View) LimitOf(team string) (limit teams.Limit, ok bool) {
+func (vi *View) TeamLimit(team string) (limit teams.Limit, ok bool) {
 	if p := vi.placement.Load(); p != nil {
 		return p.Teams.LimitOf(team)
 	}
@@ -156,9 +156,9 @@
 	vi.services.Store(name, v)
 }
 
-// SetServiceVMs publishes how many VMs stand beside each service; the map is not
+// SetVMsByService publishes how many VMs stand beside each service; the map is not
 // changed any more.
-func (vi *View) SetServiceVMs(of map[string]int) {
+func (vi *View) SetVMsByService(of map[string]int) {
 	known := serviceVMs{of: of}
 	for service, n := range of {
 		if service != "" {
@@ -168,9 +168,9 @@
 	vi.serviceVMs.Store(&known)
 }
 
-// ShareOf is which share of the VMs that stand beside any service belongs to certain
+// VMShareOf is which share of the VMs that stand beside any service belongs to certain
 // ones, from 0 to 1; 0 where none is known.
-func (vi *View) ShareOf(services []string) float64 {
+func (vi *View) VMShareOf(services []string) float64 {
 	known := vi.serviceVMs.Load()
 	if known == nil || known.all == 0 {
 		return 0
@@ -206,18 +206,18 @@
 // SetRegionShare publishes what was measured.
 func (vi *View) SetRegionShare(share float64) { vi.regionShare.Store(math.Float64bits(share)) }
 
-// ProvenAt is when the store had no newer version than the one in force, as far as this
+// PlacementProvenAt is when the store had no newer version than the one in force, as far as this
 // daemon knows, in nanoseconds of its clock; 0: never.
-func (vi *View) ProvenAt() int64 { return vi.provenAt.Load() }
+func (vi *View) PlacementProvenAt() int64 { return vi.provenAt.Load() }
 
-// SetProvenAt publishes it.
-func (vi *View) SetProvenAt(at int64) { vi.provenAt.Store(at) }
+// SetPlacementProvenAt publishes it.
+func (vi *View) SetPlacementProvenAt(at int64) { vi.provenAt.Store(at) }
 
-// Unsure is true while nobody can tell whether the placement is in force.
-func (vi *View) Unsure() bool { return vi.unsure.Load() }
+// PlacementUnsure is true while nobody can tell whether the placement is in force.
+func (vi *View) PlacementUnsure() bool { return vi.unsure.Load() }
 
-// SetUnsure publishes whether the placement may be out of date.
-func (vi *View) SetUnsure(unsure bool) { vi.unsure.Store(unsure) }
+// SetPlacementUnsure publishes whether the placement may be out of date.
+func (vi *View) SetPlacementUnsure(unsure bool) { vi.unsure.Store(unsure) }
 
 // Leaving is true when this daemon takes no new calls.
 func (vi *View) Leaving() bool { return vi.leaving.Load() }
@@ -231,11 +231,11 @@
 // SetReady publishes that the daemon takes calls.
 func (vi *View) SetReady() { vi.ready.Store(true) }
 
-// Members counts the VMs that this daemon knows of.
-func (vi *View) Members() int { return int(vi.members.Load()) }
+// MemberCount counts the VMs that this daemon knows of.
+func (vi *View) MemberCount() int { return int(vi.members.Load()) }
 
-// SetMembers publishes how many VMs are known.
-func (vi *View) SetMembers(n int) { vi.members.Store(int64(n)) }
+// SetMemberCount publishes how many VMs are known.
+func (vi *View) SetMemberCount(n int) { vi.members.Store(int64(n)) }
 
 // StoreStale is true while the newest word of the store is over its bound.
 func (vi *View) StoreStale() bool { return vi.stale.Load() }
--- a/pkg/tables/view_test.go
+++ b/pkg/tables/view_test.go
@@ -13,13 +13,13 @@
 // not; VMs beside no service do not count.
 func TestTheShareOfServices(t *testing.T) {
 	view := &View{}
-	test.Eq(t, 0.0, view.ShareOf([]string{"a"}))
-	view.SetServiceVMs(map[string]int{"": 7})
-	test.Eq(t, 0.0, view.ShareOf([]string{"a"}))
-	view.SetServiceVMs(map[string]int{"a": 15_000, "b": 5000, "": 7})
-	test.Eq(t, 0.75, view.ShareOf([]string{"a"}))
-	test.Eq(t, 1.0, view.ShareOf([]string{"a", "b"}))
-	test.Eq(t, 0.0, view.ShareOf([]string{"gone"}))
+	test.Eq(t, 0.0, view.VMShareOf([]string{"a"}))
+	view.SetVMsByService(map[string]int{"": 7})
+	test.Eq(t, 0.0, view.VMShareOf([]string{"a"}))
+	view.SetVMsByService(map[string]int{"a": 15_000, "b": 5000, "": 7})
+	test.Eq(t, 0.75, view.VMShareOf([]string{"a"}))
+	test.Eq(t, 1.0, view.VMShareOf([]string{"a", "b"}))
+	test.Eq(t, 0.0, view.VMShareOf([]string{"gone"}))
 }
 
 // TestVMsAreCountedByService, whatever else of them changes.
--- a/pkg/tables/world.go
+++ b/pkg/tables/world.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
@@ -20,34 +20,34 @@
 	Peers   *Peers
 	// Placement is the version in force, or nil. Hash is its digest.
 	Placement *placement.Document
-	Hash      string
-	// Log holds the newest accepted changes, oldest first, for peers that are
+	PlacementHash      string
+	// PlacementLog holds the newest accepted changes, oldest first, for peers that are
 	// a few versions behind.
-	Log []placement.LogEntry
-	// Wanted are the services that calls of this entry asked for.
-	Wanted map[string]struct{}
-	// StoreSeen is when the newest word of the store that this daemon knows of
+	PlacementLog []placement.LogEntry
+	// RequestedServices are the services that calls of this entry asked for.
+	RequestedServices map[string]struct{}
+	// NewestStoreReadAt is when the newest word of the store that this daemon knows of
 	// was read, on its own clock; 0: never.
-	StoreSeen int64
-	// Heard says when something that was said in a data centre was last heard
+	NewestStoreReadAt int64
+	// DataCentreHeardAt says when something that was said in a data centre was last heard
 	// of here, directly or through others.
-	Heard map[string]int64
+	DataCentreHeardAt map[string]int64
 	// Departures are the processes of backend servers, anywhere, that said that
 	// they leave, and when this daemon heard of it. Source: docs/design/platform.md.
 	Departures map[string]int64
 	// Unreached are routes whose daemons could not be reached of late. Subsets
 	// pass them over; UnreachedChanges grows with each change of the set.
-	Unreached        map[*Route]struct{}
+	Unreached        map[*Endpoint]struct{}
 	UnreachedChanges uint64
 	// Rollouts is what is known of roll-outs. Watchers are the daemons that judge the
 	// one of this VM's service, the first one writes its plan; none without a roll-out.
 	Rollouts *rollout.Book
-	Watchers []*Route
-	// Counters are the daemons that should count the requests of teams, to which this one
+	RolloutWatchers []*Endpoint
+	// QuotaCounters are the daemons that should count the requests of teams, to which this one
 	// keeps links.
-	Counters []*Route
-	// Dirty are the services whose view must be published again.
-	Dirty map[string]struct{}
+	QuotaCounters []*Endpoint
+	// DirtyServices are the services whose view must be published again.
+	DirtyServices map[string]struct{}
 	View  *View
 	Inbox *Inbox
 }
@@ -59,40 +59,40 @@
 		DataCentre: dataCentre,
 		Members:    NewMembers(),
 		Peers:      NewPeers(),
-		Wanted:     map[string]struct{}{},
-		Heard:      map[string]int64{},
+		RequestedServices:     map[string]struct{}{},
+		DataCentreHeardAt:      map[string]int64{},
 		Departures: map[string]int64{},
-		Unreached:  map[*Route]struct{}{},
+		Unreached:  map[*Endpoint]struct{}{},
 		Rollouts:   rollout.NewBook(),
-		Dirty:      map[string]struct{}{},
+		DirtyServices:      map[string]struct{}{},
 		View:       &View{},
 		Inbox:      NewInbox(),
 	}
 }
 
 // Here is where this daemon stands.
-func (w *World) Here() place.Here { return place.Here{DataCentre: w.DataCentre, Region: w.Region} }
+func (w *World) Here() proximity.Location { return proximity.Location{DataCentre: w.DataCentre, Region: w.Region} }
 
-// Touch marks the view of a service as out of date.
-func (w *World) Touch(service string) { w.Dirty[service] = struct{}{} }
+// MarkDirty marks the view of a service as out of date.
+func (w *World) MarkDirty(service string) { w.DirtyServices[service] = struct{}{} }
 
-// Version returns the placement version in force; 0: none.
-func (w *World) Version() uint64 {
+// PlacementVersion returns the placement version in force; 0: none.
+func (w *World) PlacementVersion() uint64 {
 	if w.Placement == nil {
 		return 0
 	}
 	return w.Placement.Version
 }
 
-// StoreAge is how old the newest word of the store is; ok is false when there
+// StoreReadAge is how old the newest word of the store is; ok is false when there
 // never was one.
-func (w *World) StoreAge(now int64) (age time.Duration, ok bool) {
-	if w.StoreSeen == 0 {
+func (w *World) StoreReadAge(now int64) (age time.Duration, ok bool) {
+	if w.NewestStoreReadAt == 0 {
 		return 0, false
 	}
-	return time.Duration(now - w.StoreSeen), true
+	return time.Duration(now - w.NewestStoreReadAt), true
 }
 
-// LogLength is how many accepted changes are kept for peers that are behind.
+// MaxPlacementLog is how many accepted changes are kept for peers that are behind.
 // A peer further back gets the whole document.
-const LogLength = 64
+const MaxPlacementLog = 64
--- a/pkg/traffic/account.go
+++ b/pkg/traffic/counters.go
@@ -8,7 +8,7 @@
 
 	"github.com/VictoriaMetrics/metrics"
 
-	"github.com/rushramp/rushramp/pkg/place"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
@@ -18,15 +18,15 @@
 	bytes  *metrics.Counter
 }
 
-// Account is one daemon's account. It is safe for concurrent use.
-type Account struct {
-	sent [place.Count][wire.TypeCount]counters
+// Counters is one daemon's account. It is safe for concurrent use.
+type Counters struct {
+	sent [proximity.Count][wire.TypeCount]counters
 }
 
-// NewAccount makes an account whose counters stand in a set of metrics.
-func NewAccount(set *metrics.Set) *Account {
-	a := &Account{}
-	for to := range place.Count {
+// NewCounters makes an account whose counters stand in a set of metrics.
+func NewCounters(set *metrics.Set) *Counters {
+	a := &Counters{}
+	for to := range proximity.Count {
 		for kind := range wire.Type(wire.TypeCount) {
 			if kind == 0 {
 				continue
@@ -41,30 +41,30 @@
 	return a
 }
 
-// Sent counts one frame of a kind and its size in bytes.
-func (a *Account) Sent(to place.Place, kind wire.Type, size int) {
+// CountSent counts one frame of a kind and its size in bytes.
+func (a *Counters) CountSent(to proximity.Level, kind wire.Type, size int) {
 	c := &a.sent[to][kind]
 	c.frames.Inc()
 	c.bytes.Add(size)
 }
 
-// Line is what was sent of one kind of frame to one place.
-type Line struct {
-	To     place.Place
+// Total is what was sent of one kind of frame to one place.
+type Total struct {
+	To     proximity.Level
 	Kind   wire.Type
 	Frames uint64
 	Bytes  uint64
 }
 
-// Lines returns what was sent so far, without the kinds that were not.
-func (a *Account) Lines() []Line {
-	var out []Line
+// Totals returns what was sent so far, without the kinds that were not.
+func (a *Counters) Totals() []Total {
+	var out []Total
 	for to := range a.sent {
 		for kind, c := range a.sent[to] {
 			if c.frames == nil || c.frames.Get() == 0 {
 				continue
 			}
-			out = append(out, Line{To: place.Place(to), Kind: wire.Type(kind), Frames: c.frames.Get(), Bytes: c.bytes.Get()})
+			out = append(out, Total{To: proximity.Level(to), Kind: wire.Type(kind), Frames: c.frames.Get(), Bytes: c.bytes.Get()})
 		}
 	}
 	return out
--- /dev/null
+++ b/pkg/traffic/counters_test.go
@@ -0,0 +1,27 @@
+package traffic
+
+import (
+	"bytes"
+	"testing"
+
+	"github.com/VictoriaMetrics/metrics"
+	"github.com/shoenig/test"
+
+	"github.com/rushramp/rushramp/pkg/proximity"
+	"github.com/rushramp/rushramp/pkg/wire"
+)
+
+func TestFramesAreCountedByKindAndPlace(t *testing.T) {
+	set := metrics.NewSet()
+	a := NewCounters(set)
+	a.CountSent(proximity.OtherRegion, wire.TypeMembers, 100)
+	a.CountSent(proximity.OtherRegion, wire.TypeMembers, 50)
+	a.CountSent(proximity.SameDataCentre, wire.TypeState, 7)
+	test.Eq(t, []Total{
+		{To: proximity.SameDataCentre, Kind: wire.TypeState, Frames: 1, Bytes: 7},
+		{To: proximity.OtherRegion, Kind: wire.TypeMembers, Frames: 2, Bytes: 150},
+	}, a.Totals())
+	var out bytes.Buffer
+	set.WritePrometheus(&out)
+	test.StrContains(t, out.String(), `rushramp_link_bytes_total{kind="members",place="other"} 150`)
+}
