--- a/pkg/backend/headers.go
+++ b/pkg/backend/headers.go
@@ -9,16 +9,16 @@
 type Headers struct {
 	// RequestID carries the caller's id to the backend server and back.
 	RequestID string
-	// DeadlineMS carries the time left, in milliseconds.
-	DeadlineMS string
-	// Expected names the incarnation that alone may run the request.
-	Expected string
+	// TimeoutMS carries the time left, in milliseconds.
+	TimeoutMS string
+	// ExpectedInstanceID names the incarnation that alone may run the request.
+	ExpectedInstanceID string
 	// Caller names the service on whose VM the request began.
 	Caller string
 	// Team names the team whose key the request carried.
 	Team string
-	// Instance is how a backend server names its incarnation in answers.
-	Instance string
+	// InstanceID is how a backend server names its incarnation in answers.
+	InstanceID string
 	// Load carries running, waiting and slots, and the slowdown in percent.
 	Load string
 	// NotExecuted marks the only answers that prove that a request did not run.
@@ -30,8 +30,8 @@
 // DefaultHeaders are the names that the product itself uses.
 func DefaultHeaders() Headers {
 	return Headers{
-		RequestID: "Rushramp-Request-Id", DeadlineMS: "Rushramp-Timeout", Expected: "Rushramp-Expected-Instance",
-		Caller: "Rushramp-Caller", Team: "Rushramp-Team", Instance: "Rushramp-Instance", Load: "Rushramp-Load", NotExecuted: "Rushramp-Not-Run",
+		RequestID: "Rushramp-Request-Id", TimeoutMS: "Rushramp-Timeout", ExpectedInstanceID: "Rushramp-Expected-Instance",
+		Caller: "Rushramp-Caller", Team: "Rushramp-Team", InstanceID: "Rushramp-Instance", Load: "Rushramp-Load", NotExecuted: "Rushramp-Not-Run",
 		ColdMS: "Rushramp-Cold-Ms",
 	}
 }
--- a/pkg/backend/checker.go
+++ b/pkg/backend/health_checker.go
@@ -21,24 +21,24 @@
 	checkBurst = 2
 )
 
-// CheckerOptions bound what health checks cost.
-type CheckerOptions struct {
-	// Within is how long those who wait for a check are held up at most.
-	Within time.Duration
-	// PerSecond is how many checks a second are made in the mean at most.
-	PerSecond int
-	// Paused is told when checks begin to be paused, with what the last one took
+// HealthCheckerOptions bound what health checks cost.
+type HealthCheckerOptions struct {
+	// MaxWait is how long those who wait for a check are held up at most.
+	MaxWait time.Duration
+	// MaxPerSecond is how many checks a second are made in the mean at most.
+	MaxPerSecond int
+	// OnPauseChange is told when checks begin to be paused, with what the last one took
 	// and its error, and when one succeeds again, with a pause of 0. It may be
 	// nil.
-	Paused func(pause, took time.Duration, err error)
+	OnPauseChange func(pause, took time.Duration, err error)
 }
 
-// Checker makes the health checks of one backend server for all who need its
+// HealthChecker makes the health checks of one backend server for all who need its
 // word on its speed: those who ask while a check is under way share its answer,
 // and a backend server that does not answer holds nobody up for long. It is safe
 // for concurrent use.
-type Checker struct {
-	opts  CheckerOptions
+type HealthChecker struct {
+	opts  HealthCheckerOptions
 	check func(context.Context) error
 	limit *rate.Limiter
 
@@ -53,12 +53,12 @@
 	resumeAt time.Time
 }
 
-// NewChecker makes a checker. check asks once, and takes the answer over before
+// NewHealthChecker makes a checker. check asks once, and takes the answer over before
 // it returns.
-func NewChecker(opts CheckerOptions, check func(context.Context) error) *Checker {
-	return &Checker{
+func NewHealthChecker(opts HealthCheckerOptions, check func(context.Context) error) *HealthChecker {
+	return &HealthChecker{
 		opts: opts, check: check, pause: checkPause,
-		limit: rate.NewLimiter(rate.Limit(opts.PerSecond), checkBurst*opts.PerSecond),
+		limit: rate.NewLimiter(rate.Limit(opts.MaxPerSecond), checkBurst*opts.MaxPerSecond),
 	}
 }
 
@@ -66,7 +66,7 @@
 // when the answer was taken over or Within has passed. It returns false, and
 // never calls done, where a check is not allowed now: the rate is used up, or
 // checks have just failed.
-func (c *Checker) Check(done func()) bool {
+func (c *HealthChecker) Check(done func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -80,11 +80,11 @@
 	return true
 }
 
-// Watch has the backend server asked by those who follow whether it lives, at
+// ForceCheck has the backend server asked by those who follow whether it lives, at
 // a pace of their own: no pause and no rate holds for them. done is called when
 // the answer was taken over or Within has passed; for one who joins a check that
 // has outlasted Within, when that check ends.
-func (c *Checker) Watch(done func()) {
+func (c *HealthChecker) ForceCheck(done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.join(done)
@@ -92,7 +92,7 @@
 
 // join adds one who waits, and begins a check where none is under way; the lock
 // is held.
-func (c *Checker) join(done func()) {
+func (c *HealthChecker) join(done func()) {
 	c.waiting = append(c.waiting, done)
 	if c.busy {
 		return
@@ -102,9 +102,9 @@
 }
 
 // run makes one check.
-func (c *Checker) run() {
+func (c *HealthChecker) run() {
 	began := time.Now()
-	timer := time.AfterFunc(c.opts.Within, c.giveUp)
+	timer := time.AfterFunc(c.opts.MaxWait, c.giveUp)
 	err := c.check(context.Background())
 	timer.Stop()
 	c.mu.Lock()
@@ -112,14 +112,14 @@
 	pause, turned := c.notePause(err != nil || c.late)
 	waiting := c.take()
 	c.mu.Unlock()
-	if turned && c.opts.Paused != nil {
-		c.opts.Paused(pause, time.Since(began), err)
+	if turned && c.opts.OnPauseChange != nil {
+		c.opts.OnPauseChange(pause, time.Since(began), err)
 	}
 	callAll(waiting)
 }
 
 // giveUp lets those go on who wait for a check that outlasts its time.
-func (c *Checker) giveUp() {
+func (c *HealthChecker) giveUp() {
 	c.mu.Lock()
 	c.late = c.busy
 	waiting := c.take()
@@ -129,7 +129,7 @@
 
 // notePause sets the pause that follows a check; the lock is held. turned is true
 // when checks begin to be paused, or are no longer.
-func (c *Checker) notePause(failed bool) (pause time.Duration, turned bool) {
+func (c *HealthChecker) notePause(failed bool) (pause time.Duration, turned bool) {
 	before := c.pause
 	if !failed {
 		c.pause, c.resumeAt = checkPause, time.Time{}
@@ -141,7 +141,7 @@
 }
 
 // take empties the list of those who wait; the lock is held.
-func (c *Checker) take() []func() {
+func (c *HealthChecker) take() []func() {
 	out := c.waiting
 	c.waiting = nil
 	return out
--- a/pkg/backend/checker_test.go
+++ b/pkg/backend/health_checker_test.go
@@ -27,8 +27,8 @@
 
 const within = 8 * time.Millisecond
 
-func newTestChecker(c *checks, perSecond int) *Checker {
-	return NewChecker(CheckerOptions{Within: within, PerSecond: perSecond}, c.check)
+func newTestChecker(c *checks, perSecond int) *HealthChecker {
+	return NewHealthChecker(HealthCheckerOptions{MaxWait: within, MaxPerSecond: perSecond}, c.check)
 }
 
 func TestAChecksAnswerIsShared(t *testing.T) {
@@ -113,7 +113,7 @@
 		checker := newTestChecker(path, 0)
 		test.False(t, checker.Check(func() {}), test.Sprint("no rate is allowed"))
 		for range 3 {
-			checker.Watch(func() {})
+			checker.ForceCheck(func() {})
 			synctest.Wait()
 		}
 		test.Eq(t, 3, path.made.Load())
@@ -126,12 +126,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		path := &checks{err: errors.New("refused")}
 		var pauses []time.Duration
-		checker := NewChecker(CheckerOptions{
-			Within: within, PerSecond: 40,
-			Paused: func(pause, _ time.Duration, _ error) { pauses = append(pauses, pause) },
+		checker := NewHealthChecker(HealthCheckerOptions{
+			MaxWait: within, MaxPerSecond: 40,
+			OnPauseChange: func(pause, _ time.Duration, _ error) { pauses = append(pauses, pause) },
 		}, path.check)
 		watch := func() {
-			checker.Watch(func() {})
+			checker.ForceCheck(func() {})
 			synctest.Wait()
 		}
 		for range 10 {
--- a/pkg/backend/lives.go
+++ b/pkg/backend/heartbeat_history.go
@@ -77,7 +77,7 @@
 	out := Incarnation{ID: id}
 	for of := range l.lives {
 		if of.ID == id {
-			out.Born = max(out.Born, of.Born)
+			out.StartedAtMS = max(out.StartedAtMS, of.StartedAtMS)
 		}
 	}
 	return out
--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -10,9 +10,9 @@
 // docs/design/incarnations.md.
 type Incarnation struct {
 	ID string
-	// Born is the Unix millisecond of its start, which tells the lives under one id
+	// StartedAtMS is the Unix millisecond of its start, which tells the lives under one id
 	// apart; 0: not known, as of one that only an answer has named.
-	Born int64
+	StartedAtMS int64
 }
 
 // bornMark stands between id and start in the text of an incarnation.
@@ -21,10 +21,10 @@
 // String is the incarnation as it stands in log lines, frames and keys of the store: the
 // id alone where the start is not known, as daemons of the release before have it.
 func (i Incarnation) String() string {
-	if i.Born == 0 {
+	if i.StartedAtMS == 0 {
 		return i.ID
 	}
-	return i.ID + bornMark + strconv.FormatInt(i.Born, 10)
+	return i.ID + bornMark + strconv.FormatInt(i.StartedAtMS, 10)
 }
 
 // ParseIncarnation reads the text of an incarnation. One whose end is no start is an id.
@@ -37,15 +37,15 @@
 	if err != nil || born <= 0 {
 		return Incarnation{ID: text}
 	}
-	return Incarnation{ID: text[:at], Born: born}
+	return Incarnation{ID: text[:at], StartedAtMS: born}
 }
 
 // mayBe is true where two words may be of one life: one that says no start may be of any.
 func (i Incarnation) mayBe(other Incarnation) bool {
-	return i.ID == other.ID && (i.Born == other.Born || i.Born == 0 || other.Born == 0)
+	return i.ID == other.ID && (i.StartedAtMS == other.StartedAtMS || i.StartedAtMS == 0 || other.StartedAtMS == 0)
 }
 
 // startedAfter is true for a life under the same id that is known to have begun later.
 func (i Incarnation) startedAfter(other Incarnation) bool {
-	return i.ID == other.ID && other.Born != 0 && i.Born > other.Born
+	return i.ID == other.ID && other.StartedAtMS != 0 && i.StartedAtMS > other.StartedAtMS
 }
--- a/pkg/backend/incarnation_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -11,15 +11,15 @@
 
 func TestTheTextOfAnIncarnation(t *testing.T) {
 	for text, want := range map[string]Incarnation{
-		"i-1": {ID: "i-1"}, "i-1@1760000000000": {ID: "i-1", Born: 1760000000000}, "i@x": {ID: "i@x"},
-		"i@-4": {ID: "i@-4"}, "i@0": {ID: "i@0"}, "a@b@7": {ID: "a@b", Born: 7}, "": {}, "i@9999999999999999999999": {ID: "i@9999999999999999999999"},
+		"i-1": {ID: "i-1"}, "i-1@1760000000000": {ID: "i-1", StartedAtMS: 1760000000000}, "i@x": {ID: "i@x"},
+		"i@-4": {ID: "i@-4"}, "i@0": {ID: "i@0"}, "a@b@7": {ID: "a@b", StartedAtMS: 7}, "": {}, "i@9999999999999999999999": {ID: "i@9999999999999999999999"},
 	} {
 		got := ParseIncarnation(text)
 		test.Eq(t, want, got, test.Sprint(text))
 		test.Eq(t, text, got.String())
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		in := Incarnation{ID: rapid.StringMatching(`[a-z0-9-]*`).Draw(t, "id"), Born: rapid.Int64Range(0, 1<<50).Draw(t, "born")}
+		in := Incarnation{ID: rapid.StringMatching(`[a-z0-9-]*`).Draw(t, "id"), StartedAtMS: rapid.Int64Range(0, 1<<50).Draw(t, "born")}
 		if got := ParseIncarnation(in.String()); got != in {
 			t.Fatalf("%v became %v", in, got)
 		}
@@ -30,44 +30,44 @@
 // whatever that has said, and its heartbeats are counted anew.
 func TestALifeThatBeganLaterTakesRequests(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	l.Heartbeat(1*second, Heartbeat{Instance: "a", Born: 100, Sequence: 40, Version: "v1", ColdFor: time.Second})
-	must.True(t, l.Heartbeat(2*second, Heartbeat{Instance: "a", Born: 100, Sequence: 41, Version: "v1", Leaving: true}))
+	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 40, Version: "v1", ColdFor: time.Second})
+	must.True(t, l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 41, Version: "v1", Leaving: true}))
 	accepting(t, l, "")
-	l.Seen(3*second, "a")
+	l.RecordInstanceID(3*second, "a")
 	accepting(t, l, "")
-	l.Heartbeat(4*second, Heartbeat{Instance: "a", Born: 200, Sequence: 1, Version: "v2", ColdFor: 3 * time.Second})
+	l.RecordHeartbeat(4*second, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1, Version: "v2", ColdFor: 3 * time.Second})
 	accepting(t, l, "a@200")
 	test.Eq(t, "v2", l.Version())
-	test.Eq(t, 7*second, l.Cold().Till)
+	test.Eq(t, 7*second, l.ColdPeriod().LatestEnd)
 	// A health answer names the id only.
-	l.Seen(5*second, "a")
+	l.RecordInstanceID(5*second, "a")
 	accepting(t, l, "a@200")
 }
 
 // TestALateWordOfTheLifeBeforeEndsNothing: from itself, a peer or the store.
 func TestALateWordOfTheLifeBeforeEndsNothing(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	l.Heartbeat(1*second, Heartbeat{Instance: "a", Born: 100, Sequence: 40})
-	l.Heartbeat(2*second, Heartbeat{Instance: "a", Born: 200, Sequence: 1})
-	must.True(t, l.Heartbeat(3*second, Heartbeat{Instance: "a", Born: 100, Sequence: 41, Leaving: true}))
+	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 40})
+	l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1})
+	must.True(t, l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 41, Leaving: true}))
 	accepting(t, l, "a@200")
-	l.Heartbeat(3*second, Heartbeat{Instance: "a", Born: 100, Sequence: 42, Version: "old"})
+	l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 42, Version: "old"})
 	accepting(t, l, "a@200")
-	must.False(t, l.Depart(4*second, Incarnation{ID: "a", Born: 100}))
-	must.False(t, l.Depart(4*second, Incarnation{ID: "a", Born: 50}))
+	must.False(t, l.RecordDeparture(4*second, Incarnation{ID: "a", StartedAtMS: 100}))
+	must.False(t, l.RecordDeparture(4*second, Incarnation{ID: "a", StartedAtMS: 50}))
 	accepting(t, l, "a@200")
-	must.True(t, l.Depart(5*second, Incarnation{ID: "a", Born: 200}))
+	must.True(t, l.RecordDeparture(5*second, Incarnation{ID: "a", StartedAtMS: 200}))
 	accepting(t, l, "")
 }
 
 // TestTwoStartsInASecond in whatever order their words come.
 func TestTwoStartsInASecond(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	l.Heartbeat(1, Heartbeat{Instance: "a", Born: 100, Sequence: 9})
-	l.Heartbeat(2, Heartbeat{Instance: "a", Born: 700, Sequence: 1})
-	l.Heartbeat(3, Heartbeat{Instance: "a", Born: 400, Sequence: 1})
+	l.RecordHeartbeat(1, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 9})
+	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 700, Sequence: 1})
+	l.RecordHeartbeat(3, Heartbeat{InstanceID: "a", StartedAtMS: 400, Sequence: 1})
 	accepting(t, l, "a@700")
-	l.Heartbeat(4, Heartbeat{Instance: "a", Born: 400, Sequence: 2, Leaving: true})
+	l.RecordHeartbeat(4, Heartbeat{InstanceID: "a", StartedAtMS: 400, Sequence: 2, Leaving: true})
 	accepting(t, l, "a@700")
 }
 
@@ -75,20 +75,20 @@
 // taken for what it is once it has gone on for a while and the other one has not.
 func TestAStartThatGoesBack(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	l.Heartbeat(0, Heartbeat{Instance: "a", Born: 500, Sequence: 9})
+	l.RecordHeartbeat(0, Heartbeat{InstanceID: "a", StartedAtMS: 500, Sequence: 9})
 	for n := range 4 {
-		l.Heartbeat(int64(1+n)*second, Heartbeat{Instance: "a", Born: 300, Sequence: uint64(1 + n)})
+		l.RecordHeartbeat(int64(1+n)*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: uint64(1 + n)})
 		accepting(t, l, "a@500")
 	}
-	l.Heartbeat(6*second, Heartbeat{Instance: "a", Born: 300, Sequence: 5})
+	l.RecordHeartbeat(6*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: 5})
 	accepting(t, l, "a@300")
-	must.True(t, l.Heartbeat(7*second, Heartbeat{Instance: "a", Born: 300, Sequence: 6, Leaving: true}))
+	must.True(t, l.RecordHeartbeat(7*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: 6, Leaving: true}))
 	accepting(t, l, "")
 	// While the other one speaks, it stays.
 	l = NewLifecycle(true, nil)
 	for n := range 20 {
-		l.Heartbeat(int64(n)*second, Heartbeat{Instance: "a", Born: 500, Sequence: uint64(n + 1)})
-		l.Heartbeat(int64(n)*second, Heartbeat{Instance: "a", Born: 300, Sequence: uint64(n + 1)})
+		l.RecordHeartbeat(int64(n)*second, Heartbeat{InstanceID: "a", StartedAtMS: 500, Sequence: uint64(n + 1)})
+		l.RecordHeartbeat(int64(n)*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: uint64(n + 1)})
 		accepting(t, l, "a@500")
 	}
 }
@@ -97,41 +97,41 @@
 // and else tells nothing of one whose start is known.
 func TestAWordWithoutAStart(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	l.Seen(1, "a")
+	l.RecordInstanceID(1, "a")
 	accepting(t, l, "a")
-	l.Heartbeat(2, Heartbeat{Instance: "a", Born: 100, Sequence: 1})
+	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 1})
 	accepting(t, l, "a@100")
-	l.Heartbeat(3, Heartbeat{Instance: "a", Sequence: 7})
+	l.RecordHeartbeat(3, Heartbeat{InstanceID: "a", Sequence: 7})
 	accepting(t, l, "a@100")
-	must.True(t, l.Depart(4, Incarnation{ID: "a"}))
+	must.True(t, l.RecordDeparture(4, Incarnation{ID: "a"}))
 	accepting(t, l, "")
-	l.Heartbeat(5, Heartbeat{Instance: "a", Born: 200, Sequence: 1})
+	l.RecordHeartbeat(5, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1})
 	accepting(t, l, "a@200")
 
 	// A daemon that knows neither life keeps to a departure until a later one shows itself.
 	l = NewLifecycle(true, nil)
-	l.Depart(1, Incarnation{ID: "a", Born: 100})
-	l.Seen(2, "a")
+	l.RecordDeparture(1, Incarnation{ID: "a", StartedAtMS: 100})
+	l.RecordInstanceID(2, "a")
 	accepting(t, l, "")
-	l.Heartbeat(3, Heartbeat{Instance: "a", Born: 100, Sequence: 50})
+	l.RecordHeartbeat(3, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 50})
 	accepting(t, l, "")
-	l.Heartbeat(4, Heartbeat{Instance: "a", Born: 101, Sequence: 1})
+	l.RecordHeartbeat(4, Heartbeat{InstanceID: "a", StartedAtMS: 101, Sequence: 1})
 	accepting(t, l, "a@101")
 	// That of a daemon of the release before is of any life.
 	l = NewLifecycle(true, nil)
-	l.Depart(1, Incarnation{ID: "a"})
-	l.Heartbeat(2, Heartbeat{Instance: "a", Born: 100, Sequence: 1})
+	l.RecordDeparture(1, Incarnation{ID: "a"})
+	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 1})
 	accepting(t, l, "")
 }
 
 // TestALifeUnderAnIdThatWasReplaced: another id was seen at the address in between.
 func TestALifeUnderAnIdThatWasReplaced(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	l.Heartbeat(1*second, Heartbeat{Instance: "a", Born: 100, Sequence: 9})
-	l.Seen(2*second, "b")
-	l.Heartbeat(10*second, Heartbeat{Instance: "a", Born: 100, Sequence: 10})
+	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 9})
+	l.RecordInstanceID(2*second, "b")
+	l.RecordHeartbeat(10*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 10})
 	accepting(t, l, "b")
-	l.Heartbeat(11*second, Heartbeat{Instance: "a", Born: 300, Sequence: 1})
+	l.RecordHeartbeat(11*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: 1})
 	accepting(t, l, "a@300")
 }
 
@@ -144,20 +144,20 @@
 		now := int64(0)
 		for range rapid.IntRange(1, 40).Draw(t, "words") {
 			now += rapid.Int64Range(0, second/2).Draw(t, "pause")
-			of := Incarnation{ID: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), Born: rapid.Int64Range(1, 3).Draw(t, "born")}
+			of := Incarnation{ID: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), StartedAtMS: rapid.Int64Range(1, 3).Draw(t, "born")}
 			switch rapid.IntRange(0, 3).Draw(t, "word") {
 			case 0:
-				l.Heartbeat(now, Heartbeat{Instance: of.ID, Born: of.Born, Sequence: rapid.Uint64Range(1, 9).Draw(t, "sequence")})
+				l.RecordHeartbeat(now, Heartbeat{InstanceID: of.ID, StartedAtMS: of.StartedAtMS, Sequence: rapid.Uint64Range(1, 9).Draw(t, "sequence")})
 			case 1:
-				l.Heartbeat(now, Heartbeat{Instance: of.ID, Born: of.Born, Sequence: 9, Leaving: true})
+				l.RecordHeartbeat(now, Heartbeat{InstanceID: of.ID, StartedAtMS: of.StartedAtMS, Sequence: 9, Leaving: true})
 				left[of] = true
 			case 2:
-				l.Depart(now, of)
+				l.RecordDeparture(now, of)
 				left[of] = true
 			case 3:
-				l.Seen(now, of.ID)
+				l.RecordInstanceID(now, of.ID)
 			}
-			if current, ok := l.Accepting(); ok && current.Born != 0 && left[current] {
+			if current, ok := l.Accepting(); ok && current.StartedAtMS != 0 && left[current] {
 				t.Fatalf("%s gets requests", current)
 			}
 		}
--- a/pkg/backend/lifecycle.go
+++ b/pkg/backend/lifecycle.go
@@ -43,9 +43,9 @@
 
 // Heartbeat is a backend server's announcement of itself.
 type Heartbeat struct {
-	Instance string
-	// Born is the Unix millisecond of the incarnation's start; 0: it does not say.
-	Born int64
+	InstanceID string
+	// StartedAtMS is the Unix millisecond of the incarnation's start; 0: it does not say.
+	StartedAtMS int64
 	// Sequence rises with each call of one incarnation, so that a late one is
 	// known.
 	Sequence uint64
@@ -59,21 +59,23 @@
 }
 
 // Incarnation is the one that the heartbeat is of.
-func (h *Heartbeat) Incarnation() Incarnation { return Incarnation{ID: h.Instance, Born: h.Born} }
+func (h *Heartbeat) Incarnation() Incarnation {
+	return Incarnation{ID: h.InstanceID, StartedAtMS: h.StartedAtMS}
+}
 
-// Cold is what the current incarnation said of its being cold.
-type Cold struct {
-	// Till is until when it is cold at the latest; in the past for one that is warm.
-	Till int64
-	// TillLeast is until when it is cold at least: an answer may have been on its way
+// ColdPeriod is what the current incarnation said of its being cold.
+type ColdPeriod struct {
+	// LatestEnd is until when it is cold at the latest; in the past for one that is warm.
+	LatestEnd int64
+	// EarliestEnd is until when it is cold at least: an answer may have been on its way
 	// for as long as the question took.
-	TillLeast int64
-	// ToldAt is when its health path was last asked for what it then said. Heartbeats may come seconds late,
+	EarliestEnd int64
+	// CheckedAt is when its health path was last asked for what it then said. Heartbeats may come seconds late,
 	// so that none proves that a backend server is warm.
-	ToldAt int64
-	// ByHeartbeat is true where a heartbeat told the longest time: it may have been on
+	CheckedAt int64
+	// FromHeartbeat is true where a heartbeat told the longest time: it may have been on
 	// its way for seconds, so that the cold time may have begun at any time since ToldAt.
-	ByHeartbeat bool
+	FromHeartbeat bool
 }
 
 // Lifecycle knows which incarnation of the backend server may get requests.
@@ -88,7 +90,7 @@
 	informed bool
 	// seenAt is the last sign of life of the current incarnation.
 	seenAt int64
-	cold   Cold
+	cold   ColdPeriod
 	// lives are the incarnations that have sent heartbeats.
 	lives map[Incarnation]*life
 	// departed and replaced are by id. The first have said that they leave; after the
@@ -109,7 +111,9 @@
 }
 
 // has is true for an incarnation that may be one of those which have ended.
-func (e end) has(i Incarnation) bool { return e.born == 0 || i.Born == 0 || i.Born <= e.born }
+func (e end) has(i Incarnation) bool {
+	return e.born == 0 || i.StartedAtMS == 0 || i.StartedAtMS <= e.born
+}
 
 // NewLifecycle makes the lifecycle of a backend server that has not been seen.
 // informed is true when no departure can have been acknowledged before, as at
@@ -144,20 +148,20 @@
 	return l.version()
 }
 
-// Cold returns what the current incarnation said of its being cold.
-func (l *Lifecycle) Cold() Cold {
+// ColdPeriod returns what the current incarnation said of its being cold.
+func (l *Lifecycle) ColdPeriod() ColdPeriod {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cold
 }
 
-// TakeCold takes over what the health path of an incarnation says of its being
+// RecordCold takes over what the health path of an incarnation says of its being
 // cold, which goes before any heartbeat. asked is when it was asked.
-func (l *Lifecycle) TakeCold(asked, now int64, id string, coldFor time.Duration) {
+func (l *Lifecycle) RecordCold(asked, now int64, id string, coldFor time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if id == l.current.ID {
-		l.cold = Cold{Till: coldTill(now, coldFor), TillLeast: coldTill(asked, coldFor), ToldAt: asked}
+		l.cold = ColdPeriod{LatestEnd: coldTill(now, coldFor), EarliestEnd: coldTill(asked, coldFor), CheckedAt: asked}
 	}
 }
 
@@ -166,13 +170,13 @@
 	return now + int64(min(max(coldFor, 0), longestCold))
 }
 
-// Informed notes that all departures that could matter are known.
-func (l *Lifecycle) Informed() {
+// RecordDeparturesKnown notes that all departures that could matter are known.
+func (l *Lifecycle) RecordDeparturesKnown() {
 	l.change(func() { l.informed = true })
 }
 
-// IsInformed is true once all departures that could matter are known.
-func (l *Lifecycle) IsInformed() bool {
+// DeparturesKnown is true once all departures that could matter are known.
+func (l *Lifecycle) DeparturesKnown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.informed
@@ -191,9 +195,9 @@
 	}
 }
 
-// Heartbeat takes an announcement. It returns true when the announcement says
+// RecordHeartbeat takes an announcement. It returns true when the announcement says
 // for the first time that the incarnation leaves.
-func (l *Lifecycle) Heartbeat(now int64, h Heartbeat) (departed bool) {
+func (l *Lifecycle) RecordHeartbeat(now int64, h Heartbeat) (departed bool) {
 	l.change(func() {
 		of := h.Incarnation()
 		late := l.hear(now, &h)
@@ -211,8 +215,8 @@
 // takeColdHeartbeat takes over what a heartbeat says: it may only make the cold time
 // longer.
 func (l *Lifecycle) takeColdHeartbeat(till int64) {
-	if till > l.cold.Till {
-		l.cold.Till, l.cold.TillLeast, l.cold.ByHeartbeat = till, till, true
+	if till > l.cold.LatestEnd {
+		l.cold.LatestEnd, l.cold.EarliestEnd, l.cold.FromHeartbeat = till, till, true
 	}
 }
 
@@ -221,7 +225,7 @@
 	switch {
 	case of.mayBe(l.current):
 		// A word without a start does not make that of the current one unknown.
-		return of.Born != 0 || l.current.Born == 0
+		return of.StartedAtMS != 0 || l.current.StartedAtMS == 0
 	case of.startedAfter(l.current):
 		return true
 	case of.ID == l.current.ID:
@@ -248,7 +252,7 @@
 		return
 	}
 	if !of.mayBe(l.current) {
-		l.cold = Cold{}
+		l.cold = ColdPeriod{}
 	}
 	l.current, l.state, l.seenAt, l.refusals = of, Live, now, 0
 }
@@ -261,27 +265,27 @@
 		return
 	}
 	if id != "" {
-		l.replaced[l.current.ID] = end{born: l.current.Born, at: now}
+		l.replaced[l.current.ID] = end{born: l.current.StartedAtMS, at: now}
 	}
 	l.show(now, l.newestOf(id))
 }
 
-// Seen takes an answer that names the incarnation's id, as that of the health path
+// RecordInstanceID takes an answer that names the incarnation's id, as that of the health path
 // does: it is first-hand, so it goes before any heartbeat.
-func (l *Lifecycle) Seen(now int64, id string) {
+func (l *Lifecycle) RecordInstanceID(now int64, id string) {
 	l.change(func() { l.replace(now, id) })
 }
 
-// Answered notes a sign of life of the current incarnation.
-func (l *Lifecycle) Answered(now int64) {
+// RecordAnswer notes a sign of life of the current incarnation.
+func (l *Lifecycle) RecordAnswer(now int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.seenAt, l.refusals = now, 0
 }
 
-// Depart takes the word that an incarnation leaves, from itself or from a peer
+// RecordDeparture takes the word that an incarnation leaves, from itself or from a peer
 // that knows. It returns true the first time.
-func (l *Lifecycle) Depart(now int64, of Incarnation) (first bool) {
+func (l *Lifecycle) RecordDeparture(now int64, of Incarnation) (first bool) {
 	l.change(func() { first = l.depart(now, of) })
 	return first
 }
@@ -290,14 +294,14 @@
 // without a start is of the current one, where that has the id.
 func (l *Lifecycle) depart(now int64, of Incarnation) (first bool) {
 	l.forgetOld(now)
-	if of.Born == 0 && of.ID == l.current.ID {
+	if of.StartedAtMS == 0 && of.ID == l.current.ID {
 		of = l.current
 	}
 	known, was := l.departed[of.ID]
-	if was && (known.born == 0 || of.Born != 0 && of.Born <= known.born) {
+	if was && (known.born == 0 || of.StartedAtMS != 0 && of.StartedAtMS <= known.born) {
 		return false
 	}
-	gone := end{born: of.Born, at: now}
+	gone := end{born: of.StartedAtMS, at: now}
 	l.departed[of.ID] = gone
 	if l.current.ID == of.ID && gone.has(l.current) {
 		l.state = Leaving
@@ -315,8 +319,8 @@
 	}
 }
 
-// Replaced notes that another incarnation answers at the address.
-func (l *Lifecycle) Replaced(now int64, by string) {
+// RecordReplacement notes that another incarnation answers at the address.
+func (l *Lifecycle) RecordReplacement(now int64, by string) {
 	l.change(func() {
 		if by == "" {
 			l.state = Unknown
@@ -326,9 +330,9 @@
 	})
 }
 
-// Ended notes that the process of an incarnation has ended: it is down until something
+// RecordProcessEnd notes that the process of an incarnation has ended: it is down until something
 // shows itself at the address.
-func (l *Lifecycle) Ended(of Incarnation) {
+func (l *Lifecycle) RecordProcessEnd(of Incarnation) {
 	l.change(func() {
 		if l.current == of && l.state == Live {
 			l.state = Down
@@ -336,8 +340,8 @@
 	})
 }
 
-// Unreachable notes a refused connection.
-func (l *Lifecycle) Unreachable() {
+// RecordRefusedConnection notes a refused connection.
+func (l *Lifecycle) RecordRefusedConnection() {
 	l.change(func() {
 		l.refusals++
 		if l.refusals >= downAfter && l.state == Live {
--- a/pkg/backend/load.go
+++ b/pkg/backend/load.go
@@ -19,18 +19,18 @@
 	at atomic.Int64
 }
 
-// Report is one report of a backend server's load.
-type Report struct {
+// LoadReport is one report of a backend server's load.
+type LoadReport struct {
 	Running, Waiting, Slots int
 	// Slowdown is how long work takes now, in percent of what is usual.
 	Slowdown int
 }
 
-// ParseReport reads the text of a load header; ok is false for other texts.
-func ParseReport(text string) (r Report, ok bool) {
+// ParseLoadReport reads the text of a load header; ok is false for other texts.
+func ParseLoadReport(text string) (r LoadReport, ok bool) {
 	fields := strings.Split(text, ",")
 	if len(fields) < 3 {
-		return Report{}, false
+		return LoadReport{}, false
 	}
 	r.Slowdown = speed.UsualPercent
 	for i, into := range []*int{&r.Running, &r.Waiting, &r.Slots, &r.Slowdown} {
@@ -39,16 +39,16 @@
 		}
 		n, err := strconv.Atoi(strings.TrimSpace(fields[i]))
 		if err != nil || n < 0 {
-			return Report{}, false
+			return LoadReport{}, false
 		}
 		*into = n
 	}
 	return r, true
 }
 
-// Take notes a load header's text that came at now.
-func (l *Load) Take(now int64, text string) {
-	r, ok := ParseReport(text)
+// Update notes a load header's text that came at now.
+func (l *Load) Update(now int64, text string) {
+	r, ok := ParseLoadReport(text)
 	if !ok {
 		return
 	}
--- a/pkg/backend/prober.go
+++ b/pkg/backend/prober.go
@@ -34,11 +34,11 @@
 
 // Health is one answer of the health path.
 type Health struct {
-	// Well is the backend server's own opinion.
-	Well     bool
-	Instance string
-	// Load is the text of the load header.
-	Load string
+	// Healthy is the backend server's own opinion.
+	Healthy    bool
+	InstanceID string
+	// LoadHeader is the text of the load header.
+	LoadHeader string
 	// ColdFor is how much longer the backend server is cold; 0 where it does not
 	// say that it is.
 	ColdFor time.Duration
@@ -57,10 +57,10 @@
 	defer func() { _ = resp.Body.Close() }()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBody))
 	return Health{
-		Well:     resp.StatusCode == http.StatusOK,
-		Instance: resp.Header.Get(p.headers.Instance),
-		Load:     resp.Header.Get(p.headers.Load),
-		ColdFor:  coldFor(resp.Header.Get(p.headers.ColdMS)),
+		Healthy:    resp.StatusCode == http.StatusOK,
+		InstanceID: resp.Header.Get(p.headers.InstanceID),
+		LoadHeader: resp.Header.Get(p.headers.Load),
+		ColdFor:    coldFor(resp.Header.Get(p.headers.ColdMS)),
 	}, nil
 }
 
--- a/pkg/backend/transport.go
+++ b/pkg/backend/transport.go
@@ -34,13 +34,13 @@
 	inlineBytes = 2 << 10
 )
 
-// Options say how the backend server is reached.
-type Options struct {
+// TransportOptions say how the backend server is reached.
+type TransportOptions struct {
 	Address     string
 	Headers     Headers
 	DialTimeout time.Duration
-	// MaxBody bounds the body of an answer, in bytes.
-	MaxBody int
+	// MaxBodyBytes bounds the body of an answer, in bytes.
+	MaxBodyBytes int
 	// Now is the daemon's clock, in nanoseconds: a connection rests on while the VM is
 	// suspended.
 	Now func() int64
@@ -49,7 +49,7 @@
 // Transport hands requests to the backend server, one at a time a connection.
 // It never repeats anything by itself. It is safe for concurrent use.
 type Transport struct {
-	opts Options
+	opts TransportOptions
 
 	mu sync.Mutex
 	// idle are the resting connections, the one used last at the end.
@@ -58,7 +58,7 @@
 }
 
 // NewTransport makes a transport; it opens connections as requests need them.
-func NewTransport(opts Options) *Transport { return &Transport{opts: opts} }
+func NewTransport(opts TransportOptions) *Transport { return &Transport{opts: opts} }
 
 // Request is one request for the backend server.
 type Request struct {
@@ -68,8 +68,8 @@
 	Host    string
 	Headers []wire.Header
 	Body    []byte
-	// Instance is the incarnation that alone may run the request.
-	Instance string
+	// InstanceID is the incarnation that alone may run the request.
+	InstanceID string
 	// Caller is the service on whose VM the request began.
 	Caller string
 	// Team is the one whose key the request carried; empty: it carried none.
@@ -85,10 +85,10 @@
 	Refusal *errkind.Error
 	// Offered is true when the request reached the backend server, or may have.
 	Offered bool
-	// Instance is the incarnation that answered that it is another one.
-	Instance string
-	// Load is the text of the answer's load header.
-	Load string
+	// InstanceID is the incarnation that answered that it is another one.
+	InstanceID string
+	// LoadHeader is the text of the answer's load header.
+	LoadHeader string
 }
 
 func refused(kind errkind.Kind, offered bool, format string, args ...any) Reply {
@@ -150,12 +150,12 @@
 	if req.Team != "" {
 		header.Set(h.Team, req.Team)
 	}
-	header.Del(h.Expected)
-	if req.Instance != "" {
-		header.Set(h.Expected, req.Instance)
+	header.Del(h.ExpectedInstanceID)
+	if req.InstanceID != "" {
+		header.Set(h.ExpectedInstanceID, req.InstanceID)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		header.Set(h.DeadlineMS, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
+		header.Set(h.TimeoutMS, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	}
 	if len(req.Body) > 0 || takesBody(req.Method) {
 		header.Set("Content-Length", strconv.Itoa(len(req.Body)))
@@ -205,7 +205,7 @@
 	t.mu.Lock()
 	t.opened++
 	t.mu.Unlock()
-	c := newConn(raw, t.opts.Headers.RequestID, t.opts.MaxBody)
+	c := newConn(raw, t.opts.Headers.RequestID, t.opts.MaxBodyBytes)
 	c.lastUsed = t.opts.Now()
 	if !c.begin(ex) {
 		return nil, errors.New("the backend server closed the new connection")
@@ -263,12 +263,12 @@
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
 		out := refused(errkind.BackendReplaced, false, "another incarnation has the address")
-		out.Instance = resp.Header.Get(h.Instance)
-		out.Load = load
+		out.InstanceID = resp.Header.Get(h.InstanceID)
+		out.LoadHeader = load
 		return out
 	case resp.Header.Get(h.NotExecuted) != "":
 		out := refused(errkind.BackendRefused, true, "the backend server refused with status %d", resp.StatusCode)
-		out.Load = load
+		out.LoadHeader = load
 		return out
 	}
 	body, _ := io.ReadAll(resp.Body)
@@ -281,7 +281,7 @@
 			answer.Headers = append(answer.Headers, wire.Header{Name: name, Value: v})
 		}
 	}
-	return Reply{Answer: answer, Offered: true, Load: load}
+	return Reply{Answer: answer, Offered: true, LoadHeader: load}
 }
 
 // spent is true for headers of an answer that end here: the daemon has taken
@@ -295,8 +295,8 @@
 	return false
 }
 
-// Opened counts the connections that were opened.
-func (t *Transport) Opened() int64 {
+// ConnectionsOpened counts the connections that were opened.
+func (t *Transport) ConnectionsOpened() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.opened
--- a/pkg/backend/transport_test.go
+++ b/pkg/backend/transport_test.go
@@ -52,11 +52,11 @@
 }
 
 func newTestTransport(address string) *Transport {
-	return NewTransport(Options{Address: address, Headers: DefaultHeaders(), DialTimeout: time.Second, MaxBody: 1 << 20, Now: clock.New().Now})
+	return NewTransport(TransportOptions{Address: address, Headers: DefaultHeaders(), DialTimeout: time.Second, MaxBodyBytes: 1 << 20, Now: clock.New().Now})
 }
 
 func get(id string) *Request {
-	return &Request{ID: id, Method: "GET", URI: "/a/b?c=%2f", Host: "h.example", Instance: "i-1", Caller: "front", Repeatable: true}
+	return &Request{ID: id, Method: "GET", URI: "/a/b?c=%2f", Host: "h.example", InstanceID: "i-1", Caller: "front", Repeatable: true}
 }
 
 func reply(conn net.Conn, id, body string) {
@@ -189,7 +189,7 @@
 			must.NotNil(t, got.Refusal)
 			test.Eq(t, s.kind, got.Refusal.Kind)
 			test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-			test.Eq(t, s.instance, got.Instance)
+			test.Eq(t, s.instance, got.InstanceID)
 		})
 	}
 }
--- a/pkg/daemon/adapter.go
+++ b/pkg/daemon/adapter.go
@@ -26,7 +26,7 @@
 	Callers ingress.Headers
 	Backend backend.Headers
 	// Announcements makes the handler of backend servers' announcements.
-	Announcements func(backend.Announcer) http.Handler
+	Announcements func(backend.AnnouncementHandler) http.Handler
 	// Rollouts keeps the plans of roll-outs that operators order.
 	Rollouts rollout.Register
 	// Clock is the one that the deadlines of roll-outs stand on, where it is the VM's
--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -38,7 +38,7 @@
 	recorder  *rollout.Recorder
 	forwarder *forward.Forwarder
 	prober    *backend.Prober
-	checker   *backend.Checker
+	checker   *backend.HealthChecker
 	ingress   *ingress.Server
 	draining  atomic.Bool
 }
@@ -57,13 +57,13 @@
 		prober:   backend.NewProber(s.BackendServer.Address, adapter.Backend, probeTimeout),
 	}
 	r.lifecycle = backend.NewLifecycle(s.Platform.FirstStart, r.stateChanged)
-	r.checker = backend.NewChecker(backend.CheckerOptions{
-		Within: s.Routing.LookWithin, PerSecond: s.Routing.LooksPerSecond, Paused: r.checksPaused,
+	r.checker = backend.NewHealthChecker(backend.HealthCheckerOptions{
+		MaxWait: s.Routing.LookWithin, MaxPerSecond: s.Routing.LooksPerSecond, OnPauseChange: r.checksPaused,
 	}, r.ask)
 	var err error
 	r.runner, err = runner.NewRunner(d.Common, runner.Deps{
-		Headers: adapter.Backend, Lifecycle: r.lifecycle, Load: r.load, Checker: r.checker, Service: r.service, Route: r.route,
-		ShareOf:  d.World.View.ShareOf,
+		Headers: adapter.Backend, Lifecycle: r.lifecycle, Load: r.load, Checker: r.checker, Service: r.service, FindRoute: r.route,
+		VMShare:  d.World.View.ShareOf,
 		Recorder: r.recorder,
 	})
 	if err != nil {
@@ -154,25 +154,27 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// Heartbeat implements backend.Announcer.
-func (r *routed) Heartbeat(ctx context.Context, h backend.Heartbeat) {
-	r.runner.TakeSlots(h.Slots)
-	departed := r.lifecycle.Heartbeat(r.daemon.Now(), h)
-	r.runner.TakeCold()
+// HandleHeartbeat implements backend.Announcer.
+func (r *routed) HandleHeartbeat(ctx context.Context, h backend.Heartbeat) {
+	r.runner.UpdateSlots(h.Slots)
+	departed := r.lifecycle.RecordHeartbeat(r.daemon.Now(), h)
+	r.runner.UpdateCold()
 	if departed {
 		r.keep(ctx, h.Incarnation())
 	}
 }
 
-// Depart implements backend.Announcer.
-func (r *routed) Depart(ctx context.Context, of backend.Incarnation) {
-	if r.lifecycle.Depart(r.daemon.Now(), of) {
+// HandleDeparture implements backend.Announcer.
+func (r *routed) HandleDeparture(ctx context.Context, of backend.Incarnation) {
+	if r.lifecycle.RecordDeparture(r.daemon.Now(), of) {
 		r.keep(ctx, of)
 	}
 }
 
-// Foreign implements backend.Announcer.
-func (r *routed) Foreign(id string, why error) { r.daemon.noteForeign("announcement of "+id, why) }
+// HandleInvalid implements backend.Announcer.
+func (r *routed) HandleInvalid(id string, why error) {
+	r.daemon.noteForeign("announcement of "+id, why)
+}
 
 // keep makes a departure outlive this process before it is acknowledged.
 func (r *routed) keep(ctx context.Context, of backend.Incarnation) {
@@ -187,7 +189,7 @@
 	r.draining.Store(true)
 	r.ingress.Leave()
 	time.Sleep(time.Until(began.Add(r.daemon.Settings.Routing.Linger)))
-	r.runner.Leave()
+	r.runner.StopAccepting()
 	// Callers may go on coming, as when too few daemons of their data centre
 	// are in: what would be taken from here on might have to be cut.
 	ctx, cancel := context.WithDeadline(context.Background(), began.Add(r.daemon.Settings.Drain.Bound))
--- a/pkg/daemon/trial.go
+++ b/pkg/daemon/trial.go
@@ -14,7 +14,7 @@
 func (d *Daemon) beginTrial() {
 	s := d.Settings
 	lifecycle := backend.NewLifecycle(true, nil)
-	lifecycle.Heartbeat(d.Now(), backend.Heartbeat{Instance: s.VM.ID, Sequence: 1, Version: s.BackendServer.Version})
+	lifecycle.RecordHeartbeat(d.Now(), backend.Heartbeat{InstanceID: s.VM.ID, Sequence: 1, Version: s.BackendServer.Version})
 	// The wall clock tells the processes of one VM's daemon apart.
 	recorder := rollout.NewRecorder(s.VM.ID, s.BackendServer.Service, uint64(time.Now().UnixNano()))
 	d.env.Backend, d.env.Recorder, d.env.Trial = lifecycle, recorder, trial.New(d.Common, lifecycle, recorder)
--- a/pkg/daemon/watch.go
+++ b/pkg/daemon/watch.go
@@ -61,7 +61,7 @@
 // checkAndWait makes one health check, or shares the one under way.
 func (r *routed) checkAndWait(ctx context.Context) {
 	done := make(chan struct{})
-	r.checker.Watch(func() { close(done) })
+	r.checker.ForceCheck(func() { close(done) })
 	select {
 	case <-done:
 	case <-ctx.Done():
@@ -99,12 +99,12 @@
 	if err != nil {
 		return err
 	}
-	if health.Well && health.Instance != "" {
-		r.lifecycle.Seen(r.daemon.Now(), health.Instance)
+	if health.Healthy && health.InstanceID != "" {
+		r.lifecycle.RecordInstanceID(r.daemon.Now(), health.InstanceID)
 	}
-	r.lifecycle.TakeCold(asked, r.daemon.Now(), health.Instance, health.ColdFor)
-	r.runner.TakeCold()
-	r.runner.TakeLoad(health.Load)
+	r.lifecycle.RecordCold(asked, r.daemon.Now(), health.InstanceID, health.ColdFor)
+	r.runner.UpdateCold()
+	r.runner.UpdateLoad(health.LoadHeader)
 	return nil
 }
 
--- a/pkg/executor/trial_test.go
+++ b/pkg/executor/trial_test.go
@@ -19,7 +19,7 @@
 // newTrial makes the trial of a backend server of a version.
 func newTrial(e *Executor, version string) (*trial.Trial, *rollout.Recorder) {
 	lifecycle := backendstate.NewLifecycle(true, nil)
-	lifecycle.Heartbeat(1, backendstate.Heartbeat{Instance: "vm", Sequence: 1, Version: version})
+	lifecycle.RecordHeartbeat(1, backendstate.Heartbeat{InstanceID: "vm", Sequence: 1, Version: version})
 	recorder := rollout.NewRecorder("vm", "glyphserve", 1)
 	out := trial.New(e.Common, lifecycle, recorder)
 	e.SetTrial(out)
--- a/pkg/runner/accepting.go
+++ b/pkg/runner/accepting.go
@@ -8,8 +8,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Leave makes the runner refuse new requests from now on.
-func (r *Runner) Leave() { r.leaving.Store(true) }
+// StopAccepting makes the runner refuse new requests from now on.
+func (r *Runner) StopAccepting() { r.leaving.Store(true) }
 
 // SetEvacuated makes the runner refuse new requests, and those that wait, while
 // its data centre is evacuated.
@@ -46,7 +46,7 @@
 	if r.leaving.Load() {
 		return errkind.New(errkind.Leaving, "the daemon is leaving")
 	}
-	if !r.coldTold.Load() && !r.TakeCold() {
+	if !r.coldTold.Load() && !r.UpdateCold() {
 		return errkind.New(errkind.PlacementUnknown, "the executor has no placement yet")
 	}
 	if c.Service != r.Settings.BackendServer.Service {
--- a/pkg/runner/cold.go
+++ b/pkg/runner/cold.go
@@ -12,21 +12,21 @@
 // words tell, in nanoseconds: they travel, and are said in whole milliseconds.
 const coldSlack = int64(50 * time.Millisecond)
 
-// TakeCold takes over what the backend server last said of its being cold, and
+// UpdateCold takes over what the backend server last said of its being cold, and
 // what the placement in force says it bears then. It returns false while there is
 // no placement.
-func (r *Runner) TakeCold() bool {
+func (r *Runner) UpdateCold() bool {
 	service, ok := r.service()
 	if !ok {
 		return false
 	}
-	said, s := r.lifecycle.Cold(), &r.Settings.Routing
-	cold := gate.Cold{Since: said.ToldAt - coldSlack, Till: said.Till}
+	said, s := r.lifecycle.ColdPeriod(), &r.Settings.Routing
+	cold := gate.Cold{Since: said.CheckedAt - coldSlack, Till: said.LatestEnd}
 	if service.ColdRate > 0 {
 		cold.Most = max(int(s.ColdFactor*service.ColdRate+s.ColdSlack), 1)
 	}
 	now := r.Now()
-	if now < said.Till {
+	if now < said.LatestEnd {
 		cold.Since = coldSince(now, &said, service.ColdFor) - coldSlack
 	}
 	r.noteCold(now, cold)
@@ -38,13 +38,13 @@
 // coldSince is since when a backend server may be cold that said so. One that has
 // longer to go than the placement tells may have been so at any time; one of which
 // only a heartbeat tells, which may have been held back, since it was last asked.
-func coldSince(now int64, said *backend.Cold, coldFor time.Duration) int64 {
-	since := said.TillLeast - int64(coldFor)
+func coldSince(now int64, said *backend.ColdPeriod, coldFor time.Duration) int64 {
+	since := said.EarliestEnd - int64(coldFor)
 	if since > now {
 		since = now - int64(time.Second)
 	}
-	if said.ByHeartbeat {
-		since = min(since, said.ToldAt)
+	if said.FromHeartbeat {
+		since = min(since, said.CheckedAt)
 	}
 	return since
 }
--- a/pkg/runner/cold_words_test.go
+++ b/pkg/runner/cold_reports_test.go
@@ -36,12 +36,12 @@
 	most := withColdRate(r)
 	const longerThanSlack = 2 * time.Duration(coldSlack)
 	time.Sleep(longerThanSlack) // what the process before started is out of the question
-	lifecycle.TakeCold(r.Now(), r.Now(), "i-1", 0)
-	r.TakeCold()
+	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
+	r.UpdateCold()
 	executeMany(t, r, most/2)
 	time.Sleep(longerThanSlack)
-	lifecycle.Heartbeat(r.Now(), backend.Heartbeat{Instance: "i-1", Sequence: 1, ColdFor: 3 * time.Second})
-	r.TakeCold()
+	lifecycle.RecordHeartbeat(r.Now(), backend.Heartbeat{InstanceID: "i-1", Sequence: 1, ColdFor: 3 * time.Second})
+	r.UpdateCold()
 	executeMany(t, r, 3*most)
 	test.Eq(t, uint32(most), r.gate.Stamp(r.Now()).Running)
 }
@@ -53,8 +53,8 @@
 		r, lifecycle := newTestRunner(t, newHeld(), 100)
 		withColdRate(r)
 		executeMany(t, r, early) // it takes over that nothing was said yet
-		lifecycle.TakeCold(r.Now(), r.Now(), "i-1", 2*time.Second)
-		r.TakeCold()
+		lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 2*time.Second)
+		r.UpdateCold()
 		executeMany(t, r, 100)
 		test.LessEq(t, uint32(early), r.gate.Stamp(r.Now()).Running, test.Sprint("the process before may have started all that a second bears"))
 	}
--- a/pkg/runner/cold_test.go
+++ b/pkg/runner/cold_test.go
@@ -26,8 +26,8 @@
 	h := newHeld()
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
-	lifecycle.TakeCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-	r.TakeCold()
+	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
+	r.UpdateCold()
 	for range 2 {
 		_, _ = execute(r, routedCall("runs"))
 		test.Eq(t, "runs", <-h.came)
@@ -52,14 +52,14 @@
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
 	asked := make(chan struct{}, 100)
-	r.checker = backend.NewChecker(backend.CheckerOptions{Within: time.Minute, PerSecond: 100}, func(context.Context) error {
-		lifecycle.TakeCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-		r.TakeCold()
+	r.checker = backend.NewHealthChecker(backend.HealthCheckerOptions{MaxWait: time.Minute, MaxPerSecond: 100}, func(context.Context) error {
+		lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
+		r.UpdateCold()
 		asked <- struct{}{}
 		return nil
 	})
-	lifecycle.TakeCold(r.Now()-int64(time.Second), r.Now()-int64(time.Second), "i-1", 0)
-	r.TakeCold()
+	lifecycle.RecordCold(r.Now()-int64(time.Second), r.Now()-int64(time.Second), "i-1", 0)
+	r.UpdateCold()
 	var cancels []func()
 	for range 3 {
 		_, cancel := execute(r, routedCall("a"))
@@ -84,11 +84,11 @@
 	run := &routedRun{owner: r, call: c, deadline: now + int64(time.Minute)}
 	test.Eq(t, run.deadline, r.endBy(now, run, true))
 	test.Eq(t, now+int64(120*time.Millisecond), r.endBy(now, run, false))
-	lifecycle.TakeCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-	r.TakeCold()
+	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
+	r.UpdateCold()
 	test.Eq(t, now+int64(120*time.Millisecond), r.endBy(now, run, true))
-	lifecycle.TakeCold(r.Now(), r.Now(), "i-1", 0)
-	r.TakeCold()
+	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
+	r.UpdateCold()
 	test.Eq(t, run.deadline, r.endBy(now, run, true))
 }
 
@@ -99,8 +99,8 @@
 	r, lifecycle := newTestRunner(t, h, 10)
 	service := r.service
 	r.service = func() (routing.Service, bool) { return routing.Service{}, false }
-	lifecycle.TakeCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-	r.TakeCold()
+	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
+	r.UpdateCold()
 	r.service = service
 	withColdService(r)
 	for range 2 {
--- a/pkg/runner/crash_test.go
+++ b/pkg/runner/crash_test.go
@@ -40,12 +40,12 @@
 	s.BackendServer.Address = strings.TrimPrefix(out.server.URL, "http://")
 	s.BackendServer.Service, s.BackendServer.Slots = "s", 8
 	out.lifecycle = backend.NewLifecycle(true, nil)
-	out.lifecycle.Seen(1, "i-1")
+	out.lifecycle.RecordInstanceID(1, "i-1")
 	var err error
 	out.runner, err = NewRunner(common.NewCommon(events.Discard(), &s), Deps{
 		Headers: backend.DefaultHeaders(), Lifecycle: out.lifecycle, Load: &backend.Load{},
-		Service: func() (routing.Service, bool) { return routing.Service{}, true },
-		Route:   func(_, _ string) (*routing.Compiled, uint64) { return nil, 0 },
+		Service:   func() (routing.Service, bool) { return routing.Service{}, true },
+		FindRoute: func(_, _ string) (*routing.Compiled, uint64) { return nil, 0 },
 	})
 	must.NoError(t, err)
 	t.Cleanup(func() {
@@ -109,7 +109,7 @@
 func TestAPlannedEndIsNoCrash(t *testing.T) {
 	e := newEndable(t)
 	e.run("1")
-	e.lifecycle.Heartbeat(2, backend.Heartbeat{Instance: "i-1", Sequence: 1, Leaving: true})
+	e.lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Leaving: true})
 	e.endProcess()
 	must.NotNil(t, (<-e.results).Refusal)
 	test.Eq(t, 0, e.crashes())
--- a/pkg/runner/rollout_test.go
+++ b/pkg/runner/rollout_test.go
@@ -24,7 +24,7 @@
 func TestAnOldBackendServerBecomesEmpty(t *testing.T) {
 	h := newHeld()
 	r, lifecycle := newTestRunner(t, h, 1)
-	lifecycle.Heartbeat(2, backend.Heartbeat{Instance: "i-1", Sequence: 1, Version: "v1"})
+	lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: "v1"})
 	runs, _ := execute(r, routedCall("runs"))
 	test.Eq(t, "runs", <-h.came)
 	waits, _ := execute(r, routedCall("waits"))
@@ -61,7 +61,7 @@
 		"one that has just taken its place": {&rollout.Guard{Instance: "i-0"}, "v1", false},
 	} {
 		r, lifecycle := newTestRunner(t, newHeld(), 1)
-		lifecycle.Heartbeat(2, backend.Heartbeat{Instance: "i-1", Sequence: 1, Version: c.version})
+		lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: c.version})
 		r.Trial().SetGuard(c.guard)
 		_, refusal := r.accepting()
 		test.Eq(t, c.runs, refusal == nil, test.Sprint(name))
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -155,7 +155,7 @@
 	c := run.call
 	return &backend.Request{
 		ID: c.Routed.ID, Method: c.Method, URI: c.URI, Host: c.Routed.Host, Headers: c.Headers, Body: run.body,
-		Instance: instance.ID, Caller: c.Routed.Caller, Team: c.Routed.Team, Repeatable: c.Routed.Repeatable,
+		InstanceID: instance.ID, Caller: c.Routed.Caller, Team: c.Routed.Team, Repeatable: c.Routed.Repeatable,
 	}
 }
 
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -45,7 +45,7 @@
 	service   func() (s routing.Service, ok bool)
 	route     func(host, path string) (route *routing.Compiled, version uint64)
 	// checker is nil where the backend server has no health path.
-	checker *backend.Checker
+	checker *backend.HealthChecker
 	// lookDue is true while a look for the end of a slow spell is due.
 	lookDue atomic.Bool
 	leaving atomic.Bool
@@ -83,24 +83,24 @@
 	// Recorder counts the outcomes of runs while a roll-out is under way; it may be nil.
 	Recorder *rollout.Recorder
 	// Checker asks the backend server's health path; it may be nil.
-	Checker *backend.Checker
+	Checker *backend.HealthChecker
 	// Service is what the placement says of the backend server's service; ok is
 	// false while there is no placement.
 	Service func() (s routing.Service, ok bool)
-	// Route finds a request's route in the placement in force; nil where that has
+	// FindRoute finds a request's route in the placement in force; nil where that has
 	// none.
-	Route func(host, path string) (route *routing.Compiled, version uint64)
-	// ShareOf is which share of the VMs stands beside certain services, from 0 to 1;
+	FindRoute func(host, path string) (route *routing.Compiled, version uint64)
+	// VMShare is which share of the VMs stands beside certain services, from 0 to 1;
 	// nil: not known.
-	ShareOf func(services []string) float64
+	VMShare func(services []string) float64
 }
 
 // shareOf takes all VMs for those of the services where nothing is known.
 func (d *Deps) shareOf() func([]string) float64 {
-	if d.ShareOf == nil {
+	if d.VMShare == nil {
 		return func([]string) float64 { return 1 }
 	}
-	return d.ShareOf
+	return d.VMShare
 }
 
 // NewRunner makes a runner.
@@ -116,14 +116,14 @@
 		lifecycle: deps.Lifecycle,
 		load:      deps.Load,
 		service:   deps.Service,
-		route:     deps.Route,
+		route:     deps.FindRoute,
 		work:      worktime.NewTimes(),
 		origins:   newOrigins(deps.shareOf()),
 		checker:   deps.Checker,
 		trial:     trial.New(c, deps.Lifecycle, deps.Recorder),
-		transport: backend.NewTransport(backend.Options{
+		transport: backend.NewTransport(backend.TransportOptions{
 			Address: s.BackendServer.Address, Headers: deps.Headers,
-			DialTimeout: s.BackendServer.DialTimeout, MaxBody: s.Limits.MaxBodyBytes, Now: c.Now,
+			DialTimeout: s.BackendServer.DialTimeout, MaxBodyBytes: s.Limits.MaxBodyBytes, Now: c.Now,
 		}),
 		gate: gate.New(gate.Options{
 			Slots: s.BackendServer.Slots, QueueLength: s.Gate.QueueLength, QueueTime: s.Gate.QueueTime,
@@ -143,7 +143,9 @@
 }
 
 // ended notes that the process of an incarnation has ended.
-func (r *Runner) ended(instance string) { r.lifecycle.Ended(backend.ParseIncarnation(instance)) }
+func (r *Runner) ended(instance string) {
+	r.lifecycle.RecordProcessEnd(backend.ParseIncarnation(instance))
+}
 
 // InFlight counts requests that were taken in and have not ended.
 func (r *Runner) InFlight() int64 { return r.inFlight.Load() }
@@ -185,9 +187,9 @@
 	}
 }
 
-// TakeSlots takes over how many requests the backend server runs at once; 0 is
+// UpdateSlots takes over how many requests the backend server runs at once; 0 is
 // passed over.
-func (r *Runner) TakeSlots(slots int) {
+func (r *Runner) UpdateSlots(slots int) {
 	r.load.SetSlots(slots)
 	if before := r.gate.Slots(); slots > 0 && slots != before {
 		r.gate.SetSlots(slots)
@@ -195,13 +197,13 @@
 	}
 }
 
-// TakeLoad takes over a load header's text that came now.
-func (r *Runner) TakeLoad(text string) {
+// UpdateLoad takes over a load header's text that came now.
+func (r *Runner) UpdateLoad(text string) {
 	if text == "" {
 		return
 	}
-	r.load.Take(r.Now(), text)
-	r.TakeSlots(r.load.Slots())
+	r.load.Update(r.Now(), text)
+	r.UpdateSlots(r.load.Slots())
 	if slowdown := r.load.Slowdown(); slowdown > 0 {
 		if _, is := r.trial.UnderWay(); is {
 			r.slowdowns.note(r.Now(), slowdown)
@@ -274,14 +276,14 @@
 
 // note takes over what a reply tells of the backend server.
 func (r *Runner) note(reply *backend.Reply) {
-	r.TakeLoad(reply.Load)
+	r.UpdateLoad(reply.LoadHeader)
 	switch {
 	case reply.Refusal == nil || reply.Refusal.Kind == errkind.BackendRefused:
-		r.lifecycle.Answered(r.Now())
+		r.lifecycle.RecordAnswer(r.Now())
 	case reply.Refusal.Kind == errkind.BackendUnreachable:
-		r.lifecycle.Unreachable()
+		r.lifecycle.RecordRefusedConnection()
 		r.Log.Event(events.BackendDown, events.F("address", r.Settings.BackendServer.Address), events.F("cause", reply.Refusal.Detail))
 	case reply.Refusal.Kind == errkind.BackendReplaced:
-		r.lifecycle.Replaced(r.Now(), reply.Instance)
+		r.lifecycle.RecordReplacement(r.Now(), reply.InstanceID)
 	}
 }
--- a/pkg/runner/runner_test.go
+++ b/pkg/runner/runner_test.go
@@ -57,11 +57,11 @@
 	s.BackendServer.Address = strings.TrimPrefix(server.URL, "http://")
 	s.BackendServer.Service, s.BackendServer.Slots = "s", slots
 	lifecycle := backend.NewLifecycle(true, nil)
-	lifecycle.Seen(1, "i-1")
+	lifecycle.RecordInstanceID(1, "i-1")
 	r, err := NewRunner(common.NewCommon(events.Discard(), &s), Deps{
 		Headers: backend.DefaultHeaders(), Lifecycle: lifecycle, Load: &backend.Load{},
-		Service: func() (routing.Service, bool) { return routing.Service{}, true },
-		Route:   func(_, _ string) (*routing.Compiled, uint64) { return nil, 0 },
+		Service:   func() (routing.Service, bool) { return routing.Service{}, true },
+		FindRoute: func(_, _ string) (*routing.Compiled, uint64) { return nil, 0 },
 	})
 	must.NoError(t, err)
 	t.Cleanup(func() {
@@ -119,9 +119,9 @@
 	other := routedCall("a")
 	other.Service = "other"
 	refused(other, errkind.BackendReplaced)
-	lifecycle.Depart(2, backend.Incarnation{ID: "i-1"})
+	lifecycle.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
 	refused(routedCall("b"), errkind.BackendAbsent)
-	r.Leave()
+	r.StopAccepting()
 	refused(routedCall("c"), errkind.Leaving)
 	test.Eq(t, 0, len(h.came))
 	test.Eq(t, 0, r.InFlight())
@@ -133,7 +133,7 @@
 	first, _ := execute(r, routedCall("a"))
 	test.Eq(t, "a", <-h.came)
 	second, _ := execute(r, routedCall("b"))
-	lifecycle.Depart(2, backend.Incarnation{ID: "i-1"})
+	lifecycle.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
 	h.goOn <- struct{}{}
 	must.NotNil(t, (<-first).Answer)
 	got := <-second
@@ -216,9 +216,9 @@
 // their answers; their heartbeats say how many slots they have.
 func TestSlotsOfABackendServerThatTellsNoLoad(t *testing.T) {
 	r, _ := newTestRunner(t, newHeld(), 12)
-	r.TakeSlots(6)
+	r.UpdateSlots(6)
 	test.Eq(t, 6, r.Gate().Slots())
-	r.TakeSlots(0)
+	r.UpdateSlots(0)
 	test.Eq(t, 6, r.Gate().Slots())
 }
 
--- a/pkg/runner/look_test.go
+++ b/pkg/runner/speed_check_test.go
@@ -17,9 +17,9 @@
 // withHealthPath makes the runner ask a health path that says load.
 func withHealthPath(r *Runner, load func() string) {
 	s := r.Settings.Routing
-	r.checker = backend.NewChecker(backend.CheckerOptions{Within: s.LookWithin, PerSecond: s.LooksPerSecond},
+	r.checker = backend.NewHealthChecker(backend.HealthCheckerOptions{MaxWait: s.LookWithin, MaxPerSecond: s.LooksPerSecond},
 		func(context.Context) error {
-			r.TakeLoad(load())
+			r.UpdateLoad(load())
 			return nil
 		})
 }
@@ -75,7 +75,7 @@
 	for range 10 {
 		r.gate.Report(r.Now(), 1)
 	}
-	r.load.Take(r.Now(), "0,0,2,500")
+	r.load.Update(r.Now(), "0,0,2,500")
 	r.gate.Report(r.Now(), 5)
 }
 
@@ -100,12 +100,12 @@
 // ends, though nothing new is taken any more.
 func TestAHeldStartOutlastsThePlannedStop(t *testing.T) {
 	r, _, h, results := holding(t)
-	r.Leave()
+	r.StopAccepting()
 	late, _ := execute(r, heldCall("b"))
 	got := <-late
 	test.Eq(t, errkind.Leaving, got.Refusal.Kind)
 	h.goOn <- struct{}{}
-	r.TakeLoad("0,0,2,100")
+	r.UpdateLoad("0,0,2,100")
 	got = <-results
 	must.NotNil(t, got.Answer)
 	test.Eq(t, 1, r.held.Get())
@@ -115,7 +115,7 @@
 // it goes elsewhere while it has time.
 func TestAHeldStartIsRefusedWhenItsBackendServerLeaves(t *testing.T) {
 	r, lifecycle, h, results := holding(t)
-	lifecycle.Depart(2, backend.Incarnation{ID: "i-1"})
+	lifecycle.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
 	r.Tick()
 	got := <-results
 	must.NotNil(t, got.Refusal)
@@ -131,7 +131,7 @@
 	h := newHeld()
 	h.load = "1,0,2,100"
 	r, _ := newTestRunner(t, h, 2)
-	r.TakeLoad("0,0,2,300")
+	r.UpdateLoad("0,0,2,300")
 	h.goOn <- struct{}{}
 	results, _ := execute(r, routedCall("a"))
 	got := <-results
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -63,7 +63,7 @@
 	}
 	d.tell(own, heard)
 	d.greet()
-	if !d.Backend.IsInformed() {
+	if !d.Backend.DeparturesKnown() {
 		d.inform(now)
 	}
 }
@@ -83,11 +83,11 @@
 
 func (d *departures) takeOver(now int64, fresh []string, said *wire.Departures) []string {
 	for _, id := range said.IDs {
-		d.Backend.Depart(now, backend.ParseIncarnation(id))
+		d.Backend.RecordDeparture(now, backend.ParseIncarnation(id))
 		fresh = d.add(now, fresh, id)
 	}
 	if said.Informed {
-		d.Backend.Informed()
+		d.Backend.RecordDeparturesKnown()
 	}
 	return fresh
 }
@@ -115,7 +115,7 @@
 
 // greet sends the whole set over each new link, once this daemon is informed.
 func (d *departures) greet() {
-	if !d.Backend.IsInformed() || d.greeted == d.World.Peers.Added() {
+	if !d.Backend.DeparturesKnown() || d.greeted == d.World.Peers.Added() {
 		return
 	}
 	d.greeted = d.World.Peers.Added()
@@ -136,7 +136,7 @@
 // inform reads the departures from the store while no peer has told them.
 func (d *departures) inform(now int64) {
 	if time.Duration(now) > informedAfter {
-		d.Backend.Informed()
+		d.Backend.RecordDeparturesKnown()
 		return
 	}
 	if !d.peersFirst(now) && d.due.at(now, departuresEvery) && d.busy.CompareAndSwap(false, true) {
--- a/pkg/systems/departures_test.go
+++ b/pkg/systems/departures_test.go
@@ -39,16 +39,16 @@
 
 		second, _, tick := departuresEnv(t, false)
 		second.Platform = platform
-		second.Backend.Seen(1, "i-1")
+		second.Backend.RecordInstanceID(1, "i-1")
 		_, ok := second.Backend.Accepting()
 		must.False(t, ok)
 		tick()
 		synctest.Wait()
 		tick()
-		must.True(t, second.Backend.IsInformed())
+		must.True(t, second.Backend.DeparturesKnown())
 		_, ok = second.Backend.Accepting()
 		test.False(t, ok, test.Sprint("the departed incarnation gets nothing"))
-		second.Backend.Seen(2, "i-2")
+		second.Backend.RecordInstanceID(2, "i-2")
 		_, ok = second.Backend.Accepting()
 		test.True(t, ok)
 	})
@@ -61,13 +61,13 @@
 		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Said: &wire.Departures{IDs: []string{"i-1"}}})
 	})
 	tick()
-	test.False(t, env.Backend.IsInformed())
+	test.False(t, env.Backend.DeparturesKnown())
 	env.World.Inbox.Post(true, func(m *tables.Mail) {
 		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Said: &wire.Departures{Informed: true}})
 	})
 	tick()
-	test.True(t, env.Backend.IsInformed())
-	env.Backend.Seen(1, "i-1")
+	test.True(t, env.Backend.DeparturesKnown())
+	env.Backend.RecordInstanceID(1, "i-1")
 	_, ok := env.Backend.Accepting()
 	test.False(t, ok)
 }
@@ -80,7 +80,7 @@
 			tick()
 			time.Sleep(informedAfter / 50)
 		}
-		test.True(t, env.Backend.IsInformed())
+		test.True(t, env.Backend.DeparturesKnown())
 	})
 }
 
@@ -112,7 +112,7 @@
 	env.World.Peers.Put(first)
 	tick()
 	test.False(t, env.World.Peers.Put(first).Told, test.Sprint("a daemon that is not informed tells nothing"))
-	env.Backend.Informed()
+	env.Backend.RecordDeparturesKnown()
 	tick()
 	test.True(t, env.World.Peers.Put(first).Told)
 	second := &link.Peer{Conn: link.NewClosedConn()}
--- a/pkg/systems/rolloutlinks_test.go
+++ b/pkg/systems/rolloutlinks_test.go
@@ -23,7 +23,7 @@
 	env.RolloutLimits = rollout.Limits{Share: 0.1, StopWithin: 5 * time.Second}
 	env.Settings.BackendServer.Service = "s"
 	env.Backend = backend.NewLifecycle(true, nil)
-	env.Backend.Heartbeat(1, backend.Heartbeat{Instance: "i", Sequence: 1, Version: "v1"})
+	env.Backend.RecordHeartbeat(1, backend.Heartbeat{InstanceID: "i", Sequence: 1, Version: "v1"})
 	env.World.Members.Merge(1, nil, wire.Member{VM: env.World.VM, Service: "s", Version: "v1", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 	known := newRollouts(env)
 	return env, known, newRolloutWatch(env, known)
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -190,7 +190,7 @@
 	env.Settings.Platform.FirstStart, env.Settings.BackendServer.Service = firstStart, "s"
 	env.RolloutLimits = rollout.Limits{StopWithin: time.Second}
 	env.Backend = backend.NewLifecycle(true, nil)
-	env.Backend.Heartbeat(1, backend.Heartbeat{Instance: "i", Sequence: 1, Version: version})
+	env.Backend.RecordHeartbeat(1, backend.Heartbeat{InstanceID: "i", Sequence: 1, Version: version})
 	for i, other := range others {
 		env.World.Members.Merge(1, nil, wire.Member{VM: string(rune('a' + i)), Service: "s", Version: other})
 	}
@@ -228,8 +228,8 @@
 	g.known.synced = true
 	test.NotEq(t, "", g.newcomer(1, "s"))
 	test.Eq(t, "", g.newcomer(int64(newcomerFor)+2, "s"))
-	g.Backend.Seen(2, "j")
-	g.Backend.Heartbeat(2, backend.Heartbeat{Instance: "j", Sequence: 1, Version: "v2"})
+	g.Backend.RecordInstanceID(2, "j")
+	g.Backend.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "j", Sequence: 1, Version: "v2"})
 	test.Eq(t, "", g.newcomer(int64(newcomerFor)+3, "s"))
 }
 
--- a/pkg/systems/selfrow_test.go
+++ b/pkg/systems/selfrow_test.go
@@ -46,11 +46,11 @@
 	own := run()
 	must.Eq(t, "vm", own.VM)
 	test.Eq(t, wire.BackendAbsent, own.Backend)
-	env.Backend.Seen(1, "i-1")
+	env.Backend.RecordInstanceID(1, "i-1")
 	now := run()
 	test.Eq(t, wire.BackendLive, now.Backend)
 	test.Greater(t, own.Revision, now.Revision)
-	env.Backend.Depart(2, backend.Incarnation{ID: "i-1"})
+	env.Backend.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
 	test.Eq(t, wire.BackendAbsent, run().Backend)
 }
 
@@ -59,7 +59,7 @@
 func TestAnOlderProcessThatCountedFurther(t *testing.T) {
 	env, run := selfEnv()
 	own := run()
-	env.Backend.Seen(1, "i-1")
+	env.Backend.RecordInstanceID(1, "i-1")
 	old := own
 	old.Incarnation, old.State, old.Revision = 99, wire.MemberLeaving, 7
 	now := run(old)
