--- a/pkg/backend/lifecycle_test.go
+++ b/pkg/backend/lifecycle_test.go
@@ -93,7 +93,7 @@
 	test.Eq(t, Report{Running: 3, Waiting: 0, Slots: 12, Slowdown: 400}, r)
 	r, ok = ParseReport("3,0,8")
 	must.True(t, ok)
-	test.Eq(t, speed.UsualPercent, r.Slowdown)
+	test.Eq(t, speed.NormalPercent, r.Slowdown)
 	for _, text := range []string{"", "1", "a,b,c", "1,2,-3", "1,2,3,x"} {
 		_, ok = ParseReport(text)
 		test.False(t, ok, test.Sprint(text))
--- a/pkg/backend/load.go
+++ b/pkg/backend/load.go
@@ -32,7 +32,7 @@
 	if len(fields) < 3 {
 		return Report{}, false
 	}
-	r.Slowdown = speed.UsualPercent
+	r.Slowdown = speed.NormalPercent
 	for i, into := range []*int{&r.Running, &r.Waiting, &r.Slots, &r.Slowdown} {
 		if i >= len(fields) {
 			break
--- a/pkg/bench/counters.go
+++ b/pkg/bench/counters.go
@@ -32,7 +32,7 @@
 		out.retries += counts.Retries
 		out.softRefusals += counts.SoftRefusals
 		out.hedges += counts.Hedges
-		budget := n.daemon.Measure.Report()
+		budget := n.daemon.Measure.Usage()
 		out.measureBytes += budget.Bytes
 		out.overruns += budget.Overruns
 		added.Merge(n.daemon.Entry.Added())
--- a/pkg/bench/promises.go
+++ b/pkg/bench/promises.go
@@ -121,7 +121,7 @@
 		}
 	}
 	for _, n := range c.nodes {
-		out.BudgetOverruns += int(n.current().Measure.Report().Overruns)
+		out.BudgetOverruns += int(n.current().Measure.Usage().Overruns)
 	}
 	return out, nil
 }
--- a/pkg/choose/refusing.go
+++ b/pkg/choose/refusing.go
@@ -27,12 +27,12 @@
 		return false
 	}
 	inFlight := known.InFlight + known.SentSince
-	takesLate := gate.SlotsForLate(inFlight, known.Limit) && float64(r.Left) > r.expected(known)
+	takesLate := gate.AcceptsLateRuns(inFlight, known.Limit) && float64(r.Left) > r.expected(known)
 	return !takesLate
 }
 
 func (r *Routed) wouldBeRefusedSoftly(known *tables.Known, near bool) bool {
-	if speed.Slowdown(known.Slowdown) > r.SoftSlowdown*max(speed.Slowdown(known.Usual), 1) {
+	if speed.FromPercent(known.Slowdown) > r.SoftSlowdown*max(speed.FromPercent(known.Usual), 1) {
 		return true
 	}
 	most := float64(known.Limit)
@@ -44,7 +44,7 @@
 
 // expected is how long a run would take at the gate of a stamp, in nanoseconds.
 func (r *Routed) expected(known *tables.Known) float64 {
-	return float64(r.Work) * max(speed.Slowdown(known.Slowdown), 1)
+	return float64(r.Work) * max(speed.FromPercent(known.Slowdown), 1)
 }
 
 // needs is the time, in nanoseconds, that the request must have left at the gate of
@@ -54,6 +54,6 @@
 	if behind <= 0 {
 		return r.expected(known)
 	}
-	service := gate.SpreadFactor * r.expected(known)
+	service := gate.RunTimeMargin * r.expected(known)
 	return service + service*float64(behind)/float64(known.Limit)
 }
--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -131,7 +131,7 @@
 		age := float64(max(r.Now-known.StampAt, 0))
 		inFlight = max(inFlight, decay(age/float64(max(r.Work, 1)))*float64(known.InFlight)+float64(known.SentSince))
 		if known.Slowdown > 0 {
-			slowdown += decay(math.Ln2*age/float64(slowdownHalfLife)) * (speed.Slowdown(known.Slowdown) - usual)
+			slowdown += decay(math.Ln2*age/float64(slowdownHalfLife)) * (speed.FromPercent(known.Slowdown) - usual)
 		}
 	}
 	service := float64(r.Work) * slowdown
--- a/pkg/concurrency/limiter.go
+++ b/pkg/concurrency/limiter.go
@@ -66,9 +66,9 @@
 // Limit is how many runs go on at once.
 func (l *Limiter) Limit() int { return l.limit }
 
-// Probes decides whether one run may start over the limit, to learn whether the
+// ShouldProbe decides whether one run may start over the limit, to learn whether the
 // limit could be higher.
-func (l *Limiter) Probes(now int64) bool {
+func (l *Limiter) ShouldProbe(now int64) bool {
 	if l.limit >= l.slots || now < l.nextProbe || l.low.runs < enough {
 		return false
 	}
@@ -76,9 +76,9 @@
 	return true
 }
 
-// Ran takes over a run that started as one of so many, and took ratio times what
+// RecordRun takes over a run that started as one of so many, and took ratio times what
 // it was expected to take. It returns true when the limit has changed.
-func (l *Limiter) Ran(now int64, running int, ratio float64) (changed bool) {
+func (l *Limiter) RecordRun(now int64, running int, ratio float64) (changed bool) {
 	before := l.limit
 	switch {
 	case running > l.limit:
--- a/pkg/concurrency/limiter_test.go
+++ b/pkg/concurrency/limiter_test.go
@@ -33,11 +33,11 @@
 	const step = 20 * time.Millisecond
 	for now := int64(1); now < int64(seconds)*int64(time.Second); now += int64(step) {
 		running := 1 + s.random.IntN(l.Limit())
-		if running == l.Limit() && l.Probes(now) {
+		if running == l.Limit() && l.ShouldProbe(now) {
 			running++
 			over++
 		}
-		l.Ran(now, running, s.run(running))
+		l.RecordRun(now, running, s.run(running))
 	}
 	return over
 }
@@ -81,5 +81,5 @@
 	s := &server{slots: 10, knee: 0.1, factor: 3, random: rand.New(rand.NewPCG(1, 2))}
 	play(l, s, 300)
 	test.Eq(t, 4, l.Limit())
-	test.False(t, NewLimiter(10, 10).Probes(1))
+	test.False(t, NewLimiter(10, 10).ShouldProbe(1))
 }
--- a/pkg/entry/try.go
+++ b/pkg/entry/try.go
@@ -249,11 +249,11 @@
 	if to.Route.VM == t.owner.Settings.VM.ID {
 		return true
 	}
-	value := measure.Low
+	value := measure.LowValue
 	if at := to.Load.StampAt(); cost > 0 || at == 0 || now-at > int64(t.owner.Settings.Choosing.StampHalfLife) {
-		value = measure.High
+		value = measure.HighValue
 	}
-	return t.owner.Measure.Spend(now, typicalStamp, value)
+	return t.owner.Measure.TrySpend(now, typicalStamp, value)
 }
 
 func (t *try) frame(left, cost time.Duration) *wire.Call {
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -278,7 +278,7 @@
 	if refusal != nil {
 		return call.Result{Refusal: refusal}, false
 	}
-	answer.Queued = r.job.Queued()
+	answer.Queued = r.job.WaitTime()
 	answer.Run = time.Duration(r.owner.Now() - began)
 	return call.Result{Answer: answer}, answer.Status < 500
 }
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -109,7 +109,7 @@
 		result.Offered = true
 		to.Load.Answered(result.Answer.Status >= 500)
 		if result.Answer.Status < 500 {
-			a.owner.work.Note(a.route.Name, result.Answer.Run, result.Answer.Slowdown)
+			a.owner.work.Record(a.route.Name, result.Answer.Run, result.Answer.Slowdown)
 			a.owner.sizes.note(a.route.Name, len(a.req.Body), len(result.Answer.Body))
 		}
 	case result.Refusal.Ran == errkind.RanMaybe:
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -219,7 +219,7 @@
 // the spread that gates allow for. The price of a crossing makes no request late.
 func waitsNearer(crosses, waits *choose.RoutedPick, within time.Duration) bool {
 	nearer := waits.Index != choose.None && waits.Place < crosses.Place
-	return nearer && waits.Cost < crosses.Cost && gate.SpreadFactor*waits.Expected <= float64(within)
+	return nearer && waits.Cost < crosses.Cost && gate.RunTimeMargin*waits.Expected <= float64(within)
 }
 
 // within is the time in which the request must end to be worth its run: its
@@ -246,7 +246,7 @@
 }
 
 func (a *attempts) work() time.Duration {
-	return a.owner.work.OfOrGuess(a.route.Name, a.target)
+	return a.owner.work.LookupOrEstimate(a.route.Name, a.target)
 }
 
 // isLast takes over how an attempt ended and decides whether it was the last.
--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -7,12 +7,12 @@
 	"github.com/rushramp/rushramp/pkg/speed"
 )
 
-// SpreadFactor is how many times its expected run a routed job that has to wait for
+// RunTimeMargin is how many times its expected run a routed job that has to wait for
 // a slot must have left to be worth starting: runs spread, and one that ends too
 // late takes the slot of one that would not. Where a slot is free its expected run
 // is enough: with runs that take twice as long for three seconds after a start, as
 // cold ones do, two thirds of the requests were refused by gates that had slots.
-const SpreadFactor = 1.3
+const RunTimeMargin = 1.3
 
 // Admit takes a job in. run is true when the owner must start it now; false
 // with no error means that it waits, and a later Finish hands it out.
@@ -74,7 +74,7 @@
 		at.service = g.expected(now, job)
 		return at
 	}
-	at.held, at.wait, at.inTime = true, held.Wait, held.InTime
+	at.held, at.wait, at.inTime = true, held.Wait, held.OnTimeProbability
 	at.service = g.expectedAfterSpell(job)
 	// Others are held, too, and may fill the slots when the spell ends.
 	ahead, work := g.queue.workAhead(job, g.expectedAfterSpell)
@@ -86,16 +86,16 @@
 
 // holds decides whether a job should wait for the end of a slow spell although
 // a slot is free.
-func (g *Gate) holds(now int64, job *Job) (speed.Outlook, bool) {
+func (g *Gate) holds(now int64, job *Job) (speed.HoldForecast, bool) {
 	if job.Work == 0 {
-		return speed.Outlook{}, false
+		return speed.HoldForecast{}, false
 	}
 	run := speed.Run{Work: job.Work}
 	if job.EndBy > 0 {
-		run.Left = time.Duration(max(job.EndBy-now, 1))
-		run.Late = time.Duration(job.EndBy - job.arrived)
+		run.TimeLeft = time.Duration(max(job.EndBy-now, 1))
+		run.LatePenalty = time.Duration(job.EndBy - job.arrived)
 	}
-	return g.speed.Hold(now, run)
+	return g.speed.ShouldHold(now, run)
 }
 
 // leastInTime are the odds of ending in time that a held job must have: one that
@@ -140,12 +140,12 @@
 
 // withSpread is how long a run that is expected to take service must have, in
 // nanoseconds.
-func withSpread(service time.Duration) int64 { return int64(SpreadFactor * float64(service)) }
+func withSpread(service time.Duration) int64 { return int64(RunTimeMargin * float64(service)) }
 
 // startWait is how long a job waits until the backend server bears its start,
 // behind those that go before it.
 func (g *Gate) startWait(now int64, job *Job) time.Duration {
-	if g.cold.Most == 0 || g.queue.len() == 0 {
+	if g.cold.MaxStartsPerSecond == 0 || g.queue.len() == 0 {
 		return g.cold.wait(now, 0)
 	}
 	ahead, _ := g.queue.workAhead(job, func(*Job) time.Duration { return 0 })
@@ -166,14 +166,14 @@
 // that would end after their target: they take the slot of no other.
 const lateUse = 0.5
 
-// SlotsForLate is true while a gate that runs so many of the jobs that it could
+// AcceptsLateRuns is true while a gate that runs so many of the jobs that it could
 // has slots for runs that would end after their target.
-func SlotsForLate(running, usable int64) bool { return float64(running) < lateUse*float64(usable) }
+func AcceptsLateRuns(running, usable int64) bool { return float64(running) < lateUse*float64(usable) }
 
 // takesLate decides whether a job that would end too late runs all the same:
 // where slots are free, if it would end before its deadline, or as a probe.
 func (g *Gate) takesLate(now int64, job *Job, at outlook) bool {
-	if at.free && SlotsForLate(int64(g.running), int64(g.usable())) && now+int64(at.wait)+int64(at.service) < job.Deadline {
+	if at.free && AcceptsLateRuns(int64(g.running), int64(g.usable())) && now+int64(at.wait)+int64(at.service) < job.Deadline {
 		return true
 	}
 	return g.probes(now, at.free)
@@ -212,11 +212,11 @@
 	if job.Work == 0 {
 		return g.estimate.service(now)
 	}
-	return time.Duration(float64(job.Work) * g.speed.Factor())
+	return time.Duration(float64(job.Work) * g.speed.ExpectedSlowdown())
 }
 
 // expectedAfterSpell is the expected time of one run of a job that starts when
 // the slow spell has ended.
 func (g *Gate) expectedAfterSpell(job *Job) time.Duration {
-	return time.Duration(float64(job.Work) * g.speed.Steady())
+	return time.Duration(float64(job.Work) * g.speed.BaselineSlowdown())
 }
--- a/pkg/gate/cold.go
+++ b/pkg/gate/cold.go
@@ -1,22 +1,22 @@
 package gate
 
-// Cold is what is known of a backend server that is cold: one that has just
+// ColdState is what is known of a backend server that is cold: one that has just
 // started, or has come back, works slowly and fails under more starts than it
 // bears. Source: docs/design/cold-backend-servers.md.
-type Cold struct {
-	// Most is how many jobs may start in any second; 0: the backend server bears any
+type ColdState struct {
+	// MaxStartsPerSecond is how many jobs may start in any second; 0: the backend server bears any
 	// number.
-	Most int
+	MaxStartsPerSecond int
 	// Since is when it may have become cold: of one that is warm, when it said so
 	// last, since it may become cold at any time.
 	Since int64
-	// Till is until when it is cold; in the past of one that is warm.
-	Till int64
+	// Until is until when it is cold; in the past of one that is warm.
+	Until int64
 }
 
-// SetCold takes over whether the backend server is cold. It returns the jobs that
+// SetColdState takes over whether the backend server is cold. It returns the jobs that
 // the owner must start now.
-func (g *Gate) SetCold(now int64, cold Cold) []*Job {
+func (g *Gate) SetColdState(now int64, cold ColdState) []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cold.set(now, cold, predecessor{was: g.opts.Restarted, gone: int64(g.opts.RestartAfter)})
@@ -30,7 +30,7 @@
 	if !g.cold.isCold(now) {
 		return 1
 	}
-	return g.speed.Steady()
+	return g.speed.BaselineSlowdown()
 }
 
 // tooSlowForSoft is true while the backend server works so much slower than usual
@@ -46,9 +46,9 @@
 // next word says.
 func (g *Gate) bearsNoStart(now int64) bool { return g.cold.full(now) }
 
-// AsksWhetherCold is true where the owner should ask the backend server whether it
+// NeedsColdCheck is true where the owner should ask the backend server whether it
 // is still warm, before the starts are used up that its last word allows.
-func (g *Gate) AsksWhetherCold(now int64) bool {
+func (g *Gate) NeedsColdCheck(now int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.cold.asks(now)
--- a/pkg/gate/cold_row_test.go
+++ b/pkg/gate/cold_periods_test.go
@@ -31,13 +31,13 @@
 
 // word is what the gate is told of an answer that the backend server gave to a
 // question asked and answered at these times.
-func (c coldRow) word(most int, asked, said, now int64) Cold {
+func (c coldRow) word(most int, asked, said, now int64) ColdState {
 	till := c.till(said)
 	if till == 0 {
-		return Cold{Most: most, Since: asked - wordSlack, Till: now}
+		return ColdState{MaxStartsPerSecond: most, Since: asked - wordSlack, Until: now}
 	}
 	left := till - said
-	return Cold{Most: most, Since: asked + left - c.lasts - wordSlack, Till: now + left}
+	return ColdState{MaxStartsPerSecond: most, Since: asked + left - c.lasts - wordSlack, Until: now + left}
 }
 
 // drawColdRow draws two or three cold times and the moment of a word in each of
@@ -62,7 +62,7 @@
 		now := int64(10_000 * ms)
 		row, told := drawColdRow(t, now)
 		g := New(Options{Slots: 1000, QueueLength: 1000, QueueTime: time.Minute, Order: Ranked})
-		g.SetCold(now, Cold{Most: most, Since: now - wordSlack})
+		g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now - wordSlack})
 		var cold []int64
 		note := func(started int) {
 			for ; started > 0 && row.till(now) > 0; started-- {
@@ -71,7 +71,7 @@
 		}
 		tell := func(asked int64) {
 			said := rapid.Int64Range(asked/ms, now/ms).Draw(t, "said") * ms
-			note(len(g.SetCold(now, row.word(most, asked, said, now))))
+			note(len(g.SetColdState(now, row.word(most, asked, said, now))))
 		}
 		end := row.begins[len(row.begins)-1] + row.lasts
 		for asked := int64(0); now < end; now += rapid.Int64Range(1, 60).Draw(t, "pause") * ms {
@@ -93,7 +93,7 @@
 			}
 			start, _ := g.Tick(now)
 			note(len(start))
-			if g.AsksWhetherCold(now) || g.Holds(now) {
+			if g.NeedsColdCheck(now) || g.AwaitsReport(now) {
 				asked = now
 			}
 		}
@@ -123,10 +123,10 @@
 		started += len(start)
 	}
 	test.LessEq(t, 3*most, started, test.Sprint("in three seconds"))
-	g.TakeWaiting()
+	g.DrainQueue()
 	started = 0
 	for ; now < end+1000*ms; now += 20 * ms {
-		started += len(g.SetCold(now, Cold{Most: most, Since: now - wordSlack, Till: now}))
+		started += len(g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now - wordSlack, Until: now}))
 		for range 3 {
 			admit()
 		}
--- a/pkg/gate/cold_patience_test.go
+++ b/pkg/gate/cold_priority_test.go
@@ -17,7 +17,7 @@
 	g := coldGate(now, most)
 	var running []*Job
 	admit := func(rank uint16, left int64) {
-		job := &Job{Rank: rank, Called: rank > 0, Work: 10 * time.Millisecond, Deadline: now + left, EndBy: now + left}
+		job := &Job{Rank: rank, Nested: rank > 0, Work: 10 * time.Millisecond, Deadline: now + left, EndBy: now + left}
 		if run, _ := g.Admit(now, job); run {
 			running = append(running, job)
 		}
--- a/pkg/gate/cold_starts.go
+++ b/pkg/gate/cold_starts.go
@@ -35,7 +35,7 @@
 // A word that it is warm takes the latter out of the count and never the former, so
 // that cold times may follow one another with any words between.
 type coldStarts struct {
-	Cold
+	ColdState
 	// starts are the starts that count or may come to count, the oldest first. The
 	// bound keeps them to some two times Most.
 	starts []coldStart
@@ -50,8 +50,8 @@
 }
 
 // set takes over what is known now.
-func (c *coldStarts) set(now int64, cold Cold, before predecessor) {
-	c.Cold = cold
+func (c *coldStarts) set(now int64, cold ColdState, before predecessor) {
+	c.ColdState = cold
 	c.forget(now)
 	if before.was && cold.Since < -before.gone {
 		c.assumeFull(-before.gone)
@@ -66,7 +66,7 @@
 // assumeFull counts as many starts of the process before as a window may have. Words
 // may come in any order, so that each of them that reaches back so far does.
 func (c *coldStarts) assumeFull(at int64) {
-	missing := c.Most
+	missing := c.MaxStartsPerSecond
 	for _, s := range c.starts {
 		if s.assumed {
 			missing--
@@ -98,7 +98,7 @@
 
 // note counts a start.
 func (c *coldStarts) note(now int64) {
-	if c.Most == 0 {
+	if c.MaxStartsPerSecond == 0 {
 		return
 	}
 	c.forget(now)
@@ -127,11 +127,11 @@
 // until is how long a job with some others ahead of it waits where certain starts
 // count.
 func (c *coldStarts) until(now int64, ahead int, counts func(coldStart) bool) time.Duration {
-	if c.Most == 0 {
+	if c.MaxStartsPerSecond == 0 {
 		return 0
 	}
-	rounds := int64(ahead / c.Most)
-	frees := ahead%c.Most + c.count(now, counts) - c.Most
+	rounds := int64(ahead / c.MaxStartsPerSecond)
+	frees := ahead%c.MaxStartsPerSecond + c.count(now, counts) - c.MaxStartsPerSecond
 	if frees < 0 {
 		return time.Duration(rounds * coldWindow)
 	}
@@ -165,14 +165,14 @@
 func cameCold(s coldStart) bool { return s.cold }
 
 // isCold is true while the backend server is known to be cold.
-func (c *coldStarts) isCold(now int64) bool { return now < c.Till }
+func (c *coldStarts) isCold(now int64) bool { return now < c.Until }
 
 // asks is true where so many jobs have started since the word that the backend
 // server is warm that the next one should be asked for.
 func (c *coldStarts) asks(now int64) bool {
-	if c.Most == 0 || c.isCold(now) || c.full(now) {
+	if c.MaxStartsPerSecond == 0 || c.isCold(now) || c.full(now) {
 		return false
 	}
 	cold := c.count(now, cameCold)
-	return c.count(now, c.counts)-cold > int(coldWordUsed*float64(c.Most-cold))
+	return c.count(now, c.counts)-cold > int(coldWordUsed*float64(c.MaxStartsPerSecond-cold))
 }
--- a/pkg/gate/cold_test.go
+++ b/pkg/gate/cold_test.go
@@ -12,7 +12,7 @@
 // coldGate is a gate with many slots of a backend server that is cold from now on.
 func coldGate(now int64, most int) *Gate {
 	g := New(Options{Slots: 1000, QueueLength: 1000, QueueTime: time.Minute, Order: Ranked})
-	g.SetCold(now, Cold{Most: most, Since: now, Till: now + 3000*ms})
+	g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now, Until: now + 3000*ms})
 	return g
 }
 
@@ -89,7 +89,7 @@
 func TestAWarmWordAllowsWhatAColdOneBears(t *testing.T) {
 	now := int64(10_000 * ms)
 	g := New(Options{Slots: 1000, QueueLength: 1000, QueueTime: time.Minute, Order: Ranked})
-	word := func() []*Job { return g.SetCold(now, Cold{Most: 4, Since: now}) }
+	word := func() []*Job { return g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now}) }
 	word()
 	admitted := func(count int) (started int) {
 		for range count {
@@ -101,11 +101,11 @@
 	}
 	now += ms
 	test.Eq(t, 2, admitted(2))
-	test.False(t, g.AsksWhetherCold(now))
+	test.False(t, g.NeedsColdCheck(now))
 	test.Eq(t, 1, admitted(1))
-	test.True(t, g.AsksWhetherCold(now))
+	test.True(t, g.NeedsColdCheck(now))
 	test.Eq(t, 1, admitted(4))
-	test.True(t, g.Holds(now), test.Sprint("a word is asked for"))
+	test.True(t, g.AwaitsReport(now), test.Sprint("a word is asked for"))
 	hasty := coldJob(now)
 	hasty.EndBy = now + 100*ms
 	run, refusal := g.Admit(now, hasty)
@@ -117,10 +117,10 @@
 	// The next word tells that it is cold since then: what started before counts
 	// from there only.
 	now += 10 * ms
-	g.SetCold(now, Cold{Most: 4, Since: now, Till: now + 3000*ms})
+	g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now, Until: now + 3000*ms})
 	test.Eq(t, 4, admitted(5))
-	test.False(t, g.Holds(now), test.Sprint("a word would change nothing"))
-	test.False(t, g.AsksWhetherCold(now))
+	test.False(t, g.AwaitsReport(now), test.Sprint("a word would change nothing"))
+	test.False(t, g.NeedsColdCheck(now))
 }
 
 // TestTwoColdTimesInARowCountAsOne: in the second in which one ends and the next
@@ -139,9 +139,9 @@
 	now += 2800 * ms
 	test.Eq(t, 4, admitted(4))
 	now += 250 * ms
-	g.SetCold(now, Cold{Most: 4, Since: now})
+	g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now})
 	now += 150 * ms
-	g.SetCold(now, Cold{Most: 4, Since: now - 50*ms, Till: now + 3000*ms})
+	g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now - 50*ms, Until: now + 3000*ms})
 	test.Eq(t, 0, admitted(4))
 	now += coldWindow
 	start, _ := g.Tick(now)
@@ -166,10 +166,10 @@
 	now += 2800 * ms
 	admit()
 	now += 250 * ms
-	g.SetCold(now, Cold{Most: most, Since: now})
+	g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now})
 	now += 100 * ms
 	admit()
-	g.SetCold(now+50*ms, Cold{Most: most, Since: now - 50*ms, Till: now + 3000*ms})
+	g.SetColdState(now+50*ms, ColdState{MaxStartsPerSecond: most, Since: now - 50*ms, Until: now + 3000*ms})
 	test.LessEq(t, most, started, test.Sprint("within 350 ms"))
 }
 
@@ -190,7 +190,7 @@
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			g := New(Options{Slots: 10, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, Restarted: s.restarted, RestartAfter: 300 * time.Millisecond})
-			g.SetCold(now, Cold{Most: 2, Since: s.since, Till: s.since + 3000*ms})
+			g.SetColdState(now, ColdState{MaxStartsPerSecond: 2, Since: s.since, Until: s.since + 3000*ms})
 			run, refusal := g.Admit(now, coldJob(now))
 			must.Nil(t, refusal)
 			test.Eq(t, s.want, run)
--- a/pkg/gate/fair_test.go
+++ b/pkg/gate/fair_queueing_test.go
@@ -112,7 +112,7 @@
 func TestCallsKeepTheOrderOfTheirDeadlines(t *testing.T) {
 	var f fairTurns
 	less := lessOf(Ranked)
-	late, early := &Job{Called: true, Deadline: 9, seq: 1}, &Job{Called: true, Deadline: 5, seq: 2}
+	late, early := &Job{Nested: true, Deadline: 9, seq: 1}, &Job{Nested: true, Deadline: 5, seq: 2}
 	f.give(late)
 	f.started(&Job{Team: "red", turn: 3})
 	f.give(early)
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -23,12 +23,12 @@
 	// SoftSlowdown is the slowdown, 1 for none, above which soft jobs are
 	// refused.
 	SoftSlowdown float64
-	// Use is the share of the slots that the gate uses, up to 1; 0 stands for 1. Work
+	// SlotShare is the share of the slots that the gate uses, up to 1; 0 stands for 1. Work
 	// slows for all runs of a backend server that is nearly full.
-	Use float64
-	// Learn makes Use the start only: the gate learns from its runs how many go on
+	SlotShare float64
+	// LearnLimit makes Use the start only: the gate learns from its runs how many go on
 	// at once before work slows.
-	Learn bool
+	LearnLimit bool
 	// Restarted is true where another process of the daemon may have started jobs
 	// before this one, and RestartAfter how long before this one it had ended at
 	// least.
@@ -66,8 +66,8 @@
 
 // New makes a gate.
 func New(opts Options) *Gate {
-	if opts.Use == 0 {
-		opts.Use = 1
+	if opts.SlotShare == 0 {
+		opts.SlotShare = 1
 	}
 	g := &Gate{opts: opts, queue: newQueue(opts.Order), slots: opts.Slots, speed: speed.NewModel(), probedAt: -probeEvery}
 	g.newLimiter()
@@ -85,13 +85,13 @@
 	}
 }
 
-// Report takes over what the backend server says of its speed, 1: as usual. It
+// ObserveSlowdown takes over what the backend server says of its speed, 1: as usual. It
 // returns the jobs that the owner must start now: those that were held until a
 // slow spell ended.
-func (g *Gate) Report(now int64, slowdown float64) []*Job {
+func (g *Gate) ObserveSlowdown(now int64, slowdown float64) []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.speed.Report(now, slowdown)
+	g.speed.ObserveSlowdown(now, slowdown)
 	return g.startWaiting(now)
 }
 
@@ -101,8 +101,8 @@
 	g.cold.note(now)
 	job.started = now
 	job.atOnce = g.running
-	job.slowdown, job.fresh = g.speed.Start(now)
-	job.inSpell = g.speed.InSpell()
+	job.slowdown, job.fresh = g.speed.SlowdownAtStart(now)
+	job.inSpell = g.speed.InSlowPeriod()
 	g.estimate.start(now)
 }
 
--- a/pkg/gate/gate_bench_test.go
+++ b/pkg/gate/gate_bench_test.go
@@ -7,11 +7,11 @@
 
 // busyGate is a routed gate with all usable slots taken and so many jobs waiting.
 func busyGate(b *testing.B, waiting int, cold bool) *Gate {
-	g := New(Options{Slots: 11, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, Use: 0.8, Learn: true})
+	g := New(Options{Slots: 11, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true})
 	if cold {
-		g.SetCold(1, Cold{Most: 30, Since: 1, Till: int64(time.Hour)})
+		g.SetColdState(1, ColdState{MaxStartsPerSecond: 30, Since: 1, Until: int64(time.Hour)})
 	}
-	for range g.Usable() + waiting {
+	for range g.UsableSlots() + waiting {
 		if _, refusal := g.Admit(1, benchJob()); refusal != nil {
 			b.Fatal(refusal)
 		}
@@ -46,13 +46,13 @@
 // BenchmarkReport takes over a word on the speed while 200 jobs are held for the end
 // of a slow spell, with free slots.
 func BenchmarkReport(b *testing.B) {
-	g := New(Options{Slots: 1000, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, Use: 0.8})
+	g := New(Options{Slots: 1000, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
 	now := int64(time.Minute)
 	for range 50 {
 		now += int64(100 * time.Millisecond)
-		g.Report(now, 1)
+		g.ObserveSlowdown(now, 1)
 		now += int64(100 * time.Millisecond)
-		g.Report(now, 4)
+		g.ObserveSlowdown(now, 4)
 	}
 	for range 200 {
 		job := benchJob()
@@ -62,7 +62,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		g.Report(now, 4)
+		g.ObserveSlowdown(now, 4)
 	}
 	b.ReportMetric(float64(g.InFlight()-int64(g.running)), "held")
 }
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -214,13 +214,13 @@
 
 // routedGate is a gate as the runner of routed requests makes it.
 func routedGate() *Gate {
-	return New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 1})
+	return New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
 }
 
 func TestSoftJobs(t *testing.T) {
 	const deadline = int64(time.Hour)
 	nearlyFull := func() *Gate {
-		return New(Options{Slots: 3, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 0.8})
+		return New(Options{Slots: 3, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
 	}
 	g := nearlyFull()
 	soft := func(near bool) *errkind.Error {
@@ -233,7 +233,7 @@
 	must.Nil(t, soft(true))
 	test.Eq(t, errkind.GateBusier, soft(true).Kind, test.Sprint("full"))
 	g = nearlyFull()
-	g.Report(1, 4)
+	g.ObserveSlowdown(1, 4)
 	test.Eq(t, errkind.GateBusier, soft(true).Kind, test.Sprint("slowed"))
 }
 
@@ -242,7 +242,7 @@
 func TestTheGateUsesItsShareOfTheSlots(t *testing.T) {
 	const hour = int64(time.Hour)
 	for slots, want := range map[int]int{1: 1, 2: 2, 3: 2, 6: 4, 12: 9} {
-		g := New(Options{Slots: slots, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 0.8})
+		g := New(Options{Slots: slots, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
 		var running []*Job
 		for range 3 * slots {
 			j := &Job{Deadline: hour, EndBy: hour, Work: time.Second}
@@ -274,7 +274,7 @@
 	urgent := &Job{Rank: 0, Deadline: hour, EndBy: 1 + int64(1900*time.Millisecond), Work: time.Second}
 	_, refusal := g.Admit(1, urgent)
 	must.Nil(t, refusal)
-	test.Eq(t, 600*time.Millisecond, urgent.Patience(1))
+	test.Eq(t, 600*time.Millisecond, urgent.MaxWait(1))
 	late := &Job{Rank: 2, Deadline: hour, EndBy: 1 + int64(1900*time.Millisecond), Work: time.Second}
 	_, refusal = g.Admit(1, late)
 	must.NotNil(t, refusal)
@@ -311,7 +311,7 @@
 
 // fillHalf starts so many jobs that the gate takes no late ones.
 func fillHalf(t *testing.T, g *Gate) {
-	for SlotsForLate(int64(g.running), int64(g.usable())) {
+	for AcceptsLateRuns(int64(g.running), int64(g.usable())) {
 		run, _ := g.Admit(1, &Job{Deadline: int64(time.Hour), EndBy: int64(time.Hour), Work: time.Second})
 		must.True(t, run)
 	}
@@ -321,8 +321,8 @@
 // more than none, where no other run wants the slot.
 func TestFreeSlotsTakeRunsThatWouldBeLate(t *testing.T) {
 	const hour = int64(time.Hour)
-	g := New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 1})
-	g.Report(1, 4)
+	g := New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
+	g.ObserveSlowdown(1, 4)
 	late := func(deadline int64) (run bool) {
 		run, _ = g.Admit(1, &Job{Deadline: deadline, EndBy: 1 + int64(time.Second), Work: time.Second})
 		return run
@@ -348,7 +348,7 @@
 // TestAnEstimateThatIsTooLongDoesNotCloseTheGate: the work time was learnt in a
 // bad moment and is over each target. A few runs are admitted to correct it.
 func TestAnEstimateThatIsTooLongDoesNotCloseTheGate(t *testing.T) {
-	g := New(Options{Slots: 100, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 1})
+	g := New(Options{Slots: 100, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
 	fillHalf(t, g)
 	admitted := 0
 	for now := int64(1); now < int64(time.Second); now += int64(10 * time.Millisecond) {
@@ -361,7 +361,7 @@
 		}
 	}
 	test.Eq(t, 10, admitted)
-	g.Report(1, 4)
+	g.ObserveSlowdown(1, 4)
 	_, refusal := g.Admit(int64(time.Second), &Job{Deadline: int64(time.Hour), EndBy: int64(2 * time.Second), Work: time.Minute})
 	must.NotNil(t, refusal, must.Sprint("a slowed backend server tells nothing of the work"))
 }
--- a/pkg/gate/hold_test.go
+++ b/pkg/gate/hold_test.go
@@ -18,11 +18,11 @@
 // holdingGate is a gate of four slots whose backend server has worked as usual
 // for a second, but for spells of 100 ms, and has just said that it is slowed.
 func holdingGate() (g *Gate, now int64) {
-	g = New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 1})
+	g = New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
 	now = 1
 	report := func(slowdown float64, d time.Duration) {
 		for end := now + int64(d); now < end; now += 10 * ms {
-			g.Report(now, slowdown)
+			g.ObserveSlowdown(now, slowdown)
 		}
 	}
 	for range 20 {
@@ -30,7 +30,7 @@
 		report(5, 100*time.Millisecond)
 	}
 	report(1, time.Second)
-	g.Report(now, 5)
+	g.ObserveSlowdown(now, 5)
 	return g, now
 }
 
@@ -42,13 +42,13 @@
 	started, refusal := g.Admit(now, long)
 	must.Nil(t, refusal)
 	test.False(t, started)
-	test.True(t, g.Holds(now))
+	test.True(t, g.AwaitsReport(now))
 	test.Eq(t, uint32(0), g.Stamp(now).Running)
 	started, _ = g.Admit(now, &Job{Deadline: now + hour, EndBy: now + hour, Work: 5 * time.Millisecond})
 	test.True(t, started, test.Sprint("short work"))
-	test.SliceEmpty(t, g.Report(now+50*ms, 5))
-	test.Eq(t, []*Job{long}, g.Report(now+90*ms, 1))
-	test.False(t, g.Holds(now+90*ms))
+	test.SliceEmpty(t, g.ObserveSlowdown(now+50*ms, 5))
+	test.Eq(t, []*Job{long}, g.ObserveSlowdown(now+90*ms, 1))
+	test.False(t, g.AwaitsReport(now+90*ms))
 }
 
 // TestHeldStartsKeepTheirOrder: by rank, and no more than there are slots.
@@ -61,7 +61,7 @@
 		must.Nil(t, refusal)
 		want = append(want, job)
 	}
-	test.Eq(t, []*Job{want[3], want[4], want[0], want[1]}, g.Report(now+90*ms, 1))
+	test.Eq(t, []*Job{want[3], want[4], want[0], want[1]}, g.ObserveSlowdown(now+90*ms, 1))
 	test.Eq(t, []*Job{want[2]}, g.Finish(now+300*ms, want[3], true))
 }
 
@@ -73,11 +73,11 @@
 	must.Nil(t, refusal)
 	var start []*Job
 	for at := now; len(start) == 0 && at < now+2*int64(time.Second); at += 10 * ms {
-		start = g.Report(at, 5)
+		start = g.ObserveSlowdown(at, 5)
 		now = at
 	}
 	must.Eq(t, []*Job{job}, start)
-	test.Between(t, 100*time.Millisecond, job.Queued(), time.Second)
+	test.Between(t, 100*time.Millisecond, job.WaitTime(), time.Second)
 }
 
 // TestAHeldJobIsRefusedInTime: its slowed run would be late, so it waits for the
@@ -93,9 +93,9 @@
 	started, refusal := g.Admit(now, job)
 	must.Nil(t, refusal)
 	test.False(t, started)
-	test.Eq(t, 340*time.Millisecond, job.Patience(now), test.Sprint("1.3 times its run before it should end"))
+	test.Eq(t, 340*time.Millisecond, job.MaxWait(now), test.Sprint("1.3 times its run before it should end"))
 	for ; now < began+340*ms; now += 10 * ms {
-		test.SliceEmpty(t, g.Report(now, 5))
+		test.SliceEmpty(t, g.ObserveSlowdown(now, 5))
 	}
 	test.True(t, g.Withdraw(job))
 }
@@ -117,9 +117,9 @@
 // fewer at once; where none do, it runs more.
 func TestTheLimitIsLearnt(t *testing.T) {
 	for knee, want := range map[int][2]int{6: {5, 6}, 10: {9, 10}} {
-		g := New(Options{Slots: 10, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 0.8, Learn: true})
+		g := New(Options{Slots: 10, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true})
 		play(g, knee, 4000)
-		test.Between(t, want[0], g.Usable(), want[1], test.Sprint("work slows above ", knee))
+		test.Between(t, want[0], g.UsableSlots(), want[1], test.Sprint("work slows above ", knee))
 	}
 }
 
@@ -134,7 +134,7 @@
 	begin := func(now int64, jobs ...*Job) {
 		for _, job := range jobs {
 			took := int64(run)
-			if job.AtOnce() > knee {
+			if job.ConcurrencyAtStart() > knee {
 				took = took * 17 / 10
 			}
 			all = append(all, going{job, now + took})
@@ -142,7 +142,7 @@
 	}
 	for step := range steps {
 		now := 1 + int64(step)*20*ms
-		begin(now, g.Report(now, 1)...)
+		begin(now, g.ObserveSlowdown(now, 1)...)
 		for i := 0; i < len(all); i++ {
 			if all[i].ends <= now {
 				job := all[i].job
@@ -177,19 +177,19 @@
 		must.Nil(t, refusal)
 		want = append(want, job)
 	}
-	test.SliceEmpty(t, g.Report(now+50*ms, 5))
+	test.SliceEmpty(t, g.ObserveSlowdown(now+50*ms, 5))
 	looked := 0
 	for _, job := range want {
 		job.held = false
 	}
-	test.SliceEmpty(t, g.Report(now+60*ms, 5))
+	test.SliceEmpty(t, g.ObserveSlowdown(now+60*ms, 5))
 	for _, job := range want {
 		if job.held {
 			looked++
 		}
 	}
 	test.Eq(t, mostHeldLooks, looked)
-	test.Eq(t, want[:slots], g.Report(now+90*ms, 1))
+	test.Eq(t, want[:slots], g.ObserveSlowdown(now+90*ms, 1))
 	test.Eq(t, want[slots:slots+1], g.Finish(now+300*ms, want[0], true))
 }
 
--- a/pkg/gate/limit.go
+++ b/pkg/gate/limit.go
@@ -8,7 +8,7 @@
 
 // newLimiter begins to learn anew, for another number of slots.
 func (g *Gate) newLimiter() {
-	if g.opts.Learn {
+	if g.opts.LearnLimit {
 		g.limiter = concurrency.NewLimiter(g.slots, g.share())
 	}
 }
@@ -43,7 +43,7 @@
 
 // share is the share of the slots that is used where nothing is learnt.
 func (g *Gate) share() int {
-	usable := int(g.opts.Use * float64(g.slots))
+	usable := int(g.opts.SlotShare * float64(g.slots))
 	if float64(usable) < leastUse*float64(g.slots) {
 		return g.slots
 	}
@@ -54,10 +54,10 @@
 func (g *Gate) learn(now int64, job *Job) {
 	ratio := float64(now-job.started) / float64(job.Work)
 	if job.inSpell {
-		g.speed.Ran(job.slowdown, ratio)
+		g.speed.RecordRun(job.slowdown, ratio)
 		return
 	}
 	if g.limiter != nil {
-		g.limiter.Ran(now, job.atOnce, ratio/job.slowdown)
+		g.limiter.RecordRun(now, job.atOnce, ratio/job.slowdown)
 	}
 }
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -37,9 +37,9 @@
 	Rank uint16
 	// Team shares the slots with other teams of one rank evenly; empty: the job has none.
 	Team string
-	// Called jobs go first among those of one rank: a service waits for each in
+	// Nested jobs go first among those of one rank: a service waits for each in
 	// the middle of a run, with its slot held.
-	Called bool
+	Nested bool
 	// Work is how long the job would run at a backend server that works as
 	// usual; 0: the gate takes its own estimate of all jobs.
 	Work time.Duration
@@ -140,8 +140,8 @@
 			if a.Rank != b.Rank {
 				return a.Rank < b.Rank
 			}
-			if a.Called != b.Called {
-				return a.Called
+			if a.Nested != b.Nested {
+				return a.Nested
 			}
 			if a.turn != b.turn {
 				return a.turn < b.turn
--- a/pkg/gate/routed_property_test.go
+++ b/pkg/gate/routed_property_test.go
@@ -67,7 +67,7 @@
 		const slots = 4
 		w := &routedWorld{
 			gate: New(Options{
-				Slots: slots, QueueLength: 20, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, Use: 0.8, Learn: true,
+				Slots: slots, QueueLength: 20, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true,
 			}),
 			now: 1, waiting: map[*Job]bool{}, running: map[*Job]bool{},
 		}
@@ -79,7 +79,7 @@
 			case 2:
 				w.finish(t)
 			case 3:
-				w.begin(t, w.gate.Report(w.now, rapid.SampledFrom([]float64{1, 1, 2, 5, 10}).Draw(t, "slowdown")))
+				w.begin(t, w.gate.ObserveSlowdown(w.now, rapid.SampledFrom([]float64{1, 1, 2, 5, 10}).Draw(t, "slowdown")))
 			case 4:
 				w.withdraw(t)
 			case 5:
@@ -87,7 +87,7 @@
 				w.begin(t, start)
 			case 6:
 				if rapid.IntRange(0, 9).Draw(t, "leaves") == 0 {
-					for _, job := range w.gate.TakeWaiting() {
+					for _, job := range w.gate.DrainQueue() {
 						test.True(t, w.waiting[job])
 						delete(w.waiting, job)
 					}
@@ -98,7 +98,7 @@
 		}
 		for w.gate.InFlight() > 0 {
 			w.now += 10 * ms
-			w.begin(t, w.gate.Report(w.now, 1))
+			w.begin(t, w.gate.ObserveSlowdown(w.now, 1))
 			w.finish(t)
 		}
 		test.MapEmpty(t, w.waiting)
--- a/pkg/gate/report.go
+++ b/pkg/gate/status.go
@@ -17,7 +17,7 @@
 		Queued:    uint32(g.queue.len()),
 		Limit:     uint32(g.limit(now)),
 		ServiceUS: uint32(min(g.estimate.service(now).Microseconds(), 1<<31)),
-		Slowdown:  speed.Percent(g.speed.Slowdown()),
+		Slowdown:  speed.ToPercent(g.speed.Slowdown()),
 		Usual:     usualOf(g.usualSlowdown(now)),
 	}
 }
@@ -28,25 +28,25 @@
 	if slowdown <= 1 {
 		return 0
 	}
-	return speed.Percent(slowdown)
+	return speed.ToPercent(slowdown)
 }
 
-// Doubt is by how much longer the run of a job that is admitted now must be
+// StalenessCost is by how much longer the run of a job that is admitted now must be
 // expected to take, since the newest word on the backend server's speed is old; 0
 // where it could not start at once.
-func (g *Gate) Doubt(now int64, job *Job) time.Duration {
+func (g *Gate) StalenessCost(now int64, job *Job) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.running >= g.limit(now) || g.bearsNoStart(now) {
 		return 0
 	}
-	return g.speed.Doubt(now, job.Work)
+	return g.speed.StalenessCost(now, job.Work)
 }
 
-// Holds is true while jobs wait although slots are free, for a word of the backend
+// AwaitsReport is true while jobs wait although slots are free, for a word of the backend
 // server that the owner should ask for: that a slow spell has ended, or that it is
 // still warm.
-func (g *Gate) Holds(now int64) bool {
+func (g *Gate) AwaitsReport(now int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.queue.len() == 0 || g.running >= g.limit(now) {
@@ -65,8 +65,8 @@
 	return g.estimate.slowness(now) > slowTolerance
 }
 
-// Usable is how many jobs run at once at a backend server that works as usual.
-func (g *Gate) Usable() int {
+// UsableSlots is how many jobs run at once at a backend server that works as usual.
+func (g *Gate) UsableSlots() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.usable()
@@ -79,16 +79,16 @@
 	return g.slots
 }
 
-// Patience is how long a job that waits may go on waiting.
-func (j *Job) Patience(now int64) time.Duration { return time.Duration(max(j.startBy-now, 0)) }
+// MaxWait is how long a job that waits may go on waiting.
+func (j *Job) MaxWait(now int64) time.Duration { return time.Duration(max(j.startBy-now, 0)) }
 
 // Held is true when the job had to wait for the end of a slow spell although a
 // slot was free.
 func (j *Job) Held() bool { return j.held }
 
-// AtOnce is how many jobs ran when this one had started, itself among them; 0:
+// ConcurrencyAtStart is how many jobs ran when this one had started, itself among them; 0:
 // it did not start.
-func (j *Job) AtOnce() int { return j.atOnce }
+func (j *Job) ConcurrencyAtStart() int { return j.atOnce }
 
-// Queued returns how long a started job waited.
-func (j *Job) Queued() time.Duration { return time.Duration(j.started - j.arrived) }
+// WaitTime returns how long a started job waited.
+func (j *Job) WaitTime() time.Duration { return time.Duration(j.started - j.arrived) }
--- a/pkg/gate/waiting.go
+++ b/pkg/gate/waiting.go
@@ -95,7 +95,7 @@
 // probe starts a waiting job over the limit where that tells whether the limit
 // could be higher; nil: it does not.
 func (g *Gate) probe(now int64, limit int) *Job {
-	if g.limiter == nil || g.running != limit || !g.mayStart(now) || g.queue.len() == 0 || g.speed.InSpell() || !g.limiter.Probes(now) {
+	if g.limiter == nil || g.running != limit || !g.mayStart(now) || g.queue.len() == 0 || g.speed.InSlowPeriod() || !g.limiter.ShouldProbe(now) {
 		return nil
 	}
 	job := g.queue.pop(now, g.estimate.service(now))
@@ -112,12 +112,12 @@
 		return true
 	}
 	at := outlook{free: true, service: g.expected(now, job)}
-	return g.speed.InSpell() && tooLate(now, job, at) && !g.takesLate(now, job, at)
+	return g.speed.InSlowPeriod() && tooLate(now, job, at) && !g.takesLate(now, job, at)
 }
 
-// TakeWaiting takes all waiting jobs out, for a backend server that takes no
+// DrainQueue takes all waiting jobs out, for a backend server that takes no
 // more; the owner dismisses them.
-func (g *Gate) TakeWaiting() []*Job {
+func (g *Gate) DrainQueue() []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	out := g.queue.takeIf(func(*Job) bool { return true })
--- a/pkg/link/stamps.go
+++ b/pkg/link/stamps.go
@@ -22,7 +22,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !c.Measure.Spend(c.Now(), stamp.Size(), worth(s.last, stamp)) {
+	if !c.Measure.TrySpend(c.Now(), stamp.Size(), worth(s.last, stamp)) {
 		return wire.Stamp{}
 	}
 	s.last = stamp
@@ -36,13 +36,13 @@
 	after := int64(now.Running) + int64(now.Queued)
 	switch {
 	case last.Seq == 0 || last.Limit != now.Limit:
-		return measure.High
+		return measure.HighValue
 	case 4*abs(after-before) >= int64(now.Limit):
-		return measure.High
+		return measure.HighValue
 	case 2*abs(int64(now.ServiceUS)-int64(last.ServiceUS)) >= int64(last.ServiceUS):
-		return measure.High
+		return measure.HighValue
 	}
-	return measure.Low
+	return measure.LowValue
 }
 
 func abs(n int64) int64 {
--- a/pkg/measure/budget.go
+++ b/pkg/measure/budget.go
@@ -24,10 +24,10 @@
 type Value uint8
 
 const (
-	// Low is a report that says nearly what is known already.
-	Low Value = iota
-	// High is a report that changes the choice, or the first one.
-	High
+	// LowValue is a report that says nearly what is known already.
+	LowValue Value = iota
+	// HighValue is a report that changes the choice, or the first one.
+	HighValue
 )
 
 // Budget is one daemon's budget. It is safe for concurrent use.
@@ -66,14 +66,14 @@
 	return b
 }
 
-// Spend pays for a report of size bytes; false when there is no budget left
+// TrySpend pays for a report of size bytes; false when there is no budget left
 // for it, and it must not be sent. now is in nanoseconds of a steady clock.
-func (b *Budget) Spend(now int64, size int, value Value) bool {
+func (b *Budget) TrySpend(now int64, size int, value Value) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.refill(now)
 	keep := 0.0
-	if value == Low {
+	if value == LowValue {
 		keep = b.agreed * burstShare * scarceShare
 	}
 	if b.tokens-float64(size) < keep {
@@ -105,23 +105,23 @@
 	}
 }
 
-// Report is what a budget has paid for so far.
-type Report struct {
+// Usage is what a budget has paid for so far.
+type Usage struct {
 	Bytes   int64
 	Reports int64
-	// Unpaid counts reports that were left out.
-	Unpaid int64
+	// Rejected counts reports that were left out.
+	Rejected int64
 	// Overruns counts seconds that took more than the agreed amount.
-	Overruns int64
-	Agreed   float64
+	Overruns          int64
+	MaxBytesPerSecond float64
 }
 
-// Report returns what was paid so far.
-func (b *Budget) Report() Report {
+// Usage returns what was paid so far.
+func (b *Budget) Usage() Usage {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return Report{
-		Bytes: int64(b.spent.Get()), Reports: int64(b.reports.Get()), Unpaid: int64(b.unpaid.Get()),
-		Overruns: b.window.overrun, Agreed: b.agreed,
+	return Usage{
+		Bytes: int64(b.spent.Get()), Reports: int64(b.reports.Get()), Rejected: int64(b.unpaid.Get()),
+		Overruns: b.window.overrun, MaxBytesPerSecond: b.agreed,
 	}
 }
--- a/pkg/measure/budget_test.go
+++ b/pkg/measure/budget_test.go
@@ -31,7 +31,7 @@
 		for range rapid.IntRange(10, 400).Draw(t, "asks") {
 			now += rapid.Int64Range(0, int64(20*time.Millisecond)).Draw(t, "gap")
 			size := rapid.IntRange(1, 40).Draw(t, "size")
-			if b.Spend(now, size, Value(rapid.IntRange(0, 1).Draw(t, "value"))) {
+			if b.TrySpend(now, size, Value(rapid.IntRange(0, 1).Draw(t, "value"))) {
 				all = append(all, paid{now, size})
 			}
 		}
@@ -44,21 +44,21 @@
 			}
 			must.LessEq(t, agreed, sum)
 		}
-		must.Eq(t, 0, b.Report().Overruns)
+		must.Eq(t, 0, b.Usage().Overruns)
 	})
 }
 
 func TestValuableReportsGoFirstWhenTheBudgetIsScarce(t *testing.T) {
 	b := newBudget(1000)
-	for b.Spend(1, 10, Low) {
+	for b.TrySpend(1, 10, LowValue) {
 		continue
 	}
-	test.True(t, b.Spend(1, 10, High))
-	test.False(t, b.Spend(1, 10, Low))
+	test.True(t, b.TrySpend(1, 10, HighValue))
+	test.False(t, b.TrySpend(1, 10, LowValue))
 }
 
 func TestZeroBudgetPaysNothing(t *testing.T) {
 	b := newBudget(0)
-	test.False(t, b.Spend(int64(time.Minute), 1, High))
-	test.Eq(t, 1, b.Report().Unpaid)
+	test.False(t, b.TrySpend(int64(time.Minute), 1, HighValue))
+	test.Eq(t, 1, b.Usage().Rejected)
 }
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -25,8 +25,8 @@
 		Ready: se.World.View.Ready(), Leaving: se.World.View.Leaving(), Unsure: se.World.View.Unsure(),
 		StoreAgeMs: -1,
 	}
-	budget := se.Measure.Report()
-	out.MeasureBytesAgreed = budget.Agreed
+	budget := se.Measure.Usage()
+	out.MeasureBytesAgreed = budget.MaxBytesPerSecond
 	out.MeasureBytesPerS = float64(budget.Bytes) / (float64(se.Now()) / float64(time.Second))
 	if se.Executor != nil {
 		stamp := se.Executor.Stamp()
--- a/pkg/runner/cold.go
+++ b/pkg/runner/cold.go
@@ -21,16 +21,16 @@
 		return false
 	}
 	said, s := r.lifecycle.Cold(), &r.Settings.Routing
-	cold := gate.Cold{Since: said.ToldAt - coldSlack, Till: said.Till}
+	cold := gate.ColdState{Since: said.ToldAt - coldSlack, Until: said.Till}
 	if service.ColdRate > 0 {
-		cold.Most = max(int(s.ColdFactor*service.ColdRate+s.ColdSlack), 1)
+		cold.MaxStartsPerSecond = max(int(s.ColdFactor*service.ColdRate+s.ColdSlack), 1)
 	}
 	now := r.Now()
 	if now < said.Till {
 		cold.Since = coldSince(now, &said, service.ColdFor) - coldSlack
 	}
 	r.noteCold(now, cold)
-	r.startAll(r.gate.SetCold(now, cold))
+	r.startAll(r.gate.SetColdState(now, cold))
 	r.coldTold.Store(true)
 	return true
 }
@@ -52,18 +52,18 @@
 // lookForCold has the backend server asked whether it is still warm, where many
 // requests have started since it said so.
 func (r *Runner) lookForCold(now int64) {
-	if r.checker != nil && r.gate.AsksWhetherCold(now) {
+	if r.checker != nil && r.gate.NeedsColdCheck(now) {
 		r.checker.Check(func() {})
 	}
 }
 
 // noteCold logs when the backend server becomes cold, or warm again.
-func (r *Runner) noteCold(now int64, cold gate.Cold) {
-	isCold := now < cold.Till
+func (r *Runner) noteCold(now int64, cold gate.ColdState) {
+	isCold := now < cold.Until
 	if r.cold.Swap(isCold) == isCold {
 		return
 	}
 	instance, _ := r.lifecycle.Current()
 	r.Log.Event(events.BackendCold, events.F("instance", instance), events.F("cold", isCold),
-		events.F("left", events.Milliseconds(time.Duration(max(cold.Till-now, 0)))), events.F("most_starts", cold.Most))
+		events.F("left", events.Milliseconds(time.Duration(max(cold.Until-now, 0)))), events.F("most_starts", cold.MaxStartsPerSecond))
 }
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -21,7 +21,7 @@
 		events.F("request", c.Routed.ID), events.F("route", c.Kind), events.F("service", c.Service),
 		events.F("version", c.Placement), events.F("team", c.Routed.Team), events.F("priority", c.Routed.Priority), events.F("soft", c.Routed.Soft),
 		events.F("left", events.Milliseconds(c.Remaining)), events.F("target_left", events.Milliseconds(c.Routed.Target)),
-		events.F("expected_work", events.Milliseconds(run.job.Work)), events.F("called", run.job.Called), events.F("held", run.job.Held()),
+		events.F("expected_work", events.Milliseconds(run.job.Work)), events.F("called", run.job.Nested), events.F("held", run.job.Held()),
 		events.F("gate", strconv.Itoa(int(result.Stamp.Running))+"+"+strconv.Itoa(int(result.Stamp.Queued))+"/"+strconv.Itoa(int(result.Stamp.Limit))),
 		events.F("slowdown", result.Stamp.Slowdown), events.F("load_age", events.Milliseconds(run.owner.load.Age(run.owner.Now()))),
 	}
@@ -37,7 +37,7 @@
 	if answer := result.Answer; answer != nil {
 		fields = append(fields, events.F("outcome", "answered"), events.F("status", answer.Status),
 			events.F("queued", events.Milliseconds(answer.Queued)),
-			events.F("start_slowdown", answer.Slowdown), events.F("at_once", run.job.AtOnce()), events.F("run", events.Milliseconds(answer.Run)), events.F("instance", run.instance))
+			events.F("start_slowdown", answer.Slowdown), events.F("at_once", run.job.ConcurrencyAtStart()), events.F("run", events.Milliseconds(answer.Run)), events.F("instance", run.instance))
 	}
 	log.Event(id, fields...)
 }
--- a/pkg/runner/look.go
+++ b/pkg/runner/look.go
@@ -17,7 +17,7 @@
 // admitted when the answer is there; false: nothing is asked, and the caller
 // admits it.
 func (r *Runner) looksFirst(now int64, run *routedRun) bool {
-	if r.checker == nil || r.gate.Doubt(now, &run.job) < r.Settings.Routing.LookCost {
+	if r.checker == nil || r.gate.StalenessCost(now, &run.job) < r.Settings.Routing.LookCost {
 		return false
 	}
 	if !r.checker.Check(run.admit) {
@@ -30,7 +30,7 @@
 // lookForEnd has the backend server asked again soon while starts are held for
 // the end of a slow spell. Its answer starts them, or makes the next look due.
 func (r *Runner) lookForEnd() {
-	if r.checker == nil || !r.gate.Holds(r.Now()) || r.lookDue.Swap(true) {
+	if r.checker == nil || !r.gate.AwaitsReport(r.Now()) || r.lookDue.Swap(true) {
 		return
 	}
 	time.AfterFunc(heldLookEvery, func() {
@@ -60,7 +60,7 @@
 
 // newCounters registers the metrics of a runner.
 func newCounters(r *Runner) counters {
-	r.Metrics.GetOrCreateGauge("rushramp_routed_runs_allowed", func() float64 { return float64(r.gate.Usable()) })
+	r.Metrics.GetOrCreateGauge("rushramp_routed_runs_allowed", func() float64 { return float64(r.gate.UsableSlots()) })
 	r.Metrics.GetOrCreateGauge("rushramp_routed_cold", func() float64 { return asNumber(r.cold.Load()) })
 	r.Metrics.GetOrCreateGauge("rushramp_routed_evacuated", func() float64 { return asNumber(r.evacuated.Load()) })
 	return counters{
--- a/pkg/runner/look_test.go
+++ b/pkg/runner/look_test.go
@@ -70,13 +70,13 @@
 		if now%second < second/10 {
 			slowdown = 5
 		}
-		r.gate.Report(now, slowdown)
+		r.gate.ObserveSlowdown(now, slowdown)
 	}
 	for range 10 {
-		r.gate.Report(r.Now(), 1)
+		r.gate.ObserveSlowdown(r.Now(), 1)
 	}
 	r.load.Take(r.Now(), "0,0,2,500")
-	r.gate.Report(r.Now(), 5)
+	r.gate.ObserveSlowdown(r.Now(), 5)
 }
 
 // heldCall is a call that a gate holds in a slow spell.
@@ -92,7 +92,7 @@
 	r, lifecycle := newTestRunner(t, h, 2)
 	slowSpells(r)
 	results, _ := execute(r, heldCall("a"))
-	must.True(t, r.gate.Holds(r.Now()))
+	must.True(t, r.gate.AwaitsReport(r.Now()))
 	return r, lifecycle, h, results
 }
 
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -68,7 +68,7 @@
 		r.start(&run.job)
 		r.lookForCold(now)
 	default:
-		run.expiry.Store(time.AfterFunc(run.job.Patience(now), run.expire))
+		run.expiry.Store(time.AfterFunc(run.job.MaxWait(now), run.expire))
 		r.lookForEnd()
 		if run.isGone() {
 			run.cancel()
@@ -139,14 +139,14 @@
 	if reply.Refusal != nil {
 		return call.Result{Refusal: reply.Refusal, Offered: reply.Offered}, false
 	}
-	reply.Answer.Queued = run.job.Queued()
+	reply.Answer.Queued = run.job.WaitTime()
 	reply.Answer.Run = took
 	reply.Answer.Slowdown = slowdown
 	reply.Answer.CallsFailed = r.callFailedAt.Load() >= began
 	r.Quarantine.Ran(r.Now(), run.content, reply.Answer.Status)
 	worked := reply.Answer.Status < 500
 	if worked {
-		r.work.Note(run.call.Kind, took, slowdown)
+		r.work.Record(run.call.Kind, took, slowdown)
 	}
 	return call.Result{Answer: reply.Answer, Offered: true}, worked
 }
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -127,7 +127,7 @@
 		}),
 		gate: gate.New(gate.Options{
 			Slots: s.BackendServer.Slots, QueueLength: s.Gate.QueueLength, QueueTime: s.Gate.QueueTime,
-			Order: gate.Ranked, SoftSlowdown: s.Routing.SoftSlowdown, Use: s.Routing.Use, Learn: true,
+			Order: gate.Ranked, SoftSlowdown: s.Routing.SoftSlowdown, SlotShare: s.Routing.Use, LearnLimit: true,
 			Restarted: !s.Platform.FirstStart, RestartAfter: s.Platform.RestartAfter,
 		}),
 	}
@@ -180,7 +180,7 @@
 
 // dismiss refuses all that wait: another backend server may still run it in time.
 func (r *Runner) dismiss(why *errkind.Error) {
-	for _, job := range r.gate.TakeWaiting() {
+	for _, job := range r.gate.DrainQueue() {
 		job.Dismiss(why)
 	}
 }
@@ -207,7 +207,7 @@
 			r.slowdowns.note(r.Now(), slowdown)
 		}
 		r.noteSpeed(slowdown)
-		r.startAll(r.gate.Report(r.Now(), speed.Slowdown(int64(slowdown))))
+		r.startAll(r.gate.ObserveSlowdown(r.Now(), speed.FromPercent(int64(slowdown))))
 		r.lookForEnd()
 	}
 }
@@ -215,7 +215,7 @@
 // noteSpeed logs when the backend server becomes too slow for soft attempts, or
 // as fast as usual again.
 func (r *Runner) noteSpeed(slowdown int) {
-	slowed := speed.Slowdown(int64(slowdown)) > r.Settings.Routing.SoftSlowdown
+	slowed := speed.FromPercent(int64(slowdown)) > r.Settings.Routing.SoftSlowdown
 	if r.slowed.Swap(slowed) == slowed {
 		return
 	}
@@ -224,7 +224,7 @@
 
 // noteLimit logs when the gate has learnt another number of runs at once.
 func (r *Runner) noteLimit() {
-	usable := int64(r.gate.Usable())
+	usable := int64(r.gate.UsableSlots())
 	before := r.usable.Swap(usable)
 	if before == usable || before == 0 {
 		return
@@ -245,7 +245,7 @@
 	run.origin = r.origins.note(c.Kind, c.Routed.Caller)
 	called := run.origin == wire.OriginService
 	run.job = gate.Job{
-		Rank: rankOf(c), Team: c.Routed.Team, Called: called, Deadline: run.deadline, Work: r.work.OfOrGuess(c.Kind, c.Routed.Target),
+		Rank: rankOf(c), Team: c.Routed.Team, Nested: called, Deadline: run.deadline, Work: r.work.LookupOrEstimate(c.Kind, c.Routed.Target),
 		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.endBy(now, run, called), Start: run.start, SendBack: run.sendBack, Dismiss: run.dismiss,
 	}
 	if !r.looksFirst(now, run) {
--- a/pkg/runner/runner_test.go
+++ b/pkg/runner/runner_test.go
@@ -187,7 +187,7 @@
 func TestWhatCannotEndInTimeIsRefusedAtOnce(t *testing.T) {
 	h := newHeld()
 	r, _ := newTestRunner(t, h, 1)
-	r.work.Note("route", time.Second, 0)
+	r.work.Record("route", time.Second, 0)
 	busy, _ := execute(r, routedCall("a"))
 	<-h.came
 	late := routedCall("b")
--- a/pkg/speed/lengths.go
+++ b/pkg/speed/histogram.go
@@ -94,7 +94,7 @@
 // Holding until a time limit costs the time held, and the slowed run all the
 // same where the spell outlasts the limit; the limits looked at are the lengths
 // seen. hold is false where none is better than to start now.
-func (l *lengths) hold(age time.Duration, run Run, usual, slowed float64) (out Outlook, hold bool) {
+func (l *lengths) hold(age time.Duration, run Run, usual, slowed float64) (out HoldForecast, hold bool) {
 	left, all := l.leftAfter(age)
 	best := run.cost(0, slowed)
 	// ended is the weight of the spells that end within the limit; the sums go
@@ -112,7 +112,7 @@
 		if cost := (costs + outlasting*run.cost(left[i], slowed)) / all; cost < best {
 			best, hold = cost, true
 			out.Wait = time.Duration((waits + outlasting*left[i]) / all)
-			out.InTime = min((inTime+outlasting*run.inTime(left[i], slowed))/all, 1)
+			out.OnTimeProbability = min((inTime+outlasting*run.inTime(left[i], slowed))/all, 1)
 		}
 	}
 	return out, hold
@@ -121,7 +121,7 @@
 // cost is the expected time until the end of a run that starts after wait and
 // takes service, in nanoseconds, with what being late costs.
 func (r *Run) cost(wait, service float64) float64 {
-	return wait + service + (1-r.inTime(wait, service))*float64(r.Late)
+	return wait + service + (1-r.inTime(wait, service))*float64(r.LatePenalty)
 }
 
 // spread is the standard deviation of the logarithm of how long runs of one kind
@@ -131,10 +131,10 @@
 // inTime are the odds that a run which starts after wait and is expected to take
 // service, in nanoseconds, ends within the time left.
 func (r *Run) inTime(wait, service float64) float64 {
-	if r.Left == 0 {
+	if r.TimeLeft == 0 {
 		return 1
 	}
-	room := float64(r.Left) - wait
+	room := float64(r.TimeLeft) - wait
 	if room <= 0 {
 		return 0
 	}
--- a/pkg/speed/model.go
+++ b/pkg/speed/model.go
@@ -68,9 +68,9 @@
 	return &Model{trust: 1, lengths: newLengths(), apart: priorApart, level: priorLevel}
 }
 
-// Report takes the backend server's word over: slowdown is 1 when it works as
+// ObserveSlowdown takes the backend server's word over: slowdown is 1 when it works as
 // usual.
-func (m *Model) Report(now int64, slowdown float64) {
+func (m *Model) ObserveSlowdown(now int64, slowdown float64) {
 	slowdown = max(slowdown, 1)
 	before := m.last
 	m.last = reading{at: now, slowdown: slowdown}
@@ -88,7 +88,7 @@
 // beginSpell learns how long there was none, and how slow this one is.
 func (m *Model) beginSpell(at int64) {
 	m.spellSince = at
-	m.level += (m.last.slowdown/m.Steady() - m.level) * apartWeight
+	m.level += (m.last.slowdown/m.BaselineSlowdown() - m.level) * apartWeight
 	if m.usualSince != 0 {
 		m.apart += (float64(at-m.usualSince) - m.apart) * apartWeight
 	}
@@ -106,19 +106,19 @@
 	m.usualSince = at
 }
 
-// Doubt is by how much longer a run must be expected to take, in the mean, since
+// StalenessCost is by how much longer a run must be expected to take, in the mean, since
 // a spell may have begun after the newest word; the longest duration where there
 // was none. In a spell it is how much shorter it would be if that had ended.
-func (m *Model) Doubt(now int64, work time.Duration) time.Duration {
+func (m *Model) StalenessCost(now int64, work time.Duration) time.Duration {
 	if m.last.at == 0 {
 		return math.MaxInt64
 	}
 	lasts := m.apart
-	if m.InSpell() {
+	if m.InSlowPeriod() {
 		lasts = m.lengths.mean()
 	}
 	turned := 1 - math.Exp(-float64(now-m.last.at)/max(lasts, 1))
-	return time.Duration(turned * float64(work) * m.Steady() * m.trust * (m.level - 1))
+	return time.Duration(turned * float64(work) * m.BaselineSlowdown() * m.trust * (m.level - 1))
 }
 
 // addLow keeps the least slowdown of the window at the front.
@@ -137,9 +137,9 @@
 // Slowdown is the newest word; 1: as usual, or nothing is known.
 func (m *Model) Slowdown() float64 { return max(m.last.slowdown, 1) }
 
-// Steady is the slowdown outside of spells: the least of the last second. One
+// BaselineSlowdown is the slowdown outside of spells: the least of the last second. One
 // that was just started is slow for seconds, and no spell.
-func (m *Model) Steady() float64 {
+func (m *Model) BaselineSlowdown() float64 {
 	if len(m.lows) == 0 {
 		return 1
 	}
@@ -147,26 +147,26 @@
 }
 
 // slowed is true while the newest word is notably over the steady slowdown.
-func (m *Model) slowed() bool { return m.last.slowdown > notable*m.Steady() }
+func (m *Model) slowed() bool { return m.last.slowdown > notable*m.BaselineSlowdown() }
 
-// InSpell is true while a slow spell goes on.
-func (m *Model) InSpell() bool { return m.spellSince != 0 }
+// InSlowPeriod is true while a slow spell goes on.
+func (m *Model) InSlowPeriod() bool { return m.spellSince != 0 }
 
-// Factor is how many times its usual work a run takes that starts now.
-func (m *Model) Factor() float64 {
-	steady := m.Steady()
+// ExpectedSlowdown is how many times its usual work a run takes that starts now.
+func (m *Model) ExpectedSlowdown() float64 {
+	steady := m.BaselineSlowdown()
 	return steady + m.trust*(m.Slowdown()-steady)
 }
 
-// Start tells at which slowdown a run starts; fresh is false when the newest word
+// SlowdownAtStart tells at which slowdown a run starts; fresh is false when the newest word
 // is too old to tell.
-func (m *Model) Start(now int64) (slowdown float64, fresh bool) {
+func (m *Model) SlowdownAtStart(now int64) (slowdown float64, fresh bool) {
 	return m.Slowdown(), m.last.at != 0 && now-m.last.at <= freshFor
 }
 
-// Ran learns from a run that started in a spell, at the slowdown that Start
+// RecordRun learns from a run that started in a spell, at the slowdown that Start
 // told: it took ratio times its usual work.
-func (m *Model) Ran(slowdown, ratio float64) {
+func (m *Model) RecordRun(slowdown, ratio float64) {
 	if slowdown <= 1 {
 		return
 	}
@@ -178,27 +178,27 @@
 type Run struct {
 	// Work is how long it takes at a backend server that works as usual.
 	Work time.Duration
-	// Left is the time left in which it should end; 0: no bound.
-	Left time.Duration
-	// Late is what ending later than that costs, as a time.
-	Late time.Duration
+	// TimeLeft is the time left in which it should end; 0: no bound.
+	TimeLeft time.Duration
+	// LatePenalty is what ending later than that costs, as a time.
+	LatePenalty time.Duration
 }
 
-// Outlook is what a run has to expect that is held until a slow spell ends.
-type Outlook struct {
+// HoldForecast is what a run has to expect that is held until a slow spell ends.
+type HoldForecast struct {
 	// Wait is the expected time until it starts.
 	Wait time.Duration
-	// InTime are the odds that it then ends within the time left, 0 to 1.
-	InTime float64
+	// OnTimeProbability are the odds that it then ends within the time left, 0 to 1.
+	OnTimeProbability float64
 }
 
-// Hold decides whether a run should wait for the end of the spell. False: it
+// ShouldHold decides whether a run should wait for the end of the spell. False: it
 // does better when it starts now.
-func (m *Model) Hold(now int64, run Run) (Outlook, bool) {
-	if !m.InSpell() {
-		return Outlook{}, false
+func (m *Model) ShouldHold(now int64, run Run) (HoldForecast, bool) {
+	if !m.InSlowPeriod() {
+		return HoldForecast{}, false
 	}
-	usual := float64(run.Work) * m.Steady()
-	slowed := float64(run.Work) * m.Factor()
+	usual := float64(run.Work) * m.BaselineSlowdown()
+	slowed := float64(run.Work) * m.ExpectedSlowdown()
 	return m.lengths.hold(time.Duration(now-m.spellSince), run, usual, slowed)
 }
--- a/pkg/speed/model_test.go
+++ b/pkg/speed/model_test.go
@@ -14,7 +14,7 @@
 // feed reports a slowdown every 10 ms for a while.
 func feed(m *Model, now *int64, slowdown float64, d time.Duration) {
 	for end := *now + int64(d); *now < end; *now += 10 * ms {
-		m.Report(*now, slowdown)
+		m.ObserveSlowdown(*now, slowdown)
 	}
 }
 
@@ -30,16 +30,16 @@
 func TestASpellIsToldFromALastingSlowdown(t *testing.T) {
 	m, now := NewModel(), int64(1)
 	feed(m, &now, 1, time.Second)
-	test.False(t, m.InSpell())
+	test.False(t, m.InSlowPeriod())
 	feed(m, &now, 5, 200*time.Millisecond)
-	test.True(t, m.InSpell())
-	test.Eq(t, 1.0, m.Steady())
+	test.True(t, m.InSlowPeriod())
+	test.Eq(t, 1.0, m.BaselineSlowdown())
 	feed(m, &now, 5, time.Second)
-	test.False(t, m.InSpell(), test.Sprint("it has lasted for over a second"))
-	test.Eq(t, 5.0, m.Steady())
-	test.Eq(t, 5.0, m.Factor())
+	test.False(t, m.InSlowPeriod(), test.Sprint("it has lasted for over a second"))
+	test.Eq(t, 5.0, m.BaselineSlowdown())
+	test.Eq(t, 5.0, m.ExpectedSlowdown())
 	feed(m, &now, 1, 10*time.Millisecond)
-	test.Eq(t, 1.0, m.Steady(), test.Sprint("as usual again at once"))
+	test.Eq(t, 1.0, m.BaselineSlowdown(), test.Sprint("as usual again at once"))
 }
 
 // TestAColdBackendServerIsNoSpell: it is slow for seconds from its start, and
@@ -47,10 +47,10 @@
 func TestAColdBackendServerIsNoSpell(t *testing.T) {
 	m, now := NewModel(), int64(1)
 	feed(m, &now, 2, 100*time.Millisecond)
-	test.False(t, m.InSpell())
+	test.False(t, m.InSlowPeriod())
 	feed(m, &now, 10, 100*time.Millisecond)
-	test.True(t, m.InSpell())
-	test.Eq(t, 2.0, m.Steady())
+	test.True(t, m.InSlowPeriod())
+	test.Eq(t, 2.0, m.BaselineSlowdown())
 }
 
 // TestHoldingIsLearnt: with nothing known long work is held and short work is
@@ -80,8 +80,8 @@
 			} else {
 				feed(m, &now, 1, time.Second)
 			}
-			m.Report(now, 5)
-			_, hold := m.Hold(now, Run{Work: s.work})
+			m.ObserveSlowdown(now, 5)
+			_, hold := m.ShouldHold(now, Run{Work: s.work})
 			test.Eq(t, s.want, hold)
 		})
 	}
@@ -96,16 +96,16 @@
 		spells(m, &now, 1, 4, 600*time.Millisecond)
 		spells(m, &now, 1, 4, 150*time.Millisecond)
 	}
-	m.Report(now, 4)
+	m.ObserveSlowdown(now, 4)
 	run := Run{Work: 80 * time.Millisecond}
-	_, hold := m.Hold(now, run)
+	_, hold := m.ShouldHold(now, run)
 	test.False(t, hold)
-	run.Left, run.Late = 280*time.Millisecond, 300*time.Millisecond
-	out, hold := m.Hold(now, run)
+	run.TimeLeft, run.LatePenalty = 280*time.Millisecond, 300*time.Millisecond
+	out, hold := m.ShouldHold(now, run)
 	test.True(t, hold)
-	test.Between(t, 0.4, out.InTime, 0.9)
-	run.Left = 20 * time.Millisecond
-	_, hold = m.Hold(now, run)
+	test.Between(t, 0.4, out.OnTimeProbability, 0.9)
+	run.TimeLeft = 20 * time.Millisecond
+	_, hold = m.ShouldHold(now, run)
 	test.False(t, hold)
 }
 
@@ -116,8 +116,8 @@
 	spells(m, &now, 60, 5, 200*time.Millisecond)
 	began := now
 	for held := true; held; now += 10 * ms {
-		m.Report(now, 5)
-		_, held = m.Hold(now, Run{Work: 220 * time.Millisecond})
+		m.ObserveSlowdown(now, 5)
+		_, held = m.ShouldHold(now, Run{Work: 220 * time.Millisecond})
 	}
 	test.Between(t, 200*time.Millisecond, time.Duration(now-began), 400*time.Millisecond)
 }
@@ -127,31 +127,31 @@
 func TestAWordThatRunsDoNotBearOutIsNotFollowed(t *testing.T) {
 	m, now := NewModel(), int64(1)
 	feed(m, &now, 1, time.Second)
-	m.Report(now, 5)
-	_, hold := m.Hold(now, Run{Work: 220 * time.Millisecond})
+	m.ObserveSlowdown(now, 5)
+	_, hold := m.ShouldHold(now, Run{Work: 220 * time.Millisecond})
 	test.True(t, hold)
 	for range 30 {
-		slowdown, ok := m.Start(now)
+		slowdown, ok := m.SlowdownAtStart(now)
 		test.True(t, ok)
-		m.Ran(slowdown, 1.1)
+		m.RecordRun(slowdown, 1.1)
 	}
-	_, hold = m.Hold(now, Run{Work: 220 * time.Millisecond})
+	_, hold = m.ShouldHold(now, Run{Work: 220 * time.Millisecond})
 	test.False(t, hold)
-	test.Between(t, 1.0, m.Factor(), 1.3)
+	test.Between(t, 1.0, m.ExpectedSlowdown(), 1.3)
 	for range 30 {
-		m.Ran(5, 5)
+		m.RecordRun(5, 5)
 	}
-	_, hold = m.Hold(now, Run{Work: 220 * time.Millisecond})
+	_, hold = m.ShouldHold(now, Run{Work: 220 * time.Millisecond})
 	test.True(t, hold, test.Sprint("runs bear it out again"))
 }
 
 func TestAnOldWordTellsNothingOfAStart(t *testing.T) {
 	m, now := NewModel(), int64(1)
 	feed(m, &now, 1, time.Second)
-	m.Report(now, 5)
-	_, ok := m.Start(now + freshFor)
+	m.ObserveSlowdown(now, 5)
+	_, ok := m.SlowdownAtStart(now + freshFor)
 	test.True(t, ok)
-	_, ok = m.Start(now + freshFor + 1)
+	_, ok = m.SlowdownAtStart(now + freshFor + 1)
 	test.False(t, ok)
 }
 
@@ -162,16 +162,16 @@
 		m, now := NewModel(), int64(1)
 		for range 500 {
 			now += rapid.Int64Range(0, 300*ms).Draw(t, "gap")
-			m.Report(now, rapid.Float64Range(0, 20).Draw(t, "slowdown"))
-			out, hold := m.Hold(now, Run{
-				Work: time.Duration(rapid.Int64Range(0, 2000*ms).Draw(t, "work")),
-				Left: time.Duration(rapid.Int64Range(0, 2000*ms).Draw(t, "left")),
-				Late: time.Duration(rapid.Int64Range(0, 2000*ms).Draw(t, "late")),
+			m.ObserveSlowdown(now, rapid.Float64Range(0, 20).Draw(t, "slowdown"))
+			out, hold := m.ShouldHold(now, Run{
+				Work:        time.Duration(rapid.Int64Range(0, 2000*ms).Draw(t, "work")),
+				TimeLeft:    time.Duration(rapid.Int64Range(0, 2000*ms).Draw(t, "left")),
+				LatePenalty: time.Duration(rapid.Int64Range(0, 2000*ms).Draw(t, "late")),
 			})
 			test.Eq(t, true, out.Wait >= 0 && out.Wait <= lasting)
-			test.Eq(t, true, out.InTime >= 0 && out.InTime <= 1)
+			test.Eq(t, true, out.OnTimeProbability >= 0 && out.OnTimeProbability <= 1)
 			test.Eq(t, true, hold || out.Wait == 0)
-			test.Eq(t, true, m.Factor() >= 1)
+			test.Eq(t, true, m.ExpectedSlowdown() >= 1)
 		}
 		test.LessEq(t, 500, len(m.lows))
 	})
@@ -182,27 +182,27 @@
 func TestDoubtGrowsWithAgeAndWork(t *testing.T) {
 	const long, short = 200 * time.Millisecond, 20 * time.Millisecond
 	often, now := NewModel(), int64(1)
-	test.Eq(t, math.MaxInt64, often.Doubt(now, long))
+	test.Eq(t, math.MaxInt64, often.StalenessCost(now, long))
 	spells(often, &now, 60, 5, 200*time.Millisecond)
 	at := now - 10*ms
-	test.Eq(t, 0, often.Doubt(at, long))
+	test.Eq(t, 0, often.StalenessCost(at, long))
 	// Once a second, at five times the usual: 10 ms are a hundredth of that.
-	test.Between(t, 6*time.Millisecond, often.Doubt(at+10*ms, long), 10*time.Millisecond)
-	test.Less(t, 2*time.Millisecond, often.Doubt(at+10*ms, short))
-	test.Greater(t, 30*time.Millisecond, often.Doubt(at+100*ms, long))
-	often.Report(now, 5)
-	test.Greater(t, 30*time.Millisecond, often.Doubt(now+10*ms, long), test.Sprint("in a spell, which is short"))
+	test.Between(t, 6*time.Millisecond, often.StalenessCost(at+10*ms, long), 10*time.Millisecond)
+	test.Less(t, 2*time.Millisecond, often.StalenessCost(at+10*ms, short))
+	test.Greater(t, 30*time.Millisecond, often.StalenessCost(at+100*ms, long))
+	often.ObserveSlowdown(now, 5)
+	test.Greater(t, 30*time.Millisecond, often.StalenessCost(now+10*ms, long), test.Sprint("in a spell, which is short"))
 	rare, now := NewModel(), int64(1)
 	for range 30 {
 		feed(rare, &now, 1, 20*time.Second)
 		feed(rare, &now, 5, 200*time.Millisecond)
 	}
 	feed(rare, &now, 1, 10*time.Millisecond)
-	test.Less(t, time.Millisecond, rare.Doubt(now, long))
+	test.Less(t, time.Millisecond, rare.StalenessCost(now, long))
 	for range 60 {
-		often.Ran(5, 1)
+		often.RecordRun(5, 1)
 	}
-	test.Less(t, time.Millisecond, often.Doubt(at+10*ms, long))
+	test.Less(t, time.Millisecond, often.StalenessCost(at+10*ms, long))
 }
 
 // TestAMeanOfForgottenSpellsIsNotUsed: after so many lasting spells that the
--- a/pkg/worktime/worktime.go
+++ b/pkg/worktime/worktime.go
@@ -40,8 +40,8 @@
 // NewTimes makes empty work times.
 func NewTimes() *Times { return &Times{byRoute: map[string]*mean{}} }
 
-// Of returns the work time of a route; 0: not known.
-func (t *Times) Of(route string) time.Duration {
+// Lookup returns the work time of a route; 0: not known.
+func (t *Times) Lookup(route string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if known := t.byRoute[route]; known != nil {
@@ -50,21 +50,21 @@
 	return 0
 }
 
-// OfOrGuess returns the work time of a route, or a guess from its target latency
+// LookupOrEstimate returns the work time of a route, or a guess from its target latency
 // while no run of it has ended here; 0 where the target has passed.
-func (t *Times) OfOrGuess(route string, target time.Duration) time.Duration {
-	if work := t.Of(route); work > 0 {
+func (t *Times) LookupOrEstimate(route string, target time.Duration) time.Duration {
+	if work := t.Lookup(route); work > 0 {
 		return work
 	}
 	return min(time.Duration(guessShare*float64(max(target, 0))), longestGuess)
 }
 
-// Note takes a run over. slowdown is what the backend server said of its speed,
+// Record takes a run over. slowdown is what the backend server said of its speed,
 // in percent of what is usual; 0: nothing.
-func (t *Times) Note(route string, took time.Duration, slowdown int) {
+func (t *Times) Record(route string, took time.Duration, slowdown int) {
 	work := float64(took)
 	if slowdown > 0 {
-		work /= speed.Slowdown(int64(slowdown))
+		work /= speed.FromPercent(int64(slowdown))
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
