--- a/pkg/bench/counters.go
+++ b/pkg/bench/counters.go
@@ -35,7 +35,7 @@
 		budget := n.daemon.Measure.Report()
 		out.measureBytes += budget.Bytes
 		out.overruns += budget.Overruns
-		added.Merge(n.daemon.Entry.Added())
+		added.Merge(n.daemon.Entry.AddedLatency())
 	}
 	out.addedP99 = quantile(added, 0.99)
 	return out
--- a/pkg/bench/run.go
+++ b/pkg/bench/run.go
@@ -221,7 +221,7 @@
 	req.Header.Set(backend.HeaderWork, strconv.FormatInt(a.nominal.Microseconds(), 10))
 	req.Header.Set(backend.HeaderAnswer, strconv.Itoa(a.kind.AnswerBytes))
 	if a.key != "" {
-		req.Header.Set(callers.HeaderKey, a.key)
+		req.Header.Set(callers.HeaderIdempotencyKey, a.key)
 	}
 	if a.kind.Timeout > 0 {
 		req.Header.Set(callers.HeaderTimeout, strconv.FormatInt(a.kind.Timeout.Milliseconds(), 10))
--- a/pkg/bodies/budget.go
+++ b/pkg/bodies/budget.go
@@ -22,11 +22,11 @@
 	return b
 }
 
-// Held is how many bytes are held now.
-func (b *Budget) Held() int64 { return b.held.Load() }
+// Reserved is how many bytes are held now.
+func (b *Budget) Reserved() int64 { return b.held.Load() }
 
-// Most is how many bytes may be held.
-func (b *Budget) Most() int64 { return b.most }
+// Limit is how many bytes may be held.
+func (b *Budget) Limit() int64 { return b.most }
 
 func (b *Budget) take(n int64) bool {
 	if b.held.Add(n) <= b.most {
@@ -37,17 +37,17 @@
 	return false
 }
 
-// Hold is the room that one body takes. It is safe for concurrent use.
-type Hold struct {
+// Reservation is the room that one body takes. It is safe for concurrent use.
+type Reservation struct {
 	budget *Budget
 	bytes  atomic.Int64
 }
 
-// NewHold begins with no room.
-func (b *Budget) NewHold() *Hold { return &Hold{budget: b} }
+// NewReservation begins with no room.
+func (b *Budget) NewReservation() *Reservation { return &Reservation{budget: b} }
 
 // Grow takes room for n bytes more; false when there is none.
-func (h *Hold) Grow(n int64) bool {
+func (h *Reservation) Grow(n int64) bool {
 	if n <= 0 {
 		return true
 	}
@@ -59,4 +59,4 @@
 }
 
 // Release gives all of it back. A second time does nothing.
-func (h *Hold) Release() { h.budget.held.Add(-h.bytes.Swap(0)) }
+func (h *Reservation) Release() { h.budget.held.Add(-h.bytes.Swap(0)) }
--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -29,9 +29,9 @@
 type Result struct {
 	Answer  *Answer
 	Refusal *errkind.Error
-	// Spoke is true when this is the executor's own word, and not this side's
+	// FromExecutor is true when this is the executor's own word, and not this side's
 	// conclusion from silence.
-	Spoke bool
+	FromExecutor bool
 	// Offered is true when a routed request reached a backend server, or may
 	// have: it counts as an attempt.
 	Offered bool
@@ -45,10 +45,10 @@
 	// Server and DataCentre say which backend server this end is about.
 	Server     string
 	DataCentre string
-	// Network is the shortest round trip that was measured on the way taken.
-	Network time.Duration
-	// Next is the claim to try instead when the refusal is KeyMoved.
-	Next wire.Claim
+	// MinRTT is the shortest round trip that was measured on the way taken.
+	MinRTT time.Duration
+	// NextClaim is the claim to try instead when the refusal is KeyMoved.
+	NextClaim wire.Claim
 }
 
 // Refused makes the Result of a refusal.
--- a/pkg/callers/server.go
+++ b/pkg/callers/server.go
@@ -22,11 +22,11 @@
 
 // The headers of callers' requests and of rushramp's own answers.
 const (
-	HeaderService = "Rushramp-Service"
-	HeaderTimeout = "Rushramp-Timeout"
-	HeaderKey     = "Idempotency-Key"
-	HeaderError   = "Rushramp-Error"
-	HeaderRan     = "Rushramp-Ran"
+	HeaderService        = "Rushramp-Service"
+	HeaderTimeout        = "Rushramp-Timeout"
+	HeaderIdempotencyKey = "Idempotency-Key"
+	HeaderError          = "Rushramp-Error"
+	HeaderRan            = "Rushramp-Ran"
 	// callPrefix is the path under which the service's name may stand instead
 	// of in the header.
 	callPrefix = "/call/"
@@ -80,7 +80,7 @@
 		s.refuseUnread(c, refusal)
 		return
 	}
-	plan, misplaced, refusal := s.entry.Plan(ctx, req)
+	plan, misplaced, refusal := s.entry.Admit(ctx, req)
 	if refusal != nil {
 		s.refuseUnread(c, refusal)
 		return
@@ -107,11 +107,11 @@
 
 func (s *Server) request(c *app.RequestContext, caller string) (*entry.Request, *errkind.Error) {
 	out := &entry.Request{
-		Service: string(c.Request.Header.Peek(HeaderService)),
-		Method:  string(c.Method()),
-		URI:     string(c.Request.RequestURI()),
-		Key:     string(c.Request.Header.Peek(HeaderKey)),
-		Outside: caller != s.ownIP,
+		Service:        string(c.Request.Header.Peek(HeaderService)),
+		Method:         string(c.Method()),
+		URI:            string(c.Request.RequestURI()),
+		IdempotencyKey: string(c.Request.Header.Peek(HeaderIdempotencyKey)),
+		FromOtherVM:    caller != s.ownIP,
 	}
 	if out.Service == "" {
 		out.Service, out.URI = serviceInPath(out.URI)
--- a/pkg/entry/try.go
+++ b/pkg/entry/attempts.go
@@ -18,7 +18,7 @@
 type try struct {
 	owner  *Entry
 	ctx    context.Context
-	plan   *Plan
+	plan   *AdmittedCall
 	body   []byte
 	budget *budget
 	req    choose.Request
@@ -38,7 +38,7 @@
 }
 
 func (t *try) run() call.Result {
-	last := call.Refused(errkind.NoBackendServer, "no backend server in %v can take the call", t.plan.View.Kind.DataCentres)
+	last := call.Refused(errkind.NoBackendServer, "no backend server in %v can take the call", t.plan.KindView.Kind.DataCentres)
 	for t.left > 0 {
 		t.req.Now = t.owner.Now()
 		// It may have become known between two attempts that the call's content ends the
@@ -51,7 +51,7 @@
 			return last
 		}
 		result := t.attempt(pick.Index, t.maxCost(pick))
-		if !result.Spoke {
+		if !result.FromExecutor {
 			// A server that is silent is not asked again.
 			t.tried = t.tried.With(pick.Index)
 		}
@@ -101,8 +101,8 @@
 	if result.Refusal == nil {
 		return false
 	}
-	if result.Refusal.Kind == errkind.KeyMoved && result.Next.Generation > 0 {
-		t.claim = result.Next
+	if result.Refusal.Kind == errkind.KeyMoved && result.NextClaim.Generation > 0 {
+		t.claim = result.NextClaim
 		t.left--
 		return t.left > 0
 	}
@@ -146,7 +146,7 @@
 // settle turns "may have run" into what the key's row says, for a call whose
 // key is claimed and whose executor gave no word.
 func (t *try) settle(result call.Result) call.Result {
-	if result.Spoke || result.Refusal == nil || result.Refusal.Ran == errkind.RanNo || !t.plan.guarded() {
+	if result.FromExecutor || result.Refusal == nil || result.Refusal.Ran == errkind.RanNo || !t.plan.guarded() {
 		return result
 	}
 	return t.owner.sealer.Seal(t.frame(0, 0), t.body, result.Refusal)
@@ -207,7 +207,7 @@
 		f.to.Load.Report(now, result.Stamp)
 	}
 	f.to.Load.Answered(failed(result))
-	result.Network = f.to.Load.Distance()
+	result.MinRTT = f.to.Load.Distance()
 	result.Server, result.DataCentre = f.to.Route.VM, f.to.Route.DataCentre
 	return result
 }
@@ -260,12 +260,12 @@
 	req := t.plan.Request
 	return &wire.Call{
 		Service:   req.Service,
-		Kind:      t.plan.View.Kind.Name,
+		Kind:      t.plan.KindView.Kind.Name,
 		Method:    req.Method,
 		URI:       req.URI,
 		Headers:   req.Headers,
-		Key:       req.Key,
-		Placement: t.plan.View.Kind.Version,
+		Key:       req.IdempotencyKey,
+		Placement: t.plan.KindView.Kind.Version,
 		Claim:     t.claim,
 		Remaining: left,
 		MaxCost:   cost,
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -60,9 +60,9 @@
 	}
 }
 
-// Plan finds the kind of a request and checks that it may enter here. It runs
+// Admit finds the kind of a request and checks that it may enter here. It runs
 // before the body is read.
-func (e *Entry) Plan(ctx context.Context, req *Request) (*Plan, *Misplaced, *errkind.Error) {
+func (e *Entry) Admit(ctx context.Context, req *Request) (*AdmittedCall, *Misplaced, *errkind.Error) {
 	began := e.Now()
 	if e.view.Leaving() {
 		return nil, nil, errkind.New(errkind.Leaving, "this daemon is leaving")
@@ -78,7 +78,7 @@
 	if kind == nil {
 		return nil, nil, errkind.New(errkind.UnknownRequestKind, "service %s places no kind for %s and this path", req.Service, req.Method)
 	}
-	plan := &Plan{Request: req, View: kind, began: began}
+	plan := &AdmittedCall{Request: req, KindView: kind, began: began}
 	plan.deadline = began + int64(e.timeout(req, kind.Kind))
 	misplaced, refusal := e.checkKind(req, kind)
 	return plan, misplaced, refusal
@@ -88,9 +88,9 @@
 	switch {
 	case kind.Kind.Strict && e.view.Unsure():
 		return nil, errkind.New(errkind.PlacementUnsure, "version %d may have been replaced", kind.Kind.Version)
-	case kind.Kind.NeverRepeat && kind.Kind.Key == placement.KeyRequired && req.Key == "":
+	case kind.Kind.NeverRepeat && kind.Kind.Key == placement.KeyRequired && req.IdempotencyKey == "":
 		return nil, errkind.New(errkind.KeyMissing, "kind %s may never be repeated", kind.Kind.Name)
-	case req.Outside && !kind.Kind.Allows(e.Settings.VM.DataCentre):
+	case req.FromOtherVM && !kind.Kind.Allows(e.Settings.VM.DataCentre):
 		return &Misplaced{
 			Refusal:   errkind.New(errkind.WrongPlace, "kind %s may be handled in %v", kind.Kind.Name, kind.Kind.DataCentres),
 			Addresses: kind.Redirect,
@@ -152,7 +152,7 @@
 
 // Run takes a planned call with its whole body to an end. ctx ends when the
 // caller leaves.
-func (e *Entry) Run(ctx context.Context, plan *Plan, body []byte) call.Result {
+func (e *Entry) Run(ctx context.Context, plan *AdmittedCall, body []byte) call.Result {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
 	result := e.attempts(ctx, plan, body)
@@ -160,7 +160,7 @@
 	return result
 }
 
-func (e *Entry) attempts(ctx context.Context, plan *Plan, body []byte) call.Result {
+func (e *Entry) attempts(ctx context.Context, plan *AdmittedCall, body []byte) call.Result {
 	set, refusal := e.candidates(ctx, plan)
 	if refusal != nil {
 		return call.Result{Refusal: refusal}
@@ -169,7 +169,7 @@
 		owner: e, ctx: ctx, plan: plan, body: body,
 		budget: e.budgets.of(plan.Request.Service),
 		req:    choose.Request{Set: set},
-		lane:   e.view.Rollout(plan.Request.Service).Next(plan.View.Kind.Name),
+		lane:   e.view.Rollout(plan.Request.Service).Next(plan.KindView.Kind.Name),
 		claim:  wire.Claim{Generation: 1},
 		left:   e.Settings.Retries.Attempts,
 		soft:   e.Settings.Choosing.SoftFirst && len(set) > 1,
@@ -181,28 +181,28 @@
 }
 
 // candidates returns the linked candidates, and waits for the first link.
-func (e *Entry) candidates(ctx context.Context, plan *Plan) ([]tables.Candidate, *errkind.Error) {
-	if len(plan.View.Ready) > 0 {
-		return plan.View.Ready, nil
+func (e *Entry) candidates(ctx context.Context, plan *AdmittedCall) ([]tables.Candidate, *errkind.Error) {
+	if len(plan.KindView.Ready) > 0 {
+		return plan.KindView.Ready, nil
 	}
-	if len(plan.View.Unlinked) == 0 {
-		return nil, errkind.New(errkind.NoBackendServer, "no backend server is live in %v", plan.View.Kind.DataCentres)
+	if len(plan.KindView.Unlinked) == 0 {
+		return nil, errkind.New(errkind.NoBackendServer, "no backend server is live in %v", plan.KindView.Kind.DataCentres)
 	}
-	kind := plan.View.Kind
+	kind := plan.KindView.Kind
 	waitUntil(ctx, func() bool {
 		service := e.view.Service(kind.Service)
 		if service == nil {
 			return false
 		}
 		if v := service.Match(plan.Request.Method, executor.PathOf(plan.Request.URI)); v != nil {
-			plan.View = v
+			plan.KindView = v
 		}
-		return len(plan.View.Ready) > 0 || e.Now() >= plan.deadline
+		return len(plan.KindView.Ready) > 0 || e.Now() >= plan.deadline
 	})
-	if len(plan.View.Ready) == 0 {
+	if len(plan.KindView.Ready) == 0 {
 		return nil, errkind.New(errkind.LinkUnavailable, "no daemon of service %s could be reached", kind.Service)
 	}
-	return plan.View.Ready, nil
+	return plan.KindView.Ready, nil
 }
 
 // failed is true for what counts against a backend server, so that one that
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -33,7 +33,7 @@
 func (s *server) Execute(_ *wire.Call, _ []byte, done func(call.Result)) func() {
 	s.calls++
 	result := s.result
-	result.Spoke = result.Refusal == nil || result.Refusal.Kind != errkind.LinkLost
+	result.FromExecutor = result.Refusal == nil || result.Refusal.Kind != errkind.LinkLost
 	time.AfterFunc(s.after, func() { done(result) })
 	return func() { s.cancelled++ }
 }
@@ -87,7 +87,7 @@
 }
 
 func run(t *testing.T, e *Entry, key string) call.Result {
-	plan, misplaced, refusal := e.Plan(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a", Key: key})
+	plan, misplaced, refusal := e.Admit(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a", IdempotencyKey: key})
 	must.Nil(t, refusal)
 	must.Nil(t, misplaced)
 	return e.Run(context.Background(), plan, nil)
@@ -114,7 +114,7 @@
 		{name: "the backend server broke off", first: refuses(errkind.BackendFailed), want: errkind.BackendFailed, ran: errkind.RanMaybe},
 		{name: "not run goes elsewhere, never-repeat", kind: never, key: "k", first: refuses(errkind.Overloaded), want: errkind.None, calls: 1},
 		{name: "silence is sealed, and then tried elsewhere", kind: never, key: "k", first: refuses(errkind.LinkLost),
-			seal: call.Result{Refusal: errkind.New(errkind.KeyMoved, ""), Next: wire.Claim{Version: 1, Generation: 2}}, want: errkind.None, calls: 1, seals: 1},
+			seal: call.Result{Refusal: errkind.New(errkind.KeyMoved, ""), NextClaim: wire.Claim{Version: 1, Generation: 2}}, want: errkind.None, calls: 1, seals: 1},
 		{name: "silence after a run stays a maybe", kind: never, key: "k", first: refuses(errkind.LinkLost),
 			seal: call.Refused(errkind.KeyInProgress, ""), want: errkind.KeyInProgress, ran: errkind.RanMaybe, seals: 1},
 		{name: "without a key it is sent once", kind: optional, first: refuses(errkind.Overloaded), want: errkind.Overloaded},
@@ -213,14 +213,14 @@
 type level struct{ next *Entry }
 
 func (l *level) Execute(_ *wire.Call, _ []byte, done func(call.Result)) func() {
-	plan, _, refusal := l.next.Plan(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a"})
+	plan, _, refusal := l.next.Admit(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a"})
 	status := 503
 	if refusal == nil {
 		if r := l.next.Run(context.Background(), plan, nil); r.Answer != nil {
 			status = r.Answer.Status
 		}
 	}
-	done(call.Result{Answer: &call.Answer{Status: status}, Spoke: true})
+	done(call.Result{Answer: &call.Answer{Status: status}, FromExecutor: true})
 	return func() {}
 }
 
--- a/pkg/entry/hedge.go
+++ b/pkg/entry/hedge.go
@@ -65,7 +65,7 @@
 // is not safe.
 func (t *try) newHedge(first *flight, ends chan landed) *hedge {
 	out := &hedge{try: t, first: first, ends: ends, open: 1}
-	kind := t.plan.View.Kind
+	kind := t.plan.KindView.Kind
 	if !kind.HedgeSafe || kind.NeverRepeat || len(t.req.Set) < 2 {
 		return out
 	}
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -17,19 +17,19 @@
 	Method  string
 	URI     string
 	Headers []wire.Header
-	// Key is the Idempotency-Key, or empty.
-	Key string
+	// IdempotencyKey is the Idempotency-IdempotencyKey, or empty.
+	IdempotencyKey string
 	// Timeout is what the caller allows; 0: not said.
 	Timeout time.Duration
-	// Outside is true for a caller that is not on this daemon's VM: its data
+	// FromOtherVM is true for a caller that is not on this daemon's VM: its data
 	// must not enter a data centre where it may not be handled.
-	Outside bool
+	FromOtherVM bool
 }
 
-// Plan is a request that may enter: its kind is known and the place is right.
-type Plan struct {
+// AdmittedCall is a request that may enter: its kind is known and the place is right.
+type AdmittedCall struct {
 	Request  *Request
-	View     *tables.KindView
+	KindView *tables.KindView
 	began    int64
 	deadline int64
 }
@@ -42,8 +42,12 @@
 }
 
 // guarded is true for a call whose key is claimed before it runs.
-func (p *Plan) guarded() bool { return p.View.Kind.NeverRepeat && p.Request.Key != "" }
+func (p *AdmittedCall) guarded() bool {
+	return p.KindView.Kind.NeverRepeat && p.Request.IdempotencyKey != ""
+}
 
 // unkeyed is true for a never-repeat call that the placement lets in without a
 // key: it is sent to one executor once, and never again by us.
-func (p *Plan) unkeyed() bool { return p.View.Kind.NeverRepeat && p.Request.Key == "" }
+func (p *AdmittedCall) unkeyed() bool {
+	return p.KindView.Kind.NeverRepeat && p.Request.IdempotencyKey == ""
+}
--- a/pkg/entry/lane_test.go
+++ b/pkg/entry/rollout_test.go
@@ -32,7 +32,7 @@
 }
 
 func send(t *testing.T, e *Entry) call.Result {
-	plan, _, refusal := e.Plan(t.Context(), &Request{Service: "s", Method: "GET", URI: "/a", Timeout: time.Second})
+	plan, _, refusal := e.Admit(t.Context(), &Request{Service: "s", Method: "GET", URI: "/a", Timeout: time.Second})
 	must.Nil(t, refusal)
 	return e.Run(t.Context(), plan, nil)
 }
--- a/pkg/entry/stats.go
+++ b/pkg/entry/stats.go
@@ -52,7 +52,7 @@
 
 // note records how a call ended. The time in daemons is the whole time less
 // that at the gate's queue, at the backend server, and on the network.
-func (s *stats) note(plan *Plan, result call.Result, now int64) {
+func (s *stats) note(plan *AdmittedCall, result call.Result, now int64) {
 	took := time.Duration(now - plan.began)
 	outcome := errkind.None
 	if result.Refusal != nil {
@@ -64,13 +64,13 @@
 	s.servedBy(plan, result, outcome).Update(took.Seconds())
 	if result.Answer != nil {
 		kind.quantile.note(took)
-		s.added.Update(max(took-result.Answer.Queued-result.Answer.Run-result.Network, 0).Seconds())
+		s.added.Update(max(took-result.Answer.Queued-result.Answer.Run-result.MinRTT, 0).Seconds())
 	}
 }
 
 // servedBy is the metric that rushramp-burn reads.
-func (s *stats) servedBy(plan *Plan, result call.Result, outcome errkind.Kind) *metrics.Histogram {
-	name := servedName{plan.Request.Service, plan.View.Kind.Name, result.DataCentre, result.Server, "answered"}
+func (s *stats) servedBy(plan *AdmittedCall, result call.Result, outcome errkind.Kind) *metrics.Histogram {
+	name := servedName{plan.Request.Service, plan.KindView.Kind.Name, result.DataCentre, result.Server, "answered"}
 	switch {
 	case outcome != errkind.None:
 		name.outcome = outcome.String()
@@ -86,8 +86,8 @@
 	return h
 }
 
-func (s *stats) kindOf(plan *Plan) *kindStats {
-	return s.kind(kindName{plan.Request.Service, plan.View.Kind.Name})
+func (s *stats) kindOf(plan *AdmittedCall) *kindStats {
+	return s.kind(kindName{plan.Request.Service, plan.KindView.Kind.Name})
 }
 
 func (s *stats) kind(name kindName) *kindStats {
@@ -118,5 +118,5 @@
 	return Counts{Retries: e.stats.retries.Get(), SoftRefusals: e.stats.softRefusals.Get(), Hedges: e.stats.hedges.Get()}
 }
 
-// Added returns the metric of the time spent in daemons.
-func (e *Entry) Added() *metrics.Histogram { return e.stats.added }
+// AddedLatency returns the metric of the time spent in daemons.
+func (e *Entry) AddedLatency() *metrics.Histogram { return e.stats.added }
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -333,7 +333,7 @@
 		return
 	}
 	result.Stamp = r.owner.Stamp()
-	result.Spoke = true
+	result.FromExecutor = true
 	r.done(result)
 	r.owner.inFlight.Add(-1)
 }
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -31,15 +31,15 @@
 	Path    string
 	Headers []wire.Header
 	Body    []byte
-	// Key is the one that came with the request.
-	Key Key
+	// TeamKey is the one that came with the request.
+	TeamKey TeamKey
 	// Timeout is what the caller allows; 0: not said.
 	Timeout time.Duration
-	// Behind is how many requests of its connection were unanswered when it was
+	// PipelinedBehind is how many requests of its connection were unanswered when it was
 	// read, and Waited how long it was held for that. What it waited counts
 	// against its time.
-	Behind int
-	Waited time.Duration
+	PipelinedBehind int
+	PipelineWait    time.Duration
 }
 
 // fingerprint stands for the request's content.
@@ -47,19 +47,19 @@
 	return wire.FingerprintOf(r.Method, r.Host, r.URI, r.Headers, r.Body)
 }
 
-// Matched is the route of a request under the placement that was in force when
+// RouteMatch is the route of a request under the placement that was in force when
 // it was looked for.
-type Matched struct {
+type RouteMatch struct {
 	placement *placement.Compiled
 	route     *routing.Compiled
 }
 
 // Repeatable is true for a request that may run more than once. One without a
 // route isn't: it does not run at all.
-func (m Matched) Repeatable() bool { return m.route != nil && m.route.Repeatable }
+func (m RouteMatch) Repeatable() bool { return m.route != nil && m.route.Repeatable }
 
-// Runs tells of the runs at the backend server beside this daemon.
-type Runs interface {
+// LocalRuns tells of the runs at the backend server beside this daemon.
+type LocalRuns interface {
 	// RepeatShare is the share of them that repeat a run elsewhere, from 0 to 1.
 	RepeatShare() float64
 	// CallFailed notes that a call of that backend server failed.
@@ -76,13 +76,13 @@
 	called  *calledRoutes
 	sizes   *sizes
 	// runs is nil on a daemon without a backend server.
-	runs Runs
+	runs LocalRuns
 
 	inFlight atomic.Int64
 }
 
 // NewForwarder makes the forwarder of one daemon; runs may be nil.
-func NewForwarder(c *common.Common, view *tables.View, runs Runs) *Forwarder {
+func NewForwarder(c *common.Common, view *tables.View, runs LocalRuns) *Forwarder {
 	return &Forwarder{
 		Common:  c,
 		view:    view,
@@ -99,8 +99,8 @@
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
 // Match looks for the route of a request.
-func (f *Forwarder) Match(req *Request) Matched {
-	out := Matched{placement: f.view.Placement()}
+func (f *Forwarder) Match(req *Request) RouteMatch {
+	out := RouteMatch{placement: f.view.Placement()}
 	if out.placement != nil {
 		out.route = out.placement.Routes.Match(req.Host, req.Path)
 	}
@@ -109,14 +109,14 @@
 
 // Forward takes a request to its end. ctx ends when the caller leaves.
 func (f *Forwarder) Forward(ctx context.Context, req *Request) call.Result {
-	return f.ForwardTo(ctx, f.Match(req), req)
+	return f.ForwardMatched(ctx, f.Match(req), req)
 }
 
-// ForwardTo is Forward for a request whose route has been looked for.
-func (f *Forwarder) ForwardTo(ctx context.Context, to Matched, req *Request) call.Result {
+// ForwardMatched is Forward for a request whose route has been looked for.
+func (f *Forwarder) ForwardMatched(ctx context.Context, to RouteMatch, req *Request) call.Result {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	began := f.Now() - int64(req.Waited)
+	began := f.Now() - int64(req.PipelineWait)
 	if to.placement == nil {
 		return f.ended(req, nil, began, call.Refused(errkind.PlacementUnknown, "this daemon has no placement yet"))
 	}
--- a/pkg/forward/trail.go
+++ b/pkg/forward/request_log.go
@@ -118,8 +118,8 @@
 		return
 	}
 	fields := []events.Field{events.F("request", req.ID), events.F("took", events.Milliseconds(time.Duration(f.Now()-began)))}
-	if req.Behind > 0 {
-		fields = append(fields, events.F("behind", req.Behind), events.F("waited", events.Milliseconds(req.Waited)))
+	if req.PipelinedBehind > 0 {
+		fields = append(fields, events.F("behind", req.PipelinedBehind), events.F("waited", events.Milliseconds(req.PipelineWait)))
 	}
 	if a != nil && a.team != nil {
 		fields = append(fields, events.F("team", a.team.Name))
--- a/pkg/forward/team.go
+++ b/pkg/forward/team.go
@@ -11,11 +11,11 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// KeyHeader carries the key of a request's team, in its canonical spelling.
-const KeyHeader = "Authorization"
+// TeamKeyHeader carries the key of a request's team, in its canonical spelling.
+const TeamKeyHeader = "Authorization"
 
-// Key is what an entry keeps of the key that came with a request.
-type Key struct {
+// TeamKey is what an entry keeps of the key that came with a request.
+type TeamKey struct {
 	Digest teams.KeyDigest
 	// Given is false for a request that came without a key.
 	Given bool
@@ -23,14 +23,14 @@
 
 // identify finds the team of a request. A placement without teams lets all in, and a
 // request of an exempt route needs no key; one that it carries counts all the same.
-func (f *Forwarder) identify(to Matched, req *Request) (*teams.Team, *errkind.Error) {
+func (f *Forwarder) identify(to RouteMatch, req *Request) (*teams.Team, *errkind.Error) {
 	directory := to.placement.Teams
 	if directory.Len() == 0 {
 		return nil, nil
 	}
 	// The key itself goes no further than here.
-	req.Headers = slices.DeleteFunc(req.Headers, func(h wire.Header) bool { return h.Name == KeyHeader })
-	team := holderOf(directory, req.Key)
+	req.Headers = slices.DeleteFunc(req.Headers, func(h wire.Header) bool { return h.Name == TeamKeyHeader })
+	team := holderOf(directory, req.TeamKey)
 	if team == nil && !to.route.KeyExempt {
 		return nil, errkind.New(errkind.KeyUnknown, "version %d has no team that holds the request's key", to.placement.Version)
 	}
@@ -40,7 +40,7 @@
 	return team, nil
 }
 
-func holderOf(directory *teams.Directory, key Key) *teams.Team {
+func holderOf(directory *teams.Directory, key TeamKey) *teams.Team {
 	if !key.Given {
 		return nil
 	}
@@ -87,7 +87,7 @@
 	if a.team == nil || a.offered > 0 || newest == nil || newest.Version == a.version {
 		return nil
 	}
-	if holderOf(newest.Teams, a.req.Key) != nil || newest.Teams.Len() == 0 {
+	if holderOf(newest.Teams, a.req.TeamKey) != nil || newest.Teams.Len() == 0 {
 		return nil
 	}
 	out := call.Refused(errkind.KeyUnknown, "version %d has taken the request's key away", newest.Version)
--- a/pkg/forward/team_test.go
+++ b/pkg/forward/team_test.go
@@ -33,8 +33,8 @@
 
 func requestOf(path, key string) *Request {
 	out := request(path)
-	out.Headers = []wire.Header{{Name: KeyHeader, Value: "Bearer " + key}, {Name: "X-Own", Value: "v"}}
-	out.Key = Key{Digest: teams.DigestOf(key), Given: true}
+	out.Headers = []wire.Header{{Name: TeamKeyHeader, Value: "Bearer " + key}, {Name: "X-Own", Value: "v"}}
+	out.TeamKey = TeamKey{Digest: teams.DigestOf(key), Given: true}
 	return out
 }
 
@@ -83,7 +83,7 @@
 	test.Eq(t, "", r.calls[2].Routed.Team)
 	for _, sent := range r.calls {
 		for _, h := range sent.Headers {
-			test.NotEq(t, KeyHeader, h.Name)
+			test.NotEq(t, TeamKeyHeader, h.Name)
 		}
 	}
 }
--- a/pkg/ingress/body.go
+++ b/pkg/ingress/body.go
@@ -22,7 +22,7 @@
 var errNoRoom = errors.New("no room for the body")
 
 // body takes a body in, within its bounds and where there is room for it.
-func (s *Server) body(w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Hold) ([]byte, *errkind.Error) {
+func (s *Server) body(w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Reservation) ([]byte, *errkind.Error) {
 	bound := s.bodyBound()
 	if r.ContentLength > bound {
 		w.Header().Set("Connection", "close")
@@ -65,12 +65,12 @@
 // still sends is not read.
 func (s *Server) noRoom(w http.ResponseWriter) *errkind.Error {
 	w.Header().Set("Connection", "close")
-	return errkind.New(errkind.Overloaded, "this daemon holds %d bytes of bodies of the %d in limits.bodies_bytes", s.Bodies.Held(), s.Bodies.Most())
+	return errkind.New(errkind.Overloaded, "this daemon holds %d bytes of bodies of the %d in limits.bodies_bytes", s.Bodies.Reserved(), s.Bodies.Limit())
 }
 
 // readBody reads a body whole. Room was taken for one of stated length; one in
 // chunks, whose length is -1, takes its room as it comes.
-func readBody(from io.Reader, length int64, held *bodies.Hold) ([]byte, error) {
+func readBody(from io.Reader, length int64, held *bodies.Reservation) ([]byte, error) {
 	if length >= 0 {
 		data := make([]byte, length)
 		n, err := io.ReadFull(from, data)
@@ -82,7 +82,7 @@
 // growing takes room for what it reads.
 type growing struct {
 	from io.Reader
-	held *bodies.Hold
+	held *bodies.Reservation
 }
 
 // Read implements io.Reader.
--- a/pkg/ingress/body_test.go
+++ b/pkg/ingress/body_test.go
@@ -23,7 +23,7 @@
 		w.server.Bodies = bodies.NewBudget(room, metrics.NewSet())
 		run(t, w)
 		synctest.Wait()
-		test.Eq(t, 0, w.server.Bodies.Held())
+		test.Eq(t, 0, w.server.Bodies.Reserved())
 	})
 }
 
@@ -41,7 +41,7 @@
 				body := strings.Repeat("x", 600)
 				first, second, third := w.caller(), w.caller(), w.caller()
 				first.send(send("a", body))
-				test.Eq(t, 600, w.server.Bodies.Held())
+				test.Eq(t, 600, w.server.Bodies.Reserved())
 				second.send(send("b", body))
 				test.Eq(t, "503(close) end", second.answers())
 				w.backend.answer(t, "a", "")
@@ -62,12 +62,12 @@
 		half := post("a", strings.Repeat("x", 400))[:200]
 		given.send(strings.Replace(half, "Content-Length", "Rushramp-Timeout: 3000\r\nContent-Length", 1))
 		open.send(half)
-		test.Eq(t, 800, w.server.Bodies.Held())
+		test.Eq(t, 800, w.server.Bodies.Reserved())
 		time.Sleep(4 * time.Second)
 		test.StrHasPrefix(t, fmt.Sprint(errkind.DeadlineBeforeRun.Row().Status), given.answers())
-		test.Eq(t, 400, w.server.Bodies.Held())
+		test.Eq(t, 400, w.server.Bodies.Reserved())
 		time.Sleep(bodyTime)
-		test.Eq(t, 0, w.server.Bodies.Held())
+		test.Eq(t, 0, w.server.Bodies.Reserved())
 		test.Eq(t, "", w.backend.starts())
 	})
 }
@@ -78,9 +78,9 @@
 	withRoom(t, 1000, func(t *testing.T, w *pipelineWorld) {
 		c := w.caller()
 		c.send(get("a") + post("p", strings.Repeat("x", 500)))
-		test.Eq(t, 500, w.server.Bodies.Held())
+		test.Eq(t, 500, w.server.Bodies.Reserved())
 		c.leave()
-		test.Eq(t, 0, w.server.Bodies.Held())
+		test.Eq(t, 0, w.server.Bodies.Reserved())
 		test.Eq(t, "a", w.backend.starts())
 	})
 }
@@ -100,7 +100,7 @@
 		small := w.caller()
 		small.send(post("b", "x"))
 		test.Eq(t, "b", w.backend.starts())
-		test.Eq(t, 0, w.server.Bodies.Held()-1, test.Sprint("after two minutes"))
+		test.Eq(t, 0, w.server.Bodies.Reserved()-1, test.Sprint("after two minutes"))
 		w.backend.answer(t, "b", "")
 		test.Eq(t, "b", small.answers())
 		staller.leave()
@@ -122,6 +122,6 @@
 			defer func() { test.NotNil(t, recover()) }()
 			w.server.ServeHTTP(httptest.NewRecorder(), r)
 		}()
-		test.Eq(t, 0, w.server.Bodies.Held())
+		test.Eq(t, 0, w.server.Bodies.Reserved())
 	})
 }
--- a/pkg/ingress/pipelined.go
+++ b/pkg/ingress/pipelined.go
@@ -20,9 +20,9 @@
 
 // serveInTurn runs a request beside those before it on its connection where it
 // may, and after them where it may not.
-func (s *Server) serveInTurn(c *conn, w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Hold) {
+func (s *Server) serveInTurn(c *conn, w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Reservation) {
 	size := sizeOf(req)
-	req.Behind = c.begin(r.ContentLength)
+	req.PipelinedBehind = c.begin(r.ContentLength)
 	to, beside, ok := s.admit(c, r, req, size)
 	if !ok {
 		abort(held)
@@ -44,14 +44,14 @@
 
 // abort ends the handler of a request whose connection an answer has closed: it
 // counts as not read.
-func abort(held *bodies.Hold) {
+func abort(held *bodies.Reservation) {
 	held.Release()
 	panic(http.ErrAbortHandler)
 }
 
 // admit waits until the request may start. beside is true when others may start
 // beside it.
-func (s *Server) admit(c *conn, r *http.Request, req *forward.Request, size int) (to forward.Matched, beside, ok bool) {
+func (s *Server) admit(c *conn, r *http.Request, req *forward.Request, size int) (to forward.RouteMatch, beside, ok bool) {
 	to = s.forwarder.Match(req)
 	for {
 		beside = to.Repeatable() && r.ProtoAtLeast(1, 1) && c.deps.bounds.Requests > 1
@@ -71,13 +71,13 @@
 // noteBehind notes a request that came while others of its connection were
 // unanswered.
 func (s *Server) noteBehind(c *conn, req *forward.Request) {
-	if req.Behind == 0 {
+	if req.PipelinedBehind == 0 {
 		return
 	}
-	req.Waited = time.Since(c.in.lastArrival())
+	req.PipelineWait = time.Since(c.in.lastArrival())
 	s.Metrics.GetOrCreateCounter("rushramp_pipelined_total").Inc()
-	s.Metrics.GetOrCreateHistogram("rushramp_pipelined_depth").Update(float64(req.Behind))
-	s.Metrics.GetOrCreateHistogram("rushramp_pipelined_wait_seconds").Update(req.Waited.Seconds())
+	s.Metrics.GetOrCreateHistogram("rushramp_pipelined_depth").Update(float64(req.PipelinedBehind))
+	s.Metrics.GetOrCreateHistogram("rushramp_pipelined_wait_seconds").Update(req.PipelineWait.Seconds())
 }
 
 // serveBeside runs a request so that others may run beside it. As long as
@@ -124,7 +124,7 @@
 
 // run takes a request to its end. The standard server would recover from a
 // fault of a handler; this does for runs that outlast theirs.
-func (s *Server) run(c *conn, to forward.Matched, req *forward.Request, held *bodies.Hold) (out outcome) {
+func (s *Server) run(c *conn, to forward.RouteMatch, req *forward.Request, held *bodies.Reservation) (out outcome) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			out.fault = fault
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -101,7 +101,7 @@
 	if s.leaving.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	held, handed := s.Bodies.NewHold(), false
+	held, handed := s.Bodies.NewReservation(), false
 	defer func() {
 		// A request that ran frees its room when it ends, which may be later.
 		if !handed {
@@ -118,7 +118,7 @@
 }
 
 // serve runs a request that was read.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Hold) {
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Reservation) {
 	if c := connOf(r); c != nil {
 		s.serveInTurn(c, w, r, req, held)
 		return
@@ -127,13 +127,13 @@
 }
 
 // forward takes a request to its end, and then frees the room of its body.
-func (s *Server) forward(ctx context.Context, to forward.Matched, req *forward.Request, held *bodies.Hold) call.Result {
+func (s *Server) forward(ctx context.Context, to forward.RouteMatch, req *forward.Request, held *bodies.Reservation) call.Result {
 	defer held.Release()
-	return s.forwarder.ForwardTo(ctx, to, req)
+	return s.forwarder.ForwardMatched(ctx, to, req)
 }
 
 // read takes the whole request in, within its bounds.
-func (s *Server) read(w http.ResponseWriter, r *http.Request, held *bodies.Hold) (*forward.Request, *errkind.Error) {
+func (s *Server) read(w http.ResponseWriter, r *http.Request, held *bodies.Reservation) (*forward.Request, *errkind.Error) {
 	out := &forward.Request{
 		ID: r.Header.Get(s.headers.RequestID), Host: r.Host, Method: r.Method,
 		URI: r.RequestURI, Path: r.URL.EscapedPath(),
@@ -145,7 +145,7 @@
 	if out.Timeout, refusal = timeoutOf(r.Header.Get(s.headers.DeadlineMS)); refusal != nil {
 		return nil, refusal
 	}
-	out.Key = keyOf(r.Header)
+	out.TeamKey = keyOf(r.Header)
 	out.Headers = s.requestHeaders(r.Header)
 	out.Body, refusal = s.body(w, r, out, held)
 	return out, refusal
--- a/pkg/link/bodies_test.go
+++ b/pkg/link/bodies_test.go
@@ -37,7 +37,7 @@
 
 func holds(t *testing.T, server *Server, bytes int64) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return server.Bodies.Held() == bytes }),
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return server.Bodies.Reserved() == bytes }),
 		wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 }
 
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -149,7 +149,7 @@
 		return cl.receiveChunk(f)
 	case *wire.Refusal:
 		refusal := &errkind.Error{Kind: errkind.Parse(f.Kind), Ran: errkind.Ran(f.Ran), Detail: f.Detail}
-		cl.finish(f.ID, call.Result{Refusal: refusal, Spoke: true, Stamp: f.Stamp, Next: f.Next, Offered: f.Offered, Origin: f.Origin})
+		cl.finish(f.ID, call.Result{Refusal: refusal, FromExecutor: true, Stamp: f.Stamp, NextClaim: f.Next, Offered: f.Offered, Origin: f.Origin})
 		return nil
 	}
 	if cl.Peer.control(cl.control, frame) {
@@ -193,7 +193,7 @@
 }
 
 func cut(cause error, stamp wire.Stamp) call.Result {
-	return call.Result{Refusal: errkind.New(errkind.AnswerCut, "%v", cause), Spoke: true, Stamp: stamp}
+	return call.Result{Refusal: errkind.New(errkind.AnswerCut, "%v", cause), FromExecutor: true, Stamp: stamp}
 }
 
 func (cl *Client) finishIfComplete(id uint64, waiting *pending) {
@@ -207,7 +207,7 @@
 		return
 	}
 	answer := &call.Answer{Status: f.Status, Headers: f.Headers, Body: body, Queued: f.Queued, Run: f.Run, Slowdown: int(f.Slowdown), CallsFailed: f.CallsFailed}
-	cl.finish(id, call.Result{Answer: answer, Spoke: true, Offered: true, Stamp: f.Stamp, Origin: f.Origin})
+	cl.finish(id, call.Result{Answer: answer, FromExecutor: true, Offered: true, Stamp: f.Stamp, Origin: f.Origin})
 }
 
 // find returns a pending call, or counts a late frame.
--- a/pkg/link/link_test.go
+++ b/pkg/link/link_test.go
@@ -134,7 +134,7 @@
 	result := <-done
 	test.Eq(t, errkind.LinkLost, result.Refusal.Kind)
 	test.Eq(t, errkind.RanMaybe, result.Refusal.Ran)
-	test.False(t, result.Spoke)
+	test.False(t, result.FromExecutor)
 
 	after := do(client, "/x", nil)
 	test.Eq(t, errkind.LinkUnavailable, after.Refusal.Kind)
--- a/pkg/link/server.go
+++ b/pkg/link/server.go
@@ -114,7 +114,7 @@
 	call     *wire.Call
 	assembly *wire.Assembly
 	// held is the room of its body.
-	held   *bodies.Hold
+	held   *bodies.Reservation
 	cancel func()
 	gone   bool
 }
@@ -176,9 +176,9 @@
 		s.refuse(f.ID, call.Refused(errkind.BodyTooLarge, "%v", err))
 		return nil
 	}
-	in := &incoming{call: f, assembly: assembly, held: s.server.Bodies.NewHold()}
+	in := &incoming{call: f, assembly: assembly, held: s.server.Bodies.NewReservation()}
 	if !in.held.Grow(int64(f.Body.Size)) {
-		s.refuse(f.ID, call.Refused(errkind.Overloaded, "the executor has no room for a body of %d bytes: it holds %d of the %d in limits.bodies_bytes", f.Body.Size, s.server.Bodies.Held(), s.server.Bodies.Most()))
+		s.refuse(f.ID, call.Refused(errkind.Overloaded, "the executor has no room for a body of %d bytes: it holds %d of the %d in limits.bodies_bytes", f.Body.Size, s.server.Bodies.Reserved(), s.server.Bodies.Limit()))
 		return nil
 	}
 	s.mu.Lock()
@@ -285,7 +285,7 @@
 func (s *session) refuse(id uint64, result call.Result) {
 	_ = s.Send(&wire.Refusal{
 		ID: id, Kind: uint8(result.Refusal.Kind), Ran: uint8(result.Refusal.Ran),
-		Detail: result.Refusal.Detail, Stamp: result.Stamp, Next: result.Next, Offered: result.Offered, Origin: result.Origin,
+		Detail: result.Refusal.Detail, Stamp: result.Stamp, Next: result.NextClaim, Offered: result.Offered, Origin: result.Origin,
 	})
 }
 
--- a/pkg/once/claims.go
+++ b/pkg/once/claims.go
@@ -133,7 +133,7 @@
 
 func moved(version uint64, generation uint32) call.Result {
 	out := call.Refused(errkind.KeyMoved, "generation %d of the key is open", generation)
-	out.Next = wire.Claim{Version: version, Generation: generation}
+	out.NextClaim = wire.Claim{Version: version, Generation: generation}
 	return out
 }
 
--- a/pkg/once/once_test.go
+++ b/pkg/once/once_test.go
@@ -112,7 +112,7 @@
 	case result.Refusal.Kind == errkind.KeyMoved && r.told == "":
 		// The entry still waits, and tries in the next generation.
 		moved := *r.call
-		moved.Claim = result.Next
+		moved.Claim = result.NextClaim
 		r.call = &moved
 		hi.transit = append(hi.transit, r)
 	case result.Refusal.Kind != errkind.KeyMoved:
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -192,7 +192,7 @@
 		return
 	}
 	result.Stamp = run.owner.Stamp()
-	result.Spoke = true
+	result.FromExecutor = true
 	result.Origin = run.origin
 	run.done(result)
 	run.logEnd(&result)
