--- a/pkg/bench/cluster.go
+++ b/pkg/bench/cluster.go
@@ -90,7 +90,7 @@
 
 func (c *cluster) applyPlacement() error {
 	doc := c.deployment.Document()
-	_, err := placement.NewStore(c.store, c.store).Commit(context.Background(), placement.Propose{
+	_, err := placement.NewStore(c.store, c.store).Commit(context.Background(), placement.Proposal{
 		Base: &placement.Document{}, ChangeID: "first", Author: "bench",
 		Changes: placement.Diff(&placement.Document{}, doc), At: time.Now(),
 	})
--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -115,7 +115,7 @@
 	if r.Rollout != nil && !r.Rollout.Takes(r.Lane, route.Version(), route.VM) {
 		return false
 	}
-	return routing.Allows(r.Allowed, dataCentre)
+	return routing.AllowsDataCentre(r.Allowed, dataCentre)
 }
 
 // time is the expected time of the request at a candidate, in nanoseconds.
--- a/pkg/crash/watch.go
+++ b/pkg/crash/detector.go
@@ -33,8 +33,8 @@
 	mostLogged = 16
 )
 
-// Run is a request that broke off at the backend server.
-type Run struct {
+// AbortedRun is a request that broke off at the backend server.
+type AbortedRun struct {
 	// ID is the request's own, for the log.
 	ID      string
 	Content quarantine.Fingerprint
@@ -48,22 +48,22 @@
 	// Instance is the backend server's incarnation; leaving is true for one that has
 	// said that it leaves, so that its end is planned.
 	Instance func() (instance string, leaving bool)
-	// Ended is told that the process of an incarnation has ended.
-	Ended func(instance string)
+	// OnCrash is told that the process of an incarnation has ended.
+	OnCrash func(instance string)
 }
 
-// Watch tells runs that broke off because the backend server's process ended from those
+// Detector tells runs that broke off because the backend server's process ended from those
 // that it broke off itself: then new connections are refused, and no other run goes on.
 // A backend server that is full refuses connections, too, while others run. It is safe
 // for concurrent use.
-type Watch struct {
+type Detector struct {
 	*common.Common
 	deps    Deps
 	crashes *metrics.Counter
 
 	mu sync.Mutex
 	// broken are the runs that the look under way is about; look is nil without one.
-	broken []Run
+	broken []AbortedRun
 	look   *look
 }
 
@@ -73,15 +73,15 @@
 	ended bool
 }
 
-// NewWatch makes the watch of the backend server in the settings.
-func NewWatch(c *common.Common, deps Deps) *Watch {
-	return &Watch{Common: c, deps: deps, crashes: c.Metrics.GetOrCreateCounter("rushramp_backend_crashes_total")}
+// NewDetector makes the watch of the backend server in the settings.
+func NewDetector(c *common.Common, deps Deps) *Detector {
+	return &Detector{Common: c, deps: deps, crashes: c.Metrics.GetOrCreateCounter("rushramp_backend_crashes_total")}
 }
 
-// BrokeOff takes a run that broke off without an answer, and is true where the backend
+// ReportAborted takes a run that broke off without an answer, and is true where the backend
 // server's process has ended. It waits for that to be known: less than a millisecond
 // while the process is there.
-func (w *Watch) BrokeOff(run Run) (ended bool) {
+func (w *Detector) ReportAborted(run AbortedRun) (ended bool) {
 	w.mu.Lock()
 	w.broken = append(w.broken, run)
 	if w.look == nil {
@@ -94,7 +94,7 @@
 	return l.ended
 }
 
-func (w *Watch) run(l *look) {
+func (w *Detector) run(l *look) {
 	instance, leaving := w.deps.Instance()
 	l.ended = !leaving && w.refusesConnections() && w.allBreak()
 	w.mu.Lock()
@@ -108,7 +108,7 @@
 }
 
 // refusesConnections is true where nobody listens at the backend server's address.
-func (w *Watch) refusesConnections() bool {
+func (w *Detector) refusesConnections() bool {
 	c, err := netdial.New(refusedWithin, 0).DialContext(context.Background(), "tcp", w.Settings.BackendServer.Address)
 	if err == nil {
 		_ = c.Close()
@@ -117,7 +117,7 @@
 }
 
 // allBreak waits for the other runs; false where one goes on.
-func (w *Watch) allBreak() bool {
+func (w *Detector) allBreak() bool {
 	for waited := time.Duration(0); waited < othersBreakWithin; waited += othersBreakEvery {
 		w.mu.Lock()
 		all := len(w.broken) >= w.deps.Running()
@@ -132,19 +132,19 @@
 
 // tell lets all daemons know what ran, before the ends of the runs are told: their
 // entries may send them to other backend servers.
-func (w *Watch) tell(instance string, runs []Run) {
+func (w *Detector) tell(instance string, runs []AbortedRun) {
 	contents := make([]quarantine.Fingerprint, 0, len(runs))
 	for _, run := range runs {
 		contents = append(contents, run.Content)
 	}
 	w.crashes.Inc()
-	w.Quarantine.Crashed(w.Now(), rand.Uint64(), contents)
+	w.Quarantine.RecordCrash(w.Now(), rand.Uint64(), contents)
 	w.log(instance, runs)
-	w.deps.Ended(instance)
+	w.deps.OnCrash(instance)
 }
 
 // log names what ran when the process ended: the request that ended it is among them.
-func (w *Watch) log(instance string, runs []Run) {
+func (w *Detector) log(instance string, runs []AbortedRun) {
 	if !w.Log.Wants(events.BackendEnded) {
 		return
 	}
--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -113,7 +113,7 @@
 }
 
 // route finds a request's route in the placement in force; nil where there is none.
-func (r *routed) route(host, path string) (route *routing.Compiled, version uint64) {
+func (r *routed) route(host, path string) (route *routing.CompiledRoute, version uint64) {
 	p := r.daemon.World.View.Placement()
 	if p == nil {
 		return nil, 0
--- a/pkg/daemon/teams.go
+++ b/pkg/daemon/teams.go
@@ -11,7 +11,7 @@
 // newQuota makes this daemon's part in counting the requests of teams.
 func newQuota(s *settings.Settings, view *tables.View) *quota.Node {
 	return quota.NewNode(quota.Options{
-		Self: s.VM.ID, Slack: s.Teams.LimitSlack, Window: s.Teams.LimitWindow,
+		VM: s.VM.ID, Slack: s.Teams.LimitSlack, Window: s.Teams.LimitWindow,
 		Restarted: !s.Platform.FirstStart, RestartAfter: s.Platform.RestartAfter, Limit: view.LimitOf,
 	})
 }
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -255,7 +255,7 @@
 	must.NotNil(t, run(t, e, "").Answer)
 	content := (&wire.Call{Service: "s", Method: "GET", URI: "/a"}).Fingerprint(nil)
 	for id := range uint64(2) {
-		e.Quarantine.Crashed(e.Now(), id+1, []quarantine.Fingerprint{content})
+		e.Quarantine.RecordCrash(e.Now(), id+1, []quarantine.Fingerprint{content})
 	}
 	got := run(t, e, "")
 	must.NotNil(t, got.Refusal)
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -52,7 +52,7 @@
 	// trial is nil where the backend server takes part in no roll-outs.
 	trial   *trial.Trial
 	down    atomic.Bool
-	crashes *crash.Watch
+	crashes *crash.Detector
 	// running counts the calls at the backend server.
 	running  atomic.Int64
 	callSeq  atomic.Uint64
@@ -85,11 +85,11 @@
 			Adaptive:    s.Gate.Adaptive,
 		}),
 	}
-	e.crashes = crash.NewWatch(c, crash.Deps{
+	e.crashes = crash.NewDetector(c, crash.Deps{
 		Running: func() int { return int(e.running.Load()) },
 		// This backend server says neither which incarnation it is nor that it leaves.
 		Instance: func() (string, bool) { return s.VM.ID, false },
-		Ended:    func(string) {},
+		OnCrash:  func(string) {},
 	})
 	return e, nil
 }
@@ -291,9 +291,9 @@
 	answer, refusal := e.backend.run(r.call, r.id, r.body, left, r.kind.NeverRepeat)
 	switch {
 	case refusal == nil:
-		e.Quarantine.Ran(e.Now(), r.content, answer.Status)
+		e.Quarantine.RecordAnswer(e.Now(), r.content, answer.Status)
 	case refusal.Kind == errkind.BackendFailed:
-		e.crashes.BrokeOff(crash.Run{ID: r.id, Content: r.content()})
+		e.crashes.ReportAborted(crash.AbortedRun{ID: r.id, Content: r.content()})
 	}
 	return answer, refusal
 }
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -35,7 +35,7 @@
 	owner   *Forwarder
 	ctx     context.Context
 	req     *Request
-	route   *routing.Compiled
+	route   *routing.CompiledRoute
 	version uint64
 	rules   rules
 	service string
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -51,7 +51,7 @@
 // it was looked for.
 type Matched struct {
 	placement *placement.Compiled
-	route     *routing.Compiled
+	route     *routing.CompiledRoute
 }
 
 // Repeatable is true for a request that may run more than once. One without a
@@ -192,7 +192,7 @@
 func (f *Forwarder) Timeout(req *Request) time.Duration { return f.timeout(req, f.Match(req).route) }
 
 // timeout is the shorter one of what the route and the caller allow; route may be nil.
-func (f *Forwarder) timeout(req *Request, route *routing.Compiled) time.Duration {
+func (f *Forwarder) timeout(req *Request, route *routing.CompiledRoute) time.Duration {
 	timeout := time.Duration(0)
 	if route != nil {
 		timeout = route.Timeout
@@ -207,13 +207,13 @@
 }
 
 // newAttempts begins the attempts of a request whose route is known.
-func (f *Forwarder) newAttempts(ctx context.Context, req *Request, route *routing.Compiled, version uint64, began int64) *attempts {
+func (f *Forwarder) newAttempts(ctx context.Context, req *Request, route *routing.CompiledRoute, version uint64, began int64) *attempts {
 	timeout := f.timeout(req, route)
 	target := route.Target
 	if target == 0 {
 		target = timeout
 	}
-	service := route.Next()
+	service := route.NextService()
 	return &attempts{
 		owner: f, ctx: ctx, req: req, route: route, version: version, service: service,
 		rules: rules{version, route.DataCentres},
--- a/pkg/forward/heldback_test.go
+++ b/pkg/forward/heldback_test.go
@@ -15,7 +15,7 @@
 
 // crash tells the forwarder that a content ran when a backend server's process ended.
 func crash(f *Forwarder, id uint64, req *Request) {
-	f.Quarantine.Crashed(f.Now(), id, []quarantine.Fingerprint{req.fingerprint()})
+	f.Quarantine.RecordCrash(f.Now(), id, []quarantine.Fingerprint{req.fingerprint()})
 }
 
 // TestAHeldRequestIsRefusedAtOnce: as not run, with the time when it may run again, and
--- a/pkg/forward/rules.go
+++ b/pkg/forward/rules.go
@@ -29,7 +29,7 @@
 // mayTake is true when the rules allow a candidate's data centre.
 func (a *attempts) mayTake(to *tables.Candidate) bool {
 	dataCentre := to.Route.DataCentre
-	return !a.owner.view.Evacuation().Has(dataCentre) && routing.Allows(a.rules.allowed, dataCentre)
+	return !a.owner.view.Evacuation().Has(dataCentre) && routing.AllowsDataCentre(a.rules.allowed, dataCentre)
 }
 
 // nobody is the refusal of a request for which no candidate is known at all.
--- a/pkg/forward/rules_test.go
+++ b/pkg/forward/rules_test.go
@@ -49,7 +49,7 @@
 }
 
 func TestWhereNobodyIsAllowedTheRequestIsRefusedAtOnce(t *testing.T) {
-	for _, allowed := range [][]string{{"far"}, {routing.Nowhere}} {
+	for _, allowed := range [][]string{{"far"}, {routing.NoDataCentre}} {
 		here := &fakeRunner{answer: answers(200)}
 		f := newForwarder(here)
 		bind(f, 4, allowed, "here")
--- a/pkg/forward/team.go
+++ b/pkg/forward/team.go
@@ -69,14 +69,14 @@
 		return &out
 	}
 	out := call.Refused(errkind.LimitUsed, "team %s has used its limit of %g a second", a.team.Name, a.team.Limit.Rate)
-	out.RetryAfter = verdict.Wait
+	out.RetryAfter = verdict.RetryAfter
 	return &out
 }
 
 // giveBack returns the token of a request that was not run.
 func (f *Forwarder) giveBack(a *attempts, result *call.Result) {
 	if a.team != nil && a.team.Limit.Limited() && result.Refusal != nil && result.Refusal.Ran == errkind.RanNo {
-		f.Quota.GiveBack(a.team.Name)
+		f.Quota.ReturnToken(a.team.Name)
 	}
 }
 
--- a/pkg/forward/team_test.go
+++ b/pkg/forward/team_test.go
@@ -40,7 +40,7 @@
 
 // alone makes the daemon the only one that counts, and returns what keeps it so.
 func alone(f *Forwarder) (tick func()) {
-	f.Quota = quota.NewNode(quota.Options{Self: "vm", Slack: 2, Window: 5 * time.Second, Limit: f.view.LimitOf})
+	f.Quota = quota.NewNode(quota.Options{VM: "vm", Slack: 2, Window: 5 * time.Second, Limit: f.view.LimitOf})
 	var ranked [quota.Groups][]quota.Peer
 	for g := range ranked {
 		ranked[g] = []quota.Peer{{Process: "vm"}}
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newForwarder(&fakeRunner{answer: answers(200)})
 		ofTeams(f, 4)
-		f.Quota = quota.NewNode(quota.Options{Self: "vm", Limit: f.view.LimitOf})
+		f.Quota = quota.NewNode(quota.Options{VM: "vm", Limit: f.view.LimitOf})
 		began := time.Now()
 		got := f.Forward(t.Context(), requestOf("/read/1", "b"))
 		must.NotNil(t, got.Refusal)
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return se.commit(ctx, placement.Propose{
+	return se.commit(ctx, placement.Proposal{
 		Base: base, ChangeID: in.GetChangeId(), Author: in.GetAuthor(), Changes: changes, At: time.Now(),
 	})
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		return 0, err
 	}
-	out, err := se.commit(ctx, placement.Propose{Base: base, ChangeID: changeID, Author: author, Changes: changes, At: time.Now()})
+	out, err := se.commit(ctx, placement.Proposal{Base: base, ChangeID: changeID, Author: author, Changes: changes, At: time.Now()})
 	return out.GetVersion(), err
 }
 
@@ -122,7 +122,7 @@
 	if err != nil {
 		return nil, status.Errorf(codes.NotFound, "%v; look at `rushramp placement history` for the versions there are", err)
 	}
-	return se.commit(ctx, placement.Propose{
+	return se.commit(ctx, placement.Proposal{
 		Base: base, ChangeID: in.GetChangeId(), Author: in.GetAuthor(),
 		Changes: placement.Diff(base, to), RollbackOf: in.GetToVersion(), At: time.Now(),
 	})
@@ -145,7 +145,7 @@
 	return doc, nil
 }
 
-func (se *Server) commit(ctx context.Context, p placement.Propose) (*api.ApplyPlacementResponse, error) {
+func (se *Server) commit(ctx context.Context, p placement.Proposal) (*api.ApplyPlacementResponse, error) {
 	author, err := se.author(ctx, p.Author)
 	if err != nil {
 		return nil, err
@@ -169,7 +169,7 @@
 }
 
 // force puts an accepted version in force here, which passes it on.
-func (se *Server) force(p placement.Propose, doc *placement.Document) error {
+func (se *Server) force(p placement.Proposal, doc *placement.Document) error {
 	hash, err := doc.Hash()
 	if err != nil {
 		return err
--- a/pkg/operators/teams.go
+++ b/pkg/operators/teams.go
@@ -37,13 +37,13 @@
 func (se *Server) fillCounts(out *api.TeamsResponse) {
 	stats := se.Quota.Stats()
 	out.Granted, out.Refused, out.Unsure = stats.Granted, stats.Refused, stats.Unsure
-	counted := map[string]quota.Use{}
-	for _, use := range se.Quota.Uses(se.Now()) {
+	counted := map[string]quota.Usage{}
+	for _, use := range se.Quota.Usages(se.Now()) {
 		counted[use.Team] = use
 	}
 	counters := se.Quota.Counters()
 	for _, team := range out.Teams {
 		team.Counter = counters[quota.GroupOf(team.Name)]
-		team.Part, team.Tokens = counted[team.Name].Parts, counted[team.Name].Tokens
+		team.Part, team.Tokens = counted[team.Name].Share, counted[team.Name].Tokens
 	}
 }
--- a/pkg/placement/compiled.go
+++ b/pkg/placement/compiled.go
@@ -39,9 +39,9 @@
 	// anywhere is set for services that only routes name; a kind whose list of
 	// data centres is empty is allowed nowhere.
 	anywhere bool
-	// Limits are the lists of data centres that routes of the service name, each
+	// RouteDataCentres are the lists of data centres that routes of the service name, each
 	// once: entries must know enough backend servers of each.
-	Limits [][]string
+	RouteDataCentres [][]string
 }
 
 // Compile makes a version ready for the hot path.
@@ -88,8 +88,8 @@
 
 func (c *CompiledKind) addLimit(list []string) {
 	list = slices.Sorted(slices.Values(list))
-	if !slices.ContainsFunc(c.Limits, func(known []string) bool { return slices.Equal(known, list) }) {
-		c.Limits = append(c.Limits, list)
+	if !slices.ContainsFunc(c.RouteDataCentres, func(known []string) bool { return slices.Equal(known, list) }) {
+		c.RouteDataCentres = append(c.RouteDataCentres, list)
 	}
 }
 
--- a/pkg/placement/feed.go
+++ b/pkg/placement/feed.go
@@ -31,17 +31,17 @@
 	// Rollouts are the orders of all services that have one, from Newest, and the
 	// changes since the cursor, in their order, from Next. Refused are orders that
 	// cannot be read, and are passed over.
-	Rollouts []rollout.Change
-	Refused  []error
+	Rollouts      []rollout.Change
+	RolloutErrors []error
 	// Cursor is where Next goes on.
 	Cursor uint64
 }
 
-// DamagedError is returned for a document that cannot be read. The feed goes on
+// UnreadableDocumentError is returned for a document that cannot be read. The feed goes on
 // after it.
-type DamagedError struct{ Cause error }
+type UnreadableDocumentError struct{ Cause error }
 
 // Error implements error.
-func (d *DamagedError) Error() string {
+func (d *UnreadableDocumentError) Error() string {
 	return fmt.Sprintf("the placement document in the store cannot be read: %v. Correct it and write it again", d.Cause)
 }
--- a/pkg/placement/store.go
+++ b/pkg/placement/store.go
@@ -41,12 +41,12 @@
 
 // ConflictError is returned to an operator whose change was based on a version
 // that is no longer in force.
-type ConflictError struct{ Winner Head }
+type ConflictError struct{ InForce Head }
 
 // Error implements error.
 func (c *ConflictError) Error() string {
 	return fmt.Sprintf("version %d by %s is already in force; read it, look at what changed, and apply your change on top of it",
-		c.Winner.Version, c.Winner.Author)
+		c.InForce.Version, c.InForce.Author)
 }
 
 // UnknownOutcomeError is returned when the store answered neither the write
@@ -124,8 +124,8 @@
 	return s.Snapshot(ctx, Head{Version: version, Hash: entry.Hash})
 }
 
-// Propose is one operator's change, ready to be written.
-type Propose struct {
+// Proposal is one operator's change, ready to be written.
+type Proposal struct {
 	Base       *Document
 	ChangeID   string
 	Author     string
@@ -137,7 +137,7 @@
 // Commit writes a change as the next version. It returns the new document, a
 // ConflictError, an UnknownOutcomeError, a NotSentError, or an error of the
 // change itself.
-func (s *Store) Commit(ctx context.Context, p Propose) (*Document, error) {
+func (s *Store) Commit(ctx context.Context, p Proposal) (*Document, error) {
 	next, err := Apply(p.Base, p.Changes)
 	if err != nil {
 		return nil, err
@@ -179,7 +179,7 @@
 func (s *Store) ownOrConflict(ctx context.Context, changeID string, head Head) (*Document, error) {
 	entry, err := s.entryOf(ctx, changeID)
 	if errors.Is(err, store.ErrNotFound) {
-		return nil, &ConflictError{Winner: head}
+		return nil, &ConflictError{InForce: head}
 	}
 	if err != nil {
 		return nil, &UnknownOutcomeError{ChangeID: changeID, Cause: err}
@@ -188,7 +188,7 @@
 }
 
 // resolve reads the change id back after the transaction's answer was an error.
-func (s *Store) resolve(ctx context.Context, p Propose, next *Document, hash string, cause error) (*Document, error) {
+func (s *Store) resolve(ctx context.Context, p Proposal, next *Document, hash string, cause error) (*Document, error) {
 	_, err := s.entryOf(ctx, p.ChangeID)
 	if err == nil {
 		return next, nil
@@ -201,7 +201,7 @@
 		return nil, &UnknownOutcomeError{ChangeID: p.ChangeID, Cause: cause}
 	}
 	if head.Version >= next.Version && head.Hash != hash {
-		return nil, &ConflictError{Winner: head}
+		return nil, &ConflictError{InForce: head}
 	}
 	// The write may still be on its way in the store, so "not accepted" would
 	// be a guess.
@@ -242,7 +242,7 @@
 	return out, nil
 }
 
-func (p Propose) writes(version, headRow uint64, hash string) []store.Write {
+func (p Proposal) writes(version, headRow uint64, hash string) []store.Write {
 	head := Head{Version: version, ChangeID: p.ChangeID, Hash: hash, Author: p.Author}
 	entry := LogEntry{
 		Version: version, ChangeID: p.ChangeID, Author: p.Author, At: p.At,
--- a/pkg/placement/store_test.go
+++ b/pkg/placement/store_test.go
@@ -22,7 +22,7 @@
 
 // attempt is one operator's change, and what the operator was told.
 type attempt struct {
-	propose Propose
+	propose Proposal
 	told    string
 }
 
@@ -68,7 +68,7 @@
 			return a
 		}
 	}
-	return &attempt{propose: Propose{
+	return &attempt{propose: Proposal{
 		Base:     docs[rapid.IntRange(max(0, len(docs)-3), len(docs)-1).Draw(t, "base")],
 		ChangeID: fmt.Sprint("change-", i), Author: "operator", At: time.Unix(int64(i), 0),
 		Changes: []Change{put("s", kind(fmt.Sprint("k", i), "a"))},
@@ -122,8 +122,8 @@
 func TestARaceNamesTheWinner(t *testing.T) {
 	s := fakestore.New()
 	placements := NewStore(s, s)
-	propose := func(author string) Propose {
-		return Propose{Base: &Document{}, ChangeID: author, Author: author, Changes: []Change{put("s", kind(author, "a"))}}
+	propose := func(author string) Proposal {
+		return Proposal{Base: &Document{}, ChangeID: author, Author: author, Changes: []Change{put("s", kind(author, "a"))}}
 	}
 	_, err := placements.Commit(context.Background(), propose("anna"))
 	must.NoError(t, err)
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -24,16 +24,16 @@
 	Host   string
 	// Target is the path with its query, as it was sent.
 	Target string
-	// Caller is what the caller proves itself by; empty: nothing.
-	Caller string
-	Body   []byte
+	// Credentials is what the caller proves itself by; empty: nothing.
+	Credentials string
+	Body        []byte
 }
 
 // Fingerprint returns the content's fingerprint.
 func (c *Content) Fingerprint() Fingerprint {
 	var digest xxhash.Digest
 	digest.Reset()
-	for _, text := range [...]string{c.Method, c.Host, c.Target, c.Caller} {
+	for _, text := range [...]string{c.Method, c.Host, c.Target, c.Credentials} {
 		writeLength(&digest, len(text))
 		_, _ = digest.WriteString(text)
 	}
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -8,13 +8,13 @@
 
 // TestEachPartOfTheContentCounts and nothing else does.
 func TestEachPartOfTheContentCounts(t *testing.T) {
-	base := Content{Method: "GET", Host: "h", Target: "/a?b", Caller: "c", Body: []byte("d")}
+	base := Content{Method: "GET", Host: "h", Target: "/a?b", Credentials: "c", Body: []byte("d")}
 	seen := map[Fingerprint]string{base.Fingerprint(): "base"}
 	for name, change := range map[string]func(*Content){
 		"method": func(c *Content) { c.Method = "PUT" },
 		"host":   func(c *Content) { c.Host = "i" },
 		"target": func(c *Content) { c.Target = "/a?c" },
-		"caller": func(c *Content) { c.Caller = "" },
+		"caller": func(c *Content) { c.Credentials = "" },
 		"body":   func(c *Content) { c.Body = nil },
 		// The same bytes in other places.
 		"border": func(c *Content) { c.Host, c.Target = "h/", "a?b" },
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -21,14 +21,14 @@
 	// mended by a new version, and ten minutes cost one backend server a few seconds
 	// six times an hour at the most.
 	holdFor = 10 * time.Minute
-	// RememberFor is how long a crash counts. It is longer than holdFor, so that a
+	// CrashRetention is how long a crash counts. It is longer than holdFor, so that a
 	// content that is tried again is known.
-	RememberFor = 30 * time.Minute
+	CrashRetention = 30 * time.Minute
 	// mostCrashes bounds those that are remembered, and MostRequests the requests of
 	// one: with more of either the oldest, or the last, are left out. 21,000 VMs of
 	// which 24 fail a day have one in half an hour.
-	mostCrashes  = 256
-	MostRequests = 64
+	mostCrashes         = 256
+	MaxRequestsPerCrash = 64
 )
 
 // Crash is an end of a backend server's process under requests, as daemons tell each
@@ -51,17 +51,17 @@
 	AgeMS uint64
 }
 
-// News is what one daemon tells another.
-type News struct {
+// Update is what one daemon tells another.
+type Update struct {
 	Crashes     []Crash
 	Completions []Completion
 }
 
 // Empty is true for news of nothing.
-func (n *News) Empty() bool { return len(n.Crashes) == 0 && len(n.Completions) == 0 }
+func (n *Update) Empty() bool { return len(n.Crashes) == 0 && len(n.Completions) == 0 }
 
 // Add appends other news.
-func (n *News) Add(other News) {
+func (n *Update) Add(other Update) {
 	n.Crashes = append(n.Crashes, other.Crashes...)
 	n.Completions = append(n.Completions, other.Completions...)
 }
@@ -99,7 +99,7 @@
 	crashes  map[uint64]*crash
 	suspects map[Fingerprint]*suspect
 	// own is what this daemon saw itself and has not told yet.
-	own News
+	own Update
 	// changed is told, without the lock, when there is something to tell.
 	changed func()
 }
@@ -109,9 +109,9 @@
 	return &Table{crashes: map[uint64]*crash{}, suspects: map[Fingerprint]*suspect{}, changed: func() {}}
 }
 
-// OnNews sets who is told when this daemon has news of its own. It is called before the
+// OnUpdate sets who is told when this daemon has news of its own. It is called before the
 // table is used.
-func (t *Table) OnNews(changed func()) { t.changed = changed }
+func (t *Table) OnUpdate(changed func()) { t.changed = changed }
 
 // AnySuspects is true while there are contents that ran when a process ended.
 func (t *Table) AnySuspects() bool { return t.any.Load() }
@@ -120,8 +120,8 @@
 // cheaply that there was none.
 func (t *Table) Version() uint64 { return t.version.Load() }
 
-// Crashed notes a crash of the backend server beside this daemon.
-func (t *Table) Crashed(now int64, id uint64, requests []Fingerprint) {
+// RecordCrash notes a crash of the backend server beside this daemon.
+func (t *Table) RecordCrash(now int64, id uint64, requests []Fingerprint) {
 	t.mu.Lock()
 	c := Crash{ID: id, Requests: requests}
 	if t.addCrash(now, &c) {
@@ -132,9 +132,9 @@
 	t.changed()
 }
 
-// Completed notes that a request ran to its end at the backend server beside this
+// RecordCompletion notes that a request ran to its end at the backend server beside this
 // daemon.
-func (t *Table) Completed(now int64, request Fingerprint) {
+func (t *Table) RecordCompletion(now int64, request Fingerprint) {
 	t.mu.Lock()
 	fresh := t.complete(request, now)
 	if fresh {
@@ -146,17 +146,17 @@
 	}
 }
 
-// TakeOwn returns what this daemon saw since it was last asked.
-func (t *Table) TakeOwn() News {
+// TakePending returns what this daemon saw since it was last asked.
+func (t *Table) TakePending() Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := t.own
-	t.own = News{}
+	t.own = Update{}
 	return out
 }
 
 // Merge takes over what another daemon told, and returns what of it was new here.
-func (t *Table) Merge(now int64, told News) (fresh News) {
+func (t *Table) Merge(now int64, told Update) (fresh Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := range told.Crashes {
@@ -172,8 +172,8 @@
 	return fresh
 }
 
-// All returns what the table holds, for a daemon that may know nothing.
-func (t *Table) All(now int64) (out News) {
+// Snapshot returns what the table holds, for a daemon that may know nothing.
+func (t *Table) Snapshot(now int64) (out Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.forget(now)
@@ -209,11 +209,11 @@
 	return errkind.New(errkind.RequestHeld, "requests of content %s end the backend servers that run them", request), left
 }
 
-// Ran notes that a request has run to its end where its content is a suspect, with what
+// RecordAnswer notes that a request has run to its end where its content is a suspect, with what
 // its answer said: one that failed tells nothing.
-func (t *Table) Ran(now int64, content func() Fingerprint, status int) {
+func (t *Table) RecordAnswer(now int64, content func() Fingerprint, status int) {
 	if t.any.Load() && status < leastFailure {
-		t.Completed(now, content())
+		t.RecordCompletion(now, content())
 	}
 }
 
@@ -249,9 +249,9 @@
 	return left, left > 0
 }
 
-// CrashesOf are the crashes that count against a content, for what lasts longer than
+// CrashesAgainst are the crashes that count against a content, for what lasts longer than
 // this process.
-func (t *Table) CrashesOf(now int64, request Fingerprint) (out []Crash) {
+func (t *Table) CrashesAgainst(now int64, request Fingerprint) (out []Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.suspects[request]
@@ -270,7 +270,7 @@
 func (t *Table) counting(now int64, s *suspect) (out []*crash) {
 	for _, id := range s.crashes {
 		c := t.crashes[id]
-		if c != nil && c.at > s.completedAt && now-c.at <= int64(RememberFor) {
+		if c != nil && c.at > s.completedAt && now-c.at <= int64(CrashRetention) {
 			out = append(out, c)
 		}
 	}
@@ -301,7 +301,7 @@
 // addCrash takes a crash over; false where nothing of it is new. The lock is held.
 func (t *Table) addCrash(now int64, told *Crash) bool {
 	at := ago(now, told.AgeMS)
-	if now-at > int64(RememberFor) {
+	if now-at > int64(CrashRetention) {
 		return false
 	}
 	c := t.crashes[told.ID]
@@ -313,7 +313,7 @@
 	}
 	fresh := false
 	for _, request := range told.Requests {
-		if len(c.requests) >= MostRequests || slices.Contains(c.requests, request) {
+		if len(c.requests) >= MaxRequestsPerCrash || slices.Contains(c.requests, request) {
 			continue
 		}
 		c.requests = append(c.requests, request)
@@ -356,7 +356,7 @@
 // forget drops what is too old. The lock is held.
 func (t *Table) forget(now int64) {
 	for id, c := range t.crashes {
-		if now-c.at > int64(RememberFor) {
+		if now-c.at > int64(CrashRetention) {
 			t.drop(id)
 		}
 	}
@@ -390,7 +390,7 @@
 
 // ago is when something was that is so old; what is far too old stays so.
 func ago(now int64, ageMS uint64) int64 {
-	return now - int64(min(ageMS, uint64(2*RememberFor/time.Millisecond)))*int64(time.Millisecond)
+	return now - int64(min(ageMS, uint64(2*CrashRetention/time.Millisecond)))*int64(time.Millisecond)
 }
 
 func age(now, at int64) uint64 { return uint64(max(now-at, 0) / int64(time.Millisecond)) }
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -31,8 +31,8 @@
 	Granted bool
 	// Unsure is true where nobody who counts the team's requests has answered.
 	Unsure bool
-	// Wait is when the caller should come back, where it may not go on.
-	Wait time.Duration
+	// RetryAfter is when the caller should come back, where it may not go on.
+	RetryAfter time.Duration
 }
 
 // spend takes a token that is still good; false where there is none.
@@ -59,28 +59,28 @@
 func (a *account) ahead() uint32 { return uint32(max(a.recent, a.before) / 2) }
 
 // grant takes over the answer to a question, and lets requests that waited go on.
-func (a *account) grant(now int64, answer *Granted, current bool) {
+func (a *account) grant(now int64, answer *TokenGrant, current bool) {
 	for range answer.Count {
-		a.tokens = append(a.tokens, answer.At+int64(tokenLife))
+		a.tokens = append(a.tokens, answer.AskedAt+int64(tokenLife))
 	}
 	if current {
-		a.asked -= min(a.asked, answer.Asked)
+		a.asked -= min(a.asked, answer.Requested)
 	}
 	wait := time.Duration(answer.WaitMS) * time.Millisecond
 	for len(a.waiting) > 0 && a.spend(now) {
 		a.answer(Verdict{Granted: true})
 	}
-	if answer.Later {
+	if answer.NoShareYet {
 		// The node's next round asks again.
 		a.laterUntil = now + int64(askAgain)
 		return
 	}
-	if answer.Count < answer.Asked {
+	if answer.Count < answer.Requested {
 		a.shutUntil = now + int64(wait)
 	}
 	// Those whose question is still under way wait on.
 	for len(a.waiting) > int(a.asked) {
-		a.answer(Verdict{Wait: wait})
+		a.answer(Verdict{RetryAfter: wait})
 	}
 }
 
@@ -103,8 +103,8 @@
 }
 
 // want is the question for what is lacking now.
-func (a *account) want(now int64) Want {
-	out := Want{Team: a.team, Back: a.back, At: now}
+func (a *account) want(now int64) TokenRequest {
+	out := TokenRequest{Team: a.team, Returned: a.back, AskedAt: now}
 	if lacking := len(a.waiting) - int(a.asked); lacking > 0 {
 		out.Count = uint32(lacking) + a.ahead()
 	}
--- a/pkg/quota/members_test.go
+++ b/pkg/quota/members_test.go
@@ -54,7 +54,7 @@
 
 // TestADaemonOfALargeFleetWaitsForWhatItLentBefore longer than one of a small fleet.
 func TestADaemonOfALargeFleetWaitsForWhatItLentBefore(t *testing.T) {
-	n := NewNode(Options{Self: "a", Restarted: true, RestartAfter: 300 * time.Millisecond})
+	n := NewNode(Options{VM: "a", Restarted: true, RestartAfter: 300 * time.Millisecond})
 	n.members.count = 10
 	test.True(t, n.mayLend(int64(200*time.Millisecond)))
 	n.members.count = 640
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -98,7 +98,7 @@
 }
 
 func (w *world) start(d *daemonModel, restarted bool) {
-	d.node = NewNode(Options{Self: d.vm, Slack: slack, Window: windowSeconds * time.Second, Restarted: restarted, RestartAfter: restartAfter, Limit: func(string) (teams.Limit, bool) { return w.limit, true }})
+	d.node = NewNode(Options{VM: d.vm, Slack: slack, Window: windowSeconds * time.Second, Restarted: restarted, RestartAfter: restartAfter, Limit: func(string) (teams.Limit, bool) { return w.limit, true }})
 	d.waiting = nil
 }
 
@@ -145,10 +145,10 @@
 		case f.at > w.now || !w.reach(f.from, f.to) || w.now < to.frozen || to.upAt > 0:
 			w.frames = append(w.frames, f)
 		case f.ask != nil:
-			grant := to.node.Answer(to.now(w.now), w.daemons[f.from].vm, f.ask)
+			grant := to.node.HandleAsk(to.now(w.now), w.daemons[f.from].vm, f.ask)
 			w.send(f.to, f.from, frame{grant: &grant})
 		default:
-			to.node.TakeOver(to.now(w.now), f.process, f.grant)
+			to.node.HandleGrant(to.now(w.now), f.process, f.grant)
 		}
 	}
 }
--- a/pkg/quota/node.go
+++ b/pkg/quota/node.go
@@ -8,8 +8,8 @@
 
 // Options say how a daemon counts.
 type Options struct {
-	// Self names this daemon's VM.
-	Self string
+	// VM names this daemon's VM.
+	VM string
 	// Slack is how many requests beyond its limit a team may send in the platform's
 	// window, over all daemons.
 	Slack float64
@@ -190,12 +190,12 @@
 		return nil, Verdict{Granted: true}
 	}
 	if now < a.shutUntil {
-		return nil, Verdict{Wait: time.Duration(a.shutUntil - now)}
+		return nil, Verdict{RetryAfter: time.Duration(a.shutUntil - now)}
 	}
 	w := &waiter{verdict: make(chan Verdict, 1)}
 	a.waiting = append(a.waiting, w)
 	if len(a.waiting) > int(a.asked) && now >= a.laterUntil {
-		n.ask(now, a.group, []Want{a.want(now)})
+		n.ask(now, a.group, []TokenRequest{a.want(now)})
 	}
 	select {
 	case verdict := <-w.verdict:
@@ -217,8 +217,8 @@
 	return <-w.verdict
 }
 
-// GiveBack returns the token of a request that was not run.
-func (n *Node) GiveBack(team string) {
+// ReturnToken returns the token of a request that was not run.
+func (n *Node) ReturnToken(team string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	a := n.accountOf(team)
@@ -238,20 +238,20 @@
 }
 
 // ask sends a question without a part to the counter of a group.
-func (n *Node) ask(now int64, group int, wants []Want) {
+func (n *Node) ask(now int64, group int, wants []TokenRequest) {
 	counter := n.counters[group]
 	if counter.Process == "" {
 		return
 	}
 	n.stats.Asked++
-	n.send(now, counter, &Ask{Group: uint8(group), Wants: wants})
+	n.send(now, counter, &Ask{Group: uint8(group), TokenRequests: wants})
 }
 
 // send sends a question; this daemon answers itself at once.
 func (n *Node) send(now int64, to Peer, ask *Ask) {
 	if to.Send == nil {
-		ask.Stamp = now
-		grant := n.answer(now, n.opts.Self, ask)
+		ask.CounterTime = now
+		grant := n.answer(now, n.opts.VM, ask)
 		n.takeOver(now, to.Process, &grant)
 		return
 	}
@@ -259,7 +259,7 @@
 	if peer.askedAt == 0 {
 		peer.askedAt = now
 	}
-	ask.Stamp = peer.stamp
+	ask.CounterTime = peer.stamp
 	to.Send(ask)
 }
 
@@ -273,45 +273,45 @@
 	return k
 }
 
-// Answer answers the question of another daemon.
-func (n *Node) Answer(now int64, vm string, ask *Ask) Grant {
+// HandleAsk answers the question of another daemon.
+func (n *Node) HandleAsk(now int64, vm string, ask *Ask) Grant {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.answer(now, vm, ask)
 }
 
 func (n *Node) answer(now int64, vm string, ask *Ask) Grant {
-	out := Grant{Group: ask.Group, Stamp: now, Members: n.ownCount}
+	out := Grant{Group: ask.Group, CounterTime: now, Members: n.ownCount}
 	if int(ask.Group) >= Groups {
 		return out
 	}
 	p := n.pools[ask.Group]
-	if ask.Release > 0 {
+	if ask.ReleaseAskedAt > 0 {
 		p.release(now, vm)
-		out.Released = ask.Release
+		out.ReleaseAskedAt = ask.ReleaseAskedAt
 	}
-	if ask.Members > 0 && ask.Stamp > 0 {
+	if ask.Members > 0 && ask.CounterTime > 0 {
 		size := 1 / float64(max(ask.Members, n.members.count))
-		p.lend(now, offer{vm: vm, size: size, stamp: ask.Stamp, lease: time.Duration(ask.LeaseMS) * time.Millisecond, fresh: ask.Fresh})
+		p.lend(now, offer{vm: vm, size: size, stamp: ask.CounterTime, lease: time.Duration(ask.LeaseMS) * time.Millisecond, fresh: ask.PreviousCounterLost})
 	}
-	for _, want := range ask.Wants {
-		granted := Granted{Team: want.Team, Asked: want.Count, At: want.At}
+	for _, want := range ask.TokenRequests {
+		granted := TokenGrant{Team: want.Team, Requested: want.Count, AskedAt: want.AskedAt}
 		if limit, ok := n.opts.Limit(want.Team); ok && limit.Limited() {
 			count, wait := p.take(now, want.Team, limit, want)
 			granted.Count, granted.WaitMS = count, uint32(wait.Milliseconds())
-			granted.Later = count == 0 && p.sum == 0
+			granted.NoShareYet = count == 0 && p.sum == 0
 		} else if ok {
 			granted.Count = want.Count
 		} else {
 			granted.WaitMS = uint32(askAgain.Milliseconds())
 		}
-		out.Grants = append(out.Grants, granted)
+		out.TokenGrants = append(out.TokenGrants, granted)
 	}
 	return out
 }
 
-// TakeOver takes the answer of a process over.
-func (n *Node) TakeOver(now int64, process string, grant *Grant) {
+// HandleGrant takes the answer of a process over.
+func (n *Node) HandleGrant(now int64, process string, grant *Grant) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.takeOver(now, process, grant)
@@ -320,13 +320,13 @@
 func (n *Node) takeOver(now int64, process string, grant *Grant) {
 	peer := n.peerOf(now, process)
 	first := peer.stamp == 0
-	peer.stamp, peer.askedAt = max(peer.stamp, grant.Stamp), 0
+	peer.stamp, peer.askedAt = max(peer.stamp, grant.CounterTime), 0
 	if grant.Members > n.members.count {
 		n.members.note(now, grant.Members)
 	}
 	current := int(grant.Group) < Groups && n.counters[grant.Group].Process == process
-	for i := range grant.Grants {
-		granted := &grant.Grants[i]
+	for i := range grant.TokenGrants {
+		granted := &grant.TokenGrants[i]
 		if a := n.accounts[granted.Team]; a != nil {
 			a.grant(now, granted, current)
 		}
@@ -334,9 +334,9 @@
 	if !current {
 		return
 	}
-	if grant.Released > 0 {
+	if grant.ReleaseAskedAt > 0 {
 		// The next choice lends it elsewhere.
-		n.lendings[grant.Group].back(now, process, grant.Released)
+		n.lendings[grant.Group].back(now, process, grant.ReleaseAskedAt)
 		n.choose(now, int(grant.Group), n.ranked[grant.Group])
 	}
 	if first {
--- a/pkg/quota/node_test.go
+++ b/pkg/quota/node_test.go
@@ -19,7 +19,7 @@
 
 func newAsker() *asker {
 	out := &asker{}
-	out.Node = NewNode(Options{Self: "a", Window: 5 * time.Second, Limit: func(string) (teams.Limit, bool) { return teams.Limit{Rate: 1}, true }})
+	out.Node = NewNode(Options{VM: "a", Window: 5 * time.Second, Limit: func(string) (teams.Limit, bool) { return teams.Limit{Rate: 1}, true }})
 	return out
 }
 
@@ -38,7 +38,7 @@
 // wants are the tokens of a team that the questions since the last look asked for.
 func (a *asker) wants() (count int) {
 	for _, ask := range a.asked {
-		for _, want := range ask.Wants {
+		for _, want := range ask.TokenRequests {
 			count += int(want.Count)
 		}
 	}
@@ -66,7 +66,7 @@
 		w, _ := a.begin(second, "red")
 		must.NotNil(t, w)
 		must.Eq(t, 1, a.wants())
-		a.TakeOver(second, "b/1", &Grant{Group: uint8(GroupOf("red")), Stamp: 1, Grants: []Granted{{Team: "red", Asked: 1, At: second, Later: true}}})
+		a.HandleGrant(second, "b/1", &Grant{Group: uint8(GroupOf("red")), CounterTime: 1, TokenGrants: []TokenGrant{{Team: "red", Requested: 1, AskedAt: second, NoShareYet: true}}})
 		a.tick(second+int64(askAgain), members, "link")
 		test.GreaterEq(t, 1, a.wants(), test.Sprintf("%d members", members))
 	}
@@ -80,7 +80,7 @@
 		for _, granted := range []uint32{1, 0} {
 			go func() {
 				synctest.Wait()
-				a.TakeOver(second, "b/1", &Grant{Group: uint8(GroupOf("red")), Grants: []Granted{{Team: "red", Asked: uint32(a.wants()), Count: granted, At: second}}})
+				a.HandleGrant(second, "b/1", &Grant{Group: uint8(GroupOf("red")), TokenGrants: []TokenGrant{{Team: "red", Requested: uint32(a.wants()), Count: granted, AskedAt: second}}})
 			}()
 			a.Take(t.Context(), second, "red", time.Second)
 		}
--- a/pkg/quota/pool.go
+++ b/pkg/quota/pool.go
@@ -136,9 +136,9 @@
 
 // take takes tokens of a team, as many as there are of those wanted, after some were
 // given back. wait is the time until there is one again, where fewer were granted.
-func (p *pool) take(now int64, team string, limit teams.Limit, want Want) (granted uint32, wait time.Duration) {
+func (p *pool) take(now int64, team string, limit teams.Limit, want TokenRequest) (granted uint32, wait time.Duration) {
 	b := p.bucketOf(now, team, limit)
-	b.tokens = min(b.tokens+float64(want.Back), p.depth(limit))
+	b.tokens = min(b.tokens+float64(want.Returned), p.depth(limit))
 	granted = min(want.Count, uint32(max(b.tokens, 0)))
 	b.tokens -= float64(granted)
 	if granted == want.Count {
--- a/pkg/quota/pool_test.go
+++ b/pkg/quota/pool_test.go
@@ -17,13 +17,13 @@
 	limit := teams.Limit{Rate: 100, Burst: 1000}
 	p.lend(second, offer{vm: "a", size: 0.5, stamp: second, lease: leaseLeast})
 	p.lend(second, offer{vm: "b", size: 0.25, stamp: second - int64(leaseLeast)/2, lease: leaseLeast})
-	granted, wait := p.take(10*second, "red", limit, Want{Count: 1000})
+	granted, wait := p.take(10*second, "red", limit, TokenRequest{Count: 1000})
 	// 0.5 of the limit for a whole lease and 0.25 for half of one, and both are over: what
 	// was saved went with them.
 	test.Eq(t, 0, granted)
 	test.Eq(t, askAgain, wait)
 	p.lend(10*second, offer{vm: "a", size: 1, stamp: 10 * second, lease: leaseLeast})
-	granted, _ = p.take(10*second+int64(105*time.Millisecond), "red", limit, Want{Count: 1000})
+	granted, _ = p.take(10*second+int64(105*time.Millisecond), "red", limit, TokenRequest{Count: 1000})
 	test.Eq(t, 10, granted)
 }
 
@@ -40,8 +40,8 @@
 	p := newPool(0)
 	limit := teams.Limit{Rate: 1, Burst: 5}
 	p.lend(second, offer{vm: "a", size: 1, stamp: second, lease: leaseLeast})
-	p.take(second, "red", limit, Want{Back: 100})
-	granted, _ := p.take(second, "red", limit, Want{Count: 100})
+	p.take(second, "red", limit, TokenRequest{Returned: 100})
+	granted, _ := p.take(second, "red", limit, TokenRequest{Count: 100})
 	test.Eq(t, 5, granted)
 }
 
@@ -56,10 +56,10 @@
 		}
 	}
 	keep(time.Second)
-	p.take(now, "red", limit, Want{Count: 5})
+	p.take(now, "red", limit, TokenRequest{Count: 5})
 	keep(bucketFor + time.Second)
 	p.forget(now)
 	test.MapEmpty(t, p.buckets)
-	granted, _ := p.take(now, "red", limit, Want{Count: 100})
+	granted, _ := p.take(now, "red", limit, TokenRequest{Count: 100})
 	test.Eq(t, 5, granted)
 }
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -69,32 +69,32 @@
 	_ struct{} `cbor:",toarray"`
 	// Group is the group that is meant.
 	Group uint8
-	// Stamp is the newest one that the counter has sent; it says until when the part that
+	// CounterTime is the newest one that the counter has sent; it says until when the part that
 	// is lent with the question may be used. 0: none is known.
-	Stamp int64
+	CounterTime int64
 	// Members is how many daemons share the limits, as far as the asking one knows; 0: it
 	// lends nothing.
 	Members uint32
-	// Fresh is true where the counter that had the part before was lost.
-	Fresh bool
+	// PreviousCounterLost is true where the counter that had the part before was lost.
+	PreviousCounterLost bool
 	// LeaseMS is for how long the part is lent, in milliseconds.
 	LeaseMS uint32
-	// Release takes the part back, as another daemon is to count the group: it is the asking
+	// ReleaseAskedAt takes the part back, as another daemon is to count the group: it is the asking
 	// daemon's own time. 0: it does not.
-	Release int64
-	// Wants are the tokens that it asks for.
-	Wants []Want
+	ReleaseAskedAt int64
+	// TokenRequests are the tokens that it asks for.
+	TokenRequests []TokenRequest
 }
 
-// Want asks for tokens of one team.
-type Want struct {
+// TokenRequest asks for tokens of one team.
+type TokenRequest struct {
 	_    struct{} `cbor:",toarray"`
 	Team string
 	// Count is how many are wanted, Back how many are given back unused.
-	Count uint32
-	Back  uint32
-	// At is the asking daemon's own time, which comes back with the answer.
-	At int64
+	Count    uint32
+	Returned uint32
+	// AskedAt is the asking daemon's own time, which comes back with the answer.
+	AskedAt int64
 }
 
 // Grant is a counter's answer.
@@ -104,25 +104,25 @@
 	// Members is how many the counter counts itself, and not what others have told it: they
 	// would hold each other at the largest number there ever was. 0: it does not know.
 	Members uint32
-	// Stamp is the counter's time.
-	Stamp int64
-	// Released repeats the question's Release: the part is not used here any more.
-	Released int64
-	Grants   []Granted
+	// CounterTime is the counter's time.
+	CounterTime int64
+	// ReleaseAskedAt repeats the question's Release: the part is not used here any more.
+	ReleaseAskedAt int64
+	TokenGrants    []TokenGrant
 }
 
-// Granted answers one Want.
-type Granted struct {
+// TokenGrant answers one Want.
+type TokenGrant struct {
 	_    struct{} `cbor:",toarray"`
 	Team string
-	// Asked and At repeat the question, Count is how many tokens were granted.
-	Asked uint32
-	Count uint32
-	At    int64
+	// Requested and At repeat the question, Count is how many tokens were granted.
+	Requested uint32
+	Count     uint32
+	AskedAt   int64
 	// WaitMS is after how many milliseconds there may be a token again.
 	WaitMS uint32
-	// Later is true where no part has come to the counter yet: it is worth asking again.
-	Later bool
+	// NoShareYet is true where no part has come to the counter yet: it is worth asking again.
+	NoShareYet bool
 }
 
 // lease is for how long a part is lent in a fleet of some size.
--- a/pkg/quota/tick.go
+++ b/pkg/quota/tick.go
@@ -91,7 +91,7 @@
 // askAnew puts the questions of requests that wait to a new counter, or over a new link:
 // the former one may never answer.
 func (n *Node) askAnew(now int64, group int) {
-	var wants []Want
+	var wants []TokenRequest
 	for _, a := range n.accounts {
 		if a.group != group {
 			continue
@@ -109,7 +109,7 @@
 // askPending renews what is lent, asks again for requests that wait, and gives back what
 // has lain here unused, each when it is due. What is due together goes in one question.
 func (n *Node) askPending(now int64) {
-	var wants [Groups][]Want
+	var wants [Groups][]TokenRequest
 	if now >= n.askAt {
 		n.askAt = now + int64(askAgain)
 		wants = n.pending(now)
@@ -129,7 +129,7 @@
 }
 
 // pending are the questions that are due.
-func (n *Node) pending(now int64) (wants [Groups][]Want) {
+func (n *Node) pending(now int64) (wants [Groups][]TokenRequest) {
 	for _, a := range n.accounts {
 		a.expire(now)
 		a.before, a.recent = a.recent, 0
@@ -142,18 +142,18 @@
 
 // renew lends this daemon's part to the counter of a group for one more lease, or asks
 // for it back.
-func (n *Node) renew(now int64, group int, wants []Want) {
+func (n *Node) renew(now int64, group int, wants []TokenRequest) {
 	counter, does := n.counters[group], n.does[group]
 	if counter.Process == "" || does == waits && len(wants) == 0 {
 		return
 	}
-	ask := &Ask{Group: uint8(group), Wants: wants}
+	ask := &Ask{Group: uint8(group), TokenRequests: wants}
 	if does == releases {
-		ask.Release = now
+		ask.ReleaseAskedAt = now
 	}
 	if does == lends && n.mayLend(now) && !n.owes(now, counter) {
 		l, lease := &n.lendings[group], lease(n.members.count)
-		ask.Members, ask.Fresh, ask.LeaseMS = n.members.count, l.fresh, uint32(lease.Milliseconds())
+		ask.Members, ask.PreviousCounterLost, ask.LeaseMS = n.members.count, l.fresh, uint32(lease.Milliseconds())
 		l.lend(now, lease)
 	}
 	n.send(now, counter, ask)
@@ -188,22 +188,22 @@
 	}
 }
 
-// Use is how much of its limit a team has left at this daemon, where it counts the team.
-type Use struct {
+// Usage is how much of its limit a team has left at this daemon, where it counts the team.
+type Usage struct {
 	Team  string
 	Limit teams.Limit
-	// Tokens are those left, Parts the share of the limit that is lent here.
-	Tokens, Parts float64
+	// Tokens are those left, Share the share of the limit that is lent here.
+	Tokens, Share float64
 }
 
-// Uses lists the teams that were counted here lately.
-func (n *Node) Uses(now int64) (out []Use) {
+// Usages lists the teams that were counted here lately.
+func (n *Node) Usages(now int64) (out []Usage) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, p := range n.pools {
 		for team := range p.buckets {
 			if limit, ok := n.opts.Limit(team); ok && limit.Limited() {
-				out = append(out, Use{Team: team, Limit: limit, Tokens: p.bucketOf(now, team, limit).tokens, Parts: p.sum})
+				out = append(out, Usage{Team: team, Limit: limit, Tokens: p.bucketOf(now, team, limit).tokens, Share: p.sum})
 			}
 		}
 	}
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -10,14 +10,14 @@
 // Table is a set of routes made ready for the hot path. It never changes, but
 // for the turn counters of its routes.
 type Table struct {
-	byHost   map[string][]*Compiled
+	byHost   map[string][]*CompiledRoute
 	services map[string]Service
 	limits   Limits
 	routes   int
 }
 
-// Compiled is one route of a Table.
-type Compiled struct {
+// CompiledRoute is one route of a Table.
+type CompiledRoute struct {
 	Route
 	total uint64
 	// turn counts the requests of this route; it spreads them over the parts.
@@ -27,7 +27,7 @@
 // Compile makes a table of routes and services.
 func Compile(routes []Route, services []Service, limits Limits) *Table {
 	out := &Table{
-		byHost:   make(map[string][]*Compiled, len(routes)),
+		byHost:   make(map[string][]*CompiledRoute, len(routes)),
 		services: make(map[string]Service, len(services)),
 		limits:   limits,
 		routes:   len(routes),
@@ -45,11 +45,11 @@
 	return out
 }
 
-func compileRoute(r Route) *Compiled {
-	out := &Compiled{Route: r}
+func compileRoute(r Route) *CompiledRoute {
+	out := &CompiledRoute{Route: r}
 	if len(r.Regions) > 0 && len(r.DataCentres) == 0 {
 		// Entries go by data centres: none would be no rule for them.
-		out.DataCentres = []string{Nowhere}
+		out.DataCentres = []string{NoDataCentre}
 	}
 	out.Attempts = max(r.Attempts, 1)
 	for _, p := range r.Parts {
@@ -75,7 +75,7 @@
 
 // Match returns the route with the longest prefix that begins the path, or nil.
 // host may carry a port.
-func (t *Table) Match(host, path string) *Compiled {
+func (t *Table) Match(host, path string) *CompiledRoute {
 	for _, r := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
 			return r
@@ -97,8 +97,8 @@
 // has its share of few requests already, which independent draws would miss.
 const golden = 0x9e3779b97f4a7c15
 
-// Next picks the service of the next request by weight.
-func (c *Compiled) Next() string {
+// NextService picks the service of the next request by weight.
+func (c *CompiledRoute) NextService() string {
 	if len(c.Parts) == 1 || c.total == 0 {
 		return c.Parts[0].Service
 	}
--- a/pkg/routing/table_test.go
+++ b/pkg/routing/table_test.go
@@ -43,7 +43,7 @@
 	r := table.Match("h", "/")
 	counts := map[string]int{}
 	for range 100 {
-		counts[r.Next()]++
+		counts[r.NextService()]++
 	}
 	test.Between(t, 88, counts["a"], 92)
 }
@@ -51,7 +51,7 @@
 func TestAPartWithoutWeightGetsNothing(t *testing.T) {
 	table := Compile([]Route{route("r", "h", "/", Part{"a", 0}, Part{"b", 3})}, nil, Limits{})
 	for range 50 {
-		must.Eq(t, "b", table.Match("h", "/").Next())
+		must.Eq(t, "b", table.Match("h", "/").NextService())
 	}
 }
 
--- a/pkg/runner/crash_test.go
+++ b/pkg/runner/crash_test.go
@@ -45,7 +45,7 @@
 	out.runner, err = NewRunner(common.NewCommon(events.Discard(), &s), Deps{
 		Headers: backend.DefaultHeaders(), Lifecycle: out.lifecycle, Load: &backend.Load{},
 		Service: func() (routing.Service, bool) { return routing.Service{}, true },
-		Route:   func(_, _ string) (*routing.Compiled, uint64) { return nil, 0 },
+		Route:   func(_, _ string) (*routing.CompiledRoute, uint64) { return nil, 0 },
 	})
 	must.NoError(t, err)
 	t.Cleanup(func() {
@@ -138,14 +138,14 @@
 	}
 	e.endProcess()
 	<-e.results
-	told := e.runner.Quarantine.TakeOwn()
+	told := e.runner.Quarantine.TakePending()
 	must.Len(t, 1, told.Crashes)
 	test.SliceContainsAll(t, told.Crashes[0].Requests, []quarantine.Fingerprint{contentOf("/a"), contentOf("/b")})
 	_, state := e.lifecycle.Current()
 	test.Eq(t, backend.Down, state)
 	<-e.results
 	<-e.results
-	test.Len(t, 0, e.runner.Quarantine.TakeOwn().Crashes)
+	test.Len(t, 0, e.runner.Quarantine.TakePending().Crashes)
 }
 
 // TestAHeldContentIsNotRun: neither one that comes, nor one that waits, and one that runs
@@ -159,7 +159,7 @@
 	e.begin("other", "/other", true)
 	<-e.came
 	for id := range uint64(2) {
-		e.runner.Quarantine.Crashed(e.runner.Now(), id+1, []quarantine.Fingerprint{contentOf("/held")})
+		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{contentOf("/held")})
 	}
 	e.runner.Tick()
 	got := <-e.results
@@ -193,7 +193,7 @@
 	<-e.came
 	e.begin("waits", "/held", true)
 	for id := range uint64(2) {
-		e.runner.Quarantine.Crashed(e.runner.Now(), id+1, []quarantine.Fingerprint{contentOf("/held")})
+		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{contentOf("/held")})
 	}
 	e.goOn <- struct{}{}
 	refused := 0
--- a/pkg/runner/place.go
+++ b/pkg/runner/place.go
@@ -14,7 +14,7 @@
 func (r *Runner) misplaced(c *wire.Call) *errkind.Error {
 	route, version := r.route(c.Routed.Host, pathOf(c.URI))
 	vm := &r.Settings.VM
-	if route == nil || c.Placement > version || route.AllowsHere(vm.DataCentre, vm.Region) {
+	if route == nil || c.Placement > version || route.AllowsLocation(vm.DataCentre, vm.Region) {
 		return nil
 	}
 	return errkind.New(errkind.PlacementStale, "version %d does not let route %s be handled in %s (region %q); the entry had version %d", version, route.Name, vm.DataCentre, vm.Region, c.Placement)
--- a/pkg/runner/place_test.go
+++ b/pkg/runner/place_test.go
@@ -18,7 +18,9 @@
 	compiled := placement.Compile(&placement.Document{Version: version, Routes: []routing.Route{{
 		Name: "route", Host: "h", Prefix: "/bound/", Parts: []routing.Part{{Service: "s", Weight: 1}}, Regions: regions, DataCentres: dataCentres,
 	}}})
-	r.route = func(host, path string) (*routing.Compiled, uint64) { return compiled.Routes.Match(host, path), version }
+	r.route = func(host, path string) (*routing.CompiledRoute, uint64) {
+		return compiled.Routes.Match(host, path), version
+	}
 }
 
 func TestTheExecutorIsTheLastGuardOfAllowedRegions(t *testing.T) {
@@ -36,7 +38,7 @@
 		{"a target in absolute form", south, []string{"s1"}, "http://h/bound/x?y=/", 5, false},
 		{"a target in absolute form, and another route", south, []string{"s1"}, "http://h/free/bound/x", 5, true},
 		{"a path that begins with two slashes", south, []string{"s1"}, "//bound/x", 5, true},
-		{"nowhere", []string{"west"}, []string{routing.Nowhere}, "/bound/x", 5, false},
+		{"nowhere", []string{"west"}, []string{routing.NoDataCentre}, "/bound/x", 5, false},
 		{"a translation by a wrong map", south, []string{"n1", "s1"}, "/bound/x", 5, false},
 		{"data centres without regions", nil, []string{"s1"}, "/bound/x", 5, false},
 		{"an entry with an older version", south, []string{"s1"}, "/bound/x", 4, false},
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -127,7 +127,7 @@
 	ended := r.runs.add(run, run.call.Claim.Generation > 0)
 	reply := r.transport.Do(ctx, run.request(instance))
 	if reply.Refusal != nil && reply.Refusal.Kind == errkind.BackendFailed {
-		r.crashes.BrokeOff(crash.Run{ID: run.call.Routed.ID, Content: run.content()})
+		r.crashes.ReportAborted(crash.AbortedRun{ID: run.call.Routed.ID, Content: run.content()})
 	}
 	ended()
 	if why := run.recalledFor(); why != nil && reply.Answer == nil {
@@ -143,7 +143,7 @@
 	reply.Answer.Run = took
 	reply.Answer.Slowdown = slowdown
 	reply.Answer.CallsFailed = r.callFailedAt.Load() >= began
-	r.Quarantine.Ran(r.Now(), run.content, reply.Answer.Status)
+	r.Quarantine.RecordAnswer(r.Now(), run.content, reply.Answer.Status)
 	worked := reply.Answer.Status < 500
 	if worked {
 		r.work.Note(run.call.Kind, took, slowdown)
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -43,7 +43,7 @@
 	work      *worktime.Times
 	origins   *origins
 	service   func() (s routing.Service, ok bool)
-	route     func(host, path string) (route *routing.Compiled, version uint64)
+	route     func(host, path string) (route *routing.CompiledRoute, version uint64)
 	// checker is nil where the backend server has no health path.
 	checker *backend.Checker
 	// lookDue is true while a look for the end of a slow spell is due.
@@ -69,7 +69,7 @@
 	// touches it.
 	quarantineSeen uint64
 	runs           runs
-	crashes        *crash.Watch
+	crashes        *crash.Detector
 	// askedAt is when a request last came, in nanoseconds.
 	askedAt atomic.Int64
 }
@@ -89,7 +89,7 @@
 	Service func() (s routing.Service, ok bool)
 	// Route finds a request's route in the placement in force; nil where that has
 	// none.
-	Route func(host, path string) (route *routing.Compiled, version uint64)
+	Route func(host, path string) (route *routing.CompiledRoute, version uint64)
 	// ShareOf is which share of the VMs stands beside certain services, from 0 to 1;
 	// nil: not known.
 	ShareOf func(services []string) float64
@@ -132,7 +132,7 @@
 		}),
 	}
 	r.counters = newCounters(r)
-	r.crashes = crash.NewWatch(c, crash.Deps{Running: r.runs.count, Instance: r.incarnation, Ended: r.ended})
+	r.crashes = crash.NewDetector(c, crash.Deps{Running: r.runs.count, Instance: r.incarnation, OnCrash: r.ended})
 	return r, nil
 }
 
--- a/pkg/runner/runner_test.go
+++ b/pkg/runner/runner_test.go
@@ -61,7 +61,7 @@
 	r, err := NewRunner(common.NewCommon(events.Discard(), &s), Deps{
 		Headers: backend.DefaultHeaders(), Lifecycle: lifecycle, Load: &backend.Load{},
 		Service: func() (routing.Service, bool) { return routing.Service{}, true },
-		Route:   func(_, _ string) (*routing.Compiled, uint64) { return nil, 0 },
+		Route:   func(_, _ string) (*routing.CompiledRoute, uint64) { return nil, 0 },
 	})
 	must.NoError(t, err)
 	t.Cleanup(func() {
--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -133,7 +133,7 @@
 	if c.Quota == nil {
 		return
 	}
-	grant := c.Quota.Answer(c.Now(), peer.Hello.VM, &ask.Ask)
+	grant := c.Quota.HandleAsk(c.Now(), peer.Hello.VM, &ask.Ask)
 	// A link that has closed leaves the table with its next event.
 	_ = peer.Send(&wire.QuotaGrant{Grant: grant})
 }
@@ -141,7 +141,7 @@
 // QuotaGrant implements link.Control.
 func (c *Control) QuotaGrant(peer *link.Peer, grant *wire.QuotaGrant) {
 	if c.Quota != nil {
-		c.Quota.TakeOver(c.Now(), processOf(peer), &grant.Grant)
+		c.Quota.HandleGrant(c.Now(), processOf(peer), &grant.Grant)
 	}
 }
 
--- a/pkg/systems/follower.go
+++ b/pkg/systems/follower.go
@@ -237,7 +237,7 @@
 	f.mu.Unlock()
 	began := f.Now()
 	update, err := f.ask(ctx, at, wait)
-	var damaged *placement.DamagedError
+	var damaged *placement.UnreadableDocumentError
 	if errors.As(err, &damaged) {
 		f.Log.Event(events.DocumentRefused, events.F("cause", damaged.Cause))
 		err = nil
@@ -249,7 +249,7 @@
 	if !at.known || len(update.Evacuations) > 0 {
 		f.takeEvacuation(next.evacuated)
 	}
-	for _, refused := range update.Refused {
+	for _, refused := range update.RolloutErrors {
 		f.Log.Event(events.RolloutRefused, events.F("cause", refused))
 	}
 	if !at.known || len(update.Rollouts) > 0 {
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -58,7 +58,7 @@
 // keep writes the rows of contents that are held back, for those that ran when this
 // daemon's backend server ended, and deletes those of contents that were found to run
 // to their end.
-func (q *quarantines) keep(now int64, own *quarantine.News) {
+func (q *quarantines) keep(now int64, own *quarantine.Update) {
 	for i := range own.Crashes {
 		for _, content := range own.Crashes[i].Requests {
 			if q.rows[content] == nil {
@@ -71,7 +71,7 @@
 		return
 	}
 	for content, row := range q.rows {
-		crashes := q.Quarantine.CrashesOf(now, content)
+		crashes := q.Quarantine.CrashesAgainst(now, content)
 		_, held := q.Quarantine.Held(now, content)
 		switch {
 		case held && len(crashes) > row.saved:
@@ -80,7 +80,7 @@
 		case len(crashes) == 0 && row.saved > 0:
 			q.write(now, content, nil)
 			return
-		case now-row.since > int64(quarantine.RememberFor):
+		case now-row.since > int64(quarantine.CrashRetention):
 			delete(q.rows, content)
 		}
 	}
--- a/pkg/systems/placements_release_test.go
+++ b/pkg/systems/placements_release_test.go
@@ -36,9 +36,9 @@
 	pl.take(tables.Version{Document: boundRoute(true), Hash: hash, FromStore: true})
 	route := env.World.View.Placement().Routes.Match("h", "/x")
 	must.NotNil(t, route)
-	test.False(t, route.AllowsHere("n1", "north"))
+	test.False(t, route.AllowsLocation("n1", "north"))
 	hash, err = boundRoute(false).Hash()
 	must.NoError(t, err)
 	pl.take(tables.Version{Document: boundRoute(false), Hash: hash, Peer: &link.Peer{Hello: wire.Hello{VM: "old", DataCentre: "a"}}})
-	test.False(t, env.World.View.Placement().Routes.Match("h", "/x").AllowsHere("n1", "north"), test.Sprint("a peer corrects nothing"))
+	test.False(t, env.World.View.Placement().Routes.Match("h", "/x").AllowsLocation("n1", "north"), test.Sprint("a peer corrects nothing"))
 }
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -46,15 +46,15 @@
 		Env: env, informed: env.Settings.Platform.FirstStart, readRest: heldReadRest,
 		held: map[quarantine.Fingerprint]struct{}{}, rows: map[quarantine.Fingerprint]*heldRow{},
 	}
-	env.Quarantine.OnNews(func() { env.World.Inbox.Post(true, func(*tables.Mail) {}) })
+	env.Quarantine.OnUpdate(func() { env.World.Inbox.Post(true, func(*tables.Mail) {}) })
 	env.Metrics.GetOrCreateGauge("rushramp_held_requests", func() float64 { return float64(env.Quarantine.CountHeld(env.Now())) })
 	return q
 }
 
 // Tick implements System.
 func (q *quarantines) Tick(now int64, mail *tables.Mail) {
-	own := q.Quarantine.TakeOwn()
-	var heard quarantine.News
+	own := q.Quarantine.TakePending()
+	var heard quarantine.Update
 	for _, p := range mail.PeerQuarantines {
 		heard.Add(q.Quarantine.Merge(now, p.Said.News()))
 		q.informed = q.informed || p.Said.Informed
@@ -86,7 +86,7 @@
 	return "completion " + p.completion.Request.String()
 }
 
-func pieces(n *quarantine.News) (out []piece) {
+func pieces(n *quarantine.Update) (out []piece) {
 	for i := range n.Crashes {
 		out = append(out, piece{crash: &n.Crashes[i]})
 	}
@@ -97,7 +97,7 @@
 }
 
 // tell passes on what is new here.
-func (q *quarantines) tell(own, heard quarantine.News) {
+func (q *quarantines) tell(own, heard quarantine.Update) {
 	flood(q.Env, pieces(&own), pieces(&heard), piece.key, func(some []piece) wire.Frame {
 		frame := &wire.Quarantine{}
 		for _, p := range some {
@@ -117,7 +117,7 @@
 		return
 	}
 	q.greeted = q.World.Peers.Added()
-	all := q.Quarantine.All(now)
+	all := q.Quarantine.Snapshot(now)
 	frame := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: true}
 	q.World.Peers.Rows(func(peer *link.Peer, row *tables.PeerRow) {
 		if row.ToldHeld {
@@ -130,7 +130,7 @@
 }
 
 // noteHeld logs which contents begin to be held back, and which no longer are.
-func (q *quarantines) noteHeld(now int64, own, heard *quarantine.News) {
+func (q *quarantines) noteHeld(now int64, own, heard *quarantine.Update) {
 	for _, crashes := range [][]quarantine.Crash{own.Crashes, heard.Crashes} {
 		for i := range crashes {
 			for _, content := range crashes[i].Requests {
@@ -156,11 +156,11 @@
 	}
 	q.held[content] = struct{}{}
 	q.Log.Event(events.ContentHeld, events.F("content", content),
-		events.F("crashes", len(q.Quarantine.CrashesOf(now, content))), events.F("left", events.Milliseconds(left)))
+		events.F("crashes", len(q.Quarantine.CrashesAgainst(now, content))), events.F("left", events.Milliseconds(left)))
 }
 
 func (q *quarantines) whyFreed(now int64, content quarantine.Fingerprint) string {
-	if len(q.Quarantine.CrashesOf(now, content)) == 0 {
+	if len(q.Quarantine.CrashesAgainst(now, content)) == 0 {
 		return "one_ran_to_its_end"
 	}
 	return "time_over"
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -45,7 +45,7 @@
 
 // hear makes the daemon hear of what another one knows.
 func (h *holding) hear(from *holding) {
-	all := from.Quarantine.All(from.Now())
+	all := from.Quarantine.Snapshot(from.Now())
 	said := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: from.system.informed}
 	h.Control.Quarantine(nil, said)
 	h.tick()
@@ -68,12 +68,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
 		one, two := newHolding(t, platform, true), newHolding(t, platform, true)
-		one.Quarantine.Crashed(one.Now(), 1, []quarantine.Fingerprint{7, 8})
+		one.Quarantine.RecordCrash(one.Now(), 1, []quarantine.Fingerprint{7, 8})
 		one.tick()
 		two.hear(one)
 		test.Len(t, 0, rowsHeld(t, platform), test.Sprint("one crash holds nothing"))
 		time.Sleep(time.Second)
-		two.Quarantine.Crashed(two.Now(), 2, []quarantine.Fingerprint{7, 9})
+		two.Quarantine.RecordCrash(two.Now(), 2, []quarantine.Fingerprint{7, 9})
 		two.tick()
 		must.True(t, two.holds(7))
 		must.Len(t, 1, rowsHeld(t, platform))
@@ -102,7 +102,7 @@
 		platform.SetFaults(fakestore.Faults{Down: true})
 		one, late := newHolding(t, platform, true), newHolding(t, platform, false)
 		for id := range uint64(2) {
-			one.Quarantine.Crashed(one.Now(), id+1, []quarantine.Fingerprint{7})
+			one.Quarantine.RecordCrash(one.Now(), id+1, []quarantine.Fingerprint{7})
 		}
 		for range 40 {
 			one.tick()
@@ -127,14 +127,14 @@
 		platform := fakestore.New()
 		one, two := newHolding(t, platform, true), newHolding(t, platform, true)
 		for id := range uint64(2) {
-			one.Quarantine.Crashed(one.Now(), id+1, []quarantine.Fingerprint{7})
+			one.Quarantine.RecordCrash(one.Now(), id+1, []quarantine.Fingerprint{7})
 		}
 		one.tick()
 		two.hear(one)
 		must.Len(t, 1, rowsHeld(t, platform))
 		must.True(t, two.holds(7))
 		time.Sleep(time.Second)
-		two.Quarantine.Completed(two.Now(), 7)
+		two.Quarantine.RecordCompletion(two.Now(), 7)
 		two.tick()
 		one.hear(two)
 		time.Sleep(2 * heldKeepRest)
@@ -150,7 +150,7 @@
 		platform := fakestore.New()
 		one := newHolding(t, platform, true)
 		for id := range uint64(2) {
-			one.Quarantine.Crashed(one.Now(), id+1, []quarantine.Fingerprint{7})
+			one.Quarantine.RecordCrash(one.Now(), id+1, []quarantine.Fingerprint{7})
 		}
 		one.tick()
 		for key, value := range map[string]string{
@@ -230,9 +230,9 @@
 			return
 		}
 		table := quarantine.NewTable()
-		table.Merge(1, quarantine.News{Crashes: crashes})
-		if len(table.All(1).Crashes) > len(crashes) {
-			t.Fatalf("%d crashes of %d", len(table.All(1).Crashes), len(crashes))
+		table.Merge(1, quarantine.Update{Crashes: crashes})
+		if len(table.Snapshot(1).Crashes) > len(crashes) {
+			t.Fatalf("%d crashes of %d", len(table.Snapshot(1).Crashes), len(crashes))
 		}
 	})
 }
--- a/pkg/systems/quotas_test.go
+++ b/pkg/systems/quotas_test.go
@@ -23,7 +23,7 @@
 	doc := &placement.Document{Version: 1, Teams: []teams.Team{{Name: "red", Limit: teams.Limit{Rate: 1}}}}
 	env.World.Placement = doc
 	env.World.View.SetPlacement(placement.Compile(doc))
-	env.Quota = quota.NewNode(quota.Options{Self: env.World.VM, Limit: env.World.View.LimitOf})
+	env.Quota = quota.NewNode(quota.Options{VM: env.World.VM, Limit: env.World.View.LimitOf})
 	for n := range members {
 		env.World.Members.Merge(1, nil, wire.Member{VM: fmt.Sprint("m", n), DataCentre: "here", Service: "s", Incarnation: 1})
 	}
@@ -35,7 +35,7 @@
 // counts is how many members a daemon tells others that it counts.
 func counts(q *quotas, now int64) uint32 {
 	q.Tick(now, &tables.Mail{})
-	return q.Quota.Answer(now, "x", &quota.Ask{}).Members
+	return q.Quota.HandleAsk(now, "x", &quota.Ask{}).Members
 }
 
 // TestAStartedDaemonCountsMembersOnceItKnowsThem: from the whole list, or once it knows as
@@ -43,7 +43,7 @@
 func TestAStartedDaemonCountsMembersOnceItKnowsThem(t *testing.T) {
 	q, peer := quotasEnv(3)
 	test.Eq(t, 0, counts(q, 1))
-	q.Quota.TakeOver(2, processOf(peer), &quota.Grant{Members: 4, Stamp: 1})
+	q.Quota.HandleGrant(2, processOf(peer), &quota.Grant{Members: 4, CounterTime: 1})
 	test.Eq(t, 0, counts(q, 3), test.Sprint("one member is not known yet"))
 	q.World.Members.Merge(4, nil, wire.Member{VM: "m3", DataCentre: "here", Service: "s", Incarnation: 1})
 	test.Eq(t, 4, counts(q, 5))
--- a/pkg/systems/subset.go
+++ b/pkg/systems/subset.go
@@ -88,10 +88,10 @@
 		return highest(w.VM, s.all, choosing.Subset)
 	}
 	least := choosing.Subset / 2
-	chosen := highest(w.VM, s.at[place.Near], nearMost(choosing, len(kind.Limits)))
+	chosen := highest(w.VM, s.at[place.Near], nearMost(choosing, len(kind.RouteDataCentres)))
 	chosen = append(chosen, highest(w.VM, s.at[place.Region], max(choosing.Far, least-len(chosen)))...)
 	chosen = append(chosen, highest(w.VM, s.at[place.Other], max(otherRegions, least-len(chosen)))...)
-	return fillUp(w.VM, chosen, s.all, kind.Limits, choosing.Subset)
+	return fillUp(w.VM, chosen, s.all, kind.RouteDataCentres, choosing.Subset)
 }
 
 // nearMost is how many backend servers of its own data centre an entry works with, so
@@ -127,7 +127,7 @@
 		var others []*tables.Route
 		for _, route := range all {
 			switch _, is := has[route]; {
-			case !routing.Allows(list, route.DataCentre):
+			case !routing.AllowsDataCentre(list, route.DataCentre):
 			case is:
 				held++
 			default:
--- a/pkg/systems/subset_test.go
+++ b/pkg/systems/subset_test.go
@@ -107,7 +107,7 @@
 		{"the own one alone needs no more", []int{29, 58, 57}, [][]string{{"a"}}, 0, 29 + choosing.Far},
 		{"another one", []int{29, 58, 57}, [][]string{{"c"}}, choosing.Subset, 29 + choosing.Far + choosing.Subset},
 		{"one with few", []int{29, 58, 5}, [][]string{{"c"}}, 5, 29 + choosing.Far + 5},
-		{"nowhere", []int{29, 58, 57}, [][]string{{routing.Nowhere}}, 0, 29 + choosing.Far},
+		{"nowhere", []int{29, 58, 57}, [][]string{{routing.NoDataCentre}}, 0, 29 + choosing.Far},
 		{"many lists share the room", []int{100, 58, 57}, [][]string{{"b"}, {"b", "c"}, {"c"}, {"a", "c"}}, 7, subsetMost},
 		{"a small service is known whole", []int{4, 6, 6}, [][]string{{"c"}}, 6, 16},
 	} {
@@ -212,9 +212,9 @@
 		choosing := settings.Default().Choosing
 		choosing.Near = near
 		w, kind := subsetWorld(100, 100, 100)
-		kind.Limits = [][]string{{"c"}}
+		kind.RouteDataCentres = [][]string{{"c"}}
 		subset := Subset(w, choosing, kind)
-		test.GreaterEq(t, 8, allowedIn(subset, kind.Limits[0]), test.Sprintf("near %d", near))
+		test.GreaterEq(t, 8, allowedIn(subset, kind.RouteDataCentres[0]), test.Sprintf("near %d", near))
 		test.LessEq(t, subsetMost, len(subset))
 	}
 }
@@ -232,9 +232,9 @@
 		}
 		w, _ := subsetWorld(each...)
 		kind := placement.Compile(doc).Service("s").Kinds[0]
-		must.Len(t, lists, kind.Limits)
+		must.Len(t, lists, kind.RouteDataCentres)
 		subset := Subset(w, settings.Default().Choosing, kind)
-		for _, list := range kind.Limits {
+		for _, list := range kind.RouteDataCentres {
 			test.Positive(t, allowedIn(subset, list), test.Sprint(lists, " lists: ", list))
 		}
 	}
@@ -244,7 +244,7 @@
 func allowedIn(subset []*tables.Route, list []string) int {
 	allowed := 0
 	for _, route := range subset {
-		if routing.Allows(list, route.DataCentre) {
+		if routing.AllowsDataCentre(list, route.DataCentre) {
 			allowed++
 		}
 	}
--- a/pkg/wire/codec_test.go
+++ b/pkg/wire/codec_test.go
@@ -88,15 +88,15 @@
 
 // sampleAsk and sampleGrant are what daemons say when they count the requests of teams.
 var (
-	sampleAsk   = &QuotaAsk{Ask: quota.Ask{Group: 3, Stamp: 1 << 40, Members: 62, Wants: []quota.Want{{Team: "red", Count: 2, Back: 1, At: 1 << 39}}}}
-	sampleGrant = &QuotaGrant{Grant: quota.Grant{Group: 3, Members: 62, Stamp: 1 << 40, Grants: []quota.Granted{{Team: "red", Asked: 2, Count: 1, At: 1 << 39, WaitMS: 40}}}}
+	sampleAsk   = &QuotaAsk{Ask: quota.Ask{Group: 3, CounterTime: 1 << 40, Members: 62, TokenRequests: []quota.TokenRequest{{Team: "red", Count: 2, Returned: 1, AskedAt: 1 << 39}}}}
+	sampleGrant = &QuotaGrant{Grant: quota.Grant{Group: 3, Members: 62, CounterTime: 1 << 40, TokenGrants: []quota.TokenGrant{{Team: "red", Requested: 2, Count: 1, AskedAt: 1 << 39, WaitMS: 40}}}}
 )
 
 // TestFramesOfTheCountingAreSmall: a renewal goes to each counter some seven times a second.
 func TestFramesOfTheCountingAreSmall(t *testing.T) {
 	codec, err := NewCodec()
 	must.NoError(t, err)
-	for _, frame := range []Frame{&QuotaAsk{Ask: quota.Ask{Group: 3, Stamp: 1 << 40, Members: 62}}, &QuotaGrant{Grant: quota.Grant{Group: 3, Members: 62, Stamp: 1 << 40}}} {
+	for _, frame := range []Frame{&QuotaAsk{Ask: quota.Ask{Group: 3, CounterTime: 1 << 40, Members: 62}}, &QuotaGrant{Grant: quota.Grant{Group: 3, Members: 62, CounterTime: 1 << 40}}} {
 		var buf bytes.Buffer
 		must.NoError(t, codec.Append(&buf, frame))
 		test.LessEq(t, 24, buf.Len())
--- a/pkg/wire/fingerprint.go
+++ b/pkg/wire/fingerprint.go
@@ -17,7 +17,7 @@
 	for _, name := range provingHeaders {
 		for i := range headers {
 			if http.CanonicalHeaderKey(headers[i].Name) == name {
-				content.Caller += name + headers[i].Value + "\n"
+				content.Credentials += name + headers[i].Value + "\n"
 			}
 		}
 	}
--- a/pkg/wire/news.go
+++ b/pkg/wire/news.go
@@ -40,8 +40,8 @@
 }
 
 // News is what the frame tells.
-func (q *Quarantine) News() quarantine.News {
-	return quarantine.News{Crashes: q.Crashes, Completions: q.Completions}
+func (q *Quarantine) News() quarantine.Update {
+	return quarantine.Update{Crashes: q.Crashes, Completions: q.Completions}
 }
 
 // QuotaAsk asks the daemon that counts a group of teams for tokens, and lends it a part of
