--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -49,14 +49,14 @@
 	Rollout *rollout.Traffic
 	Lane    rollout.Lane
 	// Location is where the entry stands, LeaveCost what crossing to each place costs.
-	Location      proximity.Location
+	Location     proximity.Location
 	CrossingCost CrossingCosts
 	// Soft is true for an attempt that a slowed backend server refuses at once.
 	Soft bool
 	// SoftSlowdown is the slowdown, 1 for none, above which gates refuse soft
 	// attempts, and Use the share of the slots that they use.
 	SoftSlowdown float64
-	UsableShare          float64
+	UsableShare  float64
 	// TimeToTarget is the time left in which the request must end to be worth its run;
 	// 0: no bound.
 	TimeToTarget time.Duration
@@ -73,7 +73,7 @@
 	// Proximity is how far the candidate is, Cost what it was expected to cost, as a time
 	// in nanoseconds, and Expected the part of that which is time, and no price.
 	Proximity    proximity.Level
-	Cost     float64
+	Cost         float64
 	ExpectedTime float64
 	// PassedOver counts the candidates that were passed over because their gates
 	// have just shown that they would refuse the request.
--- a/pkg/forward/team.go
+++ b/pkg/forward/team.go
@@ -106,4 +106,6 @@
 }
 
 // keysAge is how old the newest proof is that the keys are in force.
-func (f *Forwarder) keysAge() time.Duration { return time.Duration(f.Now() - f.view.PlacementProvenAt()) }
+func (f *Forwarder) keysAge() time.Duration {
+	return time.Duration(f.Now() - f.view.PlacementProvenAt())
+}
--- a/pkg/systems/readers.go
+++ b/pkg/systems/readers.go
@@ -33,7 +33,9 @@
 
 // aheadInDataCentre counts the members of this data centre that come before this
 // daemon by rendezvous hash.
-func (e *Env) aheadInDataCentre() int { return e.aheadIn(readers{e.World.DataCentre, proximity.SameDataCentre}) }
+func (e *Env) aheadInDataCentre() int {
+	return e.aheadIn(readers{e.World.DataCentre, proximity.SameDataCentre})
+}
 
 // aheadIn counts the members among some readers that come before this daemon by
 // rendezvous hash.
--- a/pkg/systems/regions_test.go
+++ b/pkg/systems/regions_test.go
@@ -8,8 +8,8 @@
 	"github.com/shoenig/test/must"
 
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
--- a/pkg/systems/subset_test.go
+++ b/pkg/systems/subset_test.go
@@ -7,8 +7,8 @@
 	"github.com/shoenig/test"
 	"github.com/shoenig/test/must"
 
-	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/routing"
 	"github.com/rushramp/rushramp/pkg/settings"
 	"github.com/rushramp/rushramp/pkg/tables"
--- a/pkg/tables/inbox.go
+++ b/pkg/tables/inbox.go
@@ -24,8 +24,8 @@
 	// VMList is the newest list of the platform; nil when none came.
 	VMList *VMList
 	// Members are rows that peers sent, Asks what they asked for.
-	Members []PeerMembers
-	MembersAsks    []PeerMembersAsk
+	Members     []PeerMembers
+	MembersAsks []PeerMembersAsk
 	// LinkEvents are links that came up or ended.
 	LinkEvents []LinkEvent
 	// PeerStates are states of peers, oldest first.
@@ -47,7 +47,7 @@
 	Evacuation *evacuation.Set
 	// RolloutOrders is the newest set of orders for roll-outs that this daemon read in the
 	// store; nil: it read none. RolloutNews and RolloutReports came from peers.
-	RolloutOrders         *rollout.Orders
+	RolloutOrders  *rollout.Orders
 	RolloutNews    []PeerRollouts
 	RolloutReports []rollout.Report
 	// RolloutPlanResults are calls to the store about plans that have ended.
@@ -101,8 +101,8 @@
 	Client *link.Client
 	// Endpoint is the route that the link was opened for.
 	Endpoint *Endpoint
-	Up    bool
-	Cause error
+	Up       bool
+	Cause    error
 }
 
 // PeerState is a state that a peer sent, and when it came.
@@ -126,14 +126,14 @@
 
 // PeerDepartures are departures that a peer told of.
 type PeerDepartures struct {
-	Peer *link.Peer
+	Peer  *link.Peer
 	Frame *wire.Departures
 }
 
 // PeerQuarantine is what a peer, or the store where Peer is nil, told of requests that
 // end backend servers.
 type PeerQuarantine struct {
-	Peer *link.Peer
+	Peer  *link.Peer
 	Frame *wire.Quarantine
 }
 
@@ -147,9 +147,9 @@
 type RolloutPlanResult struct {
 	Service string
 	// IsWrite is true for a write, false for a read.
-	IsWrite  bool
-	Stored rollout.Stored
-	Err    error
+	IsWrite bool
+	Stored  rollout.Stored
+	Err     error
 	// Began is when the call began, in nanoseconds of the daemon's clock.
 	Began int64
 }
--- a/pkg/tables/members.go
+++ b/pkg/tables/members.go
@@ -15,14 +15,14 @@
 // A row keeps its Route as long as the VM is known.
 type Endpoint struct {
 	// VM, Service, DataCentre and the addresses never change.
-	VM         string
-	Service    string
-	DataCentre string
-	Region     string
-	LinkAddress      string
-	CallerAddress    string
-	Load       *Load
-	runner     atomic.Pointer[call.Runner]
+	VM            string
+	Service       string
+	DataCentre    string
+	Region        string
+	LinkAddress   string
+	CallerAddress string
+	Load          *Load
+	runner        atomic.Pointer[call.Runner]
 	// version is the one of the backend server now: another one may take its place.
 	version atomic.Pointer[string]
 }
@@ -71,9 +71,9 @@
 	// Listed is true for a member that the platform's list has shown to this
 	// daemon; Missing counts the reads since that did not. Since is when the
 	// row was made.
-	Listed  []bool
+	Listed      []bool
 	MissedReads []int
-	AddedAt   []int64
+	AddedAt     []int64
 
 	inUse     []bool
 	free      []int
@@ -95,8 +95,8 @@
 // MemberChange is a row that changed here, and the link that it came over; nil when
 // this daemon learnt it in another way.
 type MemberChange struct {
-	Record  wire.Member
-	From *link.Peer
+	Record wire.Member
+	From   *link.Peer
 }
 
 // tombstone remembers a VM that is gone.
--- a/pkg/tables/peers.go
+++ b/pkg/tables/peers.go
@@ -13,7 +13,7 @@
 // PeerRow is what a peer said last.
 type PeerRow struct {
 	PlacementVersion uint64
-	Leaving   bool
+	Leaving          bool
 	// MembersDigest is the digest that the peer told last, DiffersSince since when it
 	// and the own one differ, both unchanged; 0: they do not.
 	MembersDigest      uint64
@@ -26,8 +26,8 @@
 	QuarantinesSent bool
 	// RolloutsSentDigest is the digest of the news of roll-outs that the peer was sent last,
 	// RolloutsToldAt when.
-	RolloutsSentDigest   uint64
-	RolloutsSentAt int64
+	RolloutsSentDigest uint64
+	RolloutsSentAt     int64
 	// PlacementPulledAt is when this daemon last asked the peer for its placement.
 	PlacementPulledAt int64
 }
--- a/pkg/tables/world.go
+++ b/pkg/tables/world.go
@@ -3,8 +3,8 @@
 import (
 	"time"
 
-	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/placement"
+	"github.com/rushramp/rushramp/pkg/proximity"
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
@@ -19,8 +19,8 @@
 	Members *Members
 	Peers   *Peers
 	// Placement is the version in force, or nil. Hash is its digest.
-	Placement *placement.Document
-	PlacementHash      string
+	Placement     *placement.Document
+	PlacementHash string
 	// PlacementLog holds the newest accepted changes, oldest first, for peers that are
 	// a few versions behind.
 	PlacementLog []placement.LogEntry
@@ -41,37 +41,39 @@
 	UnreachedChanges uint64
 	// Rollouts is what is known of roll-outs. Watchers are the daemons that judge the
 	// one of this VM's service, the first one writes its plan; none without a roll-out.
-	Rollouts *rollout.Book
+	Rollouts        *rollout.Book
 	RolloutWatchers []*Endpoint
 	// QuotaCounters are the daemons that should count the requests of teams, to which this one
 	// keeps links.
 	QuotaCounters []*Endpoint
 	// DirtyServices are the services whose view must be published again.
 	DirtyServices map[string]struct{}
-	View  *View
-	Inbox *Inbox
+	View          *View
+	Inbox         *Inbox
 }
 
 // NewWorld makes empty tables.
 func NewWorld(vm, dataCentre string) *World {
 	return &World{
-		VM:         vm,
-		DataCentre: dataCentre,
-		Members:    NewMembers(),
-		Peers:      NewPeers(),
-		RequestedServices:     map[string]struct{}{},
-		DataCentreHeardAt:      map[string]int64{},
-		Departures: map[string]int64{},
-		Unreached:  map[*Endpoint]struct{}{},
-		Rollouts:   rollout.NewBook(),
-		DirtyServices:      map[string]struct{}{},
-		View:       &View{},
-		Inbox:      NewInbox(),
+		VM:                vm,
+		DataCentre:        dataCentre,
+		Members:           NewMembers(),
+		Peers:             NewPeers(),
+		RequestedServices: map[string]struct{}{},
+		DataCentreHeardAt: map[string]int64{},
+		Departures:        map[string]int64{},
+		Unreached:         map[*Endpoint]struct{}{},
+		Rollouts:          rollout.NewBook(),
+		DirtyServices:     map[string]struct{}{},
+		View:              &View{},
+		Inbox:             NewInbox(),
 	}
 }
 
 // Here is where this daemon stands.
-func (w *World) Here() proximity.Location { return proximity.Location{DataCentre: w.DataCentre, Region: w.Region} }
+func (w *World) Here() proximity.Location {
+	return proximity.Location{DataCentre: w.DataCentre, Region: w.Region}
+}
 
 // MarkDirty marks the view of a service as out of date.
 func (w *World) MarkDirty(service string) { w.DirtyServices[service] = struct{}{} }
