--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -115,7 +115,7 @@
 	if r.Rollout != nil && !r.Rollout.Takes(r.Lane, route.Version(), route.VM) {
 		return false
 	}
-	return routing.Allows(r.Allowed, dataCentre)
+	return routing.AllowsDataCentre(r.Allowed, dataCentre)
 }
 
 // time is the expected time of the request at a candidate, in nanoseconds.
@@ -131,7 +131,7 @@
 		age := float64(max(r.Now-known.StampReceivedAt, 0))
 		inFlight = max(inFlight, decay(age/float64(max(r.Work, 1)))*float64(known.InFlight)+float64(known.SentSinceStamp))
 		if known.Slowdown > 0 {
-			slowdown += decay(math.Ln2*age/float64(slowdownHalfLife)) * (speed.Slowdown(known.Slowdown) - usual)
+			slowdown += decay(math.Ln2*age/float64(slowdownHalfLife)) * (speed.FromPercent(known.Slowdown) - usual)
 		}
 	}
 	service := float64(r.Work) * slowdown
--- a/pkg/forward/team_test.go
+++ b/pkg/forward/team_test.go
@@ -33,14 +33,14 @@
 
 func requestOf(path, key string) *Request {
 	out := request(path)
-	out.Headers = []wire.Header{{Name: KeyHeader, Value: "Bearer " + key}, {Name: "X-Own", Value: "v"}}
-	out.Key = Key{Digest: teams.DigestOf(key), Given: true}
+	out.Headers = []wire.Header{{Name: TeamKeyHeader, Value: "Bearer " + key}, {Name: "X-Own", Value: "v"}}
+	out.TeamKey = TeamKey{Digest: teams.DigestOf(key), Given: true}
 	return out
 }
 
 // alone makes the daemon the only one that counts, and returns what keeps it so.
 func alone(f *Forwarder) (tick func()) {
-	f.Quota = quota.NewNode(quota.Options{Self: "vm", Slack: 2, Window: 5 * time.Second, Limit: f.view.TeamLimit})
+	f.Quota = quota.NewNode(quota.Options{VM: "vm", Slack: 2, Window: 5 * time.Second, Limit: f.view.TeamLimit})
 	var ranked [quota.Groups][]quota.Peer
 	for g := range ranked {
 		ranked[g] = []quota.Peer{{Process: "vm"}}
@@ -83,7 +83,7 @@
 	test.Eq(t, "", r.calls[2].Routed.Team)
 	for _, sent := range r.calls {
 		for _, h := range sent.Headers {
-			test.NotEq(t, KeyHeader, h.Name)
+			test.NotEq(t, TeamKeyHeader, h.Name)
 		}
 	}
 }
@@ -140,7 +140,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		f := newForwarder(&fakeRunner{answer: answers(200)})
 		ofTeams(f, 4)
-		f.Quota = quota.NewNode(quota.Options{Self: "vm", Limit: f.view.TeamLimit})
+		f.Quota = quota.NewNode(quota.Options{VM: "vm", Limit: f.view.TeamLimit})
 		began := time.Now()
 		got := f.Forward(t.Context(), requestOf("/read/1", "b"))
 		must.NotNil(t, got.Refusal)
--- a/pkg/runner/cold.go
+++ b/pkg/runner/cold.go
@@ -12,25 +12,25 @@
 // words tell, in nanoseconds: they travel, and are said in whole milliseconds.
 const coldSlack = int64(50 * time.Millisecond)
 
-// TakeCold takes over what the backend server last said of its being cold, and
+// UpdateCold takes over what the backend server last said of its being cold, and
 // what the placement in force says it bears then. It returns false while there is
 // no placement.
-func (r *Runner) TakeCold() bool {
+func (r *Runner) UpdateCold() bool {
 	service, ok := r.service()
 	if !ok {
 		return false
 	}
-	said, s := r.lifecycle.Cold(), &r.Settings.Routing
-	cold := gate.Cold{Since: said.ToldAt - coldSlack, Till: said.Till}
+	said, s := r.lifecycle.ColdPeriod(), &r.Settings.Routing
+	cold := gate.ColdState{Since: said.CheckedAt - coldSlack, Until: said.LatestEnd}
 	if service.ColdRate > 0 {
-		cold.Most = max(int(s.ColdFactor*service.ColdRate+s.ColdSlack), 1)
+		cold.MaxStartsPerSecond = max(int(s.ColdFactor*service.ColdRate+s.ColdSlack), 1)
 	}
 	now := r.Now()
-	if now < said.Till {
+	if now < said.LatestEnd {
 		cold.Since = coldSince(now, &said, service.ColdFor) - coldSlack
 	}
 	r.noteCold(now, cold)
-	r.startAll(r.gate.SetCold(now, cold))
+	r.startAll(r.gate.SetColdState(now, cold))
 	r.coldTold.Store(true)
 	return true
 }
@@ -38,13 +38,13 @@
 // coldSince is since when a backend server may be cold that said so. One that has
 // longer to go than the placement tells may have been so at any time; one of which
 // only a heartbeat tells, which may have been held back, since it was last asked.
-func coldSince(now int64, said *backend.Cold, coldFor time.Duration) int64 {
-	since := said.TillLeast - int64(coldFor)
+func coldSince(now int64, said *backend.ColdPeriod, coldFor time.Duration) int64 {
+	since := said.EarliestEnd - int64(coldFor)
 	if since > now {
 		since = now - int64(time.Second)
 	}
-	if said.ByHeartbeat {
-		since = min(since, said.ToldAt)
+	if said.FromHeartbeat {
+		since = min(since, said.CheckedAt)
 	}
 	return since
 }
@@ -52,18 +52,18 @@
 // lookForCold has the backend server asked whether it is still warm, where many
 // requests have started since it said so.
 func (r *Runner) lookForCold(now int64) {
-	if r.checker != nil && r.gate.AsksWhetherCold(now) {
+	if r.checker != nil && r.gate.NeedsColdCheck(now) {
 		r.checker.Check(func() {})
 	}
 }
 
 // noteCold logs when the backend server becomes cold, or warm again.
-func (r *Runner) noteCold(now int64, cold gate.Cold) {
-	isCold := now < cold.Till
+func (r *Runner) noteCold(now int64, cold gate.ColdState) {
+	isCold := now < cold.Until
 	if r.cold.Swap(isCold) == isCold {
 		return
 	}
 	instance, _ := r.lifecycle.Current()
 	r.Log.Event(events.BackendCold, events.F("instance", instance), events.F("cold", isCold),
-		events.F("left", events.Milliseconds(time.Duration(max(cold.Till-now, 0)))), events.F("most_starts", cold.Most))
+		events.F("left", events.Milliseconds(time.Duration(max(cold.Until-now, 0)))), events.F("most_starts", cold.MaxStartsPerSecond))
 }
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -68,7 +68,7 @@
 		r.start(&run.job)
 		r.lookForCold(now)
 	default:
-		run.expiry.Store(time.AfterFunc(run.job.Patience(now), run.expire))
+		run.expiry.Store(time.AfterFunc(run.job.MaxWait(now), run.expire))
 		r.lookForEnd()
 		if run.isGone() {
 			run.cancel()
@@ -127,7 +127,7 @@
 	ended := r.runs.add(run, run.call.Claim.Generation > 0)
 	reply := r.transport.Do(ctx, run.request(instance))
 	if reply.Refusal != nil && reply.Refusal.Kind == errkind.BackendFailed {
-		r.crashes.BrokeOff(crash.Run{ID: run.call.Routed.ID, Content: run.content()})
+		r.crashes.ReportAborted(crash.AbortedRun{ID: run.call.Routed.ID, Content: run.content()})
 	}
 	ended()
 	if why := run.recalledFor(); why != nil && reply.Answer == nil {
@@ -139,14 +139,14 @@
 	if reply.Refusal != nil {
 		return call.Result{Refusal: reply.Refusal, Offered: reply.Offered}, false
 	}
-	reply.Answer.Queued = run.job.Queued()
+	reply.Answer.Queued = run.job.WaitTime()
 	reply.Answer.Run = took
 	reply.Answer.Slowdown = slowdown
 	reply.Answer.CallsFailed = r.callFailedAt.Load() >= began
-	r.Quarantine.Ran(r.Now(), run.content, reply.Answer.Status)
+	r.Quarantine.RecordAnswer(r.Now(), run.content, reply.Answer.Status)
 	worked := reply.Answer.Status < 500
 	if worked {
-		r.work.Note(run.call.Kind, took, slowdown)
+		r.work.Record(run.call.Kind, took, slowdown)
 	}
 	return call.Result{Answer: reply.Answer, Offered: true}, worked
 }
@@ -155,7 +155,7 @@
 	c := run.call
 	return &backend.Request{
 		ID: c.Routed.ID, Method: c.Method, URI: c.URI, Host: c.Routed.Host, Headers: c.Headers, Body: run.body,
-		Instance: instance.ID, Caller: c.Routed.Caller, Team: c.Routed.Team, Repeatable: c.Routed.Repeatable,
+		InstanceID: instance.ID, Caller: c.Routed.Caller, Team: c.Routed.Team, Repeatable: c.Routed.Repeatable,
 	}
 }
 
@@ -192,7 +192,7 @@
 		return
 	}
 	result.Stamp = run.owner.Stamp()
-	result.Spoke = true
+	result.FromExecutor = true
 	result.Origin = run.origin
 	run.done(result)
 	run.logEnd(&result)
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -43,9 +43,9 @@
 	work      *worktime.Times
 	origins   *origins
 	service   func() (s routing.Service, ok bool)
-	route     func(host, path string) (route *routing.Compiled, version uint64)
+	route     func(host, path string) (route *routing.CompiledRoute, version uint64)
 	// checker is nil where the backend server has no health path.
-	checker *backend.Checker
+	checker *backend.HealthChecker
 	// lookDue is true while a look for the end of a slow spell is due.
 	lookDue atomic.Bool
 	leaving atomic.Bool
@@ -69,7 +69,7 @@
 	// touches it.
 	quarantineSeen uint64
 	runs           runs
-	crashes        *crash.Watch
+	crashes        *crash.Detector
 	// askedAt is when a request last came, in nanoseconds.
 	askedAt atomic.Int64
 }
@@ -83,24 +83,24 @@
 	// Recorder counts the outcomes of runs while a roll-out is under way; it may be nil.
 	Recorder *rollout.Recorder
 	// Checker asks the backend server's health path; it may be nil.
-	Checker *backend.Checker
+	Checker *backend.HealthChecker
 	// Service is what the placement says of the backend server's service; ok is
 	// false while there is no placement.
 	Service func() (s routing.Service, ok bool)
-	// Route finds a request's route in the placement in force; nil where that has
+	// FindRoute finds a request's route in the placement in force; nil where that has
 	// none.
-	Route func(host, path string) (route *routing.Compiled, version uint64)
-	// ShareOf is which share of the VMs stands beside certain services, from 0 to 1;
+	FindRoute func(host, path string) (route *routing.CompiledRoute, version uint64)
+	// VMShare is which share of the VMs stands beside certain services, from 0 to 1;
 	// nil: not known.
-	ShareOf func(services []string) float64
+	VMShare func(services []string) float64
 }
 
 // shareOf takes all VMs for those of the services where nothing is known.
 func (d *Deps) shareOf() func([]string) float64 {
-	if d.ShareOf == nil {
+	if d.VMShare == nil {
 		return func([]string) float64 { return 1 }
 	}
-	return d.ShareOf
+	return d.VMShare
 }
 
 // NewRunner makes a runner.
@@ -116,23 +116,23 @@
 		lifecycle: deps.Lifecycle,
 		load:      deps.Load,
 		service:   deps.Service,
-		route:     deps.Route,
+		route:     deps.FindRoute,
 		work:      worktime.NewTimes(),
 		origins:   newOrigins(deps.shareOf()),
 		checker:   deps.Checker,
 		trial:     trial.New(c, deps.Lifecycle, deps.Recorder),
-		transport: backend.NewTransport(backend.Options{
+		transport: backend.NewTransport(backend.TransportOptions{
 			Address: s.BackendServer.Address, Headers: deps.Headers,
-			DialTimeout: s.BackendServer.DialTimeout, MaxBody: s.Limits.MaxBodyBytes, Now: c.Now,
+			DialTimeout: s.BackendServer.DialTimeout, MaxBodyBytes: s.Limits.MaxBodyBytes, Now: c.Now,
 		}),
 		gate: gate.New(gate.Options{
 			Slots: s.BackendServer.Slots, QueueLength: s.Gate.QueueLength, QueueTime: s.Gate.QueueTime,
-			Order: gate.Ranked, SoftSlowdown: s.Routing.SoftSlowdown, Use: s.Routing.Use, Learn: true,
+			Order: gate.Ranked, SoftSlowdown: s.Routing.SoftSlowdown, SlotShare: s.Routing.Use, LearnLimit: true,
 			Restarted: !s.Platform.FirstStart, RestartAfter: s.Platform.RestartAfter,
 		}),
 	}
 	r.counters = newCounters(r)
-	r.crashes = crash.NewWatch(c, crash.Deps{Running: r.runs.count, Instance: r.incarnation, Ended: r.ended})
+	r.crashes = crash.NewDetector(c, crash.Deps{Running: r.runs.count, Instance: r.incarnation, OnCrash: r.ended})
 	return r, nil
 }
 
@@ -143,7 +143,9 @@
 }
 
 // ended notes that the process of an incarnation has ended.
-func (r *Runner) ended(instance string) { r.lifecycle.Ended(backend.ParseIncarnation(instance)) }
+func (r *Runner) ended(instance string) {
+	r.lifecycle.RecordProcessEnd(backend.ParseIncarnation(instance))
+}
 
 // InFlight counts requests that were taken in and have not ended.
 func (r *Runner) InFlight() int64 { return r.inFlight.Load() }
@@ -180,14 +182,14 @@
 
 // dismiss refuses all that wait: another backend server may still run it in time.
 func (r *Runner) dismiss(why *errkind.Error) {
-	for _, job := range r.gate.TakeWaiting() {
+	for _, job := range r.gate.DrainQueue() {
 		job.Dismiss(why)
 	}
 }
 
-// TakeSlots takes over how many requests the backend server runs at once; 0 is
+// UpdateSlots takes over how many requests the backend server runs at once; 0 is
 // passed over.
-func (r *Runner) TakeSlots(slots int) {
+func (r *Runner) UpdateSlots(slots int) {
 	r.load.SetSlots(slots)
 	if before := r.gate.Slots(); slots > 0 && slots != before {
 		r.gate.SetSlots(slots)
@@ -195,19 +197,19 @@
 	}
 }
 
-// TakeLoad takes over a load header's text that came now.
-func (r *Runner) TakeLoad(text string) {
+// UpdateLoad takes over a load header's text that came now.
+func (r *Runner) UpdateLoad(text string) {
 	if text == "" {
 		return
 	}
-	r.load.Take(r.Now(), text)
-	r.TakeSlots(r.load.Slots())
+	r.load.Update(r.Now(), text)
+	r.UpdateSlots(r.load.Slots())
 	if slowdown := r.load.Slowdown(); slowdown > 0 {
 		if _, is := r.trial.UnderWay(); is {
 			r.slowdowns.note(r.Now(), slowdown)
 		}
 		r.noteSpeed(slowdown)
-		r.startAll(r.gate.Report(r.Now(), speed.Slowdown(int64(slowdown))))
+		r.startAll(r.gate.ObserveSlowdown(r.Now(), speed.FromPercent(int64(slowdown))))
 		r.lookForEnd()
 	}
 }
@@ -215,7 +217,7 @@
 // noteSpeed logs when the backend server becomes too slow for soft attempts, or
 // as fast as usual again.
 func (r *Runner) noteSpeed(slowdown int) {
-	slowed := speed.Slowdown(int64(slowdown)) > r.Settings.Routing.SoftSlowdown
+	slowed := speed.FromPercent(int64(slowdown)) > r.Settings.Routing.SoftSlowdown
 	if r.slowed.Swap(slowed) == slowed {
 		return
 	}
@@ -224,7 +226,7 @@
 
 // noteLimit logs when the gate has learnt another number of runs at once.
 func (r *Runner) noteLimit() {
-	usable := int64(r.gate.Usable())
+	usable := int64(r.gate.UsableSlots())
 	before := r.usable.Swap(usable)
 	if before == usable || before == 0 {
 		return
@@ -245,7 +247,7 @@
 	run.origin = r.origins.note(c.Kind, c.Routed.Caller)
 	called := run.origin == wire.OriginService
 	run.job = gate.Job{
-		Rank: rankOf(c), Team: c.Routed.Team, Called: called, Deadline: run.deadline, Work: r.work.OfOrGuess(c.Kind, c.Routed.Target),
+		Rank: rankOf(c), Team: c.Routed.Team, Nested: called, Deadline: run.deadline, Work: r.work.LookupOrEstimate(c.Kind, c.Routed.Target),
 		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.endBy(now, run, called), Start: run.start, SendBack: run.sendBack, Dismiss: run.dismiss,
 	}
 	if !r.looksFirst(now, run) {
@@ -274,14 +276,14 @@
 
 // note takes over what a reply tells of the backend server.
 func (r *Runner) note(reply *backend.Reply) {
-	r.TakeLoad(reply.Load)
+	r.UpdateLoad(reply.LoadHeader)
 	switch {
 	case reply.Refusal == nil || reply.Refusal.Kind == errkind.BackendRefused:
-		r.lifecycle.Answered(r.Now())
+		r.lifecycle.RecordAnswer(r.Now())
 	case reply.Refusal.Kind == errkind.BackendUnreachable:
-		r.lifecycle.Unreachable()
+		r.lifecycle.RecordRefusedConnection()
 		r.Log.Event(events.BackendDown, events.F("address", r.Settings.BackendServer.Address), events.F("cause", reply.Refusal.Detail))
 	case reply.Refusal.Kind == errkind.BackendReplaced:
-		r.lifecycle.Replaced(r.Now(), reply.Instance)
+		r.lifecycle.RecordReplacement(r.Now(), reply.InstanceID)
 	}
 }
