--- a/pkg/choose/choose.go
+++ b/pkg/choose/choose.go
@@ -43,28 +43,28 @@
 	Choose(req *Request, rnd Random) Pick
 }
 
-// maxTried is how many candidates a Tried can hold. Sets are subsets of some
+// indexSetSize is how many candidates a Tried can hold. Sets are subsets of some
 // 16; one that is larger is tried at its first 64 places only.
-const maxTried = 64
+const indexSetSize = 64
 
 // IndexSet marks candidates that refused a call.
 type IndexSet uint64
 
 // With returns the marks with one more.
-func (t IndexSet) With(index int) IndexSet {
-	if index >= maxTried {
-		return t
+func (s IndexSet) With(index int) IndexSet {
+	if index >= indexSetSize {
+		return s
 	}
-	return t | 1<<uint(index)
+	return s | 1<<uint(index)
 }
 
 // Has is true when the candidate refused already.
-func (t IndexSet) Has(index int) bool {
-	return index < maxTried && t&(1<<uint(index)) != 0
+func (s IndexSet) Has(index int) bool {
+	return index < indexSetSize && s&(1<<uint(index)) != 0
 }
 
-// pickUntried returns the n-th candidate that was not tried.
-func pickUntried(req *Request, n int) int {
+// nthAllowed returns the n-th candidate that was not tried.
+func nthAllowed(req *Request, n int) int {
 	for i := range req.CandidateSet {
 		if req.Excluded.Has(i) {
 			continue
@@ -77,7 +77,7 @@
 	return NoCandidate
 }
 
-func countUntried(req *Request) int {
+func countAllowed(req *Request) int {
 	count := 0
 	for i := range req.CandidateSet {
 		if !req.Excluded.Has(i) {
--- a/pkg/choose/choose_test.go
+++ b/pkg/choose/choose_test.go
@@ -19,7 +19,7 @@
 	slots = 12
 )
 
-func policies() map[string]Policy {
+func allPolicies() map[string]Policy {
 	out := map[string]Policy{}
 	for _, name := range []string{"random", "round_robin", "least_outstanding", "hot_cold", "expected_wait", "idle_hints"} {
 		// The names are those of New; the test of the settings has the list.
@@ -28,88 +28,88 @@
 	return out
 }
 
-func expected() *ExpectedWait { return &ExpectedWait{StampHalfLife: 20 * time.Millisecond} }
+func newExpectedWait() *ExpectedWait { return &ExpectedWait{StampHalfLife: 20 * time.Millisecond} }
 
-// set makes candidates whose stamps came at a time and told of calls in flight.
-func set(at int64, inFlight ...uint32) []tables.Candidate {
+// newCandidates makes candidates whose stamps came at a time and told of calls in flight.
+func newCandidates(stampedAt int64, inFlight ...uint32) []tables.Candidate {
 	var out []tables.Candidate
 	for _, n := range inFlight {
 		load := tables.NewLoad(slots)
-		load.ApplyStamp(at, wire.Stamp{Seq: 1, Running: n, Limit: slots, ServiceUS: 5000})
+		load.ApplyStamp(stampedAt, wire.Stamp{Seq: 1, Running: n, Limit: slots, ServiceUS: 5000})
 		out = append(out, tables.Candidate{Load: load})
 	}
 	return out
 }
 
-// picks counts how often each candidate is picked.
-func picks(p Policy, req *Request, n int) []int {
+// countPicks counts how often each candidate is picked.
+func countPicks(p Policy, req *Request, n int) []int {
 	rnd := rand.New(rand.NewPCG(1, 2))
-	out := make([]int, len(req.CandidateSet))
+	counts := make([]int, len(req.CandidateSet))
 	for range n {
-		out[p.Choose(req, rnd).Index]++
+		counts[p.Choose(req, rnd).Index]++
 	}
-	return out
+	return counts
 }
 
-func TestPoliciesPickOnlyWhatIsLeft(t *testing.T) {
-	for name, p := range policies() {
+func TestPoliciesNeverPickAnExcludedCandidate(t *testing.T) {
+	for name, p := range allPolicies() {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				loads := rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 20).Draw(t, "loads")
-				req := &Request{Now: 100 * ms, CandidateSet: set(rapid.Int64Range(1, 100*ms).Draw(t, "at"), loads...)}
-				left := 0
-				for i := range loads {
+				inFlight := rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 20).Draw(t, "loads")
+				req := &Request{Now: 100 * ms, CandidateSet: newCandidates(rapid.Int64Range(1, 100*ms).Draw(t, "at"), inFlight...)}
+				allowed := 0
+				for i := range inFlight {
 					if rapid.Bool().Draw(t, "tried") {
 						req.Excluded = req.Excluded.With(i)
 					} else {
-						left++
+						allowed++
 					}
 				}
 				pick := p.Choose(req, rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0)))
-				if left == 0 {
+				if allowed == 0 {
 					must.Eq(t, NoCandidate, pick.Index)
 					return
 				}
-				must.Between(t, 0, pick.Index, len(loads)-1)
+				must.Between(t, 0, pick.Index, len(inFlight)-1)
 				must.False(t, req.Excluded.Has(pick.Index))
 			})
 		})
 	}
 }
 
-func TestTheSameSeedPicksTheSame(t *testing.T) {
-	for name, p := range policies() {
+func TestPoliciesPickTheSameWithTheSameSeed(t *testing.T) {
+	for name, p := range allPolicies() {
 		if name == "round_robin" {
 			continue
 		}
-		req := &Request{Now: 10 * ms, CandidateSet: set(5*ms, 3, 9, 4, 12, 0)}
-		test.Eq(t, picks(p, req, 500), picks(p, req, 500), test.Sprint(name))
+		req := &Request{Now: 10 * ms, CandidateSet: newCandidates(5*ms, 3, 9, 4, 12, 0)}
+		test.Eq(t, countPicks(p, req, 500), countPicks(p, req, 500), test.Sprint(name))
 	}
 }
 
-func TestExpectedWaitDecisions(t *testing.T) {
+func TestExpectedWaitPicks(t *testing.T) {
 	scenarios := []struct {
-		name   string
-		change func(req *Request)
-		// most is the share of picks that candidate 0 may have at the most.
-		most float64
-		// least is the share that it must have.
-		least float64
+		name  string
+		setUp func(req *Request)
+		// maxShare is the share of picks that candidate 0 may have at the most.
+		maxShare float64
+		// minShare is the share that it must have.
+		minShare float64
 	}{
-		{"the emptiest is taken", func(req *Request) { req.CandidateSet = set(99*ms, 2, 14, 14, 14) }, 1, 1},
-		{"a full one is left", func(req *Request) { req.CandidateSet = set(99*ms, 14, 2, 2, 2) }, 0, 0},
+		{"the emptiest is taken", func(req *Request) { req.CandidateSet = newCandidates(99*ms, 2, 14, 14, 14) }, 1, 1},
+		{"a full one is left", func(req *Request) { req.CandidateSet = newCandidates(99*ms, 14, 2, 2, 2) }, 0, 0},
 		{"old news of an empty server does not attract", func(req *Request) {
-			fresh := set(99*ms, 8, 8, 8)
-			req.CandidateSet = append(set(-900*ms, 0), fresh...)
+			others := newCandidates(99*ms, 8, 8, 8)
+			req.CandidateSet = append(newCandidates(-900*ms, 0), others...)
 		}, 0.5, 0},
 		{"a server that fails fast loses its share", func(req *Request) {
-			req.CandidateSet = set(99*ms, 0, 6, 6, 6)
+			req.CandidateSet = newCandidates(99*ms, 0, 6, 6, 6)
 			for range 10 {
 				req.CandidateSet[0].Load.RecordAnswer(true)
 			}
 		}, 0.01, 0},
 		{"it gets its share back when it answers well", func(req *Request) {
-			req.CandidateSet = set(99*ms, 0, 13, 13, 13)
+			req.CandidateSet = newCandidates(99*ms, 0, 13, 13, 13)
 			for range 10 {
 				req.CandidateSet[0].Load.RecordAnswer(true)
 			}
@@ -118,69 +118,69 @@
 			}
 		}, 1, 0.9},
 		{"one that reports no load and answers nothing is left", func(req *Request) {
-			req.CandidateSet = set(10*ms, 0, 10, 10, 10)
+			req.CandidateSet = newCandidates(10*ms, 0, 10, 10, 10)
 			for range 4 {
 				req.CandidateSet[0].Load.RecordSent(11 * ms)
 			}
 		}, 0, 0},
 		{"a far server is taken only when the near are full", func(req *Request) {
-			req.CandidateSet = set(99*ms, 4, 4, 4, 4)
+			req.CandidateSet = newCandidates(99*ms, 4, 4, 4, 4)
 			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
 		}, 0.01, 0},
 		{"and then it is", func(req *Request) {
-			req.CandidateSet = set(99*ms, 4, 30, 30, 30)
+			req.CandidateSet = newCandidates(99*ms, 4, 30, 30, 30)
 			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
 		}, 1, 1},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			req := &Request{Now: 100 * ms}
-			s.change(req)
+			s.setUp(req)
 			const n = 400
-			share := float64(picks(expected(), req, n)[0]) / n
-			test.Between(t, s.least, share, s.most)
+			share := float64(countPicks(newExpectedWait(), req, n)[0]) / n
+			test.Between(t, s.minShare, share, s.maxShare)
 		})
 	}
 }
 
-// TestManyEntriesWithTheSameNewsDoNotRunToOneServer is the herd: each of 40
+// TestEntriesWithTheSameStampsSpreadTheirCalls is the herd: each of 40
 // entries holds the same stamps of 30 servers that are all but equally loaded.
-func TestManyEntriesWithTheSameNewsDoNotRunToOneServer(t *testing.T) {
+func TestEntriesWithTheSameStampsSpreadTheirCalls(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
-	got := make([]int, 30)
+	picked := make([]int, 30)
 	for range 40 {
-		loads := make([]uint32, 30)
-		for i := range loads {
-			loads[i] = 8 + uint32(i%2)
+		inFlight := make([]uint32, 30)
+		for i := range inFlight {
+			inFlight[i] = 8 + uint32(i%2)
 		}
-		got[expected().Choose(&Request{Now: 100 * ms, CandidateSet: set(99*ms, loads...)}, rnd).Index]++
+		picked[newExpectedWait().Choose(&Request{Now: 100 * ms, CandidateSet: newCandidates(99*ms, inFlight...)}, rnd).Index]++
 	}
-	for i, n := range got {
+	for i, n := range picked {
 		test.LessEq(t, 8, n, test.Sprintf("server %d", i))
 	}
 }
 
-func TestMaxCostIsThatOfTheNextBest(t *testing.T) {
-	p := expected()
-	req := &Request{Now: 100 * ms, CandidateSet: set(100*ms, 0, 24)}
+func TestMaxCostIsTheCostOfTheSecondBestCandidate(t *testing.T) {
+	p := newExpectedWait()
+	req := &Request{Now: 100 * ms, CandidateSet: newCandidates(100*ms, 0, 24)}
 	pick := p.Choose(req, rand.New(rand.NewPCG(1, 1)))
 	test.Eq(t, 0, pick.Index)
 	// The other: a run, and 13 ahead of it at 12 slots, and a quarter for both
 	// being near; use above 1 adds its own part.
 	test.Between(t, 11*time.Millisecond, pick.MaxCost, 20*time.Millisecond)
-	alone := p.Choose(&Request{Now: 100 * ms, CandidateSet: set(100*ms, 0)}, rand.New(rand.NewPCG(1, 1)))
-	test.Eq(t, unbounded, alone.MaxCost)
+	single := p.Choose(&Request{Now: 100 * ms, CandidateSet: newCandidates(100*ms, 0)}, rand.New(rand.NewPCG(1, 1)))
+	test.Eq(t, noMaxCost, single.MaxCost)
 }
 
 func BenchmarkChoose(b *testing.B) {
 	for _, n := range []int{3, 16, 30, 300} {
 		b.Run(fmt.Sprintf("expected_wait/%d", n), func(b *testing.B) {
-			loads := make([]uint32, n)
-			for i := range loads {
-				loads[i] = uint32(i % slots)
+			inFlight := make([]uint32, n)
+			for i := range inFlight {
+				inFlight[i] = uint32(i % slots)
 			}
-			p := expected()
-			req := &Request{Now: 100 * ms, CandidateSet: set(99*ms, loads...)}
+			p := newExpectedWait()
+			req := &Request{Now: 100 * ms, CandidateSet: newCandidates(99*ms, inFlight...)}
 			b.ReportAllocs()
 			for b.Loop() {
 				p.Choose(req, RuntimeRandom{})
--- a/pkg/choose/hotcold.go
+++ b/pkg/choose/hotcold.go
@@ -6,8 +6,8 @@
 	// hotQuantile is the share of candidates that count as cold, by calls in
 	// flight. The value is the published paper's.
 	hotQuantile = 0.84
-	// hotColdSample is how many candidates are looked at for one call.
-	hotColdSample = 3
+	// hotColdSampleSize is how many candidates are looked at for one call.
+	hotColdSampleSize = 3
 )
 
 // HotCold follows the rule of the published Prequal paper over stamps instead
@@ -17,43 +17,43 @@
 // you should balance: Introducing Prequal", NSDI 2024.
 type HotCold struct{}
 
-type hotColdView struct {
-	index    int
-	inFlight float64
-	latency  time.Duration
+type hotColdLoad struct {
+	index       int
+	utilisation float64
+	latency     time.Duration
 }
 
 // Choose implements Policy.
 func (HotCold) Choose(req *Request, rnd Random) Pick {
-	n := countUntried(req)
+	n := countAllowed(req)
 	if n == 0 {
 		return Pick{Index: NoCandidate}
 	}
 	threshold := hotThreshold(req)
-	best := hotColdView{index: NoCandidate}
-	for range min(hotColdSample, n) {
-		next := viewOf(req, pickUntried(req, rnd.IntN(n)))
-		if best.index == NoCandidate || next.betterThan(best, threshold) {
-			best = next
+	best := hotColdLoad{index: NoCandidate}
+	for range min(hotColdSampleSize, n) {
+		sampled := hotColdLoadOf(req, nthAllowed(req, rnd.IntN(n)))
+		if best.index == NoCandidate || sampled.betterThan(best, threshold) {
+			best = sampled
 		}
 	}
-	return Pick{Index: best.index, MaxCost: unbounded}
+	return Pick{Index: best.index, MaxCost: noMaxCost}
 }
 
-func viewOf(req *Request, index int) hotColdView {
-	known := req.CandidateSet[index].Load.Snapshot(req.Now)
-	return hotColdView{
-		index:    index,
-		inFlight: float64(known.InFlight+known.SentSinceStamp) / float64(known.Limit),
-		latency:  known.ServiceTime + req.CandidateSet[index].Load.RoundTrip(),
+func hotColdLoadOf(req *Request, index int) hotColdLoad {
+	load := req.CandidateSet[index].Load.Snapshot(req.Now)
+	return hotColdLoad{
+		index:       index,
+		utilisation: float64(load.InFlight+load.SentSinceStamp) / float64(load.Limit),
+		latency:     load.ServiceTime + req.CandidateSet[index].Load.RoundTrip(),
 	}
 }
 
-func (h hotColdView) betterThan(other hotColdView, threshold float64) bool {
-	hot, otherHot := h.inFlight > threshold, other.inFlight > threshold
+func (h hotColdLoad) betterThan(other hotColdLoad, threshold float64) bool {
+	hot, otherHot := h.utilisation > threshold, other.utilisation > threshold
 	switch {
 	case hot && otherHot:
-		return h.inFlight < other.inFlight
+		return h.utilisation < other.utilisation
 	case hot != otherHot:
 		return otherHot
 	}
@@ -65,11 +65,11 @@
 func hotThreshold(req *Request) float64 {
 	low, high := 0.0, 0.0
 	for i := range req.CandidateSet {
-		inFlight := viewOf(req, i).inFlight
-		if i == 0 || inFlight < low {
-			low = inFlight
+		utilisation := hotColdLoadOf(req, i).utilisation
+		if i == 0 || utilisation < low {
+			low = utilisation
 		}
-		high = max(high, inFlight)
+		high = max(high, utilisation)
 	}
 	return low + hotQuantile*(high-low)
 }
--- a/pkg/choose/idlehints.go
+++ b/pkg/choose/idlehints.go
@@ -13,14 +13,14 @@
 		if req.Excluded.Has(i) {
 			continue
 		}
-		known := req.CandidateSet[i].Load.Snapshot(req.Now)
-		idle := known.Limit - known.InFlight - known.SentSinceStamp
-		if idle > 0 && known.StampReceivedAt > newest {
-			best, newest = i, known.StampReceivedAt
+		load := req.CandidateSet[i].Load.Snapshot(req.Now)
+		idleSlots := load.Limit - load.InFlight - load.SentSinceStamp
+		if idleSlots > 0 && load.StampReceivedAt > newest {
+			best, newest = i, load.StampReceivedAt
 		}
 	}
 	if best == NoCandidate {
 		return ih.fallback.Choose(req, rnd)
 	}
-	return Pick{Index: best, MaxCost: unbounded}
+	return Pick{Index: best, MaxCost: noMaxCost}
 }
--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -16,17 +16,17 @@
 	// slowdownHalfLife is the age at which what was said of a backend server's
 	// speed has half its weight. Neighbours' noise lasts some 300 ms.
 	slowdownHalfLife = 200 * time.Millisecond
-	// usualSlowdown is what an old word on the speed tends to, as a share of
+	// priorSlowdown is what an old word on the speed tends to, as a share of
 	// the usual work time: a quarter of the time fourfold.
-	usualSlowdown = 1.75
-	// softSlowdown is what it tends to for a soft attempt: a slowed backend
+	priorSlowdown = 1.75
+	// priorSoftSlowdown is what it tends to for a soft attempt: a slowed backend
 	// server refuses that at once, so what is risked is a round trip.
-	softSlowdown = 1.1
-	// silentFor is how long a daemon that was found silent is avoided. Its link
+	priorSoftSlowdown = 1.1
+	// avoidUnresponsiveFor is how long a daemon that was found silent is avoided. Its link
 	// ends, or it is heard again, before that.
-	silentFor = 2 * time.Second
-	// routedFailureCost is how many work times one certain failure counts as.
-	routedFailureCost = 6
+	avoidUnresponsiveFor = 2 * time.Second
+	// routedFailurePenalty is how many work times one certain failure counts as.
+	routedFailurePenalty = 6
 )
 
 // CrossingCosts are what crossing to each place costs, as a time; nothing for Near.
@@ -85,65 +85,65 @@
 // refuse the request are passed over. Source: docs/design/platform.md, "The
 // first decisions".
 func PickRouted(req *RoutedRequest, rnd Random) RoutedPick {
-	out := RoutedPick{Index: NoCandidate, Cost: math.Inf(1)}
+	pick := RoutedPick{Index: NoCandidate, Cost: math.Inf(1)}
 	for i := range req.CandidateSet {
 		candidate := &req.CandidateSet[i]
 		if req.Excluded.Has(i) || !req.allows(candidate.Endpoint) {
 			continue
 		}
-		var known tables.LoadSnapshot
-		candidate.Load.SnapshotInto(req.Now, &known)
-		at := req.Location.To(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
-		if req.wouldBeRefused(&known, at == proximity.SameDataCentre) {
-			out.PassedOver++
+		var load tables.LoadSnapshot
+		candidate.Load.SnapshotInto(req.Now, &load)
+		level := req.Location.To(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
+		if req.wouldRefuse(&load, level == proximity.SameDataCentre) {
+			pick.PassedOver++
 			continue
 		}
-		expected := req.time(&known)
-		cost := expected + float64(req.CrossingCost[at]) + tieShare*float64(req.Work)*rnd.Float64()
-		if cost < out.Cost {
-			out.Index, out.Proximity, out.Cost, out.ExpectedTime = i, at, cost, expected
+		expectedTime := req.expectedTime(&load)
+		cost := expectedTime + float64(req.CrossingCost[level]) + tieBreakShare*float64(req.Work)*rnd.Float64()
+		if cost < pick.Cost {
+			pick.Index, pick.Proximity, pick.Cost, pick.ExpectedTime = i, level, cost, expectedTime
 		}
 	}
-	return out
+	return pick
 }
 
-func (r *RoutedRequest) allows(route *tables.Endpoint) bool {
-	dataCentre := route.DataCentre
+func (r *RoutedRequest) allows(endpoint *tables.Endpoint) bool {
+	dataCentre := endpoint.DataCentre
 	if r.Evacuated.Has(dataCentre) {
 		return false
 	}
-	if r.Rollout != nil && !r.Rollout.Takes(r.Lane, route.Version(), route.VM) {
+	if r.Rollout != nil && !r.Rollout.Takes(r.Lane, endpoint.Version(), endpoint.VM) {
 		return false
 	}
 	return routing.AllowsDataCentre(r.Allowed, dataCentre)
 }
 
-// time is the expected time of the request at a candidate, in nanoseconds.
-func (r *RoutedRequest) time(known *tables.LoadSnapshot) float64 {
-	limit := float64(known.Limit)
-	inFlight := float64(known.Outstanding)
-	usual := usualSlowdown
+// expectedTime is the expected time of the request at a candidate, in nanoseconds.
+func (r *RoutedRequest) expectedTime(load *tables.LoadSnapshot) float64 {
+	limit := float64(load.Limit)
+	inFlight := float64(load.Outstanding)
+	prior := priorSlowdown
 	if r.Soft {
-		usual = softSlowdown
+		prior = priorSoftSlowdown
 	}
-	slowdown := usual
-	if known.StampReceivedAt != 0 {
-		age := float64(max(r.Now-known.StampReceivedAt, 0))
-		inFlight = max(inFlight, decay(age/float64(max(r.Work, 1)))*float64(known.InFlight)+float64(known.SentSinceStamp))
-		if known.Slowdown > 0 {
-			slowdown += decay(math.Ln2*age/float64(slowdownHalfLife)) * (speed.FromPercent(known.Slowdown) - usual)
+	slowdown := prior
+	if load.StampReceivedAt != 0 {
+		age := float64(max(r.Now-load.StampReceivedAt, 0))
+		inFlight = max(inFlight, decay(age/float64(max(r.Work, 1)))*float64(load.InFlight)+float64(load.SentSinceStamp))
+		if load.Slowdown > 0 {
+			slowdown += decay(math.Ln2*age/float64(slowdownHalfLife)) * (speed.FromPercent(load.Slowdown) - prior)
 		}
 	}
-	service := float64(r.Work) * slowdown
-	cost := service + wait(inFlight, limit, 1/limit, service) + float64(known.RoundTrip)
-	if quiet := float64(known.NoAnswerFor); quiet > quietFactor*service {
-		cost += quiet
+	runTime := float64(r.Work) * slowdown
+	cost := runTime + queueWait(inFlight, limit, 1/limit, runTime) + float64(load.RoundTrip)
+	if noAnswer := float64(load.NoAnswerFor); noAnswer > noAnswerFactor*runTime {
+		cost += noAnswer
 	}
-	if known.UnresponsiveFor > 0 && known.UnresponsiveFor < silentFor {
-		cost += float64(silentFor)
+	if load.UnresponsiveFor > 0 && load.UnresponsiveFor < avoidUnresponsiveFor {
+		cost += float64(avoidUnresponsiveFor)
 	}
-	if known.FailureShare > failureFree {
-		cost += known.FailureShare * routedFailureCost * float64(r.Work)
+	if load.FailureShare > toleratedFailureShare {
+		cost += load.FailureShare * routedFailurePenalty * float64(r.Work)
 	}
 	return cost
 }
--- a/pkg/choose/routed_bench_test.go
+++ b/pkg/choose/routed_bench_test.go
@@ -14,10 +14,10 @@
 // without an evacuated data centre.
 func BenchmarkPickRouted(b *testing.B) {
 	now := int64(time.Hour)
-	var set []tables.Candidate
+	var subset []tables.Candidate
 	for n := range 36 {
-		place := []string{"here", "there", "far"}[n%3]
-		set = append(set, at(place, wire.Stamp{Limit: 8, Running: uint32(n % 6), Slowdown: 100}, time.Duration(n)*time.Millisecond, now))
+		dataCentre := []string{"here", "there", "far"}[n%3]
+		subset = append(subset, newCandidate(dataCentre, wire.Stamp{Limit: 8, Running: uint32(n % 6), Slowdown: 100}, time.Duration(n)*time.Millisecond, now))
 	}
 	for name, evacuated := range map[string]evacuation.Set{
 		"none evacuated": {},
@@ -25,7 +25,7 @@
 	} {
 		b.Run(name, func(b *testing.B) {
 			req := &RoutedRequest{
-				Now: now, CandidateSet: set, Location: proximity.Location{DataCentre: "here"}, CrossingCost: CrossingCosts{proximity.Region: work, proximity.OtherRegion: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, UsableShare: 0.8,
+				Now: now, CandidateSet: subset, Location: proximity.Location{DataCentre: "here"}, CrossingCost: CrossingCosts{proximity.Region: work, proximity.OtherRegion: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, UsableShare: 0.8,
 				TimeToTarget: 4 * work, TimeToDeadline: 8 * work, Evacuated: evacuated,
 			}
 			b.ReportAllocs()
--- a/pkg/choose/routed_test.go
+++ b/pkg/choose/routed_test.go
@@ -15,7 +15,7 @@
 
 const work = 100 * time.Millisecond
 
-func at(dataCentre string, stamp wire.Stamp, age time.Duration, now int64) tables.Candidate {
+func newCandidate(dataCentre string, stamp wire.Stamp, age time.Duration, now int64) tables.Candidate {
 	load := tables.NewLoad(10)
 	stamp.Seq = 1
 	if stamp.Limit > 0 {
@@ -28,39 +28,39 @@
 	now := int64(time.Hour)
 	idle, slow, full := wire.Stamp{Limit: 10, Slowdown: 100}, wire.Stamp{Limit: 10, Slowdown: 400}, wire.Stamp{Limit: 10, Running: 10, Queued: 10, Slowdown: 100}
 	scenarios := []struct {
-		name string
-		set  []tables.Candidate
-		want int
+		name       string
+		candidates []tables.Candidate
+		wantIndex  int
 	}{
-		{"the own data centre where all are alike", []tables.Candidate{at("there", idle, 0, now), at("here", idle, 0, now)}, 1},
-		{"another one while the own is slowed", []tables.Candidate{at("there", idle, 0, now), at("here", slow, 0, now)}, 0},
-		{"the own one when its slowness is long ago", []tables.Candidate{at("there", idle, 0, now), at("here", slow, 2*time.Second, now)}, 1},
-		{"another one while the own is full", []tables.Candidate{at("there", idle, 0, now), at("here", full, 0, now)}, 0},
+		{"the own data centre where all are alike", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", idle, 0, now)}, 1},
+		{"another one while the own is slowed", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", slow, 0, now)}, 0},
+		{"the own one when its slowness is long ago", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", slow, 2*time.Second, now)}, 1},
+		{"another one while the own is full", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", full, 0, now)}, 0},
 		{"nobody", nil, NoCandidate},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			req := &RoutedRequest{Now: now, CandidateSet: s.set, Location: proximity.Location{DataCentre: "here"}, CrossingCost: CrossingCosts{proximity.Region: 2 * work / 3, proximity.OtherRegion: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, UsableShare: 0.8}
+			req := &RoutedRequest{Now: now, CandidateSet: s.candidates, Location: proximity.Location{DataCentre: "here"}, CrossingCost: CrossingCosts{proximity.Region: 2 * work / 3, proximity.OtherRegion: 2 * work}, Work: work, Soft: true, SoftSlowdown: 1.8, UsableShare: 0.8}
 			for seed := range uint64(20) {
-				test.Eq(t, s.want, PickRouted(req, rand.New(rand.NewPCG(1, seed))).Index)
+				test.Eq(t, s.wantIndex, PickRouted(req, rand.New(rand.NewPCG(1, seed))).Index)
 			}
 		})
 	}
 }
 
-// TestACrossingIsPricedByHowFarItGoes: three backend servers that differ in how full
+// TestCrossingCostDependsOnProximity: three backend servers that differ in how full
 // they are, and in place only.
-func TestACrossingIsPricedByHowFarItGoes(t *testing.T) {
+func TestCrossingCostDependsOnProximity(t *testing.T) {
 	now := int64(time.Hour)
 	server := func(dataCentre, region string, running uint32) tables.Candidate {
-		c := at(dataCentre, wire.Stamp{Limit: 10, Running: running, Slowdown: 100}, 0, now)
+		c := newCandidate(dataCentre, wire.Stamp{Limit: 10, Running: running, Slowdown: 100}, 0, now)
 		c.Endpoint.Region = region
 		return c
 	}
 	for _, s := range []struct {
-		name                string
-		near, region, other uint32
-		want                int
+		name                                    string
+		sameDataCentre, sameRegion, otherRegion uint32
+		wantIndex                               int
 	}{
 		{"all idle: near", 0, 0, 0, 0},
 		{"near fuller than the cheap crossing is worth", 15, 0, 0, 1},
@@ -68,28 +68,28 @@
 		{"both fuller than the dear crossing is worth", 35, 35, 0, 2},
 	} {
 		req := &RoutedRequest{
-			Now: now, CandidateSet: []tables.Candidate{server("a", "r", s.near), server("b", "r", s.region), server("c", "x", s.other)},
-			Location: here("a", "r"), Work: work, CrossingCost: crossing(work/4, 2*work),
+			Now: now, CandidateSet: []tables.Candidate{server("a", "r", s.sameDataCentre), server("b", "r", s.sameRegion), server("c", "x", s.otherRegion)},
+			Location: newLocation("a", "r"), Work: work, CrossingCost: newCrossingCosts(work/4, 2*work),
 		}
 		for seed := range uint64(20) {
-			test.Eq(t, s.want, PickRouted(req, rand.New(rand.NewPCG(1, seed))).Index, test.Sprint(s.name))
+			test.Eq(t, s.wantIndex, PickRouted(req, rand.New(rand.NewPCG(1, seed))).Index, test.Sprint(s.name))
 		}
 	}
 }
 
-func here(dataCentre, region string) proximity.Location {
+func newLocation(dataCentre, region string) proximity.Location {
 	return proximity.Location{DataCentre: dataCentre, Region: region}
 }
 
-func crossing(region, other time.Duration) CrossingCosts {
+func newCrossingCosts(region, other time.Duration) CrossingCosts {
 	return CrossingCosts{proximity.Region: region, proximity.OtherRegion: other}
 }
 
-func TestPickRoutedKeepsOutWhatMayNotBePicked(t *testing.T) {
+func TestPickRoutedSkipsCandidatesThatMayNotBePicked(t *testing.T) {
 	now := int64(time.Hour)
 	idle := wire.Stamp{Limit: 10, Slowdown: 100}
 	req := &RoutedRequest{
-		Now: now, CandidateSet: []tables.Candidate{at("here", idle, 0, now), at("there", idle, 0, now), at("far", idle, 0, now)},
+		Now: now, CandidateSet: []tables.Candidate{newCandidate("here", idle, 0, now), newCandidate("there", idle, 0, now), newCandidate("far", idle, 0, now)},
 		Excluded: IndexSet(0).With(0), Allowed: []string{"here", "far"}, Location: proximity.Location{DataCentre: "here"}, Work: work,
 	}
 	test.Eq(t, 2, PickRouted(req, RuntimeRandom{}).Index)
@@ -100,10 +100,10 @@
 	test.Eq(t, NoCandidate, PickRouted(req, RuntimeRandom{}).Index)
 }
 
-func TestPickRoutedSpreadsWhatIsAlike(t *testing.T) {
+func TestPickRoutedSpreadsRequestsOverEqualCandidates(t *testing.T) {
 	now := int64(time.Hour)
 	idle := wire.Stamp{Limit: 10, Slowdown: 100}
-	req := &RoutedRequest{Now: now, CandidateSet: []tables.Candidate{at("here", idle, 0, now), at("here", idle, 0, now)}, Location: proximity.Location{DataCentre: "here"}, Work: work}
+	req := &RoutedRequest{Now: now, CandidateSet: []tables.Candidate{newCandidate("here", idle, 0, now), newCandidate("here", idle, 0, now)}, Location: proximity.Location{DataCentre: "here"}, Work: work}
 	counts := [2]int{}
 	for range 200 {
 		counts[PickRouted(req, RuntimeRandom{}).Index]++
--- a/pkg/evacuation/set.go
+++ b/pkg/evacuation/set.go
@@ -27,12 +27,12 @@
 func (s Set) With(revision uint64, changes []Change) Set {
 	out := Set{Revision: revision, DataCentres: slices.Clone(s.DataCentres)}
 	for _, c := range changes {
-		at, found := slices.BinarySearch(out.DataCentres, c.DataCentre)
+		index, found := slices.BinarySearch(out.DataCentres, c.DataCentre)
 		switch {
 		case c.Evacuated && !found:
-			out.DataCentres = slices.Insert(out.DataCentres, at, c.DataCentre)
+			out.DataCentres = slices.Insert(out.DataCentres, index, c.DataCentre)
 		case !c.Evacuated && found:
-			out.DataCentres = slices.Delete(out.DataCentres, at, at+1)
+			out.DataCentres = slices.Delete(out.DataCentres, index, index+1)
 		}
 	}
 	return out
--- a/pkg/evacuation/set_test.go
+++ b/pkg/evacuation/set_test.go
@@ -7,19 +7,19 @@
 	"pgregory.net/rapid"
 )
 
-func TestChangesMakeTheSet(t *testing.T) {
+func TestWithAppliesChanges(t *testing.T) {
 	s := Set{}.With(4, []Change{{"b", true}, {"a", true}, {"b", true}})
 	test.Eq(t, []string{"a", "b"}, s.DataCentres)
 	test.Eq(t, 4, s.Revision)
-	back := s.With(6, []Change{{"a", false}, {"c", false}})
-	test.Eq(t, []string{"b"}, back.DataCentres)
-	test.True(t, back.Has("b"))
-	test.False(t, back.Has("a"))
+	later := s.With(6, []Change{{"a", false}, {"c", false}})
+	test.Eq(t, []string{"b"}, later.DataCentres)
+	test.True(t, later.Has("b"))
+	test.False(t, later.Has("a"))
 	test.Eq(t, []string{"a", "b"}, s.DataCentres, test.Sprint("a set is never changed"))
 }
 
-// TestASetIsWhatItsChangesSay compares with a plain map.
-func TestASetIsWhatItsChangesSay(t *testing.T) {
+// TestSetAgreesWithAMapOfChanges compares with a plain map.
+func TestSetAgreesWithAMapOfChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want, s := map[string]bool{}, Set{}
 		for revision := range uint64(rapid.IntRange(0, 20).Draw(t, "changes")) {
--- a/pkg/proximity/proximity.go
+++ b/pkg/proximity/proximity.go
@@ -16,8 +16,8 @@
 )
 
 // String returns the place's label in metrics and log lines.
-func (p Level) String() string {
-	return [...]string{"unknown", "near", "region", "other", "count"}[min(p, Count)]
+func (l Level) String() string {
+	return [...]string{"unknown", "near", "region", "other", "count"}[min(l, Count)]
 }
 
 // Location is where a daemon stands.
@@ -29,11 +29,11 @@
 
 // To is the place of a VM. A region that is not known where others are counts as
 // another one.
-func (h Location) To(dataCentre, region string) Level {
+func (l Location) To(dataCentre, region string) Level {
 	switch {
-	case dataCentre == h.DataCentre:
+	case dataCentre == l.DataCentre:
 		return SameDataCentre
-	case region == h.Region:
+	case region == l.Region:
 		return Region
 	}
 	return OtherRegion
--- a/pkg/proximity/proximity_test.go
+++ b/pkg/proximity/proximity_test.go
@@ -6,15 +6,15 @@
 	"github.com/shoenig/test"
 )
 
-func TestPlaces(t *testing.T) {
+func TestLevelBetweenLocations(t *testing.T) {
 	here := Location{DataCentre: "n-a", Region: "north"}
 	test.Eq(t, SameDataCentre, here.To("n-a", "north"))
 	test.Eq(t, SameDataCentre, here.To("n-a", ""), test.Sprint("the data centre says it all"))
 	test.Eq(t, Region, here.To("n-b", "north"))
 	test.Eq(t, OtherRegion, here.To("s-a", "south"))
 	test.Eq(t, OtherRegion, here.To("s-a", ""), test.Sprint("a daemon that does not say its region"))
-	without := Location{DataCentre: "a"}
-	test.Eq(t, Region, without.To("b", ""), test.Sprint("a deployment without regions is one"))
+	withoutRegion := Location{DataCentre: "a"}
+	test.Eq(t, Region, withoutRegion.To("b", ""), test.Sprint("a deployment without regions is one"))
 	test.Eq(t, "region", Region.String())
 	test.Eq(t, "count", Level(99).String())
 }
--- a/pkg/tables/load.go
+++ b/pkg/tables/load.go
@@ -10,11 +10,11 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// failureShift sets the weight of one answer in the failure share: 1/8.
-const failureShift = 3
+// failureWeightShift sets the weight of one answer in the failure share: 1/8.
+const failureWeightShift = 3
 
-// failureOne is the fixed-point form of a failure share of 1.
-const failureOne = 1 << 16
+// failureShareOne is the fixed-point form of a failure share of 1.
+const failureShareOne = 1 << 16
 
 // Load is what this entry knows of one backend server's load. The hot path
 // updates it with atomics and waits for no tick. It is one struct a row rather
@@ -22,21 +22,21 @@
 // one cache line costs one miss.
 type Load struct {
 	// incarnation is that of the daemon that the row is about.
-	incarnation atomic.Uint64
-	stampSeq    atomic.Uint64
-	stampAt     atomic.Int64
-	inFlight    atomic.Int64
-	limit       atomic.Int64
-	service     atomic.Int64
-	outstanding atomic.Int64
-	sentSince   atomic.Int64
-	quietFrom   atomic.Int64
-	failures    atomic.Int64
-	distance    atomic.Int64
-	slowdown    atomic.Int64
-	usual       atomic.Int64
-	// silentAt is when the daemon was found silent; 0: it was heard since.
-	silentAt atomic.Int64
+	incarnation     atomic.Uint64
+	stampSeq        atomic.Uint64
+	stampReceivedAt atomic.Int64
+	inFlight        atomic.Int64
+	limit           atomic.Int64
+	serviceTime     atomic.Int64
+	outstanding     atomic.Int64
+	sentSinceStamp  atomic.Int64
+	noAnswerSince   atomic.Int64
+	failureShare    atomic.Int64
+	roundTrip       atomic.Int64
+	slowdown        atomic.Int64
+	usualSlowdown   atomic.Int64
+	// unresponsiveAt is when the daemon was found silent; 0: it was heard since.
+	unresponsiveAt atomic.Int64
 }
 
 // NewLoad makes the row of a backend server that has not been heard of.
@@ -49,50 +49,50 @@
 // RecordSent notes a call on its way to the backend server. now is in nanoseconds.
 func (l *Load) RecordSent(now int64) {
 	if l.outstanding.Add(1) == 1 {
-		l.quietFrom.Store(now)
+		l.noAnswerSince.Store(now)
 	}
-	l.sentSince.Add(1)
+	l.sentSinceStamp.Add(1)
 }
 
 // RecordEnded notes that a call is no longer outstanding, whatever came of it.
 func (l *Load) RecordEnded(now int64) {
 	l.outstanding.Add(-1)
-	l.quietFrom.Store(now)
+	l.noAnswerSince.Store(now)
 }
 
 // MarkUnresponsive notes that the daemon gives no sign of life.
-func (l *Load) MarkUnresponsive(now int64) { l.silentAt.Store(now) }
+func (l *Load) MarkUnresponsive(now int64) { l.unresponsiveAt.Store(now) }
 
 // RecordAnswer notes how a call that the backend server answered ended.
 func (l *Load) RecordAnswer(failed bool) {
-	old := l.failures.Load()
+	old := l.failureShare.Load()
 	target := int64(0)
 	if failed {
-		target = failureOne
+		target = failureShareOne
 	}
 	// A lost update of two racing answers costs an eighth of one answer.
-	l.failures.Store(old + (target-old)>>failureShift)
+	l.failureShare.Store(old + (target-old)>>failureWeightShift)
 }
 
 // ApplyStamp takes a stamp over, unless a newer one is known.
 func (l *Load) ApplyStamp(now int64, stamp wire.Stamp) {
 	for {
-		seen := l.stampSeq.Load()
-		if stamp.Seq <= seen {
+		newest := l.stampSeq.Load()
+		if stamp.Seq <= newest {
 			return
 		}
-		if l.stampSeq.CompareAndSwap(seen, stamp.Seq) {
+		if l.stampSeq.CompareAndSwap(newest, stamp.Seq) {
 			break
 		}
 	}
 	l.inFlight.Store(int64(stamp.Running) + int64(stamp.Queued))
 	l.limit.Store(max(int64(stamp.Limit), 1))
-	l.service.Store(int64(stamp.ServiceUS) * int64(time.Microsecond))
+	l.serviceTime.Store(int64(stamp.ServiceUS) * int64(time.Microsecond))
 	l.slowdown.Store(int64(stamp.Slowdown))
-	l.usual.Store(int64(stamp.Usual))
-	l.silentAt.Store(0)
-	l.stampAt.Store(now)
-	l.sentSince.Store(0)
+	l.usualSlowdown.Store(int64(stamp.Usual))
+	l.unresponsiveAt.Store(0)
+	l.stampReceivedAt.Store(now)
+	l.sentSinceStamp.Store(0)
 }
 
 // BeginIncarnation notes which process of the daemon a new link leads to. What was known of
@@ -107,14 +107,14 @@
 // Reset forgets what was known, for a new incarnation at the same address.
 func (l *Load) Reset(slots int) {
 	l.stampSeq.Store(0)
-	l.stampAt.Store(0)
+	l.stampReceivedAt.Store(0)
 	l.inFlight.Store(0)
-	l.service.Store(0)
-	l.sentSince.Store(0)
-	l.failures.Store(0)
+	l.serviceTime.Store(0)
+	l.sentSinceStamp.Store(0)
+	l.failureShare.Store(0)
 	l.slowdown.Store(0)
-	l.usual.Store(0)
-	l.silentAt.Store(0)
+	l.usualSlowdown.Store(0)
+	l.unresponsiveAt.Store(0)
 	l.limit.Store(int64(max(slots, 1)))
 }
 
@@ -159,26 +159,26 @@
 // SnapshotInto reads the row at time now into out, in place: choosing does it for each
 // candidate of each call.
 func (l *Load) SnapshotInto(now int64, out *LoadSnapshot) {
-	out.StampReceivedAt = l.stampAt.Load()
+	out.StampReceivedAt = l.stampReceivedAt.Load()
 	out.InFlight = l.inFlight.Load()
 	out.Limit = l.limit.Load()
-	out.ServiceTime = time.Duration(l.service.Load())
+	out.ServiceTime = time.Duration(l.serviceTime.Load())
 	out.Outstanding = l.outstanding.Load()
-	out.SentSinceStamp = l.sentSince.Load()
-	out.RoundTrip = time.Duration(l.distance.Load())
+	out.SentSinceStamp = l.sentSinceStamp.Load()
+	out.RoundTrip = time.Duration(l.roundTrip.Load())
 	out.Slowdown = l.slowdown.Load()
-	out.UsualSlowdown = l.usual.Load()
+	out.UsualSlowdown = l.usualSlowdown.Load()
 	out.UnresponsiveFor = 0
-	if at := l.silentAt.Load(); at > 0 {
+	if at := l.unresponsiveAt.Load(); at > 0 {
 		out.UnresponsiveFor = time.Duration(max(now-at, 1))
 	}
 	out.NoAnswerFor = 0
 	if out.Outstanding > 0 {
-		out.NoAnswerFor = time.Duration(max(now-l.quietFrom.Load(), 0))
+		out.NoAnswerFor = time.Duration(max(now-l.noAnswerSince.Load(), 0))
 	}
 	out.FailureShare = 0
-	if failures := l.failures.Load(); failures > 0 {
-		out.FailureShare = float64(failures) / failureOne
+	if share := l.failureShare.Load(); share > 0 {
+		out.FailureShare = float64(share) / failureShareOne
 	}
 }
 
@@ -186,11 +186,11 @@
 func (l *Load) Outstanding() int64 { return l.outstanding.Load() }
 
 // StampReceivedAt is when the newest stamp was received; 0: never.
-func (l *Load) StampReceivedAt() int64 { return l.stampAt.Load() }
+func (l *Load) StampReceivedAt() int64 { return l.stampReceivedAt.Load() }
 
 // SetRoundTrip notes the time of a round trip to the daemon.
-func (l *Load) SetRoundTrip(d time.Duration) { l.distance.Store(int64(d)) }
+func (l *Load) SetRoundTrip(d time.Duration) { l.roundTrip.Store(int64(d)) }
 
 // RoundTrip is the time of a round trip to the daemon; 0 for this daemon itself
 // and while it is not known.
-func (l *Load) RoundTrip() time.Duration { return time.Duration(l.distance.Load()) }
+func (l *Load) RoundTrip() time.Duration { return time.Duration(l.roundTrip.Load()) }
--- a/pkg/tables/members.go
+++ b/pkg/tables/members.go
@@ -28,40 +28,40 @@
 }
 
 // Version is the version that the backend server has said; empty: not known.
-func (ro *Endpoint) Version() string {
-	if v := ro.version.Load(); v != nil {
+func (e *Endpoint) Version() string {
+	if v := e.version.Load(); v != nil {
 		return *v
 	}
 	return ""
 }
 
 // SetVersion notes the version that the backend server has said.
-func (ro *Endpoint) SetVersion(version string) { ro.version.Store(&version) }
+func (e *Endpoint) SetVersion(version string) { e.version.Store(&version) }
 
 // SetRunner says who runs calls of this route; nil when there is no link.
-func (ro *Endpoint) SetRunner(r call.Runner) {
+func (e *Endpoint) SetRunner(r call.Runner) {
 	if r == nil {
-		ro.runner.Store(nil)
+		e.runner.Store(nil)
 		return
 	}
-	ro.runner.Store(&r)
+	e.runner.Store(&r)
 }
 
 // Runner returns who runs calls of this route, or nil.
-func (ro *Endpoint) Runner() call.Runner {
-	if r := ro.runner.Load(); r != nil {
+func (e *Endpoint) Runner() call.Runner {
+	if r := e.runner.Load(); r != nil {
 		return *r
 	}
 	return nil
 }
 
-// buckets divide the members for comparing two tables: a difference costs the
+// bucketCount divide the members for comparing two tables: a difference costs the
 // rows of its bucket, not the table.
-const buckets = 256
+const bucketCount = 256
 
-// tombstoneFor is how long a VM that is gone is remembered, so that a peer
+// tombstoneTTL is how long a VM that is gone is remembered, so that a peer
 // with old news does not bring it back. In nanoseconds.
-const tombstoneFor = 15 * 60 * 1e9
+const tombstoneTTL = 15 * 60 * 1e9
 
 // Members is the table of VMs, one row each, columns by row number. Rows of
 // VMs that are gone are used again.
@@ -76,20 +76,20 @@
 	AddedAt     []int64
 
 	inUse     []bool
-	free      []int
+	freeRows  []int
 	byID      map[string]int
 	byService map[string]map[int]struct{}
-	// serviceChanges grows with each change of a service's rows.
-	serviceChanges map[string]uint64
-	// inDataCentre counts the rows of each data centre.
-	inDataCentre map[string]int
-	// inRegion counts the rows of each region that is known.
-	inRegion map[string]int
-	gone     map[string]tombstone
-	digests  [buckets]uint32
-	changes  uint64
-	// fresh are rows that changed and were not passed on yet.
-	fresh []MemberChange
+	// serviceChangeCounts grows with each change of a service's rows.
+	serviceChangeCounts map[string]uint64
+	// countByDataCentre counts the rows of each data centre.
+	countByDataCentre map[string]int
+	// countByRegion counts the rows of each region that is known.
+	countByRegion map[string]int
+	tombstones    map[string]tombstone
+	digests       [bucketCount]uint32
+	changeCount   uint64
+	// pendingChanges are rows that changed and were not passed on yet.
+	pendingChanges []MemberChange
 }
 
 // MemberChange is a row that changed here, and the link that it came over; nil when
@@ -101,38 +101,38 @@
 
 // tombstone remembers a VM that is gone.
 type tombstone struct {
-	row wire.Member
-	at  int64
+	record    wire.Member
+	removedAt int64
 }
 
 // NewMembers makes an empty table.
 func NewMembers() *Members {
 	return &Members{
 		byID: map[string]int{}, byService: map[string]map[int]struct{}{},
-		serviceChanges: map[string]uint64{}, inDataCentre: map[string]int{}, inRegion: map[string]int{}, gone: map[string]tombstone{},
+		serviceChangeCounts: map[string]uint64{}, countByDataCentre: map[string]int{}, countByRegion: map[string]int{}, tombstones: map[string]tombstone{},
 	}
 }
 
 // Len counts the rows in use.
-func (me *Members) Len() int { return len(me.byID) }
+func (m *Members) Len() int { return len(m.byID) }
 
 // ChangeCount grows with each change of the table, so that a system can see
 // cheaply that there was none.
-func (me *Members) ChangeCount() uint64 { return me.changes }
+func (m *Members) ChangeCount() uint64 { return m.changeCount }
 
 // ServiceChangeCount grows with each change of a row of a service.
-func (me *Members) ServiceChangeCount(name string) uint64 { return me.serviceChanges[name] }
+func (m *Members) ServiceChangeCount(name string) uint64 { return m.serviceChangeCounts[name] }
 
 // CountInDataCentre counts the members of a data centre.
-func (me *Members) CountInDataCentre(name string) int { return me.inDataCentre[name] }
+func (m *Members) CountInDataCentre(name string) int { return m.countByDataCentre[name] }
 
 // RegionCount counts the regions that members stand in; one that is not known is one.
-func (me *Members) RegionCount() int { return len(me.inRegion) }
+func (m *Members) RegionCount() int { return len(m.countByRegion) }
 
 // VMsByService counts the VMs beside each service.
-func (me *Members) VMsByService() map[string]int {
-	out := make(map[string]int, len(me.byService))
-	for service, rows := range me.byService {
+func (m *Members) VMsByService() map[string]int {
+	out := make(map[string]int, len(m.byService))
+	for service, rows := range m.byService {
 		if len(rows) > 0 {
 			out[service] = len(rows)
 		}
@@ -141,17 +141,17 @@
 }
 
 // Find returns the row number of a VM; ok is false when it is not known.
-func (me *Members) Find(id string) (row int, ok bool) {
-	row, ok = me.byID[id]
+func (m *Members) Find(id string) (row int, ok bool) {
+	row, ok = m.byID[id]
 	return row, ok
 }
 
 // Leaving is true for a member that takes no new calls.
-func (me *Members) Leaving(row int) bool { return me.Record[row].State == wire.MemberLeaving }
+func (m *Members) Leaving(row int) bool { return m.Record[row].State == wire.MemberLeaving }
 
 // EachRow calls do for each row in use, in no particular order.
-func (me *Members) EachRow(do func(row int)) {
-	for row, used := range me.inUse {
+func (m *Members) EachRow(do func(row int)) {
+	for row, used := range m.inUse {
 		if used {
 			do(row)
 		}
@@ -159,170 +159,170 @@
 }
 
 // EachRowOfService calls do for each member of a service.
-func (me *Members) EachRowOfService(name string, do func(row int)) {
-	for row := range me.byService[name] {
+func (m *Members) EachRowOfService(name string, do func(row int)) {
+	for row := range m.byService[name] {
 		do(row)
 	}
 }
 
-// newer is true when what b says of a VM goes before what a says.
-func newer(a, b *wire.Member) bool {
+// supersededBy is true when what b says of a VM goes before what a says.
+func supersededBy(held, update *wire.Member) bool {
 	switch {
-	case a.Started != b.Started:
-		return b.Started > a.Started
-	case a.Incarnation != b.Incarnation:
-		return b.Incarnation > a.Incarnation
-	case a.State != b.State:
-		return b.State > a.State
-	case a.Revision != b.Revision:
-		return b.Revision > a.Revision
+	case held.Started != update.Started:
+		return update.Started > held.Started
+	case held.Incarnation != update.Incarnation:
+		return update.Incarnation > held.Incarnation
+	case held.State != update.State:
+		return update.State > held.State
+	case held.Revision != update.Revision:
+		return update.Revision > held.Revision
 	}
 	// Two lists that differ in addresses only: any rule will do that all
 	// daemons share.
-	return *a != *b && digest(b) > digest(a)
+	return *held != *update && digest(update) > digest(held)
 }
 
 // Tombstone returns what is remembered of a VM that is gone.
-func (me *Members) Tombstone(id string) (wire.Member, bool) {
-	stone, ok := me.gone[id]
-	return stone.row, ok
+func (m *Members) Tombstone(id string) (wire.Member, bool) {
+	removed, ok := m.tombstones[id]
+	return removed.record, ok
 }
 
 // Merge takes what somebody says of a VM over, when it is newer than what is
 // known. It returns the route that this ended, if any, and whether anything
 // changed. now is in nanoseconds; from is the link that it came over, or nil.
-func (me *Members) Merge(now int64, from *link.Peer, said wire.Member) (ended *Endpoint, changed bool) {
-	ended, changed = me.merge(now, said)
+func (m *Members) Merge(now int64, from *link.Peer, update wire.Member) (removed *Endpoint, changed bool) {
+	removed, changed = m.merge(now, update)
 	if changed {
-		me.fresh = append(me.fresh, MemberChange{Record: said, From: from})
+		m.pendingChanges = append(m.pendingChanges, MemberChange{Record: update, From: from})
 	}
-	return ended, changed
+	return removed, changed
 }
 
 // TakeChanges returns the rows to pass on, and forgets them.
-func (me *Members) TakeChanges() []MemberChange {
-	out := me.fresh
-	me.fresh = nil
+func (m *Members) TakeChanges() []MemberChange {
+	out := m.pendingChanges
+	m.pendingChanges = nil
 	return out
 }
 
-func (me *Members) merge(now int64, said wire.Member) (ended *Endpoint, changed bool) {
-	row, known := me.byID[said.VM]
-	if known && !newer(&me.Record[row], &said) {
+func (m *Members) merge(now int64, update wire.Member) (removed *Endpoint, changed bool) {
+	row, known := m.byID[update.VM]
+	if known && !supersededBy(&m.Record[row], &update) {
 		return nil, false
 	}
-	if stone, dead := me.gone[said.VM]; !known && dead && !newer(&stone.row, &said) {
+	if buried, isRemoved := m.tombstones[update.VM]; !known && isRemoved && !supersededBy(&buried.record, &update) {
 		return nil, false
 	}
-	if said.State == wire.MemberGone {
-		me.bury(now, said)
-		return me.remove(said.VM), known
+	if update.State == wire.MemberGone {
+		m.addTombstone(now, update)
+		return m.removeRow(update.VM), known
 	}
-	if known && samePlace(&me.Record[row], &said) {
-		me.put(row, said)
+	if known && sameEndpoint(&m.Record[row], &update) {
+		m.replaceRecord(row, update)
 		return nil, true
 	}
 	// The name stands for another process now.
-	ended = me.remove(said.VM)
-	me.add(now, said)
-	return ended, true
+	removed = m.removeRow(update.VM)
+	m.addRow(now, update)
+	return removed, true
 }
 
-func samePlace(a, b *wire.Member) bool {
+func sameEndpoint(a, b *wire.Member) bool {
 	return a.Started == b.Started && a.Links == b.Links && a.Service == b.Service && a.DataCentre == b.DataCentre && a.Region == b.Region
 }
 
-func (me *Members) put(row int, said wire.Member) {
-	me.count(&me.Record[row])
-	me.Record[row] = said
-	me.Endpoint[row].SetVersion(said.Version)
-	me.count(&said)
+func (m *Members) replaceRecord(row int, record wire.Member) {
+	m.toggleRecord(&m.Record[row])
+	m.Record[row] = record
+	m.Endpoint[row].SetVersion(record.Version)
+	m.toggleRecord(&record)
 }
 
-func (me *Members) add(now int64, said wire.Member) {
-	row := me.newRow()
-	me.Record[row] = said
-	me.Listed[row] = false
-	me.MissedReads[row] = 0
-	me.AddedAt[row] = now
-	me.Endpoint[row] = &Endpoint{
-		VM: said.VM, Service: said.Service, DataCentre: said.DataCentre, Region: said.Region,
-		LinkAddress: said.Links, CallerAddress: said.Callers, Load: NewLoad(int(said.Slots)),
+func (m *Members) addRow(now int64, record wire.Member) {
+	row := m.allocateRow()
+	m.Record[row] = record
+	m.Listed[row] = false
+	m.MissedReads[row] = 0
+	m.AddedAt[row] = now
+	m.Endpoint[row] = &Endpoint{
+		VM: record.VM, Service: record.Service, DataCentre: record.DataCentre, Region: record.Region,
+		LinkAddress: record.Links, CallerAddress: record.Callers, Load: NewLoad(int(record.Slots)),
 	}
-	me.Endpoint[row].SetVersion(said.Version)
-	me.inUse[row] = true
-	me.byID[said.VM] = row
-	delete(me.gone, said.VM)
-	if me.byService[said.Service] == nil {
-		me.byService[said.Service] = map[int]struct{}{}
+	m.Endpoint[row].SetVersion(record.Version)
+	m.inUse[row] = true
+	m.byID[record.VM] = row
+	delete(m.tombstones, record.VM)
+	if m.byService[record.Service] == nil {
+		m.byService[record.Service] = map[int]struct{}{}
 	}
-	me.byService[said.Service][row] = struct{}{}
-	me.inDataCentre[said.DataCentre]++
-	me.inRegion[said.Region]++
-	me.count(&said)
+	m.byService[record.Service][row] = struct{}{}
+	m.countByDataCentre[record.DataCentre]++
+	m.countByRegion[record.Region]++
+	m.toggleRecord(&record)
 }
 
-func (me *Members) newRow() int {
-	if n := len(me.free); n > 0 {
-		row := me.free[n-1]
-		me.free = me.free[:n-1]
+func (m *Members) allocateRow() int {
+	if n := len(m.freeRows); n > 0 {
+		row := m.freeRows[n-1]
+		m.freeRows = m.freeRows[:n-1]
 		return row
 	}
-	me.Record = append(me.Record, wire.Member{})
-	me.Endpoint = append(me.Endpoint, nil)
-	me.MissedReads = append(me.MissedReads, 0)
-	me.Listed = append(me.Listed, false)
-	me.AddedAt = append(me.AddedAt, 0)
-	me.inUse = append(me.inUse, false)
-	return len(me.Record) - 1
+	m.Record = append(m.Record, wire.Member{})
+	m.Endpoint = append(m.Endpoint, nil)
+	m.MissedReads = append(m.MissedReads, 0)
+	m.Listed = append(m.Listed, false)
+	m.AddedAt = append(m.AddedAt, 0)
+	m.inUse = append(m.inUse, false)
+	return len(m.Record) - 1
 }
 
-func (me *Members) remove(id string) *Endpoint {
-	row, ok := me.byID[id]
+func (m *Members) removeRow(id string) *Endpoint {
+	row, ok := m.byID[id]
 	if !ok {
 		return nil
 	}
-	me.count(&me.Record[row])
-	route := me.Endpoint[row]
-	delete(me.byID, id)
-	delete(me.byService[route.Service], row)
-	me.inDataCentre[route.DataCentre]--
-	if me.inRegion[route.Region]--; me.inRegion[route.Region] == 0 {
-		delete(me.inRegion, route.Region)
+	m.toggleRecord(&m.Record[row])
+	endpoint := m.Endpoint[row]
+	delete(m.byID, id)
+	delete(m.byService[endpoint.Service], row)
+	m.countByDataCentre[endpoint.DataCentre]--
+	if m.countByRegion[endpoint.Region]--; m.countByRegion[endpoint.Region] == 0 {
+		delete(m.countByRegion, endpoint.Region)
 	}
-	me.inUse[row] = false
-	me.Endpoint[row] = nil
-	me.free = append(me.free, row)
-	return route
+	m.inUse[row] = false
+	m.Endpoint[row] = nil
+	m.freeRows = append(m.freeRows, row)
+	return endpoint
 }
 
-// bury remembers that a VM is gone, and forgets those buried long ago.
-func (me *Members) bury(now int64, said wire.Member) {
-	me.gone[said.VM] = tombstone{row: said, at: now}
-	for id, stone := range me.gone {
-		if now-stone.at > tombstoneFor {
-			delete(me.gone, id)
+// addTombstone remembers that a VM is gone, and forgets those buried long ago.
+func (m *Members) addTombstone(now int64, record wire.Member) {
+	m.tombstones[record.VM] = tombstone{record: record, removedAt: now}
+	for id, removed := range m.tombstones {
+		if now-removed.removedAt > tombstoneTTL {
+			delete(m.tombstones, id)
 		}
 	}
 }
 
-// count adds a row to the digests, or takes it out again: both are the same
+// toggleRecord adds a row to the digests, or takes it out again: both are the same
 // exclusive or.
-func (me *Members) count(m *wire.Member) {
-	me.changes++
-	me.serviceChanges[m.Service]++
-	me.digests[bucketOf(m.VM)] ^= digest(m)
+func (m *Members) toggleRecord(record *wire.Member) {
+	m.changeCount++
+	m.serviceChangeCounts[record.Service]++
+	m.digests[bucketOf(record.VM)] ^= digest(record)
 }
 
-func bucketOf(id string) int { return int(xxhash.Sum64String(id) % buckets) }
+func bucketOf(id string) int { return int(xxhash.Sum64String(id) % bucketCount) }
 
-func digest(m *wire.Member) uint32 {
+func digest(record *wire.Member) uint32 {
 	var d xxhash.Digest
 	d.Reset()
 	for _, part := range []string{
-		m.VM, strconv.FormatUint(m.Started, 10), strconv.FormatUint(m.Incarnation, 10), strconv.Itoa(int(m.State)),
-		m.DataCentre, m.Service, m.Links, m.Callers, strconv.Itoa(int(m.Slots)),
-		strconv.FormatUint(m.Revision, 10), strconv.Itoa(int(m.Backend)), m.Version,
+		record.VM, strconv.FormatUint(record.Started, 10), strconv.FormatUint(record.Incarnation, 10), strconv.Itoa(int(record.State)),
+		record.DataCentre, record.Service, record.Links, record.Callers, strconv.Itoa(int(record.Slots)),
+		strconv.FormatUint(record.Revision, 10), strconv.Itoa(int(record.Backend)), record.Version,
 	} {
 		// Writing to a digest has no error to give.
 		_, _ = d.WriteString(part)
@@ -333,9 +333,9 @@
 
 // Digest is one number for the whole table; two tables with the same rows have
 // the same.
-func (me *Members) Digest() uint64 {
+func (m *Members) Digest() uint64 {
 	out := uint64(0)
-	for i, d := range me.digests {
+	for i, d := range m.digests {
 		// A different factor for each bucket, so that equal digests in two
 		// buckets do not cancel out.
 		out ^= (uint64(d) + 1) * (2*uint64(i) + 0x9e3779b97f4a7c15)
@@ -344,24 +344,24 @@
 }
 
 // BucketDigests returns the digest of each bucket.
-func (me *Members) BucketDigests() []uint32 { return append([]uint32(nil), me.digests[:]...) }
+func (m *Members) BucketDigests() []uint32 { return append([]uint32(nil), m.digests[:]...) }
 
 // DifferingRows returns the rows, those of VMs that are gone too, of the buckets
 // in which a peer's digests differ from this table's.
-func (me *Members) DifferingRows(theirs []uint32) []wire.Member {
-	if len(theirs) != buckets {
+func (m *Members) DifferingRows(peerDigests []uint32) []wire.Member {
+	if len(peerDigests) != bucketCount {
 		return nil
 	}
-	differs := func(id string) bool { b := bucketOf(id); return theirs[b] != me.digests[b] }
+	differs := func(id string) bool { bucket := bucketOf(id); return peerDigests[bucket] != m.digests[bucket] }
 	var out []wire.Member
-	me.EachRow(func(row int) {
-		if differs(me.Record[row].VM) {
-			out = append(out, me.Record[row])
+	m.EachRow(func(row int) {
+		if differs(m.Record[row].VM) {
+			out = append(out, m.Record[row])
 		}
 	})
-	for id, stone := range me.gone {
+	for id, removed := range m.tombstones {
 		if differs(id) {
-			out = append(out, stone.row)
+			out = append(out, removed.record)
 		}
 	}
 	return out
--- a/pkg/tables/peers.go
+++ b/pkg/tables/peers.go
@@ -6,8 +6,8 @@
 // direction, one row a link.
 type Peers struct {
 	rows map[*link.Peer]*PeerRow
-	// added counts the links that ever came up.
-	added uint64
+	// addedCount counts the links that ever came up.
+	addedCount uint64
 }
 
 // PeerRow is what a peer said last.
@@ -41,7 +41,7 @@
 	if row == nil {
 		row = &PeerRow{}
 		p.rows[peer] = row
-		p.added++
+		p.addedCount++
 	}
 	return row
 }
@@ -58,7 +58,7 @@
 
 // AddedCount grows with each new link, so that a system can see cheaply that there
 // was none.
-func (p *Peers) AddedCount() uint64 { return p.added }
+func (p *Peers) AddedCount() uint64 { return p.addedCount }
 
 // Len counts the links.
 func (p *Peers) Len() int { return len(p.rows) }
--- a/pkg/tables/view.go
+++ b/pkg/tables/view.go
@@ -55,33 +55,33 @@
 	return s.kinds[kind]
 }
 
-// serviceVMs is how many VMs stand beside each service, and beside any.
-type serviceVMs struct {
-	of  map[string]int
-	all int
+// vmCounts is how many VMs stand beside each service, and beside any.
+type vmCounts struct {
+	byService map[string]int
+	total     int
 }
 
 // View is what the hot path reads. Each service is published by itself, so
 // that a change costs no more than the service it concerns.
 type View struct {
 	placement atomic.Pointer[placement.Compiled]
-	// since is when the version in force was published.
-	since    atomic.Pointer[time.Time]
-	services sync.Map
-	unsure   atomic.Bool
-	leaving  atomic.Bool
-	ready    atomic.Bool
-	members  atomic.Int64
-	stale    atomic.Bool
-	// serviceVMs is nil while no member is known.
-	serviceVMs atomic.Pointer[serviceVMs]
+	// placementSince is when the version in force was published.
+	placementSince  atomic.Pointer[time.Time]
+	services        sync.Map
+	placementUnsure atomic.Bool
+	leaving         atomic.Bool
+	ready           atomic.Bool
+	memberCount     atomic.Int64
+	storeStale      atomic.Bool
+	// vmCounts is nil while no member is known.
+	vmCounts atomic.Pointer[vmCounts]
 	// evacuation is nil while no set is known.
 	evacuation atomic.Pointer[evacuation.Set]
 	// regionShare holds the bits of a float; 0: it was not measured.
 	regionShare atomic.Uint64
 	// rollouts is nil while no roll-out is known.
-	rollouts atomic.Pointer[RolloutView]
-	provenAt atomic.Int64
+	rollouts          atomic.Pointer[RolloutView]
+	placementProvenAt atomic.Int64
 }
 
 // RolloutView is what is known of roll-outs; it never changes.
@@ -93,152 +93,152 @@
 }
 
 // RolloutTraffic returns how a roll-out divides the requests of a service, or nil.
-func (vi *View) RolloutTraffic(service string) *rollout.Traffic {
-	known := vi.rollouts.Load()
-	if known == nil {
+func (v *View) RolloutTraffic(service string) *rollout.Traffic {
+	rollouts := v.rollouts.Load()
+	if rollouts == nil {
 		return nil
 	}
-	return known.Traffic[service]
+	return rollouts.Traffic[service]
 }
 
 // RolloutDigest returns the digest of what is known of roll-outs; 0: nothing.
-func (vi *View) RolloutDigest() uint64 {
-	if known := vi.rollouts.Load(); known != nil {
-		return known.Digest
+func (v *View) RolloutDigest() uint64 {
+	if rollouts := v.rollouts.Load(); rollouts != nil {
+		return rollouts.Digest
 	}
 	return 0
 }
 
 // SetRollouts publishes what is known of roll-outs.
-func (vi *View) SetRollouts(known *RolloutView) { vi.rollouts.Store(known) }
+func (v *View) SetRollouts(rollouts *RolloutView) { v.rollouts.Store(rollouts) }
 
 // Placement returns the version in force, or nil.
-func (vi *View) Placement() *placement.Compiled { return vi.placement.Load() }
+func (v *View) Placement() *placement.Compiled { return v.placement.Load() }
 
 // TeamLimit returns the limit of a team under the version in force; ok is false where that
 // names no such team.
-func (vi *View) TeamLimit(team string) (limit teams.Limit, ok bool) {
-	if p := vi.placement.Load(); p != nil {
+func (v *View) TeamLimit(team string) (limit teams.Limit, ok bool) {
+	if p := v.placement.Load(); p != nil {
 		return p.Teams.LimitOf(team)
 	}
 	return teams.Limit{}, false
 }
 
 // SetPlacement publishes a version.
-func (vi *View) SetPlacement(c *placement.Compiled) {
+func (v *View) SetPlacement(c *placement.Compiled) {
 	now := time.Now()
-	vi.since.Store(&now)
-	vi.placement.Store(c)
+	v.placementSince.Store(&now)
+	v.placement.Store(c)
 }
 
 // PlacementSince is when the version in force was published; zero without one.
-func (vi *View) PlacementSince() time.Time {
-	if at := vi.since.Load(); at != nil {
+func (v *View) PlacementSince() time.Time {
+	if at := v.placementSince.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
 // Service returns the view of a service, or nil.
-func (vi *View) Service(name string) *ServiceView {
-	if v, ok := vi.services.Load(name); ok {
-		return v.(*ServiceView)
+func (v *View) Service(name string) *ServiceView {
+	if service, ok := v.services.Load(name); ok {
+		return service.(*ServiceView)
 	}
 	return nil
 }
 
 // SetService publishes a service; nil takes it away.
-func (vi *View) SetService(name string, v *ServiceView) {
-	if v == nil {
-		vi.services.Delete(name)
+func (v *View) SetService(name string, service *ServiceView) {
+	if service == nil {
+		v.services.Delete(name)
 		return
 	}
-	vi.services.Store(name, v)
+	v.services.Store(name, service)
 }
 
 // SetVMsByService publishes how many VMs stand beside each service; the map is not
 // changed any more.
-func (vi *View) SetVMsByService(of map[string]int) {
-	known := serviceVMs{of: of}
-	for service, n := range of {
+func (v *View) SetVMsByService(byService map[string]int) {
+	counts := vmCounts{byService: byService}
+	for service, n := range byService {
 		if service != "" {
-			known.all += n
+			counts.total += n
 		}
 	}
-	vi.serviceVMs.Store(&known)
+	v.vmCounts.Store(&counts)
 }
 
 // VMShareOf is which share of the VMs that stand beside any service belongs to certain
 // ones, from 0 to 1; 0 where none is known.
-func (vi *View) VMShareOf(services []string) float64 {
-	known := vi.serviceVMs.Load()
-	if known == nil || known.all == 0 {
+func (v *View) VMShareOf(services []string) float64 {
+	counts := v.vmCounts.Load()
+	if counts == nil || counts.total == 0 {
 		return 0
 	}
-	of := 0
+	vms := 0
 	for _, service := range services {
-		of += known.of[service]
+		vms += counts.byService[service]
 	}
-	return float64(of) / float64(known.all)
+	return float64(vms) / float64(counts.total)
 }
 
 // Evacuation returns which data centres are evacuated.
-func (vi *View) Evacuation() evacuation.Set {
-	if s := vi.evacuation.Load(); s != nil {
+func (v *View) Evacuation() evacuation.Set {
+	if s := v.evacuation.Load(); s != nil {
 		return *s
 	}
 	return evacuation.Set{}
 }
 
 // SetEvacuation publishes which data centres are evacuated.
-func (vi *View) SetEvacuation(s evacuation.Set) { vi.evacuation.Store(&s) }
+func (v *View) SetEvacuation(s evacuation.Set) { v.evacuation.Store(&s) }
 
 // RegionShare is what a round trip to other data centres of the own region takes
 // of one to other regions, as the links have measured it last. It is 1 until there
 // was a link to another region: a deployment of one has no nearer crossing.
-func (vi *View) RegionShare() float64 {
-	if bits := vi.regionShare.Load(); bits != 0 {
+func (v *View) RegionShare() float64 {
+	if bits := v.regionShare.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
 	return 1
 }
 
 // SetRegionShare publishes what was measured.
-func (vi *View) SetRegionShare(share float64) { vi.regionShare.Store(math.Float64bits(share)) }
+func (v *View) SetRegionShare(share float64) { v.regionShare.Store(math.Float64bits(share)) }
 
 // PlacementProvenAt is when the store had no newer version than the one in force, as far as this
 // daemon knows, in nanoseconds of its clock; 0: never.
-func (vi *View) PlacementProvenAt() int64 { return vi.provenAt.Load() }
+func (v *View) PlacementProvenAt() int64 { return v.placementProvenAt.Load() }
 
 // SetPlacementProvenAt publishes it.
-func (vi *View) SetPlacementProvenAt(at int64) { vi.provenAt.Store(at) }
+func (v *View) SetPlacementProvenAt(at int64) { v.placementProvenAt.Store(at) }
 
 // PlacementUnsure is true while nobody can tell whether the placement is in force.
-func (vi *View) PlacementUnsure() bool { return vi.unsure.Load() }
+func (v *View) PlacementUnsure() bool { return v.placementUnsure.Load() }
 
 // SetPlacementUnsure publishes whether the placement may be out of date.
-func (vi *View) SetPlacementUnsure(unsure bool) { vi.unsure.Store(unsure) }
+func (v *View) SetPlacementUnsure(unsure bool) { v.placementUnsure.Store(unsure) }
 
 // Leaving is true when this daemon takes no new calls.
-func (vi *View) Leaving() bool { return vi.leaving.Load() }
+func (v *View) Leaving() bool { return v.leaving.Load() }
 
 // SetLeaving makes this daemon take no new calls. There is no way back.
-func (vi *View) SetLeaving() { vi.leaving.Store(true) }
+func (v *View) SetLeaving() { v.leaving.Store(true) }
 
 // Ready is true when the daemon takes calls.
-func (vi *View) Ready() bool { return vi.ready.Load() }
+func (v *View) Ready() bool { return v.ready.Load() }
 
 // SetReady publishes that the daemon takes calls.
-func (vi *View) SetReady() { vi.ready.Store(true) }
+func (v *View) SetReady() { v.ready.Store(true) }
 
 // MemberCount counts the VMs that this daemon knows of.
-func (vi *View) MemberCount() int { return int(vi.members.Load()) }
+func (v *View) MemberCount() int { return int(v.memberCount.Load()) }
 
 // SetMemberCount publishes how many VMs are known.
-func (vi *View) SetMemberCount(n int) { vi.members.Store(int64(n)) }
+func (v *View) SetMemberCount(n int) { v.memberCount.Store(int64(n)) }
 
 // StoreStale is true while the newest word of the store is over its bound.
-func (vi *View) StoreStale() bool { return vi.stale.Load() }
+func (v *View) StoreStale() bool { return v.storeStale.Load() }
 
 // SetStoreStale publishes whether it is.
-func (vi *View) SetStoreStale(stale bool) { vi.stale.Store(stale) }
+func (v *View) SetStoreStale(stale bool) { v.storeStale.Store(stale) }
--- a/pkg/tables/view_test.go
+++ b/pkg/tables/view_test.go
@@ -9,9 +9,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// TestTheShareOfServices is that of all their VMs, whether an entry works with these or
+// TestVMShareOfCountsAllVMsOfTheServices is that of all their VMs, whether an entry works with these or
 // not; VMs beside no service do not count.
-func TestTheShareOfServices(t *testing.T) {
+func TestVMShareOfCountsAllVMsOfTheServices(t *testing.T) {
 	view := &View{}
 	test.Eq(t, 0.0, view.VMShareOf([]string{"a"}))
 	view.SetVMsByService(map[string]int{"": 7})
--- a/pkg/teams/directory.go
+++ b/pkg/teams/directory.go
@@ -14,14 +14,14 @@
 	for i := range teams {
 		keys += len(teams[i].Keys)
 	}
-	out := &Directory{teams: teams, byKey: make(map[KeyDigest]uint32, keys), byName: make(map[string]uint32, len(teams))}
+	directory := &Directory{teams: teams, byKey: make(map[KeyDigest]uint32, keys), byName: make(map[string]uint32, len(teams))}
 	for i := range teams {
-		out.byName[teams[i].Name] = uint32(i)
+		directory.byName[teams[i].Name] = uint32(i)
 		for _, key := range teams[i].Keys {
-			out.byKey[key] = uint32(i)
+			directory.byKey[key] = uint32(i)
 		}
 	}
-	return out
+	return directory
 }
 
 // Len counts the teams; with none, requests need no key.
@@ -32,19 +32,19 @@
 
 // Holder returns the team that holds a key, or nil.
 func (d *Directory) Holder(key KeyDigest) *Team {
-	if at, ok := d.byKey[key]; ok {
-		return &d.teams[at]
+	if index, ok := d.byKey[key]; ok {
+		return &d.teams[index]
 	}
 	return nil
 }
 
 // LimitOf returns the limit of a team; ok is false where there is none of that name.
 func (d *Directory) LimitOf(name string) (limit Limit, ok bool) {
-	at, ok := d.byName[name]
+	index, ok := d.byName[name]
 	if !ok {
 		return Limit{}, false
 	}
-	return d.teams[at].Limit, true
+	return d.teams[index].Limit, true
 }
 
 // All returns the teams in the operators' order; they are not to be changed.
--- a/pkg/teams/directory_test.go
+++ b/pkg/teams/directory_test.go
@@ -13,7 +13,7 @@
 	"github.com/rushramp/rushramp/pkg/teams"
 )
 
-func TestAKeyIsHeldByOneTeam(t *testing.T) {
+func TestHolderIsTheLastTeamWithTheKey(t *testing.T) {
 	d := teams.NewDirectory([]teams.Team{
 		{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("r1"), teams.DigestOf("moved")}},
 		{Name: "blue", Keys: []teams.KeyDigest{teams.DigestOf("moved")}, Limit: teams.Limit{Rate: 5, Burst: 2}},
@@ -28,21 +28,21 @@
 	test.False(t, ok)
 }
 
-// TestADigestSurvivesItsForms: those of documents between daemons and of operators' files.
-func TestADigestSurvivesItsForms(t *testing.T) {
-	was := teams.Team{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("secret")}}
-	packed, err := cbor.Marshal(was)
+// TestKeyDigestRoundTripsInCBORAndYAML: those of documents between daemons and of operators' files.
+func TestKeyDigestRoundTripsInCBORAndYAML(t *testing.T) {
+	team := teams.Team{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("secret")}}
+	encoded, err := cbor.Marshal(team)
 	must.NoError(t, err)
-	var unpacked teams.Team
-	must.NoError(t, cbor.Unmarshal(packed, &unpacked))
-	test.Eq(t, was, unpacked)
-	text, err := yaml.Marshal(was)
+	var decoded teams.Team
+	must.NoError(t, cbor.Unmarshal(encoded, &decoded))
+	test.Eq(t, team, decoded)
+	text, err := yaml.Marshal(team)
 	must.NoError(t, err)
 	test.StrNotContains(t, string(text), "secret")
-	var read teams.Team
-	must.NoError(t, yaml.Unmarshal(text, &read))
-	test.Eq(t, was, read)
-	err = yaml.Unmarshal([]byte("name: red\nkeys: [secret]"), &read)
+	var fromYAML teams.Team
+	must.NoError(t, yaml.Unmarshal(text, &fromYAML))
+	test.Eq(t, team, fromYAML)
+	err = yaml.Unmarshal([]byte("name: red\nkeys: [secret]"), &fromYAML)
 	must.Error(t, err)
 }
 
@@ -59,9 +59,9 @@
 	return out
 }
 
-// TestAHundredThousandKeysAreSmall: a directory of them takes under 16 MB, its digests
+// TestDirectoryOf100000KeysTakesUnder16MB: a directory of them takes under 16 MB, its digests
 // included.
-func TestAHundredThousandKeysAreSmall(t *testing.T) {
+func TestDirectoryOf100000KeysTakesUnder16MB(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
@@ -73,8 +73,8 @@
 	runtime.KeepAlive(d)
 }
 
-// TestALookUpAllocatesNothing: it is on the way of each request.
-func TestALookUpAllocatesNothing(t *testing.T) {
+// TestHolderDoesNotAllocate: it is on the way of each request.
+func TestHolderDoesNotAllocate(t *testing.T) {
 	d := teams.NewDirectory([]teams.Team{{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("r1")}}})
 	test.Eq(t, 0, testing.AllocsPerRun(100, func() { _ = d.Holder(teams.DigestOf("r1")) }))
 }
--- a/pkg/traffic/counters.go
+++ b/pkg/traffic/counters.go
@@ -12,40 +12,40 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// counters are those of one kind of frame in one place.
-type counters struct {
+// frameCounters are those of one kind of frame in one place.
+type frameCounters struct {
 	frames *metrics.Counter
 	bytes  *metrics.Counter
 }
 
 // Counters is one daemon's account. It is safe for concurrent use.
 type Counters struct {
-	sent [proximity.Count][wire.TypeCount]counters
+	sent [proximity.Count][wire.TypeCount]frameCounters
 }
 
 // NewCounters makes an account whose counters stand in a set of metrics.
 func NewCounters(set *metrics.Set) *Counters {
-	a := &Counters{}
+	counters := &Counters{}
 	for to := range proximity.Count {
 		for kind := range wire.Type(wire.TypeCount) {
 			if kind == 0 {
 				continue
 			}
 			labels := fmt.Sprintf(`{kind=%q,place=%q}`, kind, to)
-			a.sent[to][kind] = counters{
+			counters.sent[to][kind] = frameCounters{
 				frames: set.NewCounter("rushramp_link_frames_total" + labels),
 				bytes:  set.NewCounter("rushramp_link_bytes_total" + labels),
 			}
 		}
 	}
-	return a
+	return counters
 }
 
 // CountSent counts one frame of a kind and its size in bytes.
-func (a *Counters) CountSent(to proximity.Level, kind wire.Type, size int) {
-	c := &a.sent[to][kind]
-	c.frames.Inc()
-	c.bytes.Add(size)
+func (c *Counters) CountSent(to proximity.Level, kind wire.Type, size int) {
+	sent := &c.sent[to][kind]
+	sent.frames.Inc()
+	sent.bytes.Add(size)
 }
 
 // Total is what was sent of one kind of frame to one place.
@@ -57,14 +57,14 @@
 }
 
 // Totals returns what was sent so far, without the kinds that were not.
-func (a *Counters) Totals() []Total {
+func (c *Counters) Totals() []Total {
 	var out []Total
-	for to := range a.sent {
-		for kind, c := range a.sent[to] {
-			if c.frames == nil || c.frames.Get() == 0 {
+	for to := range c.sent {
+		for kind, sent := range c.sent[to] {
+			if sent.frames == nil || sent.frames.Get() == 0 {
 				continue
 			}
-			out = append(out, Total{To: proximity.Level(to), Kind: wire.Type(kind), Frames: c.frames.Get(), Bytes: c.bytes.Get()})
+			out = append(out, Total{To: proximity.Level(to), Kind: wire.Type(kind), Frames: sent.frames.Get(), Bytes: sent.bytes.Get()})
 		}
 	}
 	return out
--- a/pkg/traffic/counters_test.go
+++ b/pkg/traffic/counters_test.go
@@ -11,16 +11,16 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-func TestFramesAreCountedByKindAndPlace(t *testing.T) {
+func TestFramesAreCountedByKindAndProximity(t *testing.T) {
 	set := metrics.NewSet()
-	a := NewCounters(set)
-	a.CountSent(proximity.OtherRegion, wire.TypeMembers, 100)
-	a.CountSent(proximity.OtherRegion, wire.TypeMembers, 50)
-	a.CountSent(proximity.SameDataCentre, wire.TypeState, 7)
+	counters := NewCounters(set)
+	counters.CountSent(proximity.OtherRegion, wire.TypeMembers, 100)
+	counters.CountSent(proximity.OtherRegion, wire.TypeMembers, 50)
+	counters.CountSent(proximity.SameDataCentre, wire.TypeState, 7)
 	test.Eq(t, []Total{
 		{To: proximity.SameDataCentre, Kind: wire.TypeState, Frames: 1, Bytes: 7},
 		{To: proximity.OtherRegion, Kind: wire.TypeMembers, Frames: 2, Bytes: 150},
-	}, a.Totals())
+	}, counters.Totals())
 	var out bytes.Buffer
 	set.WritePrometheus(&out)
 	test.StrContains(t, out.String(), `rushramp_link_bytes_total{kind="members",place="other"} 150`)
