--- a/pkg/choose/choose.go
+++ b/pkg/choose/choose.go
@@ -1,6 +1,7 @@
-// Package choose picks the backend server that takes a call. A policy is a
-// pure decision: it reads the candidates' loads, with the clock and the random
-// source handed in. Source: docs/design/choosing.md.
+// Package choose picks the backend server that handles a call or a request. A Policy
+// chooses for calls that name a service and a request kind, PickRouted for HTTP requests
+// that are routed by host and path. Both compare the loads of the candidates; the time
+// and the random source are arguments. Source: docs/design/choosing.md.
 package choose
 
 import (
@@ -9,48 +10,51 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// Random is the random source of the decisions. *rand.Rand of math/rand/v2 has
-// this form, and so has Runtime, which is safe for concurrent use.
+// Random is the random source of the decisions. *rand.Rand of math/rand/v2 implements
+// it, and so does RuntimeRandom, which is safe for concurrent use.
 type Random interface {
 	IntN(n int) int
 	Float64() float64
 }
 
-// Request is one decision's input.
+// Request is the input of Policy.Choose.
 type Request struct {
-	// Now is the time of the decision in nanoseconds of a steady clock.
+	// Now is the time of the decision in nanoseconds of a monotonic clock.
 	Now int64
-	// CandidateSet holds the candidates; it is not changed.
+	// CandidateSet holds the backend servers to choose from. Choose does not change it.
 	CandidateSet []tables.Candidate
-	// Excluded has a bit for each index of Set that refused this call already.
+	// Excluded holds the indexes in CandidateSet that must not be picked, such as those
+	// of servers that refused the call.
 	Excluded IndexSet
 }
 
-// Pick is a decision.
+// Pick is the result of Policy.Choose.
 type Pick struct {
-	// Index points into the set; negative: no candidate is left.
+	// Index is the index of the picked candidate in CandidateSet, or NoCandidate.
 	Index int
-	// MaxCost is the time at the chosen gate, wait and run, up to which this
-	// choice stays the best one known. A soft attempt carries it.
+	// MaxCost is the longest expected time at the gate of the picked candidate, queueing
+	// plus run, up to which no other candidate is expected to be faster. An entry may
+	// send it with an attempt; a gate that expects a longer time then refuses the call.
 	MaxCost time.Duration
 }
 
-// NoCandidate is the pick when no candidate is left.
+// NoCandidate is the index of a pick when there is no candidate that is not excluded.
 const NoCandidate = -1
 
-// Policy picks a candidate. Implementations are safe for concurrent use.
+// Policy picks a candidate for a call. Implementations are safe for concurrent use.
 type Policy interface {
 	Choose(req *Request, rnd Random) Pick
 }
 
-// indexSetSize is how many candidates a Tried can hold. Sets are subsets of some
-// 16; one that is larger is tried at its first 64 places only.
+// indexSetSize is the number of indexes that an IndexSet can hold. Candidates at higher
+// indexes cannot be excluded.
 const indexSetSize = 64
 
-// IndexSet marks candidates that refused a call.
+// IndexSet is a set of indexes of candidates, one bit each.
 type IndexSet uint64
 
-// With returns the marks with one more.
+// With returns the set with one more index. It ignores an index that the set cannot
+// hold.
 func (s IndexSet) With(index int) IndexSet {
 	if index >= indexSetSize {
 		return s
@@ -58,12 +62,13 @@
 	return s | 1<<uint(index)
 }
 
-// Has is true when the candidate refused already.
+// Has reports whether the index is in the set.
 func (s IndexSet) Has(index int) bool {
 	return index < indexSetSize && s&(1<<uint(index)) != 0
 }
 
-// nthAllowed returns the n-th candidate that was not tried.
+// nthAllowed returns the index of the n-th candidate, counted from 0, that is not
+// excluded, or NoCandidate.
 func nthAllowed(req *Request, n int) int {
 	for i := range req.CandidateSet {
 		if req.Excluded.Has(i) {
@@ -77,6 +82,7 @@
 	return NoCandidate
 }
 
+// countAllowed counts the candidates that are not excluded.
 func countAllowed(req *Request) int {
 	count := 0
 	for i := range req.CandidateSet {
--- a/pkg/choose/choose_test.go
+++ b/pkg/choose/choose_test.go
@@ -22,7 +22,7 @@
 func allPolicies() map[string]Policy {
 	out := map[string]Policy{}
 	for _, name := range []string{"random", "round_robin", "least_outstanding", "hot_cold", "expected_wait", "idle_hints"} {
-		// The names are those of New; the test of the settings has the list.
+		// New knows all of these names, so it returns no error.
 		out[name], _ = New(name, Options{StampHalfLife: 20 * time.Millisecond})
 	}
 	return out
@@ -30,7 +30,8 @@
 
 func newExpectedWait() *ExpectedWait { return &ExpectedWait{StampHalfLife: 20 * time.Millisecond} }
 
-// newCandidates makes candidates whose stamps came at a time and told of calls in flight.
+// newCandidates returns candidates that sent a stamp at stampedAt, one for each number
+// of calls in flight.
 func newCandidates(stampedAt int64, inFlight ...uint32) []tables.Candidate {
 	var out []tables.Candidate
 	for _, n := range inFlight {
@@ -41,7 +42,7 @@
 	return out
 }
 
-// countPicks counts how often each candidate is picked.
+// countPicks returns how often each candidate is picked in n decisions.
 func countPicks(p Policy, req *Request, n int) []int {
 	rnd := rand.New(rand.NewPCG(1, 2))
 	counts := make([]int, len(req.CandidateSet))
@@ -91,24 +92,24 @@
 	scenarios := []struct {
 		name  string
 		setUp func(req *Request)
-		// maxShare is the share of picks that candidate 0 may have at the most.
+		// maxShare is the largest share of picks that candidate 0 may have.
 		maxShare float64
-		// minShare is the share that it must have.
+		// minShare is the smallest share of picks that candidate 0 may have.
 		minShare float64
 	}{
-		{"the emptiest is taken", func(req *Request) { req.CandidateSet = newCandidates(99*ms, 2, 14, 14, 14) }, 1, 1},
-		{"a full one is left", func(req *Request) { req.CandidateSet = newCandidates(99*ms, 14, 2, 2, 2) }, 0, 0},
-		{"old news of an empty server does not attract", func(req *Request) {
+		{"picks the candidate with the fewest calls", func(req *Request) { req.CandidateSet = newCandidates(99*ms, 2, 14, 14, 14) }, 1, 1},
+		{"avoids a full candidate", func(req *Request) { req.CandidateSet = newCandidates(99*ms, 14, 2, 2, 2) }, 0, 0},
+		{"an outdated stamp of an idle server does not attract calls", func(req *Request) {
 			others := newCandidates(99*ms, 8, 8, 8)
 			req.CandidateSet = append(newCandidates(-900*ms, 0), others...)
 		}, 0.5, 0},
-		{"a server that fails fast loses its share", func(req *Request) {
+		{"avoids a server that fails fast", func(req *Request) {
 			req.CandidateSet = newCandidates(99*ms, 0, 6, 6, 6)
 			for range 10 {
 				req.CandidateSet[0].Load.RecordAnswer(true)
 			}
 		}, 0.01, 0},
-		{"it gets its share back when it answers well", func(req *Request) {
+		{"picks a server again once it answers well", func(req *Request) {
 			req.CandidateSet = newCandidates(99*ms, 0, 13, 13, 13)
 			for range 10 {
 				req.CandidateSet[0].Load.RecordAnswer(true)
@@ -117,17 +118,17 @@
 				req.CandidateSet[0].Load.RecordAnswer(false)
 			}
 		}, 1, 0.9},
-		{"one that reports no load and answers nothing is left", func(req *Request) {
+		{"avoids a server that reports no load but answers nothing", func(req *Request) {
 			req.CandidateSet = newCandidates(10*ms, 0, 10, 10, 10)
 			for range 4 {
 				req.CandidateSet[0].Load.RecordSent(11 * ms)
 			}
 		}, 0, 0},
-		{"a far server is taken only when the near are full", func(req *Request) {
+		{"avoids a distant server while near ones have room", func(req *Request) {
 			req.CandidateSet = newCandidates(99*ms, 4, 4, 4, 4)
 			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
 		}, 0.01, 0},
-		{"and then it is", func(req *Request) {
+		{"picks a distant server when near ones are full", func(req *Request) {
 			req.CandidateSet = newCandidates(99*ms, 4, 30, 30, 30)
 			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
 		}, 1, 1},
@@ -143,8 +144,8 @@
 	}
 }
 
-// TestEntriesWithTheSameStampsSpreadTheirCalls is the herd: each of 40
-// entries holds the same stamps of 30 servers that are all but equally loaded.
+// TestEntriesWithTheSameStampsSpreadTheirCalls covers the herd effect: 40 entries hold
+// the same stamps of 30 servers with nearly equal loads.
 func TestEntriesWithTheSameStampsSpreadTheirCalls(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	picked := make([]int, 30)
@@ -165,8 +166,8 @@
 	req := &Request{Now: 100 * ms, CandidateSet: newCandidates(100*ms, 0, 24)}
 	pick := p.Choose(req, rand.New(rand.NewPCG(1, 1)))
 	test.Eq(t, 0, pick.Index)
-	// The other: a run, and 13 ahead of it at 12 slots, and a quarter for both
-	// being near; use above 1 adds its own part.
+	// The second candidate costs a run of 5 ms, a wait behind 13 calls at 12 slots and
+	// maxCostSlack; a utilisation above 1 adds to the wait.
 	test.Between(t, 11*time.Millisecond, pick.MaxCost, 20*time.Millisecond)
 	single := p.Choose(&Request{Now: 100 * ms, CandidateSet: newCandidates(100*ms, 0)}, rand.New(rand.NewPCG(1, 1)))
 	test.Eq(t, noMaxCost, single.MaxCost)
--- a/pkg/choose/expectedwait.go
+++ b/pkg/choose/expectedwait.go
@@ -8,53 +8,57 @@
 )
 
 const (
-	// defaultServiceTime stands in for a service time that nobody reported yet.
+	// defaultServiceTime is assumed while no candidate has reported a service time.
 	defaultServiceTime = 5 * time.Millisecond
-	// failurePenalty is how many service times one certain failure counts as.
+	// failurePenalty is the cost, in service times, that is added for a server whose
+	// answers are all failures.
 	failurePenalty = 20
-	// toleratedFailureShare is the share of failures that is not held against a server.
+	// toleratedFailureShare is the share of failures up to which a server has no
+	// penalty.
 	toleratedFailureShare = 0.05
-	// noAnswerFactor: a server that has calls of ours and has not answered for
-	// this many service times is taken to be as slow as it has been quiet.
+	// noAnswerFactor is the number of service times without an answer to outstanding
+	// calls after which a server's service time is taken to be at least that long.
 	noAnswerFactor = 3
-	// maxCostSlack is added to MaxCost, as a share of the service time, so that
-	// two servers that are nearly alike do not refuse for each other.
+	// maxCostSlack is added to MaxCost, in service times, so that two servers of nearly
+	// equal cost do not both refuse a call in favour of the other.
 	maxCostSlack = 0.25
-	// tieBreakShare: costs this close, as a share of the service time, count as
-	// alike, and the random source decides. It breaks up herds.
+	// tieBreakShare is the largest random amount, in service times, that is added to a
+	// cost. It keeps entries with the same stamps from all picking the same server.
 	tieBreakShare = 0.1
 )
 
-// ExpectedWait picks the candidate with the least expected time: the wait at
-// its gate, the run, and the way there and back. A stamp's weight falls with
-// its age towards what the candidates have on average, so that old news
-// neither attracts nor repels. Source: docs/design/choosing.md.
+// ExpectedWait picks the candidate with the lowest expected time: the wait at its gate,
+// the run and the network round trip. The older a stamp (wire.Stamp, a gate's report of
+// its load), the closer the estimate is to the average of all candidates, so that an
+// outdated stamp neither attracts nor repels calls. Source: docs/design/choosing.md.
 type ExpectedWait struct {
-	// StampHalfLife is the age at which what a stamp says of the service time has
-	// half its weight.
+	// StampHalfLife is the age of a stamp at which its service time has half its weight.
 	StampHalfLife time.Duration
 }
 
-// maxScanned is how many candidates are looked at for one call, from a random
-// place on. Subsets are smaller; in a larger set the cost of a choice stays flat.
+// maxScanned is the number of candidates that are compared for one call, starting at a
+// random one. It bounds the time of a decision in a large set; subsets are usually
+// smaller.
 const maxScanned = 32
 
-// loadPrior is what an old stamp tends to: the mean use of the candidates, and the
-// service time of the fastest.
+// loadPrior is the load that is assumed for a candidate without a recent stamp.
 type loadPrior struct {
+	// utilisation is the mean number of calls in flight per slot.
 	utilisation float64
+	// serviceTime is the service time of the fastest candidate, in nanoseconds.
 	serviceTime float64
-	// inverseServiceTime is 1 over service.
+	// inverseServiceTime is 1/serviceTime.
 	inverseServiceTime float64
 }
 
-// scan is what one decision reads of its candidates, once.
+// scan holds the loads of the candidates that one decision compares.
 type scan struct {
 	loads [maxScanned]tables.LoadSnapshot
-	// inverseLimit is 1 over the limit: divisions are what a choice costs most.
+	// inverseLimit is 1/Limit: divisions are the most expensive part of a decision.
 	inverseLimit [maxScanned]float64
-	indexes      [maxScanned]int
-	count        int
+	// indexes are the indexes of the candidates in Request.CandidateSet.
+	indexes [maxScanned]int
+	count   int
 }
 
 // Choose implements Policy.
@@ -65,7 +69,7 @@
 		return Pick{Index: NoCandidate}
 	}
 	prior := scanned.estimatePrior()
-	// One draw breaks the ties of all candidates: each gets its own bits of it.
+	// One random number breaks the ties between all candidates.
 	tieBits := uint64(rnd.IntN(math.MaxInt))
 	best, bestCost, bestRank := NoCandidate, 0.0, math.Inf(1)
 	secondCost := math.Inf(1)
@@ -85,15 +89,16 @@
 	return Pick{Index: scanned.indexes[best], MaxCost: maxCost(scanned.loads[best].RoundTrip, secondCost, prior.serviceTime)}
 }
 
-// tieBreak is a number from 0 up to 1 for a candidate (the multiplicative hash of
-// Knuth, whose high bits are well mixed).
+// tieBreak derives a number from 0 up to 1 for the n-th candidate from random bits, by
+// Knuth's multiplicative hashing, whose high bits are well mixed.
 func tieBreak(tieBits uint64, n int) float64 {
 	const factor = 0x9e3779b97f4a7c15
 	mixed := (tieBits ^ uint64(n)*factor) * factor
 	return float64(mixed>>40) / (1 << 24)
 }
 
-// collect looks at the untried candidates, from a random place on.
+// collect reads the loads of the candidates that are not excluded, starting at a random
+// one.
 func (s *scan) collect(req *Request, rnd Random) {
 	if len(req.CandidateSet) == 0 {
 		return
@@ -113,6 +118,7 @@
 	}
 }
 
+// add reads the load of the candidate with index i.
 func (s *scan) add(req *Request, i int) {
 	load := &s.loads[s.count]
 	req.CandidateSet[i].Load.SnapshotInto(req.Now, load)
@@ -121,6 +127,7 @@
 	s.count++
 }
 
+// estimatePrior derives the prior from the candidates that have sent a stamp.
 func (s *scan) estimatePrior() loadPrior {
 	var prior loadPrior
 	reporting := 0.0
@@ -131,8 +138,8 @@
 			continue
 		}
 		prior.utilisation += float64(load.InFlight) * s.inverseLimit[n]
-		// The fastest, not the mean: an old stamp of a server that was slow
-		// must not make the others look slow.
+		// The fastest, not the mean: an old stamp of a server that was slow must not
+		// make the others look slow.
 		if load.ServiceTime > 0 && (fastest == 0 || load.ServiceTime < fastest) {
 			fastest = load.ServiceTime
 		}
@@ -149,8 +156,8 @@
 	return prior
 }
 
-// Cost is the expected time of a call at candidate i, for operators who ask
-// why a call goes where.
+// Cost returns the expected time of a call at the candidate with index i, failure
+// penalty included. Operators see it when they ask why a call goes to a server.
 func (e *ExpectedWait) Cost(req *Request, i int) time.Duration {
 	var scanned scan
 	scanned.add(req, i)
@@ -160,8 +167,8 @@
 	return time.Duration(e.cost(req.Now, &scanned, 0, scanned.estimatePrior()))
 }
 
-// maxCost is what the next best candidate would cost, less the way to the
-// chosen one, which is spent by the time its gate reads this.
+// maxCost returns Pick.MaxCost: the cost of the second-best candidate, less the round
+// trip to the picked one, which its gate does not count.
 func maxCost(roundTrip time.Duration, secondCost, serviceTime float64) time.Duration {
 	if math.IsInf(secondCost, 1) {
 		return noMaxCost
@@ -169,7 +176,8 @@
 	return time.Duration(secondCost+maxCostSlack*serviceTime) - roundTrip
 }
 
-// cost is the expected time of a call at a candidate, in nanoseconds.
+// cost returns the expected time of a call at the n-th scanned candidate plus its
+// failure penalty, in nanoseconds.
 func (e *ExpectedWait) cost(now int64, scanned *scan, n int, prior loadPrior) float64 {
 	load := &scanned.loads[n]
 	age := float64(max(now-load.StampReceivedAt, 0))
@@ -177,10 +185,10 @@
 	inFlight := prior.utilisation * limit
 	serviceTime := prior.serviceTime
 	if load.StampReceivedAt != 0 {
-		// The calls at a gate change within a run: the count of a gate with
-		// free slots is correlated with itself as exp(-age/service).
+		// The calls at a gate change within one service time: with free slots, their
+		// number has an autocorrelation of exp(-age/serviceTime).
 		inFlight += decay(age*prior.inverseServiceTime) * (float64(load.InFlight) - inFlight)
-		// How fast a server is changes more seldom than its count of calls.
+		// The service time changes more slowly than the number of calls.
 		if load.ServiceTime != time.Duration(prior.serviceTime) {
 			serviceTime += decay(math.Ln2*age/float64(e.StampHalfLife)) * (float64(load.ServiceTime) - serviceTime)
 		}
@@ -196,12 +204,14 @@
 	return cost
 }
 
-// decay is near exp(-x), from its series; it costs a tenth of the exact one.
+// decay approximates exp(-x) by the reciprocal of the power series of exp(x), at a tenth
+// of the time.
 func decay(x float64) float64 { return 1 / (1 + x*(1+x*(1.0/2+x*(1.0/6)))) }
 
-// queueWait is the expected wait behind inFlight calls at a gate that runs limit of
-// them at once. Below the limit a little remains, growing with the fourth
-// power of the use: the count is uncertain, and the emptier gate is safer.
+// queueWait returns the expected wait at a gate that has inFlight calls and runs limit
+// of them at once. Below the limit it is small and grows with the fourth power of the
+// utilisation: the number of calls is uncertain, and the less loaded gate is the safer
+// choice.
 func queueWait(inFlight, limit, inverseLimit, serviceTime float64) float64 {
 	utilisation := inFlight * inverseLimit
 	squared := utilisation * utilisation
--- a/pkg/choose/hotcold.go
+++ b/pkg/choose/hotcold.go
@@ -3,24 +3,28 @@
 import "time"
 
 const (
-	// hotQuantile is the share of candidates that count as cold, by calls in
-	// flight. The value is the published paper's.
+	// hotQuantile is the quantile of utilisation above which a candidate is hot. The
+	// value is that of the Prequal paper.
 	hotQuantile = 0.84
-	// hotColdSampleSize is how many candidates are looked at for one call.
+	// hotColdSampleSize is the number of random candidates that are compared for one
+	// call.
 	hotColdSampleSize = 3
 )
 
-// HotCold follows the rule of the published Prequal paper over stamps instead
-// of probes: among a few random candidates, those with many calls in flight
-// are hot; of the cold ones the fastest is taken, and if all are hot the one
-// with the fewest calls in flight. Source: Wydrowski et al., "Load is not what
-// you should balance: Introducing Prequal", NSDI 2024.
+// HotCold applies the hot-cold rule of Prequal to stamps instead of probes. A candidate
+// with many calls in flight is hot. Of a few random candidates it picks the cold one
+// with the lowest latency or, if all are hot, the one with the fewest calls in flight
+// per slot. Source: Wydrowski et al., "Load is not what you should balance: Introducing
+// Prequal", NSDI 2024.
 type HotCold struct{}
 
+// hotColdLoad is the load of one candidate by which the hot-cold rule compares.
 type hotColdLoad struct {
-	index       int
+	index int
+	// utilisation is the number of calls in flight per slot.
 	utilisation float64
-	latency     time.Duration
+	// latency is the service time plus the round trip.
+	latency time.Duration
 }
 
 // Choose implements Policy.
@@ -49,6 +53,7 @@
 	}
 }
 
+// betterThan reports whether the rule prefers h to other.
 func (h hotColdLoad) betterThan(other hotColdLoad, threshold float64) bool {
 	hot, otherHot := h.utilisation > threshold, other.utilisation > threshold
 	switch {
@@ -60,8 +65,8 @@
 	return h.latency < other.latency
 }
 
-// hotThreshold estimates the quantile as a point between the least and the
-// most loaded candidate, which needs no sorting and no memory.
+// hotThreshold estimates hotQuantile by interpolating between the lowest and the highest
+// utilisation of the candidates, which needs no sorting.
 func hotThreshold(req *Request) float64 {
 	low, high := 0.0, 0.0
 	for i := range req.CandidateSet {
--- a/pkg/choose/idlehints.go
+++ b/pkg/choose/idlehints.go
@@ -1,9 +1,8 @@
 package choose
 
-// IdleHints sends a call to a candidate whose newest stamp showed an idle slot
-// that this entry has not used up since, the newest hint first. Without a hint
-// it falls back to the better of two by outstanding calls. It is the idea of
-// join-idle-queue over stamps.
+// IdleHints picks the candidate with the newest stamp among those that have an idle slot
+// left after the calls that this entry has sent since the stamp. If there is none, it
+// falls back to LeastOutstanding. It is join-idle-queue with stamps as the idle reports.
 type IdleHints struct{ fallback LeastOutstanding }
 
 // Choose implements Policy.
--- a/pkg/choose/new.go
+++ b/pkg/choose/new.go
@@ -6,12 +6,14 @@
 	"github.com/pkg/errors"
 )
 
-// Options are what a policy needs besides its name.
+// Options are the parameters of the policies.
 type Options struct {
+	// StampHalfLife is ExpectedWait.StampHalfLife.
 	StampHalfLife time.Duration
 }
 
-// New makes the policy of a name. The names stand in the settings.
+// New returns the policy with a name of the setting choosing.policy. It fails on any
+// other name.
 func New(name string, opts Options) (Policy, error) {
 	switch name {
 	case "random":
@@ -27,5 +29,5 @@
 	case "expected_wait":
 		return &ExpectedWait{StampHalfLife: opts.StampHalfLife}, nil
 	}
-	return nil, errors.Errorf("there is no policy %q", name)
+	return nil, errors.Errorf("unknown choosing policy %q", name)
 }
--- a/pkg/choose/refusal.go
+++ b/pkg/choose/refusal.go
@@ -8,14 +8,15 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// maxStampAge is the age up to which a stamp tells what its gate would answer now.
-// A neighbour's noise lasts some 300 ms and a run some 100 ms, so that most
-// gates still answer the same. Bytes for a refusal are saved, and a request that
-// finds all gates full is refused without having crossed the fleet.
+// maxStampAge is the age up to which a stamp (wire.Stamp, a gate's report of its load)
+// predicts what the gate would answer now. Noise from neighbouring VMs lasts some 300 ms
+// and a run some 100 ms, so most gates would still answer the same. Skipping a gate that
+// would refuse saves bytes, and a request that finds all gates full is refused without a
+// round trip.
 const maxStampAge = 60 * time.Millisecond
 
-// wouldRefuse is true when a fresh stamp shows that the gate would refuse the
-// request, by the rules of the gate itself.
+// wouldRefuse reports whether a recent stamp shows that the gate would refuse the
+// request. It applies the gate's own rules of admission.
 func (r *RoutedRequest) wouldRefuse(load *tables.LoadSnapshot, sameDataCentre bool) bool {
 	if load.StampReceivedAt == 0 || r.Now-load.StampReceivedAt > int64(maxStampAge) {
 		return false
@@ -31,6 +32,9 @@
 	return !acceptsLate
 }
 
+// wouldRefuseSoft is wouldRefuse for a soft attempt. A gate refuses it if its backend
+// server is slowed or its usable slots are taken. An attempt from the same data centre
+// may also take, or queue for, the slots beyond the usable ones.
 func (r *RoutedRequest) wouldRefuseSoft(load *tables.LoadSnapshot, sameDataCentre bool) bool {
 	if speed.FromPercent(load.Slowdown) > r.SoftSlowdown*max(speed.FromPercent(load.UsualSlowdown), 1) {
 		return true
@@ -42,13 +46,14 @@
 	return float64(load.InFlight+load.SentSinceStamp) >= maxInFlight
 }
 
-// expectedRunTime is how long a run would take at the gate of a stamp, in nanoseconds.
+// expectedRunTime returns the run time at the slowdown of the stamp, in nanoseconds.
 func (r *RoutedRequest) expectedRunTime(load *tables.LoadSnapshot) float64 {
 	return float64(r.Work) * max(speed.FromPercent(load.Slowdown), 1)
 }
 
-// neededTime is the time, in nanoseconds, that the request must have left at the gate of
-// a stamp to be admitted.
+// neededTime returns the time that the request must have left to be admitted by the
+// gate, in nanoseconds. Where no slot is free it includes the queueing time and a margin
+// for the spread of run times.
 func (r *RoutedRequest) neededTime(load *tables.LoadSnapshot) float64 {
 	queuedAhead := load.InFlight + load.SentSinceStamp - load.Limit + 1
 	if queuedAhead <= 0 {
--- a/pkg/choose/refusal_test.go
+++ b/pkg/choose/refusal_test.go
@@ -11,8 +11,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// TestPickRoutedSkipsGatesThatWouldRefuse: a refusal costs its bytes and a round
-// trip, so an entry that has just heard of a full gate does not ask it.
+// TestPickRoutedSkipsGatesThatWouldRefuse: a refusal costs its bytes and a round trip,
+// so an entry does not ask a gate whose recent stamp shows that it is full.
 func TestPickRoutedSkipsGatesThatWouldRefuse(t *testing.T) {
 	now := int64(time.Hour)
 	idle := wire.Stamp{Limit: 8, Slowdown: 100}
@@ -30,25 +30,25 @@
 		timeToDeadline time.Duration
 		skipped        bool
 	}{
-		{"idle, soft", idle, fresh, true, false, time.Second, 0, false},
-		{"slowed, soft", slowed, fresh, true, false, time.Second, 0, true},
-		{"slowed a while ago, soft", slowed, stale, true, false, time.Second, 0, false},
-		{"slowed, in earnest", slowed, fresh, false, false, time.Second, 0, false},
-		{"full, soft", full, fresh, true, false, time.Second, 0, true},
-		{"full, soft, where it may wait", full, fresh, true, true, time.Second, 0, false},
-		{"full, in earnest", full, fresh, false, false, time.Second, 0, false},
-		{"full a while ago, soft", full, stale, true, false, time.Second, 0, false},
-		{"would end too late", longQueue, fresh, false, false, 5 * work, 0, true},
-		{"would end in time", longQueue, fresh, false, false, 10 * work, 0, false},
-		{"no bound", longQueue, fresh, false, false, 0, 0, false},
-		{"a while ago it would have ended too late", longQueue, stale, false, false, 5 * work, 0, false},
-		{"its run alone is too long now", slowed, fresh, false, false, 4*work - 1, 0, true},
-		{"its run is expected just in time, where a slot is free", slowed, fresh, false, false, 4 * work, 0, false},
-		{"the same, where it would wait", wire.Stamp{Limit: 8, Running: 8, Slowdown: 400}, fresh, false, false, 5 * work, 0, true},
-		{"too long now, where slots are free and the deadline is far", slowed, fresh, false, false, 4*work - 1, 6 * work, false},
-		{"too long now, and the deadline would pass", slowed, fresh, false, false, 3 * work, 4 * work, true},
-		{"would end too late behind others", longQueue, fresh, false, false, 5 * work, time.Hour, true},
-		{"never heard of", wire.Stamp{}, 0, true, false, work, 0, false},
+		{"soft: idle", idle, fresh, true, false, time.Second, 0, false},
+		{"soft: slowed", slowed, fresh, true, false, time.Second, 0, true},
+		{"soft: slowed by an old stamp", slowed, stale, true, false, time.Second, 0, false},
+		{"not soft: slowed", slowed, fresh, false, false, time.Second, 0, false},
+		{"soft: full", full, fresh, true, false, time.Second, 0, true},
+		{"soft: full, in the same data centre, where it may queue", full, fresh, true, true, time.Second, 0, false},
+		{"not soft: full", full, fresh, false, false, time.Second, 0, false},
+		{"soft: full by an old stamp", full, stale, true, false, time.Second, 0, false},
+		{"queue too long for the target", longQueue, fresh, false, false, 5 * work, 0, true},
+		{"queue short enough for the target", longQueue, fresh, false, false, 10 * work, 0, false},
+		{"long queue without a target", longQueue, fresh, false, false, 0, 0, false},
+		{"queue too long by an old stamp", longQueue, stale, false, false, 5 * work, 0, false},
+		{"free slot: run longer than the target", slowed, fresh, false, false, 4*work - 1, 0, true},
+		{"free slot: run as long as the target", slowed, fresh, false, false, 4 * work, 0, false},
+		{"no free slot: run shorter than the target, but not by the margin", wire.Stamp{Limit: 8, Running: 8, Slowdown: 400}, fresh, false, false, 5 * work, 0, true},
+		{"free slots: run longer than the target, ends before the deadline", slowed, fresh, false, false, 4*work - 1, 6 * work, false},
+		{"free slots: run longer than the target, ends at the deadline", slowed, fresh, false, false, 3 * work, 4 * work, true},
+		{"queue too long for the target, deadline far", longQueue, fresh, false, false, 5 * work, time.Hour, true},
+		{"no stamp", wire.Stamp{}, 0, true, false, work, 0, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -13,77 +13,84 @@
 )
 
 const (
-	// slowdownHalfLife is the age at which what was said of a backend server's
-	// speed has half its weight. Neighbours' noise lasts some 300 ms.
+	// slowdownHalfLife is the age of a stamp at which its slowdown has half its weight.
+	// Noise from neighbouring VMs lasts some 300 ms.
 	slowdownHalfLife = 200 * time.Millisecond
-	// priorSlowdown is what an old word on the speed tends to, as a share of
-	// the usual work time: a quarter of the time fourfold.
+	// priorSlowdown is the slowdown that is assumed without a recent stamp (wire.Stamp,
+	// a gate's report of its load). It is the mean of a server whose runs take four
+	// times as long for a quarter of the time.
 	priorSlowdown = 1.75
-	// priorSoftSlowdown is what it tends to for a soft attempt: a slowed backend
-	// server refuses that at once, so what is risked is a round trip.
+	// priorSoftSlowdown is assumed for a soft attempt instead. A slowed backend server
+	// refuses it at once, so only a round trip is at risk.
 	priorSoftSlowdown = 1.1
-	// avoidUnresponsiveFor is how long a daemon that was found silent is avoided. Its link
-	// ends, or it is heard again, before that.
+	// avoidUnresponsiveFor is how long a daemon that was found unresponsive is avoided,
+	// and the cost that is added meanwhile. Before it is over, the daemon's link has
+	// closed or the daemon has answered.
 	avoidUnresponsiveFor = 2 * time.Second
-	// routedFailurePenalty is how many work times one certain failure counts as.
+	// routedFailurePenalty is the cost, as a multiple of RoutedRequest.Work, that is
+	// added for a server whose answers are all failures.
 	routedFailurePenalty = 6
 )
 
-// CrossingCosts are what crossing to each place costs, as a time; nothing for Near.
+// CrossingCosts are the costs of sending a request to each proximity, converted to time.
+// The same data centre costs nothing.
 type CrossingCosts [proximity.Count]time.Duration
 
-// RoutedRequest is one decision's input for a routed request.
+// RoutedRequest is the input of PickRouted: an HTTP request that is routed by host and
+// path.
 type RoutedRequest struct {
-	// Now is the time of the decision in nanoseconds of a steady clock.
+	// Now is the time of the decision in nanoseconds of a monotonic clock.
 	Now int64
-	// CandidateSet holds the candidates; it is not changed.
+	// CandidateSet holds the backend servers to choose from. PickRouted does not change
+	// it.
 	CandidateSet []tables.Candidate
-	// Excluded has a bit for each index of Set that may not be picked.
+	// Excluded holds the indexes in CandidateSet that must not be picked.
 	Excluded IndexSet
-	// Allowed says in which data centres the request may be handled; empty: anywhere.
+	// Allowed are the data centres that may handle the request; empty: all.
 	Allowed []string
-	// Evacuated are the data centres whose backend servers get nothing new.
+	// Evacuated are the data centres whose backend servers take no new requests.
 	Evacuated evacuation.Set
-	// Rollout is nil, or says which versions may run the requests of which lane, and
-	// Lane is the request's.
+	// Rollout says which versions may run the requests of which lane; nil: there is no
+	// roll-out. Lane is the request's lane.
 	Rollout *rollout.Traffic
 	Lane    rollout.Lane
-	// Location is where the entry stands, LeaveCost what crossing to each place costs.
+	// Location is that of the entry. CrossingCost is the cost of crossing from there.
 	Location     proximity.Location
 	CrossingCost CrossingCosts
-	// Soft is true for an attempt that a slowed backend server refuses at once.
+	// Soft marks an attempt that a gate refuses at once while its backend server is
+	// slowed or nearly full.
 	Soft bool
-	// SoftSlowdown is the slowdown, 1 for none, above which gates refuse soft
-	// attempts, and Use the share of the slots that they use.
+	// SoftSlowdown is the slowdown, as a factor, above which gates refuse soft attempts.
+	// UsableShare is the share of its slots that a gate uses.
 	SoftSlowdown float64
 	UsableShare  float64
 	// TimeToTarget is the time left in which the request must end to be worth its run;
 	// 0: no bound.
 	TimeToTarget time.Duration
-	// TimeToDeadline is the time to the request's deadline.
+	// TimeToDeadline is the time left until the request's deadline.
 	TimeToDeadline time.Duration
-	// Work is how long the request runs at a backend server that works as usual.
+	// Work is how long the request runs at a backend server of usual speed.
 	Work time.Duration
 }
 
-// RoutedPick is a decision for a routed request.
+// RoutedPick is the result of PickRouted.
 type RoutedPick struct {
-	// Index points into the set; None: no candidate is left.
+	// Index is the index of the picked candidate in CandidateSet, or NoCandidate.
 	Index int
-	// Proximity is how far the candidate is, Cost what it was expected to cost, as a time
-	// in nanoseconds, and Expected the part of that which is time, and no price.
+	// Proximity is how far the picked candidate is from the entry. Cost is the cost that
+	// PickRouted minimised, in nanoseconds: ExpectedTime, the crossing cost and a random
+	// tie-breaker.
 	Proximity    proximity.Level
 	Cost         float64
 	ExpectedTime float64
-	// PassedOver counts the candidates that were passed over because their gates
-	// have just shown that they would refuse the request.
+	// PassedOver counts the candidates that were skipped because a recent stamp shows
+	// that their gates would refuse the request.
 	PassedOver int
 }
 
-// PickRouted picks the candidate with the least expected time, where bytes that
-// leave the data centre are counted as time, too. Candidates whose gates would
-// refuse the request are passed over. Source: docs/design/platform.md, "The
-// first decisions".
+// PickRouted picks the candidate with the lowest cost: the expected time plus the cost
+// of crossing to its data centre. It skips candidates whose gates would refuse the
+// request. Source: docs/design/platform.md, "The first decisions".
 func PickRouted(req *RoutedRequest, rnd Random) RoutedPick {
 	pick := RoutedPick{Index: NoCandidate, Cost: math.Inf(1)}
 	for i := range req.CandidateSet {
@@ -107,6 +114,8 @@
 	return pick
 }
 
+// allows reports whether evacuations, a roll-out and the data centres in Allowed let the
+// endpoint handle the request.
 func (r *RoutedRequest) allows(endpoint *tables.Endpoint) bool {
 	dataCentre := endpoint.DataCentre
 	if r.Evacuated.Has(dataCentre) {
@@ -118,7 +127,9 @@
 	return routing.AllowsDataCentre(r.Allowed, dataCentre)
 }
 
-// expectedTime is the expected time of the request at a candidate, in nanoseconds.
+// expectedTime returns the expected time of the request at a candidate, in nanoseconds:
+// the wait, the run and the round trip, plus penalties for a server that fails or does
+// not answer.
 func (r *RoutedRequest) expectedTime(load *tables.LoadSnapshot) float64 {
 	limit := float64(load.Limit)
 	inFlight := float64(load.Outstanding)
--- a/pkg/choose/routed_bench_test.go
+++ b/pkg/choose/routed_bench_test.go
@@ -10,8 +10,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// BenchmarkPickRouted chooses among as many candidates as a subset has, with and
-// without an evacuated data centre.
+// BenchmarkPickRouted picks among as many candidates as a subset has, with and without
+// an evacuated data centre.
 func BenchmarkPickRouted(b *testing.B) {
 	now := int64(time.Hour)
 	var subset []tables.Candidate
--- a/pkg/choose/routed_test.go
+++ b/pkg/choose/routed_test.go
@@ -15,6 +15,8 @@
 
 const work = 100 * time.Millisecond
 
+// newCandidate returns a candidate with a stamp of the given age, or without a stamp if
+// the stamp has no limit.
 func newCandidate(dataCentre string, stamp wire.Stamp, age time.Duration, now int64) tables.Candidate {
 	load := tables.NewLoad(10)
 	stamp.Seq = 1
@@ -32,11 +34,11 @@
 		candidates []tables.Candidate
 		wantIndex  int
 	}{
-		{"the own data centre where all are alike", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", idle, 0, now)}, 1},
-		{"another one while the own is slowed", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", slow, 0, now)}, 0},
-		{"the own one when its slowness is long ago", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", slow, 2*time.Second, now)}, 1},
-		{"another one while the own is full", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", full, 0, now)}, 0},
-		{"nobody", nil, NoCandidate},
+		{"equal loads: the same data centre", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", idle, 0, now)}, 1},
+		{"same data centre slowed: the other one", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", slow, 0, now)}, 0},
+		{"same data centre slowed by an old stamp: the same data centre", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", slow, 2*time.Second, now)}, 1},
+		{"same data centre full: the other one", []tables.Candidate{newCandidate("there", idle, 0, now), newCandidate("here", full, 0, now)}, 0},
+		{"no candidate", nil, NoCandidate},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -48,8 +50,8 @@
 	}
 }
 
-// TestCrossingCostDependsOnProximity: three backend servers that differ in how full
-// they are, and in place only.
+// TestCrossingCostDependsOnProximity compares three backend servers that differ only in
+// their proximity and in the number of running requests.
 func TestCrossingCostDependsOnProximity(t *testing.T) {
 	now := int64(time.Hour)
 	server := func(dataCentre, region string, running uint32) tables.Candidate {
@@ -62,10 +64,10 @@
 		sameDataCentre, sameRegion, otherRegion uint32
 		wantIndex                               int
 	}{
-		{"all idle: near", 0, 0, 0, 0},
-		{"near fuller than the cheap crossing is worth", 15, 0, 0, 1},
-		{"near fuller, the region too", 15, 15, 0, 0},
-		{"both fuller than the dear crossing is worth", 35, 35, 0, 2},
+		{"all idle: the same data centre", 0, 0, 0, 0},
+		{"same data centre busier than the cheap crossing costs: the region", 15, 0, 0, 1},
+		{"region as busy: the same data centre", 15, 15, 0, 0},
+		{"both busier than the expensive crossing costs: the other region", 35, 35, 0, 2},
 	} {
 		req := &RoutedRequest{
 			Now: now, CandidateSet: []tables.Candidate{server("a", "r", s.sameDataCentre), server("b", "r", s.sameRegion), server("c", "x", s.otherRegion)},
--- a/pkg/choose/simple.go
+++ b/pkg/choose/simple.go
@@ -6,10 +6,11 @@
 	"time"
 )
 
-// noMaxCost is the MaxCost of policies that have no estimate.
+// noMaxCost is the MaxCost of a pick without an upper bound: the policy estimates no
+// times, or there is no second candidate.
 const noMaxCost = time.Duration(math.MaxInt64)
 
-// RandomPolicy picks any candidate with the same chance.
+// RandomPolicy picks each candidate with the same probability.
 type RandomPolicy struct{}
 
 // Choose implements Policy.
@@ -21,7 +22,7 @@
 	return Pick{Index: nthAllowed(req, rnd.IntN(n)), MaxCost: noMaxCost}
 }
 
-// RoundRobin picks one after the other.
+// RoundRobin picks the candidates in turn.
 type RoundRobin struct{ next atomic.Uint64 }
 
 // Choose implements Policy.
@@ -34,8 +35,8 @@
 	return Pick{Index: nthAllowed(req, int(turn)), MaxCost: noMaxCost}
 }
 
-// LeastOutstanding takes the better of two random candidates by this entry's
-// own outstanding calls. It needs no report at all.
+// LeastOutstanding takes two random candidates and picks the one to which this entry has
+// fewer outstanding calls (power of two choices). It needs no stamps.
 type LeastOutstanding struct{}
 
 // Choose implements Policy.
@@ -50,7 +51,8 @@
 	return Pick{Index: a, MaxCost: noMaxCost}
 }
 
-// twoRandom returns two different untried candidates, or None where there is none.
+// twoRandom returns the indexes of two different random candidates that are not
+// excluded, with NoCandidate for each that is missing.
 func twoRandom(req *Request, rnd Random) (first, second int) {
 	n := countAllowed(req)
 	switch n {
