--- a/pkg/tables/inbox.go
+++ b/pkg/tables/inbox.go
@@ -11,108 +11,119 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Inbox takes what happened outside the tick: links, news of peers, answers of
-// the platform. Systems take it over at their next run.
+// Inbox collects what happens between two ticks: events of links, frames from peers,
+// results of calls to the platform. The systems take its content at the next tick. It is
+// safe for concurrent use.
 type Inbox struct {
 	mu   sync.Mutex
 	mail Mail
 	wake chan struct{}
 }
 
-// Mail is what an Inbox held.
+// Mail is the content of an Inbox.
 type Mail struct {
-	// VMList is the newest list of the platform; nil when none came.
+	// VMList is the newest list of VMs read from the platform; nil: none was read.
 	VMList *VMList
-	// Members are rows that peers sent, Asks what they asked for.
+	// Members are the records of members that peers sent, MembersAsks the requests of
+	// peers for such records.
 	Members     []PeerMembers
 	MembersAsks []PeerMembersAsk
-	// LinkEvents are links that came up or ended.
+	// LinkEvents are the links that came up or ended.
 	LinkEvents []LinkEvent
-	// PeerStates are states of peers, oldest first.
+	// PeerStates are the states of peers, oldest first.
 	PeerStates []PeerState
-	// Pulls are requests of peers for the placement.
+	// Pulls are the requests of peers for the placement.
 	Pulls []PeerPull
-	// Updates are placements that peers sent.
+	// Updates are the placements that peers sent.
 	Updates []PeerUpdate
-	// Placements are versions that were read from the store.
+	// Placements are the placements that were read from the store.
 	Placements []ReceivedPlacement
-	// StoreReadAt is when the head was last read by this daemon; 0: not since.
+	// StoreReadAt is when this daemon last read the store, in nanoseconds of its clock;
+	// 0: not since the last tick.
 	StoreReadAt int64
-	// Head is the newest head read; Version 0 when there was none.
+	// Head is the newest head of the placement that was read; its Version is 0 if the
+	// store has none.
 	Head placement.Head
-	// HeadKnown is true when the store answered, even if it was empty.
+	// HeadKnown is true if the head was read, even if the store has none.
 	HeadKnown bool
-	// Evacuation is the newest set of evacuated data centres that this daemon read
-	// in the store; nil: it read none.
+	// Evacuation is the newest set of evacuated data centres that was read from the
+	// store; nil: none was read.
 	Evacuation *evacuation.Set
-	// RolloutOrders is the newest set of orders for roll-outs that this daemon read in the
-	// store; nil: it read none. RolloutNews and RolloutReports came from peers.
+	// RolloutOrders is the newest set of orders for roll-outs that was read from the
+	// store; nil: none was read. RolloutNews and RolloutReports came from peers.
 	RolloutOrders  *rollout.Orders
 	RolloutNews    []PeerRollouts
 	RolloutReports []rollout.Report
-	// RolloutPlanResults are calls to the store about plans that have ended.
+	// RolloutPlanResults are the results of reads and writes of roll-out plans in the
+	// store.
 	RolloutPlanResults []RolloutPlanResult
-	// RequestedServices are services that a call asked for and that have no view yet.
+	// RequestedServices are the services that a call asked for and that have no view
+	// yet.
 	RequestedServices []string
-	// LocalDepartures are processes of backend servers that said here that they leave.
+	// LocalDepartures are the processes of this VM's backend server that have announced
+	// that they leave.
 	LocalDepartures []string
-	// PeerDepartures are those that peers told of.
+	// PeerDepartures are the departures of backend servers that peers reported.
 	PeerDepartures []PeerDepartures
-	// PeerQuarantines are what peers told of requests that end backend servers.
+	// PeerQuarantines are the requests that crash backend servers, as peers reported
+	// them.
 	PeerQuarantines []PeerQuarantine
-	// StoreRestored is true when the store has come back from an older copy.
+	// StoreRestored is true if the store was restored from an older copy.
 	StoreRestored bool
-	// Queries are questions about the tables, asked by operators.
+	// Queries are functions that read the tables for operators.
 	Queries []func(*World)
-	// Leave is true when this daemon was told to leave.
+	// Leave is true if this daemon was told to leave.
 	Leave bool
 }
 
-// KeepNewestOrders notes a set of orders that was read in the store, unless a newer one was
-// noted already: two that read it may end in any order.
+// KeepNewestOrders sets RolloutOrders, unless it holds a newer set: two concurrent reads
+// may end in any order.
 func (m *Mail) KeepNewestOrders(orders rollout.Orders) {
 	if m.RolloutOrders == nil || orders.Revision > m.RolloutOrders.Revision {
 		m.RolloutOrders = &orders
 	}
 }
 
-// VMList is the platform's list of one data centre, or of all of them.
+// VMList is the platform's list of the VMs of one data centre, or of all if DataCentre
+// is empty.
 type VMList struct {
 	DataCentre string
 	VMs        []store.VM
 }
 
-// PeerMembers are rows of the table of members that a peer sent.
+// PeerMembers are records of members that a peer sent.
 type PeerMembers struct {
 	Peer *link.Peer
 	Rows []wire.Member
 }
 
-// PeerMembersAsk is a peer's question in what the two tables of members differ.
+// PeerMembersAsk is a peer's request for the records in which its table of members
+// differs. Buckets are its bucket digests.
 type PeerMembersAsk struct {
 	Peer    *link.Peer
 	Buckets []uint32
 }
 
-// LinkEvent is the beginning or end of a link. Client is set for links that
-// this daemon opened as an entry.
+// LinkEvent reports that a link came up or ended, or that opening it failed. Peer is nil
+// if opening failed. Client is set for links that this daemon opened.
 type LinkEvent struct {
 	Peer   *link.Peer
 	Client *link.Client
-	// Endpoint is the route that the link was opened for.
+	// Endpoint is the one that the link was opened for; nil for links that peers opened.
 	Endpoint *Endpoint
-	Up       bool
-	Cause    error
+	// Up is false if the link ended or could not be opened; Cause is why.
+	Up    bool
+	Cause error
 }
 
-// PeerState is a state that a peer sent, and when it came.
+// PeerState is a state frame of a peer. At is when it was received, in nanoseconds.
 type PeerState struct {
 	Peer  *link.Peer
 	State *wire.State
 	At    int64
 }
 
-// PeerPull is a request of a peer for the placement.
+// PeerPull is a peer's request for placement versions above Have.
 type PeerPull struct {
 	Peer *link.Peer
 	Have uint64
@@ -124,55 +135,58 @@
 	Update *wire.Update
 }
 
-// PeerDepartures are departures that a peer told of.
+// PeerDepartures are departures of backend servers that a peer reported, or that were
+// read from the store if Peer is nil.
 type PeerDepartures struct {
 	Peer  *link.Peer
 	Frame *wire.Departures
 }
 
-// PeerQuarantine is what a peer, or the store where Peer is nil, told of requests that
-// end backend servers.
+// PeerQuarantine holds requests that crash backend servers, as a peer reported them, or
+// as read from the store if Peer is nil.
 type PeerQuarantine struct {
 	Peer  *link.Peer
 	Frame *wire.Quarantine
 }
 
-// PeerRollouts is what a peer told of roll-outs.
+// PeerRollouts is what a peer reported about roll-outs.
 type PeerRollouts struct {
 	Peer *link.Peer
 	News rollout.News
 }
 
-// RolloutPlanResult is how a call to the store about the plan of a service ended.
+// RolloutPlanResult is the result of a read or write of a service's roll-out plan in the
+// store.
 type RolloutPlanResult struct {
 	Service string
 	// IsWrite is true for a write, false for a read.
 	IsWrite bool
 	Stored  rollout.Stored
 	Err     error
-	// Began is when the call began, in nanoseconds of the daemon's clock.
+	// Began is when the call to the store began, in nanoseconds of the daemon's clock.
 	Began int64
 }
 
-// ReceivedPlacement is a placement document with its digest, and the changes that led
-// to it where they are known.
+// ReceivedPlacement is a placement document with its digest. Entries are the changes
+// that led to it, if they are known.
 type ReceivedPlacement struct {
 	Document *placement.Document
 	Hash     string
 	Entries  []placement.LogEntry
-	// FromStore is true for a version that the store gave, false for a peer's.
+	// FromStore is true for a document from the store, false for one from a peer.
 	FromStore bool
-	// Peer is set for a peer's.
+	// Peer is the peer that sent the document; nil if it came from the store.
 	Peer *link.Peer
 }
 
-// NewInbox makes an empty inbox.
+// NewInbox returns an empty inbox.
 func NewInbox() *Inbox { return &Inbox{wake: make(chan struct{}, 1)} }
 
-// Wake is readable when something came that should not wait for the next tick.
+// Wake returns a channel that is readable once something urgent was posted.
 func (i *Inbox) Wake() <-chan struct{} { return i.wake }
 
-// Post changes the mail. urgent wakes the systems at once.
+// Post calls change with the mail. urgent makes the systems run at once instead of at
+// the next tick.
 func (i *Inbox) Post(urgent bool, change func(*Mail)) {
 	i.mu.Lock()
 	change(&i.mail)
@@ -186,8 +200,8 @@
 	}
 }
 
-// RunQuery runs a question between two ticks and waits for it; false when the
-// systems did not come to it before the channel closed.
+// RunQuery runs a query in the goroutine that ticks and waits for its end. It returns
+// false if done was closed before; the query may still run afterwards.
 func (i *Inbox) RunQuery(done <-chan struct{}, query func(*World)) bool {
 	answered := make(chan struct{})
 	i.Post(true, func(m *Mail) {
--- a/pkg/tables/load.go
+++ b/pkg/tables/load.go
@@ -1,6 +1,7 @@
-// Package tables holds the entities that the systems work on: members (VMs and
-// their backend servers), data centres, placements, and what is known of each
-// backend server's load. Source: docs/DESIGN.md, "Tables and systems".
+// Package tables holds the state that the systems of a daemon (package systems) read and
+// change at each tick: the members (VMs with their daemons and backend servers), the
+// links to other daemons, the placement in force and the load of each backend server.
+// Source: docs/DESIGN.md, "Tables and systems".
 package tables
 
 import (
@@ -10,18 +11,18 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// failureWeightShift sets the weight of one answer in the failure share: 1/8.
+// failureWeightShift gives the newest answer a weight of 1/8 in the failure share.
 const failureWeightShift = 3
 
-// failureShareOne is the fixed-point form of a failure share of 1.
+// failureShareOne is a failure share of 1 as a fixed-point number.
 const failureShareOne = 1 << 16
 
-// Load is what this entry knows of one backend server's load. The hot path
-// updates it with atomics and waits for no tick. It is one struct a row rather
-// than a column a field: choosing reads all fields of a few rows, so a row in
-// one cache line costs one miss.
+// Load is the load of one backend server as this entry knows it. Requests update it by
+// atomic operations at once, without waiting for a tick. Its values are fields of one
+// struct, not columns of a table: a decision reads all values of a few servers, and
+// values that lie together cost fewer cache misses.
 type Load struct {
-	// incarnation is that of the daemon that the row is about.
+	// incarnation numbers the daemon process that the load belongs to.
 	incarnation     atomic.Uint64
 	stampSeq        atomic.Uint64
 	stampReceivedAt atomic.Int64
@@ -35,18 +36,21 @@
 	roundTrip       atomic.Int64
 	slowdown        atomic.Int64
 	usualSlowdown   atomic.Int64
-	// unresponsiveAt is when the daemon was found silent; 0: it was heard since.
+	// unresponsiveAt is when the daemon was found unresponsive; 0: it has sent a stamp
+	// since.
 	unresponsiveAt atomic.Int64
 }
 
-// NewLoad makes the row of a backend server that has not been heard of.
+// NewLoad returns the load of a backend server that has sent no stamp yet. slots is its
+// concurrency limit until then.
 func NewLoad(slots int) *Load {
 	l := &Load{}
 	l.limit.Store(int64(max(slots, 1)))
 	return l
 }
 
-// RecordSent notes a call on its way to the backend server. now is in nanoseconds.
+// RecordSent counts a call that is sent to the backend server. now is in nanoseconds of
+// the daemon's clock, here and in the other methods.
 func (l *Load) RecordSent(now int64) {
 	if l.outstanding.Add(1) == 1 {
 		l.noAnswerSince.Store(now)
@@ -54,27 +58,30 @@
 	l.sentSinceStamp.Add(1)
 }
 
-// RecordEnded notes that a call is no longer outstanding, whatever came of it.
+// RecordEnded counts a call as no longer outstanding, however it ended.
 func (l *Load) RecordEnded(now int64) {
 	l.outstanding.Add(-1)
 	l.noAnswerSince.Store(now)
 }
 
-// MarkUnresponsive notes that the daemon gives no sign of life.
+// MarkUnresponsive records that the daemon shows no sign of life while a call waits for
+// it.
 func (l *Load) MarkUnresponsive(now int64) { l.unresponsiveAt.Store(now) }
 
-// RecordAnswer notes how a call that the backend server answered ended.
+// RecordAnswer updates the failure share with the result of a call.
 func (l *Load) RecordAnswer(failed bool) {
 	old := l.failureShare.Load()
 	target := int64(0)
 	if failed {
 		target = failureShareOne
 	}
-	// A lost update of two racing answers costs an eighth of one answer.
+	// Two answers that race may lose one update, which shifts the share by an eighth at
+	// most.
 	l.failureShare.Store(old + (target-old)>>failureWeightShift)
 }
 
-// ApplyStamp takes a stamp over, unless a newer one is known.
+// ApplyStamp takes over the load in a stamp (wire.Stamp, a gate's report of its load),
+// unless a newer stamp was applied.
 func (l *Load) ApplyStamp(now int64, stamp wire.Stamp) {
 	for {
 		newest := l.stampSeq.Load()
@@ -95,16 +102,17 @@
 	l.sentSinceStamp.Store(0)
 }
 
-// BeginIncarnation notes which process of the daemon a new link leads to. What was known of
-// another one is forgotten: its stamps are numbered anew, and those of the old
-// one would keep them out.
+// BeginIncarnation records which process of the daemon a new link leads to, and resets
+// the load if it is another process than before. Each process numbers its stamps anew,
+// so the old process's numbers would keep them out.
 func (l *Load) BeginIncarnation(incarnation uint64, slots int) {
 	if l.incarnation.Swap(incarnation) != incarnation {
 		l.Reset(slots)
 	}
 }
 
-// Reset forgets what was known, for a new incarnation at the same address.
+// Reset forgets the stamps and answers of a former daemon process. Outstanding calls
+// stay counted.
 func (l *Load) Reset(slots int) {
 	l.stampSeq.Store(0)
 	l.stampReceivedAt.Store(0)
@@ -118,45 +126,47 @@
 	l.limit.Store(int64(max(slots, 1)))
 }
 
-// LoadSnapshot is a consistent enough reading of a Load: each field by itself is
-// right, and two fields may be some nanoseconds apart.
+// LoadSnapshot is a copy of a Load. Each field is read atomically, but an update may
+// fall between the reads of two fields.
 type LoadSnapshot struct {
-	// StampReceivedAt is when the stamp was received; 0: never.
+	// StampReceivedAt is when the newest stamp was received, in nanoseconds; 0: never.
 	StampReceivedAt int64
-	// InFlight counts calls at the gate in the stamp, running and queued.
+	// InFlight counts the calls at the gate, running and queued, by the newest stamp.
 	InFlight int64
 	// Limit is how many calls the gate runs at once.
 	Limit int64
 	// ServiceTime is the estimated time of one run; 0: not known.
 	ServiceTime time.Duration
-	// Outstanding counts this entry's own calls without an answer.
+	// Outstanding counts this entry's calls that have not ended.
 	Outstanding int64
-	// SentSinceStamp counts this entry's own calls sent after the stamp arrived.
+	// SentSinceStamp counts the calls that this entry has sent since the newest stamp
+	// arrived.
 	SentSinceStamp int64
-	// NoAnswerFor is how long calls have been outstanding without any answer.
+	// NoAnswerFor is how long outstanding calls have waited since the last call ended;
+	// 0: none is outstanding.
 	NoAnswerFor time.Duration
-	// RoundTrip is the time of a round trip to the daemon.
+	// RoundTrip is the network round-trip time to the daemon.
 	RoundTrip time.Duration
-	// Slowdown is how long work takes there, in percent of what is usual; 0: not
-	// known.
+	// Slowdown is the current run time in percent of the usual one; 0: not known.
 	Slowdown int64
-	// UsualSlowdown is the slowdown there outside of slow spells, in percent; 0: none.
+	// UsualSlowdown is the slowdown outside of slow spells, in percent; 0: 100 percent.
 	UsualSlowdown int64
-	// UnresponsiveFor is how long ago the daemon was found silent; 0: it was not, or
-	// was heard since.
+	// UnresponsiveFor is how long ago the daemon was found unresponsive; 0: it was not,
+	// or has sent a stamp since.
 	UnresponsiveFor time.Duration
-	// FailureShare is the weighted share of recent answers that were failures.
+	// FailureShare is the share of failures among recent answers, from 0 to 1; newer
+	// answers have more weight.
 	FailureShare float64
 }
 
-// Snapshot reads the row at time now.
+// Snapshot returns the load at time now.
 func (l *Load) Snapshot(now int64) LoadSnapshot {
 	var out LoadSnapshot
 	l.SnapshotInto(now, &out)
 	return out
 }
 
-// SnapshotInto reads the row at time now into out, in place: choosing does it for each
+// SnapshotInto writes the load at time now to out, without a copy: a decision reads each
 // candidate of each call.
 func (l *Load) SnapshotInto(now int64, out *LoadSnapshot) {
 	out.StampReceivedAt = l.stampReceivedAt.Load()
@@ -182,15 +192,15 @@
 	}
 }
 
-// Outstanding counts this entry's own calls without an answer.
+// Outstanding returns how many of this entry's calls have not ended.
 func (l *Load) Outstanding() int64 { return l.outstanding.Load() }
 
-// StampReceivedAt is when the newest stamp was received; 0: never.
+// StampReceivedAt returns when the newest stamp was received, in nanoseconds; 0: never.
 func (l *Load) StampReceivedAt() int64 { return l.stampReceivedAt.Load() }
 
-// SetRoundTrip notes the time of a round trip to the daemon.
+// SetRoundTrip sets the network round-trip time to the daemon.
 func (l *Load) SetRoundTrip(d time.Duration) { l.roundTrip.Store(int64(d)) }
 
-// RoundTrip is the time of a round trip to the daemon; 0 for this daemon itself
-// and while it is not known.
+// RoundTrip returns the network round-trip time to the daemon; 0: it is this daemon, or
+// not known.
 func (l *Load) RoundTrip() time.Duration { return time.Duration(l.roundTrip.Load()) }
--- a/pkg/tables/members.go
+++ b/pkg/tables/members.go
@@ -11,10 +11,12 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Endpoint is what the hot path needs of a member that guards a backend server.
-// A row keeps its Route as long as the VM is known.
+// Endpoint is how requests reach a member: the addresses of its daemon, the link to it
+// and the load of its backend server. It stays the same until the VM is removed or
+// replaced.
 type Endpoint struct {
-	// VM, Service, DataCentre and the addresses never change.
+	// VM, Service, DataCentre, Region and the addresses never change. LinkAddress takes
+	// links from other daemons, CallerAddress takes callers' HTTP requests.
 	VM            string
 	Service       string
 	DataCentre    string
@@ -22,12 +24,13 @@
 	LinkAddress   string
 	CallerAddress string
 	Load          *Load
-	runner        atomic.Pointer[call.Runner]
-	// version is the one of the backend server now: another one may take its place.
+	// runner sends calls over the link to the daemon; nil without a link.
+	runner atomic.Pointer[call.Runner]
+	// version is the version of the backend server, which another version may replace.
 	version atomic.Pointer[string]
 }
 
-// Version is the version that the backend server has said; empty: not known.
+// Version returns the version that the backend server has reported; empty: not known.
 func (e *Endpoint) Version() string {
 	if v := e.version.Load(); v != nil {
 		return *v
@@ -35,10 +38,10 @@
 	return ""
 }
 
-// SetVersion notes the version that the backend server has said.
+// SetVersion sets the version that the backend server has reported.
 func (e *Endpoint) SetVersion(version string) { e.version.Store(&version) }
 
-// SetRunner says who runs calls of this route; nil when there is no link.
+// SetRunner sets what runs the calls to this endpoint; nil: there is no link.
 func (e *Endpoint) SetRunner(r call.Runner) {
 	if r == nil {
 		e.runner.Store(nil)
@@ -47,7 +50,7 @@
 	e.runner.Store(&r)
 }
 
-// Runner returns who runs calls of this route, or nil.
+// Runner returns what runs the calls to this endpoint, or nil without a link.
 func (e *Endpoint) Runner() call.Runner {
 	if r := e.runner.Load(); r != nil {
 		return *r
@@ -55,22 +58,24 @@
 	return nil
 }
 
-// bucketCount divide the members for comparing two tables: a difference costs the
-// rows of its bucket, not the table.
+// bucketCount is the number of buckets that members are divided into for comparing two
+// tables: a difference costs the transfer of the rows of one bucket, not of the whole
+// table.
 const bucketCount = 256
 
-// tombstoneTTL is how long a VM that is gone is remembered, so that a peer
-// with old news does not bring it back. In nanoseconds.
+// tombstoneTTL is how long a removed VM is remembered, in nanoseconds, so that an
+// outdated record of a peer does not add it again.
 const tombstoneTTL = 15 * 60 * 1e9
 
-// Members is the table of VMs, one row each, columns by row number. Rows of
-// VMs that are gone are used again.
+// Members is the table of VMs: each exported slice is a column, indexed by row number.
+// Rows of removed VMs are used again.
 type Members struct {
+	// Record is the newest record of each VM.
 	Record   []wire.Member
 	Endpoint []*Endpoint
-	// Listed is true for a member that the platform's list has shown to this
-	// daemon; Missing counts the reads since that did not. Since is when the
-	// row was made.
+	// Listed is true for a member that this daemon has seen in the platform's list of
+	// VMs. MissedReads counts the reads of the list since then in which it was missing.
+	// AddedAt is when the row was added, in nanoseconds.
 	Listed      []bool
 	MissedReads []int
 	AddedAt     []int64
@@ -79,33 +84,36 @@
 	freeRows  []int
 	byID      map[string]int
 	byService map[string]map[int]struct{}
-	// serviceChangeCounts grows with each change of a service's rows.
+	// serviceChangeCounts counts the changes to the rows of each service.
 	serviceChangeCounts map[string]uint64
 	// countByDataCentre counts the rows of each data centre.
 	countByDataCentre map[string]int
-	// countByRegion counts the rows of each region that is known.
+	// countByRegion counts the rows of each region; the empty name stands for an unknown
+	// one.
 	countByRegion map[string]int
-	tombstones    map[string]tombstone
-	digests       [bucketCount]uint32
-	changeCount   uint64
-	// pendingChanges are rows that changed and were not passed on yet.
+	// tombstones are the removed VMs, by name.
+	tombstones map[string]tombstone
+	// digests holds the exclusive or of the records of each bucket.
+	digests     [bucketCount]uint32
+	changeCount uint64
+	// pendingChanges are the changes that TakeChanges has not returned yet.
 	pendingChanges []MemberChange
 }
 
-// MemberChange is a row that changed here, and the link that it came over; nil when
-// this daemon learnt it in another way.
+// MemberChange is a record that changed the table. From is the link that it was received
+// over, or nil if it came another way.
 type MemberChange struct {
 	Record wire.Member
 	From   *link.Peer
 }
 
-// tombstone remembers a VM that is gone.
+// tombstone is the last record of a removed VM.
 type tombstone struct {
 	record    wire.Member
 	removedAt int64
 }
 
-// NewMembers makes an empty table.
+// NewMembers returns an empty table.
 func NewMembers() *Members {
 	return &Members{
 		byID: map[string]int{}, byService: map[string]map[int]struct{}{},
@@ -113,23 +121,24 @@
 	}
 }
 
-// Len counts the rows in use.
+// Len returns the number of rows in use.
 func (m *Members) Len() int { return len(m.byID) }
 
-// ChangeCount grows with each change of the table, so that a system can see
-// cheaply that there was none.
+// ChangeCount returns the number of changes to the table so far. Systems compare it with
+// an earlier value to see cheaply whether the table has changed.
 func (m *Members) ChangeCount() uint64 { return m.changeCount }
 
-// ServiceChangeCount grows with each change of a row of a service.
+// ServiceChangeCount returns the number of changes to the rows of a service so far.
 func (m *Members) ServiceChangeCount(name string) uint64 { return m.serviceChangeCounts[name] }
 
-// CountInDataCentre counts the members of a data centre.
+// CountInDataCentre returns the number of members in a data centre.
 func (m *Members) CountInDataCentre(name string) int { return m.countByDataCentre[name] }
 
-// RegionCount counts the regions that members stand in; one that is not known is one.
+// RegionCount returns the number of regions that have members. All members of an unknown
+// region count as one region.
 func (m *Members) RegionCount() int { return len(m.countByRegion) }
 
-// VMsByService counts the VMs beside each service.
+// VMsByService returns the number of VMs of each service that has any.
 func (m *Members) VMsByService() map[string]int {
 	out := make(map[string]int, len(m.byService))
 	for service, rows := range m.byService {
@@ -140,13 +149,13 @@
 	return out
 }
 
-// Find returns the row number of a VM; ok is false when it is not known.
+// Find returns the row number of a VM; ok is false if the table does not contain it.
 func (m *Members) Find(id string) (row int, ok bool) {
 	row, ok = m.byID[id]
 	return row, ok
 }
 
-// Leaving is true for a member that takes no new calls.
+// Leaving reports whether a member takes no new calls.
 func (m *Members) Leaving(row int) bool { return m.Record[row].State == wire.MemberLeaving }
 
 // EachRow calls do for each row in use, in no particular order.
@@ -158,14 +167,15 @@
 	}
 }
 
-// EachRowOfService calls do for each member of a service.
+// EachRowOfService calls do for each row of a service, in no particular order.
 func (m *Members) EachRowOfService(name string, do func(row int)) {
 	for row := range m.byService[name] {
 		do(row)
 	}
 }
 
-// supersededBy is true when what b says of a VM goes before what a says.
+// supersededBy reports whether update is newer than held, where both are records of one
+// VM.
 func supersededBy(held, update *wire.Member) bool {
 	switch {
 	case held.Started != update.Started:
@@ -177,20 +187,20 @@
 	case held.Revision != update.Revision:
 		return update.Revision > held.Revision
 	}
-	// Two lists that differ in addresses only: any rule will do that all
+	// The two differ in other fields, such as an address. Any order will do that all
 	// daemons share.
 	return *held != *update && digest(update) > digest(held)
 }
 
-// Tombstone returns what is remembered of a VM that is gone.
+// Tombstone returns the last record of a removed VM, and false if there is none.
 func (m *Members) Tombstone(id string) (wire.Member, bool) {
 	removed, ok := m.tombstones[id]
 	return removed.record, ok
 }
 
-// Merge takes what somebody says of a VM over, when it is newer than what is
-// known. It returns the route that this ended, if any, and whether anything
-// changed. now is in nanoseconds; from is the link that it came over, or nil.
+// Merge applies a record of a VM if it is newer than the one held. It returns the
+// endpoint that the record removed, or nil, and whether the table changed. now is in
+// nanoseconds; from is the link that the record was received over, or nil.
 func (m *Members) Merge(now int64, from *link.Peer, update wire.Member) (removed *Endpoint, changed bool) {
 	removed, changed = m.merge(now, update)
 	if changed {
@@ -199,13 +209,14 @@
 	return removed, changed
 }
 
-// TakeChanges returns the rows to pass on, and forgets them.
+// TakeChanges returns the changes since its last call, to be passed on to peers.
 func (m *Members) TakeChanges() []MemberChange {
 	out := m.pendingChanges
 	m.pendingChanges = nil
 	return out
 }
 
+// merge is Merge without the note of a pending change.
 func (m *Members) merge(now int64, update wire.Member) (removed *Endpoint, changed bool) {
 	row, known := m.byID[update.VM]
 	if known && !supersededBy(&m.Record[row], &update) {
@@ -222,16 +233,18 @@
 		m.replaceRecord(row, update)
 		return nil, true
 	}
-	// The name stands for another process now.
+	// The VM was started again or has moved, so it needs a new endpoint.
 	removed = m.removeRow(update.VM)
 	m.addRow(now, update)
 	return removed, true
 }
 
+// sameEndpoint reports whether an endpoint made from record a is valid for record b.
 func sameEndpoint(a, b *wire.Member) bool {
 	return a.Started == b.Started && a.Links == b.Links && a.Service == b.Service && a.DataCentre == b.DataCentre && a.Region == b.Region
 }
 
+// replaceRecord replaces the record of a row that keeps its endpoint.
 func (m *Members) replaceRecord(row int, record wire.Member) {
 	m.toggleRecord(&m.Record[row])
 	m.Record[row] = record
@@ -239,6 +252,7 @@
 	m.toggleRecord(&record)
 }
 
+// addRow adds a row for a VM that the table does not contain.
 func (m *Members) addRow(now int64, record wire.Member) {
 	row := m.allocateRow()
 	m.Record[row] = record
@@ -262,6 +276,7 @@
 	m.toggleRecord(&record)
 }
 
+// allocateRow returns the number of a free row.
 func (m *Members) allocateRow() int {
 	if n := len(m.freeRows); n > 0 {
 		row := m.freeRows[n-1]
@@ -277,6 +292,8 @@
 	return len(m.Record) - 1
 }
 
+// removeRow removes a VM and returns its endpoint, or nil if the table does not contain
+// it.
 func (m *Members) removeRow(id string) *Endpoint {
 	row, ok := m.byID[id]
 	if !ok {
@@ -296,7 +313,8 @@
 	return endpoint
 }
 
-// addTombstone remembers that a VM is gone, and forgets those buried long ago.
+// addTombstone remembers a removed VM, and forgets those removed longer than
+// tombstoneTTL ago.
 func (m *Members) addTombstone(now int64, record wire.Member) {
 	m.tombstones[record.VM] = tombstone{record: record, removedAt: now}
 	for id, removed := range m.tombstones {
@@ -306,16 +324,18 @@
 	}
 }
 
-// toggleRecord adds a row to the digests, or takes it out again: both are the same
-// exclusive or.
+// toggleRecord adds a record to the digest of its bucket, or takes it out: both are the
+// same exclusive or. It also counts the change.
 func (m *Members) toggleRecord(record *wire.Member) {
 	m.changeCount++
 	m.serviceChangeCounts[record.Service]++
 	m.digests[bucketOf(record.VM)] ^= digest(record)
 }
 
+// bucketOf returns the bucket of a VM.
 func bucketOf(id string) int { return int(xxhash.Sum64String(id) % bucketCount) }
 
+// digest hashes a record.
 func digest(record *wire.Member) uint32 {
 	var d xxhash.Digest
 	d.Reset()
@@ -324,20 +344,20 @@
 		record.DataCentre, record.Service, record.Links, record.Callers, strconv.Itoa(int(record.Slots)),
 		strconv.FormatUint(record.Revision, 10), strconv.Itoa(int(record.Backend)), record.Version,
 	} {
-		// Writing to a digest has no error to give.
+		// Digest.WriteString never fails.
 		_, _ = d.WriteString(part)
 		_, _ = d.WriteString("\x00")
 	}
 	return uint32(d.Sum64())
 }
 
-// Digest is one number for the whole table; two tables with the same rows have
-// the same.
+// Digest returns a digest of the whole table. Tables with the same rows have the same
+// digest.
 func (m *Members) Digest() uint64 {
 	out := uint64(0)
 	for i, d := range m.digests {
-		// A different factor for each bucket, so that equal digests in two
-		// buckets do not cancel out.
+		// A different factor for each bucket keeps equal digests of two buckets from
+		// cancelling out.
 		out ^= (uint64(d) + 1) * (2*uint64(i) + 0x9e3779b97f4a7c15)
 	}
 	return out
@@ -346,8 +366,9 @@
 // BucketDigests returns the digest of each bucket.
 func (m *Members) BucketDigests() []uint32 { return append([]uint32(nil), m.digests[:]...) }
 
-// DifferingRows returns the rows, those of VMs that are gone too, of the buckets
-// in which a peer's digests differ from this table's.
+// DifferingRows returns the records, those of removed VMs included, of the buckets whose
+// digests differ from the peer's. It returns nil if the peer has another number of
+// buckets.
 func (m *Members) DifferingRows(peerDigests []uint32) []wire.Member {
 	if len(peerDigests) != bucketCount {
 		return nil
--- a/pkg/tables/members_test.go
+++ b/pkg/tables/members_test.go
@@ -10,6 +10,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
+// newRecord returns a record of the VM "vm".
 func newRecord(started, incarnation uint64, state wire.MemberState) wire.Member {
 	return wire.Member{
 		VM: "vm", Started: started, Incarnation: incarnation, State: state,
@@ -24,11 +25,11 @@
 		wantFound  bool
 		wantRecord wire.Member
 	}{
-		{"old news does not bring a VM that left back", []wire.Member{newRecord(1, 0, wire.MemberLeaving), newRecord(1, 0, wire.MemberLive)}, true, newRecord(1, 0, wire.MemberLeaving)},
-		{"old news does not end a newer VM", []wire.Member{newRecord(2, 0, wire.MemberLive), newRecord(1, 0, wire.MemberGone)}, true, newRecord(2, 0, wire.MemberLive)},
-		{"old news does not revive one that is gone", []wire.Member{newRecord(1, 0, wire.MemberLive), newRecord(1, 0, wire.MemberGone), newRecord(1, 0, wire.MemberLive)}, false, wire.Member{}},
-		{"a VM of the same name that was started later is live", []wire.Member{newRecord(1, 0, wire.MemberGone), newRecord(2, 0, wire.MemberLive)}, true, newRecord(2, 0, wire.MemberLive)},
-		{"a process that was restarted on its VM is live", []wire.Member{newRecord(1, 5, wire.MemberLeaving), newRecord(1, 6, wire.MemberLive)}, true, newRecord(1, 6, wire.MemberLive)},
+		{"an outdated record does not bring back a VM that is leaving", []wire.Member{newRecord(1, 0, wire.MemberLeaving), newRecord(1, 0, wire.MemberLive)}, true, newRecord(1, 0, wire.MemberLeaving)},
+		{"an outdated record does not remove a restarted VM", []wire.Member{newRecord(2, 0, wire.MemberLive), newRecord(1, 0, wire.MemberGone)}, true, newRecord(2, 0, wire.MemberLive)},
+		{"an outdated record does not bring back a removed VM", []wire.Member{newRecord(1, 0, wire.MemberLive), newRecord(1, 0, wire.MemberGone), newRecord(1, 0, wire.MemberLive)}, false, wire.Member{}},
+		{"a VM that was started again after its removal is live", []wire.Member{newRecord(1, 0, wire.MemberGone), newRecord(2, 0, wire.MemberLive)}, true, newRecord(2, 0, wire.MemberLive)},
+		{"a daemon process that was restarted on a leaving VM is live", []wire.Member{newRecord(1, 5, wire.MemberLeaving), newRecord(1, 6, wire.MemberLive)}, true, newRecord(1, 6, wire.MemberLive)},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
@@ -45,7 +46,8 @@
 	}
 }
 
-// TestMembersConvergeWhateverTheOrderOfUpdates gives two daemons the same news in different orders.
+// TestMembersConvergeWhateverTheOrderOfUpdates gives two tables the same records in
+// different orders.
 func TestMembersConvergeWhateverTheOrderOfUpdates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		updates := rapid.SliceOfN(rapid.Custom(func(t *rapid.T) wire.Member {
@@ -67,7 +69,8 @@
 	})
 }
 
-// TestDifferingRowsCompleteAnIncompleteTable loses half of the news, and asks.
+// TestDifferingRowsCompleteAnIncompleteTable withholds some of the records from a table
+// and then merges the differing rows of a complete one.
 func TestDifferingRowsCompleteAnIncompleteTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		complete, incomplete := NewMembers(), NewMembers()
--- a/pkg/tables/view.go
+++ b/pkg/tables/view.go
@@ -12,32 +12,33 @@
 	"github.com/rushramp/rushramp/pkg/teams"
 )
 
-// Candidate is a backend server that the placement allows for a kind.
+// Candidate is a backend server that the placement allows for a request kind.
 type Candidate struct {
 	Endpoint *Endpoint
-	// Load repeats Route.Load, one step nearer for the scan.
+	// Load is Endpoint.Load, copied here to save a pointer access for each candidate.
 	Load *Load
 }
 
-// KindView is what the hot path needs to choose for one kind of request. It
-// never changes; a tick that changed something publishes another one.
+// KindView is what the request path reads to choose a backend server for one request
+// kind. It is immutable; a tick that changes anything publishes a new one.
 type KindView struct {
 	Kind *placement.CompiledKind
-	// LinkedCandidates are the candidates with a link.
+	// LinkedCandidates are the candidates with an open link.
 	LinkedCandidates []Candidate
-	// UnlinkedEndpoints are candidates that have no link yet.
+	// UnlinkedEndpoints are the candidates without an open link.
 	UnlinkedEndpoints []*Endpoint
-	// RedirectAddresses are callers' addresses of daemons in allowed data centres.
+	// RedirectAddresses are the caller addresses of daemons in allowed data centres;
+	// empty if this daemon's own data centre is allowed.
 	RedirectAddresses []string
 }
 
-// ServiceView holds the kinds of one service.
+// ServiceView holds the views of the request kinds of one service.
 type ServiceView struct {
 	Service *placement.CompiledService
 	kinds   map[*placement.CompiledKind]*KindView
 }
 
-// NewServiceView makes the view of one service.
+// NewServiceView returns the view of a service from those of its kinds.
 func NewServiceView(service *placement.CompiledService, kinds []*KindView) *ServiceView {
 	s := &ServiceView{Service: service, kinds: make(map[*placement.CompiledKind]*KindView, len(kinds))}
 	for _, k := range kinds {
@@ -46,7 +47,7 @@
 	return s
 }
 
-// Match returns the view of the kind that fits, or nil.
+// Match returns the view of the request kind that a method and path belong to, or nil.
 func (s *ServiceView) Match(method, path string) *KindView {
 	kind := s.Service.Match(method, path)
 	if kind == nil {
@@ -55,17 +56,18 @@
 	return s.kinds[kind]
 }
 
-// vmCounts is how many VMs stand beside each service, and beside any.
+// vmCounts holds the number of VMs of each service and the sum over all services.
 type vmCounts struct {
 	byService map[string]int
 	total     int
 }
 
-// View is what the hot path reads. Each service is published by itself, so
-// that a change costs no more than the service it concerns.
+// View is what the request path reads without waiting for a tick. The systems publish
+// each service by itself, so a change costs no more than that service. All methods are
+// safe for concurrent use.
 type View struct {
 	placement atomic.Pointer[placement.Compiled]
-	// placementSince is when the version in force was published.
+	// placementSince is when the placement in force was published.
 	placementSince  atomic.Pointer[time.Time]
 	services        sync.Map
 	placementUnsure atomic.Bool
@@ -73,26 +75,27 @@
 	ready           atomic.Bool
 	memberCount     atomic.Int64
 	storeStale      atomic.Bool
-	// vmCounts is nil while no member is known.
+	// vmCounts is nil until the first members are known.
 	vmCounts atomic.Pointer[vmCounts]
-	// evacuation is nil while no set is known.
+	// evacuation is nil until a set is known.
 	evacuation atomic.Pointer[evacuation.Set]
-	// regionShare holds the bits of a float; 0: it was not measured.
+	// regionShare holds the bits of a float64; 0: not measured.
 	regionShare atomic.Uint64
-	// rollouts is nil while no roll-out is known.
+	// rollouts is nil until roll-outs are known.
 	rollouts          atomic.Pointer[RolloutView]
 	placementProvenAt atomic.Int64
 }
 
-// RolloutView is what is known of roll-outs; it never changes.
+// RolloutView is what this daemon knows of roll-outs. It is immutable.
 type RolloutView struct {
-	// Traffic is by service.
+	// Traffic is the division of requests between versions, by service.
 	Traffic map[string]*rollout.Traffic
-	// Digest is what peers compare; 0: nothing is known.
+	// Digest is the digest that peers compare with their own; 0: no roll-out is known.
 	Digest uint64
 }
 
-// RolloutTraffic returns how a roll-out divides the requests of a service, or nil.
+// RolloutTraffic returns how a roll-out divides the requests of a service between
+// versions, or nil without a roll-out.
 func (v *View) RolloutTraffic(service string) *rollout.Traffic {
 	rollouts := v.rollouts.Load()
 	if rollouts == nil {
@@ -101,7 +104,7 @@
 	return rollouts.Traffic[service]
 }
 
-// RolloutDigest returns the digest of what is known of roll-outs; 0: nothing.
+// RolloutDigest returns RolloutView.Digest; 0: no roll-out is known.
 func (v *View) RolloutDigest() uint64 {
 	if rollouts := v.rollouts.Load(); rollouts != nil {
 		return rollouts.Digest
@@ -109,14 +112,14 @@
 	return 0
 }
 
-// SetRollouts publishes what is known of roll-outs.
+// SetRollouts publishes the known roll-outs.
 func (v *View) SetRollouts(rollouts *RolloutView) { v.rollouts.Store(rollouts) }
 
-// Placement returns the version in force, or nil.
+// Placement returns the placement in force, or nil.
 func (v *View) Placement() *placement.Compiled { return v.placement.Load() }
 
-// TeamLimit returns the limit of a team under the version in force; ok is false where that
-// names no such team.
+// TeamLimit returns the limit of a team by the placement in force; ok is false if that
+// has no team of this name.
 func (v *View) TeamLimit(team string) (limit teams.Limit, ok bool) {
 	if p := v.placement.Load(); p != nil {
 		return p.Teams.LimitOf(team)
@@ -124,14 +127,14 @@
 	return teams.Limit{}, false
 }
 
-// SetPlacement publishes a version.
+// SetPlacement publishes a placement, which is in force from now on.
 func (v *View) SetPlacement(c *placement.Compiled) {
 	now := time.Now()
 	v.placementSince.Store(&now)
 	v.placement.Store(c)
 }
 
-// PlacementSince is when the version in force was published; zero without one.
+// PlacementSince returns when the placement in force was published; zero without one.
 func (v *View) PlacementSince() time.Time {
 	if at := v.placementSince.Load(); at != nil {
 		return *at
@@ -147,7 +150,7 @@
 	return nil
 }
 
-// SetService publishes a service; nil takes it away.
+// SetService publishes the view of a service; nil removes it.
 func (v *View) SetService(name string, service *ServiceView) {
 	if service == nil {
 		v.services.Delete(name)
@@ -156,8 +159,8 @@
 	v.services.Store(name, service)
 }
 
-// SetVMsByService publishes how many VMs stand beside each service; the map is not
-// changed any more.
+// SetVMsByService publishes the number of VMs of each service. The caller must not
+// change the map afterwards.
 func (v *View) SetVMsByService(byService map[string]int) {
 	counts := vmCounts{byService: byService}
 	for service, n := range byService {
@@ -168,8 +171,8 @@
 	v.vmCounts.Store(&counts)
 }
 
-// VMShareOf is which share of the VMs that stand beside any service belongs to certain
-// ones, from 0 to 1; 0 where none is known.
+// VMShareOf returns the share, from 0 to 1, of the VMs of all services that belong to
+// the given services; 0 if no VM is known.
 func (v *View) VMShareOf(services []string) float64 {
 	counts := v.vmCounts.Load()
 	if counts == nil || counts.total == 0 {
@@ -182,7 +185,7 @@
 	return float64(vms) / float64(counts.total)
 }
 
-// Evacuation returns which data centres are evacuated.
+// Evacuation returns the set of evacuated data centres.
 func (v *View) Evacuation() evacuation.Set {
 	if s := v.evacuation.Load(); s != nil {
 		return *s
@@ -190,12 +193,13 @@
 	return evacuation.Set{}
 }
 
-// SetEvacuation publishes which data centres are evacuated.
+// SetEvacuation publishes the set of evacuated data centres.
 func (v *View) SetEvacuation(s evacuation.Set) { v.evacuation.Store(&s) }
 
-// RegionShare is what a round trip to other data centres of the own region takes
-// of one to other regions, as the links have measured it last. It is 1 until there
-// was a link to another region: a deployment of one has no nearer crossing.
+// RegionShare returns the round-trip time to other data centres of the same region as a
+// share of the round-trip time to other regions, as last measured on the links. It is 1
+// until there was a link to another region: in a deployment with one region no crossing
+// is cheaper.
 func (v *View) RegionShare() float64 {
 	if bits := v.regionShare.Load(); bits != 0 {
 		return math.Float64frombits(bits)
@@ -203,42 +207,45 @@
 	return 1
 }
 
-// SetRegionShare publishes what was measured.
+// SetRegionShare publishes a measured RegionShare.
 func (v *View) SetRegionShare(share float64) { v.regionShare.Store(math.Float64bits(share)) }
 
-// PlacementProvenAt is when the store had no newer version than the one in force, as far as this
-// daemon knows, in nanoseconds of its clock; 0: never.
+// PlacementProvenAt returns the latest time, in nanoseconds of this daemon's clock, at
+// which the store is known to have had no newer placement than the one in force; 0:
+// never.
 func (v *View) PlacementProvenAt() int64 { return v.placementProvenAt.Load() }
 
-// SetPlacementProvenAt publishes it.
+// SetPlacementProvenAt publishes PlacementProvenAt.
 func (v *View) SetPlacementProvenAt(at int64) { v.placementProvenAt.Store(at) }
 
-// PlacementUnsure is true while nobody can tell whether the placement is in force.
+// PlacementUnsure reports whether this daemon cannot tell if its placement is still in
+// force: neither the store nor all other data centres were heard of recently.
 func (v *View) PlacementUnsure() bool { return v.placementUnsure.Load() }
 
-// SetPlacementUnsure publishes whether the placement may be out of date.
+// SetPlacementUnsure publishes PlacementUnsure.
 func (v *View) SetPlacementUnsure(unsure bool) { v.placementUnsure.Store(unsure) }
 
-// Leaving is true when this daemon takes no new calls.
+// Leaving reports whether this daemon takes no new calls because it is leaving.
 func (v *View) Leaving() bool { return v.leaving.Load() }
 
-// SetLeaving makes this daemon take no new calls. There is no way back.
+// SetLeaving makes this daemon take no new calls. It cannot be undone.
 func (v *View) SetLeaving() { v.leaving.Store(true) }
 
-// Ready is true when the daemon takes calls.
+// Ready reports whether the daemon has started up and takes calls.
 func (v *View) Ready() bool { return v.ready.Load() }
 
 // SetReady publishes that the daemon takes calls.
 func (v *View) SetReady() { v.ready.Store(true) }
 
-// MemberCount counts the VMs that this daemon knows of.
+// MemberCount returns the number of VMs in the table of members.
 func (v *View) MemberCount() int { return int(v.memberCount.Load()) }
 
-// SetMemberCount publishes how many VMs are known.
+// SetMemberCount publishes the number of VMs in the table of members.
 func (v *View) SetMemberCount(n int) { v.memberCount.Store(int64(n)) }
 
-// StoreStale is true while the newest word of the store is over its bound.
+// StoreStale reports whether the newest read of the store that this daemon knows of is
+// older than its bound.
 func (v *View) StoreStale() bool { return v.storeStale.Load() }
 
-// SetStoreStale publishes whether it is.
+// SetStoreStale publishes StoreStale.
 func (v *View) SetStoreStale(stale bool) { v.storeStale.Store(stale) }
--- a/pkg/tables/view_test.go
+++ b/pkg/tables/view_test.go
@@ -9,8 +9,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// TestVMShareOfCountsAllVMsOfTheServices is that of all their VMs, whether an entry works with these or
-// not; VMs beside no service do not count.
+// TestVMShareOfCountsAllVMsOfTheServices: VMs without a service do not count.
 func TestVMShareOfCountsAllVMsOfTheServices(t *testing.T) {
 	view := &View{}
 	test.Eq(t, 0.0, view.VMShareOf([]string{"a"}))
@@ -22,7 +21,8 @@
 	test.Eq(t, 0.0, view.VMShareOf([]string{"gone"}))
 }
 
-// TestVMsAreCountedByService, whatever else of them changes.
+// TestVMsAreCountedByService also covers a record that changes without changing its
+// service.
 func TestVMsAreCountedByService(t *testing.T) {
 	w := NewWorld("vm", "a")
 	for i := range 40 {
--- a/pkg/tables/world.go
+++ b/pkg/tables/world.go
@@ -8,43 +8,46 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// World is all tables of one daemon. Only the goroutine that ticks touches it,
-// but for View, Inbox and the atomics of Load and Route.
+// World is all tables of one daemon. Only the goroutine that ticks may use it, except
+// for View, Inbox and the atomic fields of Load and Endpoint.
 type World struct {
-	// VM and DataCentre are this daemon's own.
+	// VM and DataCentre are those of this daemon.
 	VM         string
 	DataCentre string
-	// Region is empty in a deployment without regions.
+	// Region is that of this daemon; empty in a deployment without regions.
 	Region  string
 	Members *Members
 	Peers   *Peers
-	// Placement is the version in force, or nil. Hash is its digest.
+	// Placement is the placement in force, or nil. PlacementHash is its digest.
 	Placement     *placement.Document
 	PlacementHash string
-	// PlacementLog holds the newest accepted changes, oldest first, for peers that are
-	// a few versions behind.
+	// PlacementLog holds the newest accepted changes of the placement, oldest first.
+	// Peers that are a few versions behind get them instead of the document.
 	PlacementLog []placement.LogEntry
-	// RequestedServices are the services that calls of this entry asked for.
+	// RequestedServices are the services that calls to this entry have asked for.
 	RequestedServices map[string]struct{}
-	// NewestStoreReadAt is when the newest word of the store that this daemon knows of
-	// was read, on its own clock; 0: never.
+	// NewestStoreReadAt is when the store was last read by any daemon, as far as this
+	// one knows, in nanoseconds of its own clock; 0: never.
 	NewestStoreReadAt int64
-	// DataCentreHeardAt says when something that was said in a data centre was last heard
-	// of here, directly or through others.
+	// DataCentreHeardAt is the time of the newest known state of any daemon in each data
+	// centre, received directly or through other daemons, in nanoseconds of this
+	// daemon's clock.
 	DataCentreHeardAt map[string]int64
-	// Departures are the processes of backend servers, anywhere, that said that
-	// they leave, and when this daemon heard of it. Source: docs/design/platform.md.
+	// Departures are the processes of backend servers, on any VM, that have announced
+	// that they leave, with the time at which this daemon learnt of it. Source:
+	// docs/design/platform.md.
 	Departures map[string]int64
-	// Unreached are routes whose daemons could not be reached of late. Subsets
-	// pass them over; UnreachedChanges grows with each change of the set.
+	// Unreached are the endpoints whose daemons could not be reached recently. Subsets
+	// leave them out. UnreachedChanges counts the changes of the set.
 	Unreached        map[*Endpoint]struct{}
 	UnreachedChanges uint64
-	// Rollouts is what is known of roll-outs. Watchers are the daemons that judge the
-	// one of this VM's service, the first one writes its plan; none without a roll-out.
+	// Rollouts is what this daemon knows of roll-outs. RolloutWatchers are the daemons
+	// that judge the roll-out of this VM's service, and the first of them writes its
+	// plan; empty without a roll-out.
 	Rollouts        *rollout.Book
 	RolloutWatchers []*Endpoint
-	// QuotaCounters are the daemons that should count the requests of teams, to which this one
-	// keeps links.
+	// QuotaCounters are the daemons that should count the requests of teams. This daemon
+	// keeps links to them.
 	QuotaCounters []*Endpoint
 	// DirtyServices are the services whose view must be published again.
 	DirtyServices map[string]struct{}
@@ -52,7 +55,7 @@
 	Inbox         *Inbox
 }
 
-// NewWorld makes empty tables.
+// NewWorld returns empty tables.
 func NewWorld(vm, dataCentre string) *World {
 	return &World{
 		VM:                vm,
@@ -70,7 +73,7 @@
 	}
 }
 
-// Here is where this daemon stands.
+// Here returns the location of this daemon.
 func (w *World) Here() proximity.Location {
 	return proximity.Location{DataCentre: w.DataCentre, Region: w.Region}
 }
@@ -78,7 +81,7 @@
 // MarkDirty marks the view of a service as out of date.
 func (w *World) MarkDirty(service string) { w.DirtyServices[service] = struct{}{} }
 
-// PlacementVersion returns the placement version in force; 0: none.
+// PlacementVersion returns the version of the placement in force; 0: there is none.
 func (w *World) PlacementVersion() uint64 {
 	if w.Placement == nil {
 		return 0
@@ -86,8 +89,8 @@
 	return w.Placement.Version
 }
 
-// StoreReadAge is how old the newest word of the store is; ok is false when there
-// never was one.
+// StoreReadAge returns the time since NewestStoreReadAt; ok is false if the store was
+// never read.
 func (w *World) StoreReadAge(now int64) (age time.Duration, ok bool) {
 	if w.NewestStoreReadAt == 0 {
 		return 0, false
@@ -95,6 +98,6 @@
 	return time.Duration(now - w.NewestStoreReadAt), true
 }
 
-// MaxPlacementLog is how many accepted changes are kept for peers that are behind.
-// A peer further back gets the whole document.
+// MaxPlacementLog is the largest number of changes in World.PlacementLog. A peer that is
+// further behind gets the whole document.
 const MaxPlacementLog = 64
