--- a/pkg/evacuation/register.go
+++ b/pkg/evacuation/register.go
@@ -9,18 +9,19 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// rowKey is where the set stands in the platform's table, where operators use
-// rushramp's own calls.
+// rowKey is the key of the row that holds the set in the platform's table. It is used
+// where operators evacuate by calls to rushramp.
 const rowKey = "evacuation/set"
 
-// Register is the set in the platform's table. Its row is never removed, so that the
-// row's version orders all sets.
+// Register reads and changes the set in the platform's table. The row is never deleted,
+// so its version orders all sets.
 type Register struct{ table store.Table }
 
-// NewRegister makes the register of a platform's table.
+// NewRegister returns the register in a platform's table.
 func NewRegister(table store.Table) *Register { return &Register{table: table} }
 
-// Read returns the newest set; the zero value where nothing was ever evacuated.
+// Read returns the current set, or the zero value if no data centre was ever evacuated.
+// It fails if the table cannot be read.
 func (r *Register) Read(ctx context.Context) (Set, error) {
 	found, err := r.table.Get(ctx, rowKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -32,9 +33,9 @@
 	return decode(found)
 }
 
-// Change makes one change and returns the set after it. Changes of operators who
-// race are all made. An error leaves open whether this one was; to make it again
-// harms nothing.
+// Change applies one change and returns the set after it. Concurrent changes are all
+// applied. After an error the change may or may not have been applied; it is safe to
+// repeat it.
 func (r *Register) Change(ctx context.Context, c Change) (Set, error) {
 	row, err := store.Change(ctx, r.table, rowKey, func(row store.Row) ([]byte, error) {
 		before, err := decode(row)
@@ -54,7 +55,7 @@
 	return decode(row)
 }
 
-// decode reads the row; one that does not exist is the zero value.
+// decode returns the set in a row; a row that does not exist is the zero value.
 func decode(row store.Row) (Set, error) {
 	if row.Version == 0 {
 		return Set{}, nil
--- a/pkg/evacuation/register_test.go
+++ b/pkg/evacuation/register_test.go
@@ -10,7 +10,7 @@
 	"github.com/rushramp/rushramp/pkg/standin/fakestore"
 )
 
-// TestConcurrentChangesAreAllKept: each evacuates a data centre of its own.
+// TestConcurrentChangesAreAllKept evacuates three data centres at the same time.
 func TestConcurrentChangesAreAllKept(t *testing.T) {
 	table := fakestore.New()
 	var changes sync.WaitGroup
@@ -26,7 +26,7 @@
 	test.Eq(t, []string{"a", "b", "c"}, set.DataCentres)
 }
 
-// TestEmptiedSetHasAHigherRevision: so that it goes before the one with the data
+// TestEmptiedSetHasAHigherRevision: the empty set must supersede the one with the data
 // centre that was taken back.
 func TestEmptiedSetHasAHigherRevision(t *testing.T) {
 	register := NewRegister(fakestore.New())
@@ -38,7 +38,7 @@
 	test.Greater(t, none.Revision, one.Revision)
 	again, err := register.Change(t.Context(), Change{DataCentre: "a", Evacuated: true})
 	must.NoError(t, err)
-	test.Eq(t, one.Revision, again.Revision, test.Sprint("nothing changed, nothing is written"))
+	test.Eq(t, one.Revision, again.Revision, test.Sprint("a change without effect writes nothing"))
 	emptied, err := register.Change(t.Context(), Change{DataCentre: "a"})
 	must.NoError(t, err)
 	test.True(t, emptied.IsEmpty())
--- a/pkg/evacuation/set.go
+++ b/pkg/evacuation/set.go
@@ -1,29 +1,29 @@
-// Package evacuation holds which data centres operators have evacuated: their
-// backend servers get nothing new until operators take them back.
+// Package evacuation holds the set of data centres that operators have evacuated.
+// Backend servers there get no new requests until operators take the data centre back.
 // Source: docs/design/evacuation.md.
 package evacuation
 
 import "slices"
 
-// Set is the whole set of evacuated data centres as it stood in the store at one
-// revision. A set is never changed; the one of the higher revision goes before
-// any other, so that a data centre that was taken back is not evacuated again by
-// someone with old news. The zero value knows nothing.
+// Set is the set of evacuated data centres as of one revision of the store. A Set is
+// immutable. The one with the higher revision supersedes any other, so that an outdated
+// set does not evacuate a data centre again that was taken back. The zero value is the
+// empty set at revision 0.
 type Set struct {
 	_ struct{} `cbor:",toarray"`
-	// Revision is the store's counter at which the set was read.
+	// Revision is the store's version of the set.
 	Revision uint64
-	// DataCentres are in the order of their names.
+	// DataCentres are sorted by name.
 	DataCentres []string
 }
 
-// Change is one data centre that was evacuated or taken back.
+// Change evacuates a data centre or, if Evacuated is false, takes it back.
 type Change struct {
 	DataCentre string
 	Evacuated  bool
 }
 
-// With returns the set after some changes, as it stood at a later revision.
+// With returns the set after the changes, at the given revision.
 func (s Set) With(revision uint64, changes []Change) Set {
 	out := Set{Revision: revision, DataCentres: slices.Clone(s.DataCentres)}
 	for _, c := range changes {
@@ -38,13 +38,14 @@
 	return out
 }
 
-// Has is true for a data centre that is evacuated.
+// Has reports whether a data centre is evacuated.
 func (s Set) Has(dataCentre string) bool {
 	return len(s.DataCentres) > 0 && slices.Contains(s.DataCentres, dataCentre)
 }
 
-// IsEmpty is true when no data centre is evacuated.
+// IsEmpty reports whether no data centre is evacuated.
 func (s Set) IsEmpty() bool { return len(s.DataCentres) == 0 }
 
-// SameDataCentres is true when two sets evacuate the same data centres.
+// SameDataCentres reports whether two sets contain the same data centres, at any
+// revision.
 func (s Set) SameDataCentres(other Set) bool { return slices.Equal(s.DataCentres, other.DataCentres) }
--- a/pkg/evacuation/set_test.go
+++ b/pkg/evacuation/set_test.go
@@ -18,7 +18,7 @@
 	test.Eq(t, []string{"a", "b"}, s.DataCentres, test.Sprint("a set is never changed"))
 }
 
-// TestSetAgreesWithAMapOfChanges compares with a plain map.
+// TestSetAgreesWithAMapOfChanges compares With and Has with a plain map.
 func TestSetAgreesWithAMapOfChanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		want, s := map[string]bool{}, Set{}
--- a/pkg/proximity/proximity_test.go
+++ b/pkg/proximity/proximity_test.go
@@ -9,12 +9,12 @@
 func TestLevelBetweenLocations(t *testing.T) {
 	here := Location{DataCentre: "n-a", Region: "north"}
 	test.Eq(t, SameDataCentre, here.To("n-a", "north"))
-	test.Eq(t, SameDataCentre, here.To("n-a", ""), test.Sprint("the data centre says it all"))
+	test.Eq(t, SameDataCentre, here.To("n-a", ""), test.Sprint("the region does not matter in the same data centre"))
 	test.Eq(t, Region, here.To("n-b", "north"))
 	test.Eq(t, OtherRegion, here.To("s-a", "south"))
-	test.Eq(t, OtherRegion, here.To("s-a", ""), test.Sprint("a daemon that does not say its region"))
+	test.Eq(t, OtherRegion, here.To("s-a", ""), test.Sprint("a VM of unknown region"))
 	withoutRegion := Location{DataCentre: "a"}
-	test.Eq(t, Region, withoutRegion.To("b", ""), test.Sprint("a deployment without regions is one"))
+	test.Eq(t, Region, withoutRegion.To("b", ""), test.Sprint("a deployment without regions counts as one region"))
 	test.Eq(t, "region", Region.String())
 	test.Eq(t, "count", Level(99).String())
 }
--- a/pkg/teams/directory.go
+++ b/pkg/teams/directory.go
@@ -1,14 +1,14 @@
 package teams
 
-// Directory finds the team of a key. It never changes.
+// Directory finds the team that holds a key. It is immutable.
 type Directory struct {
 	teams  []Team
 	byKey  map[KeyDigest]uint32
 	byName map[string]uint32
 }
 
-// NewDirectory makes the directory of some teams. Where two teams name one key, the
-// later one holds it.
+// NewDirectory returns a directory of teams. If two teams have the same key, the later
+// one holds it.
 func NewDirectory(teams []Team) *Directory {
 	keys := 0
 	for i := range teams {
@@ -24,10 +24,10 @@
 	return directory
 }
 
-// Len counts the teams; with none, requests need no key.
+// Len returns the number of teams. If it is 0, requests need no key.
 func (d *Directory) Len() int { return len(d.teams) }
 
-// Keys counts the keys.
+// Keys returns the number of different keys.
 func (d *Directory) Keys() int { return len(d.byKey) }
 
 // Holder returns the team that holds a key, or nil.
@@ -38,7 +38,7 @@
 	return nil
 }
 
-// LimitOf returns the limit of a team; ok is false where there is none of that name.
+// LimitOf returns the limit of a team; ok is false if there is no team of this name.
 func (d *Directory) LimitOf(name string) (limit Limit, ok bool) {
 	index, ok := d.byName[name]
 	if !ok {
@@ -47,5 +47,6 @@
 	return d.teams[index].Limit, true
 }
 
-// All returns the teams in the operators' order; they are not to be changed.
+// All returns the teams in the order in which operators gave them. The caller must not
+// change them.
 func (d *Directory) All() []Team { return d.teams }
--- a/pkg/teams/directory_test.go
+++ b/pkg/teams/directory_test.go
@@ -28,7 +28,8 @@
 	test.False(t, ok)
 }
 
-// TestKeyDigestRoundTripsInCBORAndYAML: those of documents between daemons and of operators' files.
+// TestKeyDigestRoundTripsInCBORAndYAML: documents between daemons are CBOR, operators'
+// files are YAML. A key in place of its digest is refused.
 func TestKeyDigestRoundTripsInCBORAndYAML(t *testing.T) {
 	team := teams.Team{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("secret")}}
 	encoded, err := cbor.Marshal(team)
@@ -46,7 +47,7 @@
 	must.Error(t, err)
 }
 
-// manyTeams are 1,000 teams of 100 keys each.
+// manyTeams returns 1,000 teams of 100 keys each.
 func manyTeams() []teams.Team {
 	var out []teams.Team
 	for i := range 1000 {
@@ -59,8 +60,7 @@
 	return out
 }
 
-// TestDirectoryOf100000KeysTakesUnder16MB: a directory of them takes under 16 MB, its digests
-// included.
+// TestDirectoryOf100000KeysTakesUnder16MB counts the memory of the digests, too.
 func TestDirectoryOf100000KeysTakesUnder16MB(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -73,7 +73,7 @@
 	runtime.KeepAlive(d)
 }
 
-// TestHolderDoesNotAllocate: it is on the way of each request.
+// TestHolderDoesNotAllocate: Holder runs for each request.
 func TestHolderDoesNotAllocate(t *testing.T) {
 	d := teams.NewDirectory([]teams.Team{{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("r1")}}})
 	test.Eq(t, 0, testing.AllocsPerRun(100, func() { _ = d.Holder(teams.DigestOf("r1")) }))
@@ -83,7 +83,7 @@
 	d := teams.NewDirectory(manyTeams())
 	for b.Loop() {
 		if d.Holder(teams.DigestOf("key-500-50")) == nil {
-			b.Fatal("the key is not held")
+			b.Fatal("no team holds the key")
 		}
 	}
 }
--- a/pkg/traffic/counters.go
+++ b/pkg/traffic/counters.go
@@ -1,6 +1,6 @@
-// Package traffic accounts for what a daemon sends to other daemons: frames and
-// bytes by the kind of frame, and by how far they go, since bytes between data
-// centres have a price, and between regions a higher one. Source: docs/operators/metrics.md.
+// Package traffic counts the frames and bytes that a daemon sends to other daemons, by
+// type of frame and by proximity: bytes between data centres have a price, and bytes
+// between regions a higher one. Source: docs/operators/metrics.md.
 package traffic
 
 import (
@@ -12,18 +12,18 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// frameCounters are those of one kind of frame in one place.
+// frameCounters count the frames of one type that are sent to one proximity.
 type frameCounters struct {
 	frames *metrics.Counter
 	bytes  *metrics.Counter
 }
 
-// Counters is one daemon's account. It is safe for concurrent use.
+// Counters count what one daemon has sent. They are safe for concurrent use.
 type Counters struct {
 	sent [proximity.Count][wire.TypeCount]frameCounters
 }
 
-// NewCounters makes an account whose counters stand in a set of metrics.
+// NewCounters returns counters that are registered in a set of metrics.
 func NewCounters(set *metrics.Set) *Counters {
 	counters := &Counters{}
 	for to := range proximity.Count {
@@ -41,14 +41,14 @@
 	return counters
 }
 
-// CountSent counts one frame of a kind and its size in bytes.
+// CountSent counts one frame. size is in bytes.
 func (c *Counters) CountSent(to proximity.Level, kind wire.Type, size int) {
 	sent := &c.sent[to][kind]
 	sent.frames.Inc()
 	sent.bytes.Add(size)
 }
 
-// Total is what was sent of one kind of frame to one place.
+// Total is the number of frames of one type, and of their bytes, sent to one proximity.
 type Total struct {
 	To     proximity.Level
 	Kind   wire.Type
@@ -56,7 +56,7 @@
 	Bytes  uint64
 }
 
-// Totals returns what was sent so far, without the kinds that were not.
+// Totals returns the totals so far, without those of zero frames.
 func (c *Counters) Totals() []Total {
 	var out []Total
 	for to := range c.sent {
