--- a/pkg/choose/choose_test.go
+++ b/pkg/choose/choose_test.go
@@ -56,11 +56,11 @@
 	for name, p := range allPolicies() {
 		t.Run(name, func(t *testing.T) {
 			rapid.Check(t, func(t *rapid.T) {
-				inFlight := rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 20).Draw(t, "loads")
-				req := &Request{Now: 100 * ms, CandidateSet: newCandidates(rapid.Int64Range(1, 100*ms).Draw(t, "at"), inFlight...)}
+				inFlight := rapid.SliceOfN(rapid.Uint32Range(0, 40), 0, 20).Draw(t, "in flight")
+				req := &Request{Now: 100 * ms, CandidateSet: newCandidates(rapid.Int64Range(1, 100*ms).Draw(t, "stamped at"), inFlight...)}
 				allowed := 0
 				for i := range inFlight {
-					if rapid.Bool().Draw(t, "tried") {
+					if rapid.Bool().Draw(t, "excluded") {
 						req.Excluded = req.Excluded.With(i)
 					} else {
 						allowed++
--- a/pkg/tables/inbox.go
+++ b/pkg/tables/inbox.go
@@ -200,8 +200,8 @@
 	}
 }
 
-// RunQuery runs a query in the goroutine that ticks and waits for its end. It returns
-// false if done was closed before; the query may still run afterwards.
+// RunQuery runs a query in the goroutine that runs the systems and waits for its end. It
+// returns false if done was closed before; the query may still run afterwards.
 func (i *Inbox) RunQuery(done <-chan struct{}, query func(*World)) bool {
 	answered := make(chan struct{})
 	i.Post(true, func(m *Mail) {
--- a/pkg/tables/load.go
+++ b/pkg/tables/load.go
@@ -166,8 +166,8 @@
 	return out
 }
 
-// SnapshotInto writes the load at time now to out, without a copy: a decision reads each
-// candidate of each call.
+// SnapshotInto writes the load at time now to out. It saves a copy of the struct, since
+// a decision reads each candidate of each call.
 func (l *Load) SnapshotInto(now int64, out *LoadSnapshot) {
 	out.StampReceivedAt = l.stampReceivedAt.Load()
 	out.InFlight = l.inFlight.Load()
--- a/pkg/tables/members.go
+++ b/pkg/tables/members.go
@@ -216,13 +216,13 @@
 	return out
 }
 
-// merge is Merge without the note of a pending change.
+// merge is Merge without recording a pending change.
 func (m *Members) merge(now int64, update wire.Member) (removed *Endpoint, changed bool) {
 	row, known := m.byID[update.VM]
 	if known && !supersededBy(&m.Record[row], &update) {
 		return nil, false
 	}
-	if buried, isRemoved := m.tombstones[update.VM]; !known && isRemoved && !supersededBy(&buried.record, &update) {
+	if last, isRemoved := m.tombstones[update.VM]; !known && isRemoved && !supersededBy(&last.record, &update) {
 		return nil, false
 	}
 	if update.State == wire.MemberGone {
--- a/pkg/tables/members_test.go
+++ b/pkg/tables/members_test.go
@@ -55,7 +55,7 @@
 				wire.MemberState(rapid.IntRange(0, 2).Draw(t, "state")))
 			record.VM = rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "vm")
 			return record
-		}), 1, 30).Draw(t, "news")
+		}), 1, 30).Draw(t, "updates")
 		a, b := NewMembers(), NewMembers()
 		for _, update := range updates {
 			a.Merge(1, nil, update)
--- a/pkg/tables/world.go
+++ b/pkg/tables/world.go
@@ -8,8 +8,8 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// World is all tables of one daemon. Only the goroutine that ticks may use it, except
-// for View, Inbox and the atomic fields of Load and Endpoint.
+// World holds all tables of one daemon. Only the goroutine that runs the systems may use
+// it, except for View, Inbox and the atomic fields of Load and Endpoint.
 type World struct {
 	// VM and DataCentre are those of this daemon.
 	VM         string
