--- a/pkg/choose/expectedwait.go
+++ b/pkg/choose/expectedwait.go
@@ -8,93 +8,98 @@
 )
 
 const (
-	// defaultService stands in for a service time that nobody reported yet.
-	defaultService = 5 * time.Millisecond
-	// failureCost is how many service times one certain failure counts as.
-	failureCost = 20
-	// failureFree is the share of failures that is not held against a server.
-	failureFree = 0.05
-	// quietFactor: a server that has calls of ours and has not answered for
-	// this many service times is taken to be as slow as it has been quiet.
-	quietFactor = 3
-	// softSlack is added to MaxCost, as a share of the service time, so that
-	// two servers that are nearly alike do not refuse for each other.
-	softSlack = 0.25
-	// tieShare: costs this close, as a share of the service time, count as
-	// alike, and the random source decides. It breaks up herds.
-	tieShare = 0.1
+	// defaultServiceTime is assumed while no candidate has reported a service time.
+	defaultServiceTime = 5 * time.Millisecond
+	// failurePenalty is the cost, in service times, that is added for a server whose
+	// answers are all failures.
+	failurePenalty = 20
+	// toleratedFailureShare is the share of failures up to which a server has no
+	// penalty.
+	toleratedFailureShare = 0.05
+	// noAnswerFactor is the number of service times without an answer to outstanding
+	// calls after which a server's service time is taken to be at least that long.
+	noAnswerFactor = 3
+	// maxCostSlack is added to MaxCost, in service times, so that two servers of nearly
+	// equal cost do not both refuse a call in favour of the other.
+	maxCostSlack = 0.25
+	// tieBreakShare is the largest random amount, in service times, that is added to a
+	// cost. It keeps entries with the same stamps from all picking the same server.
+	tieBreakShare = 0.1
 )
 
-// ExpectedWait picks the candidate with the least expected time: the wait at
-// its gate, the run, and the way there and back. A stamp's weight falls with
-// its age towards what the candidates have on average, so that old news
-// neither attracts nor repels. Source: docs/design/choosing.md.
+// ExpectedWait picks the candidate with the lowest expected time: the wait at its gate,
+// the run and the network round trip. The older a stamp (wire.Stamp, a gate's report of
+// its load), the closer the estimate is to the average of all candidates, so that an
+// outdated stamp neither attracts nor repels calls. Source: docs/design/choosing.md.
 type ExpectedWait struct {
-	// StampHalfLife is the age at which what a stamp says of the service time has
-	// half its weight.
+	// StampHalfLife is the age of a stamp at which its service time has half its weight.
 	StampHalfLife time.Duration
 }
 
-// scanMost is how many candidates are looked at for one call, from a random
-// place on. Subsets are smaller; in a larger set the cost of a choice stays flat.
-const scanMost = 32
-
-// prior is what an old stamp tends to: the mean use of the candidates, and the
-// service time of the fastest.
-type prior struct {
-	use     float64
-	service float64
-	// perService is 1 over service.
-	perService float64
+// maxScanned is the number of candidates that are compared for one call, starting at a
+// random one. It bounds the time of a decision in a large set; subsets are usually
+// smaller.
+const maxScanned = 32
+
+// loadPrior is the load that is assumed for a candidate without a recent stamp.
+type loadPrior struct {
+	// utilisation is the mean number of calls in flight per slot.
+	utilisation float64
+	// serviceTime is the service time of the fastest candidate, in nanoseconds.
+	serviceTime float64
+	// inverseServiceTime is 1/serviceTime.
+	inverseServiceTime float64
 }
 
-// look is what one decision reads of its candidates, once.
-type look struct {
-	known [scanMost]tables.LoadSnapshot
-	// perLimit is 1 over the limit: divisions are what a choice costs most.
-	perLimit [scanMost]float64
-	index    [scanMost]int
-	count    int
+// scan holds the loads of the candidates that one decision compares.
+type scan struct {
+	loads [maxScanned]tables.LoadSnapshot
+	// inverseLimit is 1/Limit: divisions are the most expensive part of a decision.
+	inverseLimit [maxScanned]float64
+	// indexes are the indexes of the candidates in Request.CandidateSet.
+	indexes [maxScanned]int
+	count   int
 }
 
 // Choose implements Policy.
 func (e *ExpectedWait) Choose(req *Request, rnd Random) Pick {
-	var seen look
-	seen.read(req, rnd)
-	if seen.count == 0 {
+	var scanned scan
+	scanned.collect(req, rnd)
+	if scanned.count == 0 {
 		return Pick{Index: NoCandidate}
 	}
-	average := seen.prior()
-	// One draw breaks the ties of all candidates: each gets its own bits of it.
-	ties := uint64(rnd.IntN(math.MaxInt))
+	prior := scanned.estimatePrior()
+	// One random number breaks the ties between all candidates.
+	tieBits := uint64(rnd.IntN(math.MaxInt))
 	best, bestCost, bestRank := NoCandidate, 0.0, math.Inf(1)
-	second := math.Inf(1)
-	for n := range seen.count {
-		cost := e.cost(req.Now, &seen, n, average)
-		rank := cost + tieShare*average.service*tieOf(ties, n)
+	secondCost := math.Inf(1)
+	for n := range scanned.count {
+		cost := e.cost(req.Now, &scanned, n, prior)
+		rank := cost + tieBreakShare*prior.serviceTime*tieBreak(tieBits, n)
 		if rank < bestRank {
-			second = min(second, bestCost)
+			secondCost = min(secondCost, bestCost)
 			if best == NoCandidate {
-				second = math.Inf(1)
+				secondCost = math.Inf(1)
 			}
 			best, bestCost, bestRank = n, cost, rank
 			continue
 		}
-		second = min(second, cost)
+		secondCost = min(secondCost, cost)
 	}
-	return Pick{Index: seen.index[best], MaxCost: maxCost(seen.known[best].RoundTrip, second, average.service)}
+	return Pick{Index: scanned.indexes[best], MaxCost: maxCost(scanned.loads[best].RoundTrip, secondCost, prior.serviceTime)}
 }
 
-// tieOf is a number from 0 up to 1 for a candidate (the multiplicative hash of
-// Knuth, whose high bits are well mixed).
-func tieOf(ties uint64, n int) float64 {
+// tieBreak derives a number from 0 up to 1 for the n-th candidate from random bits, by
+// Knuth's multiplicative hashing, whose high bits are well mixed.
+func tieBreak(tieBits uint64, n int) float64 {
 	const factor = 0x9e3779b97f4a7c15
-	mixed := (ties ^ uint64(n)*factor) * factor
+	mixed := (tieBits ^ uint64(n)*factor) * factor
 	return float64(mixed>>40) / (1 << 24)
 }
 
-// read looks at the untried candidates, from a random place on.
-func (l *look) read(req *Request, rnd Random) {
+// collect reads the loads of the candidates that are not excluded, starting at a random
+// one.
+func (s *scan) collect(req *Request, rnd Random) {
 	if len(req.CandidateSet) == 0 {
 		return
 	}
@@ -106,105 +111,110 @@
 		if req.Excluded.Has(i) {
 			continue
 		}
-		l.add(req, i)
-		if l.count == scanMost {
+		s.add(req, i)
+		if s.count == maxScanned {
 			return
 		}
 	}
 }
 
-func (l *look) add(req *Request, i int) {
-	known := &l.known[l.count]
-	req.CandidateSet[i].Load.SnapshotInto(req.Now, known)
-	l.perLimit[l.count] = 1 / float64(known.Limit)
-	l.index[l.count] = i
-	l.count++
+// add reads the load of the candidate with index i.
+func (s *scan) add(req *Request, i int) {
+	load := &s.loads[s.count]
+	req.CandidateSet[i].Load.SnapshotInto(req.Now, load)
+	s.inverseLimit[s.count] = 1 / float64(load.Limit)
+	s.indexes[s.count] = i
+	s.count++
 }
 
-func (l *look) prior() prior {
-	var out prior
-	heard := 0.0
+// estimatePrior derives the prior from the candidates that have sent a stamp.
+func (s *scan) estimatePrior() loadPrior {
+	var prior loadPrior
+	reporting := 0.0
 	fastest := time.Duration(0)
-	for n := range l.count {
-		k := &l.known[n]
-		if k.StampReceivedAt == 0 {
+	for n := range s.count {
+		load := &s.loads[n]
+		if load.StampReceivedAt == 0 {
 			continue
 		}
-		out.use += float64(k.InFlight) * l.perLimit[n]
-		// The fastest, not the mean: an old stamp of a server that was slow
-		// must not make the others look slow.
-		if k.ServiceTime > 0 && (fastest == 0 || k.ServiceTime < fastest) {
-			fastest = k.ServiceTime
+		prior.utilisation += float64(load.InFlight) * s.inverseLimit[n]
+		// The fastest, not the mean: an old stamp of a server that was slow must not
+		// make the others look slow.
+		if load.ServiceTime > 0 && (fastest == 0 || load.ServiceTime < fastest) {
+			fastest = load.ServiceTime
 		}
-		heard++
+		reporting++
 	}
 	if fastest == 0 {
-		fastest = defaultService
+		fastest = defaultServiceTime
 	}
-	out.service = float64(fastest)
-	out.perService = 1 / out.service
-	if heard > 0 {
-		out.use /= heard
+	prior.serviceTime = float64(fastest)
+	prior.inverseServiceTime = 1 / prior.serviceTime
+	if reporting > 0 {
+		prior.utilisation /= reporting
 	}
-	return out
+	return prior
 }
 
-// Cost is the expected time of a call at candidate i, for operators who ask
-// why a call goes where.
+// Cost returns the expected time of a call at the candidate with index i, failure
+// penalty included. Operators see it when they ask why a call goes to a server.
 func (e *ExpectedWait) Cost(req *Request, i int) time.Duration {
-	var all look
-	all.add(req, i)
-	for n := range min(len(req.CandidateSet), scanMost-1) {
-		all.add(req, n)
+	var scanned scan
+	scanned.add(req, i)
+	for n := range min(len(req.CandidateSet), maxScanned-1) {
+		scanned.add(req, n)
 	}
-	return time.Duration(e.cost(req.Now, &all, 0, all.prior()))
+	return time.Duration(e.cost(req.Now, &scanned, 0, scanned.estimatePrior()))
 }
 
-// maxCost is what the next best candidate would cost, less the way to the
-// chosen one, which is spent by the time its gate reads this.
-func maxCost(distance time.Duration, second, service float64) time.Duration {
-	if math.IsInf(second, 1) {
-		return unbounded
+// maxCost returns Pick.MaxCost: the cost of the second-best candidate, less the round
+// trip to the picked one, which its gate does not count.
+func maxCost(roundTrip time.Duration, secondCost, serviceTime float64) time.Duration {
+	if math.IsInf(secondCost, 1) {
+		return noMaxCost
 	}
-	return time.Duration(second+softSlack*service) - distance
+	return time.Duration(secondCost+maxCostSlack*serviceTime) - roundTrip
 }
 
-// cost is the expected time of a call at a candidate, in nanoseconds.
-func (e *ExpectedWait) cost(now int64, seen *look, n int, average prior) float64 {
-	known := &seen.known[n]
-	age := float64(max(now-known.StampReceivedAt, 0))
-	limit := float64(known.Limit)
-	inFlight := average.use * limit
-	service := average.service
-	if known.StampReceivedAt != 0 {
-		// The calls at a gate change within a run: the count of a gate with
-		// free slots is correlated with itself as exp(-age/service).
-		inFlight += decay(age*average.perService) * (float64(known.InFlight) - inFlight)
-		// How fast a server is changes more seldom than its count of calls.
-		if known.ServiceTime != time.Duration(average.service) {
-			service += decay(math.Ln2*age/float64(e.StampHalfLife)) * (float64(known.ServiceTime) - service)
+// cost returns the expected time of a call at the n-th scanned candidate plus its
+// failure penalty, in nanoseconds.
+func (e *ExpectedWait) cost(now int64, scanned *scan, n int, prior loadPrior) float64 {
+	load := &scanned.loads[n]
+	age := float64(max(now-load.StampReceivedAt, 0))
+	limit := float64(load.Limit)
+	inFlight := prior.utilisation * limit
+	serviceTime := prior.serviceTime
+	if load.StampReceivedAt != 0 {
+		// The calls at a gate change within one service time: with free slots, their
+		// number has an autocorrelation of exp(-age/serviceTime).
+		inFlight += decay(age*prior.inverseServiceTime) * (float64(load.InFlight) - inFlight)
+		// The service time changes more slowly than the number of calls.
+		if load.ServiceTime != time.Duration(prior.serviceTime) {
+			serviceTime += decay(math.Ln2*age/float64(e.StampHalfLife)) * (float64(load.ServiceTime) - serviceTime)
 		}
 	}
-	inFlight = max(inFlight+float64(known.SentSinceStamp), float64(known.Outstanding))
-	if quiet := float64(known.NoAnswerFor); quiet > quietFactor*service {
-		service = quiet
+	inFlight = max(inFlight+float64(load.SentSinceStamp), float64(load.Outstanding))
+	if noAnswer := float64(load.NoAnswerFor); noAnswer > noAnswerFactor*serviceTime {
+		serviceTime = noAnswer
 	}
-	cost := service + wait(inFlight, limit, seen.perLimit[n], service) + float64(known.RoundTrip)
-	if known.FailureShare > failureFree {
-		cost += known.FailureShare * failureCost * average.service
+	cost := serviceTime + queueWait(inFlight, limit, scanned.inverseLimit[n], serviceTime) + float64(load.RoundTrip)
+	if load.FailureShare > toleratedFailureShare {
+		cost += load.FailureShare * failurePenalty * prior.serviceTime
 	}
 	return cost
 }
 
-// decay is near exp(-x), from its series; it costs a tenth of the exact one.
+// decay approximates exp(-x) by the reciprocal of the power series of exp(x), at a tenth
+// of the time.
 func decay(x float64) float64 { return 1 / (1 + x*(1+x*(1.0/2+x*(1.0/6)))) }
 
-// wait is the expected wait behind inFlight calls at a gate that runs limit of
-// them at once. Below the limit a little remains, growing with the fourth
-// power of the use: the count is uncertain, and the emptier gate is safer.
-func wait(inFlight, limit, perLimit, service float64) float64 {
-	use := inFlight * perLimit
-	square := use * use
-	behind := max(inFlight+1-limit, 0)
-	return service * (behind + square*square) * perLimit
+// queueWait returns the expected wait at a gate that has inFlight calls and runs limit
+// of them at once. Below the limit it is small and grows with the fourth power of the
+// utilisation: the number of calls is uncertain, and the less loaded gate is the safer
+// choice.
+func queueWait(inFlight, limit, inverseLimit, serviceTime float64) float64 {
+	utilisation := inFlight * inverseLimit
+	squared := utilisation * utilisation
+	queuedAhead := max(inFlight+1-limit, 0)
+	return serviceTime * (queuedAhead + squared*squared) * inverseLimit
 }
--- a/pkg/choose/hotcold.go
+++ b/pkg/choose/hotcold.go
@@ -3,73 +3,78 @@
 import "time"
 
 const (
-	// hotQuantile is the share of candidates that count as cold, by calls in
-	// flight. The value is the published paper's.
+	// hotQuantile is the quantile of utilisation above which a candidate is hot. The
+	// value is that of the Prequal paper.
 	hotQuantile = 0.84
-	// hotColdSample is how many candidates are looked at for one call.
-	hotColdSample = 3
+	// hotColdSampleSize is the number of random candidates that are compared for one
+	// call.
+	hotColdSampleSize = 3
 )
 
-// HotCold follows the rule of the published Prequal paper over stamps instead
-// of probes: among a few random candidates, those with many calls in flight
-// are hot; of the cold ones the fastest is taken, and if all are hot the one
-// with the fewest calls in flight. Source: Wydrowski et al., "Load is not what
-// you should balance: Introducing Prequal", NSDI 2024.
+// HotCold applies the hot-cold rule of Prequal to stamps instead of probes. A candidate
+// with many calls in flight is hot. Of a few random candidates it picks the cold one
+// with the lowest latency or, if all are hot, the one with the fewest calls in flight
+// per slot. Source: Wydrowski et al., "Load is not what you should balance: Introducing
+// Prequal", NSDI 2024.
 type HotCold struct{}
 
-type hotColdView struct {
-	index    int
-	inFlight float64
-	latency  time.Duration
+// hotColdLoad is the load of one candidate by which the hot-cold rule compares.
+type hotColdLoad struct {
+	index int
+	// utilisation is the number of calls in flight per slot.
+	utilisation float64
+	// latency is the service time plus the round trip.
+	latency time.Duration
 }
 
 // Choose implements Policy.
 func (HotCold) Choose(req *Request, rnd Random) Pick {
-	n := countUntried(req)
+	n := countAllowed(req)
 	if n == 0 {
 		return Pick{Index: NoCandidate}
 	}
 	threshold := hotThreshold(req)
-	best := hotColdView{index: NoCandidate}
-	for range min(hotColdSample, n) {
-		next := viewOf(req, pickUntried(req, rnd.IntN(n)))
-		if best.index == NoCandidate || next.betterThan(best, threshold) {
-			best = next
+	best := hotColdLoad{index: NoCandidate}
+	for range min(hotColdSampleSize, n) {
+		sampled := hotColdLoadOf(req, nthAllowed(req, rnd.IntN(n)))
+		if best.index == NoCandidate || sampled.betterThan(best, threshold) {
+			best = sampled
 		}
 	}
-	return Pick{Index: best.index, MaxCost: unbounded}
+	return Pick{Index: best.index, MaxCost: noMaxCost}
 }
 
-func viewOf(req *Request, index int) hotColdView {
-	known := req.CandidateSet[index].Load.Snapshot(req.Now)
-	return hotColdView{
-		index:    index,
-		inFlight: float64(known.InFlight+known.SentSinceStamp) / float64(known.Limit),
-		latency:  known.ServiceTime + req.CandidateSet[index].Load.RoundTrip(),
+func hotColdLoadOf(req *Request, index int) hotColdLoad {
+	load := req.CandidateSet[index].Load.Snapshot(req.Now)
+	return hotColdLoad{
+		index:       index,
+		utilisation: float64(load.InFlight+load.SentSinceStamp) / float64(load.Limit),
+		latency:     load.ServiceTime + req.CandidateSet[index].Load.RoundTrip(),
 	}
 }
 
-func (h hotColdView) betterThan(other hotColdView, threshold float64) bool {
-	hot, otherHot := h.inFlight > threshold, other.inFlight > threshold
+// betterThan reports whether the rule prefers h to other.
+func (h hotColdLoad) betterThan(other hotColdLoad, threshold float64) bool {
+	hot, otherHot := h.utilisation > threshold, other.utilisation > threshold
 	switch {
 	case hot && otherHot:
-		return h.inFlight < other.inFlight
+		return h.utilisation < other.utilisation
 	case hot != otherHot:
 		return otherHot
 	}
 	return h.latency < other.latency
 }
 
-// hotThreshold estimates the quantile as a point between the least and the
-// most loaded candidate, which needs no sorting and no memory.
+// hotThreshold estimates hotQuantile by interpolating between the lowest and the highest
+// utilisation of the candidates, which needs no sorting.
 func hotThreshold(req *Request) float64 {
 	low, high := 0.0, 0.0
 	for i := range req.CandidateSet {
-		inFlight := viewOf(req, i).inFlight
-		if i == 0 || inFlight < low {
-			low = inFlight
+		utilisation := hotColdLoadOf(req, i).utilisation
+		if i == 0 || utilisation < low {
+			low = utilisation
 		}
-		high = max(high, inFlight)
+		high = max(high, utilisation)
 	}
 	return low + hotQuantile*(high-low)
 }
--- a/pkg/choose/idlehints.go
+++ b/pkg/choose/idlehints.go
@@ -1,9 +1,8 @@
 package choose
 
-// IdleHints sends a call to a candidate whose newest stamp showed an idle slot
-// that this entry has not used up since, the newest hint first. Without a hint
-// it falls back to the better of two by outstanding calls. It is the idea of
-// join-idle-queue over stamps.
+// IdleHints picks the candidate with the newest stamp among those that have an idle slot
+// left after the calls that this entry has sent since the stamp. If there is none, it
+// falls back to LeastOutstanding. It is join-idle-queue with stamps as the idle reports.
 type IdleHints struct{ fallback LeastOutstanding }
 
 // Choose implements Policy.
@@ -13,14 +12,14 @@
 		if req.Excluded.Has(i) {
 			continue
 		}
-		known := req.CandidateSet[i].Load.Snapshot(req.Now)
-		idle := known.Limit - known.InFlight - known.SentSinceStamp
-		if idle > 0 && known.StampReceivedAt > newest {
-			best, newest = i, known.StampReceivedAt
+		load := req.CandidateSet[i].Load.Snapshot(req.Now)
+		idleSlots := load.Limit - load.InFlight - load.SentSinceStamp
+		if idleSlots > 0 && load.StampReceivedAt > newest {
+			best, newest = i, load.StampReceivedAt
 		}
 	}
 	if best == NoCandidate {
 		return ih.fallback.Choose(req, rnd)
 	}
-	return Pick{Index: best, MaxCost: unbounded}
+	return Pick{Index: best, MaxCost: noMaxCost}
 }
--- a/pkg/tables/view.go
+++ b/pkg/tables/view.go
@@ -12,32 +12,33 @@
 	"github.com/rushramp/rushramp/pkg/teams"
 )
 
-// Candidate is a backend server that the placement allows for a kind.
+// Candidate is a backend server that the placement allows for a request kind.
 type Candidate struct {
 	Endpoint *Endpoint
-	// Load repeats Route.Load, one step nearer for the scan.
+	// Load is Endpoint.Load, copied here to save a pointer access for each candidate.
 	Load *Load
 }
 
-// KindView is what the hot path needs to choose for one kind of request. It
-// never changes; a tick that changed something publishes another one.
+// KindView is what the request path reads to choose a backend server for one request
+// kind. It is immutable; a tick that changes anything publishes a new one.
 type KindView struct {
 	Kind *placement.CompiledKind
-	// LinkedCandidates are the candidates with a link.
+	// LinkedCandidates are the candidates with an open link.
 	LinkedCandidates []Candidate
-	// UnlinkedEndpoints are candidates that have no link yet.
+	// UnlinkedEndpoints are the candidates without an open link.
 	UnlinkedEndpoints []*Endpoint
-	// RedirectAddresses are callers' addresses of daemons in allowed data centres.
+	// RedirectAddresses are the caller addresses of daemons in allowed data centres;
+	// empty if this daemon's own data centre is allowed.
 	RedirectAddresses []string
 }
 
-// ServiceView holds the kinds of one service.
+// ServiceView holds the views of the request kinds of one service.
 type ServiceView struct {
 	Service *placement.CompiledService
 	kinds   map[*placement.CompiledKind]*KindView
 }
 
-// NewServiceView makes the view of one service.
+// NewServiceView returns the view of a service from those of its kinds.
 func NewServiceView(service *placement.CompiledService, kinds []*KindView) *ServiceView {
 	s := &ServiceView{Service: service, kinds: make(map[*placement.CompiledKind]*KindView, len(kinds))}
 	for _, k := range kinds {
@@ -46,7 +47,7 @@
 	return s
 }
 
-// Match returns the view of the kind that fits, or nil.
+// Match returns the view of the request kind that a method and path belong to, or nil.
 func (s *ServiceView) Match(method, path string) *KindView {
 	kind := s.Service.Match(method, path)
 	if kind == nil {
@@ -55,190 +56,196 @@
 	return s.kinds[kind]
 }
 
-// serviceVMs is how many VMs stand beside each service, and beside any.
-type serviceVMs struct {
-	of  map[string]int
-	all int
+// vmCounts holds the number of VMs of each service and the sum over all services.
+type vmCounts struct {
+	byService map[string]int
+	total     int
 }
 
-// View is what the hot path reads. Each service is published by itself, so
-// that a change costs no more than the service it concerns.
+// View is what the request path reads without waiting for a tick. The systems publish
+// each service by itself, so a change costs no more than that service. All methods are
+// safe for concurrent use.
 type View struct {
 	placement atomic.Pointer[placement.Compiled]
-	// since is when the version in force was published.
-	since    atomic.Pointer[time.Time]
-	services sync.Map
-	unsure   atomic.Bool
-	leaving  atomic.Bool
-	ready    atomic.Bool
-	members  atomic.Int64
-	stale    atomic.Bool
-	// serviceVMs is nil while no member is known.
-	serviceVMs atomic.Pointer[serviceVMs]
-	// evacuation is nil while no set is known.
+	// placementSince is when the placement in force was published.
+	placementSince  atomic.Pointer[time.Time]
+	services        sync.Map
+	placementUnsure atomic.Bool
+	leaving         atomic.Bool
+	ready           atomic.Bool
+	memberCount     atomic.Int64
+	storeStale      atomic.Bool
+	// vmCounts is nil until the first members are known.
+	vmCounts atomic.Pointer[vmCounts]
+	// evacuation is nil until a set is known.
 	evacuation atomic.Pointer[evacuation.Set]
-	// regionShare holds the bits of a float; 0: it was not measured.
+	// regionShare holds the bits of a float64; 0: not measured.
 	regionShare atomic.Uint64
-	// rollouts is nil while no roll-out is known.
-	rollouts atomic.Pointer[RolloutView]
-	provenAt atomic.Int64
+	// rollouts is nil until roll-outs are known.
+	rollouts          atomic.Pointer[RolloutView]
+	placementProvenAt atomic.Int64
 }
 
-// RolloutView is what is known of roll-outs; it never changes.
+// RolloutView is what this daemon knows of roll-outs. It is immutable.
 type RolloutView struct {
-	// Traffic is by service.
+	// Traffic is the division of requests between versions, by service.
 	Traffic map[string]*rollout.Traffic
-	// Digest is what peers compare; 0: nothing is known.
+	// Digest is the digest that peers compare with their own; 0: no roll-out is known.
 	Digest uint64
 }
 
-// RolloutTraffic returns how a roll-out divides the requests of a service, or nil.
-func (vi *View) RolloutTraffic(service string) *rollout.Traffic {
-	known := vi.rollouts.Load()
-	if known == nil {
+// RolloutTraffic returns how a roll-out divides the requests of a service between
+// versions, or nil without a roll-out.
+func (v *View) RolloutTraffic(service string) *rollout.Traffic {
+	rollouts := v.rollouts.Load()
+	if rollouts == nil {
 		return nil
 	}
-	return known.Traffic[service]
+	return rollouts.Traffic[service]
 }
 
-// RolloutDigest returns the digest of what is known of roll-outs; 0: nothing.
-func (vi *View) RolloutDigest() uint64 {
-	if known := vi.rollouts.Load(); known != nil {
-		return known.Digest
+// RolloutDigest returns RolloutView.Digest; 0: no roll-out is known.
+func (v *View) RolloutDigest() uint64 {
+	if rollouts := v.rollouts.Load(); rollouts != nil {
+		return rollouts.Digest
 	}
 	return 0
 }
 
-// SetRollouts publishes what is known of roll-outs.
-func (vi *View) SetRollouts(known *RolloutView) { vi.rollouts.Store(known) }
+// SetRollouts publishes the known roll-outs.
+func (v *View) SetRollouts(rollouts *RolloutView) { v.rollouts.Store(rollouts) }
 
-// Placement returns the version in force, or nil.
-func (vi *View) Placement() *placement.Compiled { return vi.placement.Load() }
+// Placement returns the placement in force, or nil.
+func (v *View) Placement() *placement.Compiled { return v.placement.Load() }
 
-// TeamLimit returns the limit of a team under the version in force; ok is false where that
-// names no such team.
-func (vi *View) TeamLimit(team string) (limit teams.Limit, ok bool) {
-	if p := vi.placement.Load(); p != nil {
+// TeamLimit returns the limit of a team by the placement in force; ok is false if that
+// has no team of this name.
+func (v *View) TeamLimit(team string) (limit teams.Limit, ok bool) {
+	if p := v.placement.Load(); p != nil {
 		return p.Teams.LimitOf(team)
 	}
 	return teams.Limit{}, false
 }
 
-// SetPlacement publishes a version.
-func (vi *View) SetPlacement(c *placement.Compiled) {
+// SetPlacement publishes a placement, which is in force from now on.
+func (v *View) SetPlacement(c *placement.Compiled) {
 	now := time.Now()
-	vi.since.Store(&now)
-	vi.placement.Store(c)
+	v.placementSince.Store(&now)
+	v.placement.Store(c)
 }
 
-// PlacementSince is when the version in force was published; zero without one.
-func (vi *View) PlacementSince() time.Time {
-	if at := vi.since.Load(); at != nil {
+// PlacementSince returns when the placement in force was published; zero without one.
+func (v *View) PlacementSince() time.Time {
+	if at := v.placementSince.Load(); at != nil {
 		return *at
 	}
 	return time.Time{}
 }
 
 // Service returns the view of a service, or nil.
-func (vi *View) Service(name string) *ServiceView {
-	if v, ok := vi.services.Load(name); ok {
-		return v.(*ServiceView)
+func (v *View) Service(name string) *ServiceView {
+	if service, ok := v.services.Load(name); ok {
+		return service.(*ServiceView)
 	}
 	return nil
 }
 
-// SetService publishes a service; nil takes it away.
-func (vi *View) SetService(name string, v *ServiceView) {
-	if v == nil {
-		vi.services.Delete(name)
+// SetService publishes the view of a service; nil removes it.
+func (v *View) SetService(name string, service *ServiceView) {
+	if service == nil {
+		v.services.Delete(name)
 		return
 	}
-	vi.services.Store(name, v)
+	v.services.Store(name, service)
 }
 
-// SetVMsByService publishes how many VMs stand beside each service; the map is not
-// changed any more.
-func (vi *View) SetVMsByService(of map[string]int) {
-	known := serviceVMs{of: of}
-	for service, n := range of {
+// SetVMsByService publishes the number of VMs of each service. The caller must not
+// change the map afterwards.
+func (v *View) SetVMsByService(byService map[string]int) {
+	counts := vmCounts{byService: byService}
+	for service, n := range byService {
 		if service != "" {
-			known.all += n
+			counts.total += n
 		}
 	}
-	vi.serviceVMs.Store(&known)
+	v.vmCounts.Store(&counts)
 }
 
-// VMShareOf is which share of the VMs that stand beside any service belongs to certain
-// ones, from 0 to 1; 0 where none is known.
-func (vi *View) VMShareOf(services []string) float64 {
-	known := vi.serviceVMs.Load()
-	if known == nil || known.all == 0 {
+// VMShareOf returns the share, from 0 to 1, of the VMs of all services that belong to
+// the given services; 0 if no VM is known.
+func (v *View) VMShareOf(services []string) float64 {
+	counts := v.vmCounts.Load()
+	if counts == nil || counts.total == 0 {
 		return 0
 	}
-	of := 0
+	vms := 0
 	for _, service := range services {
-		of += known.of[service]
+		vms += counts.byService[service]
 	}
-	return float64(of) / float64(known.all)
+	return float64(vms) / float64(counts.total)
 }
 
-// Evacuation returns which data centres are evacuated.
-func (vi *View) Evacuation() evacuation.Set {
-	if s := vi.evacuation.Load(); s != nil {
+// Evacuation returns the set of evacuated data centres.
+func (v *View) Evacuation() evacuation.Set {
+	if s := v.evacuation.Load(); s != nil {
 		return *s
 	}
 	return evacuation.Set{}
 }
 
-// SetEvacuation publishes which data centres are evacuated.
-func (vi *View) SetEvacuation(s evacuation.Set) { vi.evacuation.Store(&s) }
+// SetEvacuation publishes the set of evacuated data centres.
+func (v *View) SetEvacuation(s evacuation.Set) { v.evacuation.Store(&s) }
 
-// RegionShare is what a round trip to other data centres of the own region takes
-// of one to other regions, as the links have measured it last. It is 1 until there
-// was a link to another region: a deployment of one has no nearer crossing.
-func (vi *View) RegionShare() float64 {
-	if bits := vi.regionShare.Load(); bits != 0 {
+// RegionShare returns the round-trip time to other data centres of the same region as a
+// share of the round-trip time to other regions, as last measured on the links. It is 1
+// until there was a link to another region: in a deployment with one region no crossing
+// is cheaper.
+func (v *View) RegionShare() float64 {
+	if bits := v.regionShare.Load(); bits != 0 {
 		return math.Float64frombits(bits)
 	}
 	return 1
 }
 
-// SetRegionShare publishes what was measured.
-func (vi *View) SetRegionShare(share float64) { vi.regionShare.Store(math.Float64bits(share)) }
+// SetRegionShare publishes a measured RegionShare.
+func (v *View) SetRegionShare(share float64) { v.regionShare.Store(math.Float64bits(share)) }
 
-// PlacementProvenAt is when the store had no newer version than the one in force, as far as this
-// daemon knows, in nanoseconds of its clock; 0: never.
-func (vi *View) PlacementProvenAt() int64 { return vi.provenAt.Load() }
+// PlacementProvenAt returns the latest time, in nanoseconds of this daemon's clock, at
+// which the store is known to have had no newer placement than the one in force; 0:
+// never.
+func (v *View) PlacementProvenAt() int64 { return v.placementProvenAt.Load() }
 
-// SetPlacementProvenAt publishes it.
-func (vi *View) SetPlacementProvenAt(at int64) { vi.provenAt.Store(at) }
+// SetPlacementProvenAt publishes PlacementProvenAt.
+func (v *View) SetPlacementProvenAt(at int64) { v.placementProvenAt.Store(at) }
 
-// PlacementUnsure is true while nobody can tell whether the placement is in force.
-func (vi *View) PlacementUnsure() bool { return vi.unsure.Load() }
+// PlacementUnsure reports whether this daemon cannot tell if its placement is still in
+// force: neither the store nor all other data centres were heard of recently.
+func (v *View) PlacementUnsure() bool { return v.placementUnsure.Load() }
 
-// SetPlacementUnsure publishes whether the placement may be out of date.
-func (vi *View) SetPlacementUnsure(unsure bool) { vi.unsure.Store(unsure) }
+// SetPlacementUnsure publishes PlacementUnsure.
+func (v *View) SetPlacementUnsure(unsure bool) { v.placementUnsure.Store(unsure) }
 
-// Leaving is true when this daemon takes no new calls.
-func (vi *View) Leaving() bool { return vi.leaving.Load() }
+// Leaving reports whether this daemon takes no new calls because it is leaving.
+func (v *View) Leaving() bool { return v.leaving.Load() }
 
-// SetLeaving makes this daemon take no new calls. There is no way back.
-func (vi *View) SetLeaving() { vi.leaving.Store(true) }
+// SetLeaving makes this daemon take no new calls. It cannot be undone.
+func (v *View) SetLeaving() { v.leaving.Store(true) }
 
-// Ready is true when the daemon takes calls.
-func (vi *View) Ready() bool { return vi.ready.Load() }
+// Ready reports whether the daemon has started up and takes calls.
+func (v *View) Ready() bool { return v.ready.Load() }
 
 // SetReady publishes that the daemon takes calls.
-func (vi *View) SetReady() { vi.ready.Store(true) }
+func (v *View) SetReady() { v.ready.Store(true) }
 
-// MemberCount counts the VMs that this daemon knows of.
-func (vi *View) MemberCount() int { return int(vi.members.Load()) }
+// MemberCount returns the number of VMs in the table of members.
+func (v *View) MemberCount() int { return int(v.memberCount.Load()) }
 
-// SetMemberCount publishes how many VMs are known.
-func (vi *View) SetMemberCount(n int) { vi.members.Store(int64(n)) }
+// SetMemberCount publishes the number of VMs in the table of members.
+func (v *View) SetMemberCount(n int) { v.memberCount.Store(int64(n)) }
 
-// StoreStale is true while the newest word of the store is over its bound.
-func (vi *View) StoreStale() bool { return vi.stale.Load() }
+// StoreStale reports whether the newest read of the store that this daemon knows of is
+// older than its bound.
+func (v *View) StoreStale() bool { return v.storeStale.Load() }
 
-// SetStoreStale publishes whether it is.
-func (vi *View) SetStoreStale(stale bool) { vi.stale.Store(stale) }
+// SetStoreStale publishes StoreStale.
+func (v *View) SetStoreStale(stale bool) { v.storeStale.Store(stale) }
