--- a/pkg/speed/model.go
+++ b/pkg/speed/model.go
@@ -1,9 +1,10 @@
-// Package speed follows how fast a backend server works, from its own word:
-// what it is used to, whether a neighbour slows it just now, and for how long
-// that is likely to go on. A run keeps the speed of the moment at which it
-// starts, so it may pay to hold a start until a slow spell ends. Times are
-// nanoseconds of a steady clock, handed in by the owner, which also keeps the
-// model to one goroutine at a time. Source: docs/design/gate.md, "Held starts".
+// Package speed models how fast a backend server works, from the slowdowns that it
+// reports: the slowdown that it has all the time, whether it is in a slow period, as
+// noisy neighbours cause them, and how long that is likely to last. A run keeps the speed
+// that the backend server has at its start, so it may pay to hold a run until a slow
+// period ends. A slowdown is a run time as a multiple of that at normal speed. Times are
+// nanoseconds of a steady clock that the caller passes in. A Model is not safe for
+// concurrent use. Source: docs/design/gate.md, "Held starts".
 package speed
 
 import (
@@ -12,193 +13,201 @@
 )
 
 const (
-	// notable is the ratio to the steady slowdown above which a backend server
-	// is in a slow spell. Runs themselves spread by a third.
-	notable = 1.5
-	// steadyWindow is how long a backend server must have been slowed without a
-	// break to count as slow for good: spells of noise seen on the users' sites
-	// last some 200 to 500 ms.
-	steadyWindow = int64(time.Second)
-	// widestGap bounds the time between two reports in which a spell is taken to
-	// have begun or ended halfway.
-	widestGap = int64(100 * time.Millisecond)
+	// slowPeriodRatio is the ratio to the baseline above which a reported slowdown begins
+	// a slow period. Run times alone vary by a third.
+	slowPeriodRatio = 1.5
+	// baselineWindow is how long a backend server must be slowed without a break until
+	// the slowdown becomes its baseline, in nanoseconds. Slow periods last 200 to 500 ms
+	// on the users' sites.
+	baselineWindow = int64(time.Second)
+	// maxReportGap is the longest time between two reports, in nanoseconds, that is halved
+	// to estimate when a slow period began or ended; a longer one counts as this.
+	maxReportGap = int64(100 * time.Millisecond)
 	// trustWeight is the weight of one slowed run in the trust.
 	trustWeight = 1.0 / 8
-	// priorApart and priorLevel stand in for the time between two spells and their
-	// level until some were seen, and apartWeight is the weight of each that is.
-	priorApart  = float64(time.Second)
-	priorLevel  = 4.0
-	apartWeight = 1.0 / 8
-	// mostTrust bounds by how much a slowed run may take longer than was told.
-	mostTrust = 1.5
-	// freshFor is the age up to which a report tells the speed at which a run
-	// starts: the odds that a spell of the users' sites began within are 1 in 40.
-	freshFor = int64(20 * time.Millisecond)
+	// priorGap, in nanoseconds, and priorRatio are the initial values of meanGap and
+	// meanRatio; periodWeight is the weight of one slow period in these.
+	priorGap     = float64(time.Second)
+	priorRatio   = 4.0
+	periodWeight = 1.0 / 8
+	// maxTrust is the upper bound of the trust that one run shows.
+	maxTrust = 1.5
+	// maxReportAge is the age, in nanoseconds, up to which a report tells the slowdown at
+	// which a run starts: a slow period begins within it in 1 of 40 cases on the users'
+	// sites.
+	maxReportAge = int64(20 * time.Millisecond)
 )
 
-// reading is one report: a slowdown, 1 for none, and when it came.
-type reading struct {
+// report is a reported slowdown and when it came.
+type report struct {
 	at       int64
 	slowdown float64
 }
 
-// Model is what is known of one backend server's speed.
+// Model models the speed of one backend server.
 type Model struct {
-	// last is the newest report; at 0: there was none.
-	last reading
-	// lows are the reports of the steady window that no later one is below, the
-	// least first.
-	lows []reading
-	// spellSince is when the present spell began; 0: there is none.
-	spellSince int64
-	lengths    lengths
-	// usualSince is when the last spell ended; 0: none was seen. apart and level
-	// are the means of the time between two spells, in nanoseconds, and of their
-	// slowdown as a multiple of the steady one.
-	usualSince int64
-	apart      float64
-	level      float64
-	// trust is the share of the slowdown told that runs really show: 1 when they
-	// take as long as was said, 0 when they take no longer than usual.
+	// last is the newest report; its at is 0 before the first one.
+	last report
+	// minima are the reports of the baseline window that are lower than all later ones,
+	// the lowest first.
+	minima []report
+	// slowSince is when the present slow period began; 0: there is none.
+	slowSince int64
+	lengths   lengthHistogram
+	// normalSince is when the last slow period ended; 0: none has. meanGap is the mean
+	// time between two slow periods, in nanoseconds, and meanRatio the mean ratio of their
+	// slowdown to the baseline.
+	normalSince int64
+	meanGap     float64
+	meanRatio   float64
+	// trust is the share of the reported slowdown that runs show: 1 when they are as slow
+	// as reported, 0 when they are not slowed.
 	trust float64
 }
 
-// NewModel makes the model of a backend server that has said nothing yet.
+// NewModel returns the model of a backend server that has reported nothing yet.
 func NewModel() *Model {
-	return &Model{trust: 1, lengths: newLengths(), apart: priorApart, level: priorLevel}
+	return &Model{trust: 1, lengths: newLengthHistogram(), meanGap: priorGap, meanRatio: priorRatio}
 }
 
-// ObserveSlowdown takes the backend server's word over: slowdown is 1 when it works as
-// usual.
+// ObserveSlowdown adds a slowdown that the backend server reports. Values below 1 count
+// as 1.
 func (m *Model) ObserveSlowdown(now int64, slowdown float64) {
 	slowdown = max(slowdown, 1)
 	before := m.last
-	m.last = reading{at: now, slowdown: slowdown}
-	m.addLow(m.last)
-	// Between two reports a spell began, or ended, halfway.
-	turned := now - min(now-before.at, widestGap)/2
-	switch slow := m.slowed(); {
-	case slow && m.spellSince == 0:
-		m.beginSpell(turned)
-	case !slow && m.spellSince != 0:
-		m.endSpell(turned, before.slowdown)
+	m.last = report{at: now, slowdown: slowdown}
+	m.addMinimum(m.last)
+	// A slow period that begins or ends does so halfway between two reports.
+	changedAt := now - min(now-before.at, maxReportGap)/2
+	switch slow := m.isSlow(); {
+	case slow && m.slowSince == 0:
+		m.beginSlowPeriod(changedAt)
+	case !slow && m.slowSince != 0:
+		m.endSlowPeriod(changedAt, before.slowdown)
 	}
 }
 
-// beginSpell learns how long there was none, and how slow this one is.
-func (m *Model) beginSpell(at int64) {
-	m.spellSince = at
-	m.level += (m.last.slowdown/m.BaselineSlowdown() - m.level) * apartWeight
-	if m.usualSince != 0 {
-		m.apart += (float64(at-m.usualSince) - m.apart) * apartWeight
+// beginSlowPeriod records the beginning of a slow period, its slowdown and the time since
+// the one before.
+func (m *Model) beginSlowPeriod(at int64) {
+	m.slowSince = at
+	m.meanRatio += (m.last.slowdown/m.BaselineSlowdown() - m.meanRatio) * periodWeight
+	if m.normalSince != 0 {
+		m.meanGap += (float64(at-m.normalSince) - m.meanGap) * periodWeight
 	}
 }
 
-// endSpell learns from the spell that has ended. One that has outlasted the
-// steady window has become the usual state: it tells that some last for long.
-func (m *Model) endSpell(at int64, level float64) {
-	length := time.Duration(at - m.spellSince)
-	if m.last.slowdown > level/notable {
-		length = lasting
+// endSlowPeriod records the end of a slow period, in which lastSlowdown was reported last.
+// If the newest report is hardly lower, the period has ended only because its slowdown
+// has become the baseline: it is recorded as a lasting one.
+func (m *Model) endSlowPeriod(at int64, lastSlowdown float64) {
+	length := time.Duration(at - m.slowSince)
+	if m.last.slowdown > lastSlowdown/slowPeriodRatio {
+		length = lastingLength
 	}
-	m.lengths.note(length)
-	m.spellSince = 0
-	m.usualSince = at
+	m.lengths.record(length)
+	m.slowSince = 0
+	m.normalSince = at
 }
 
-// StalenessCost is by how much longer a run must be expected to take, in the mean, since
-// a spell may have begun after the newest word; the longest duration where there
-// was none. In a spell it is how much shorter it would be if that had ended.
+// StalenessCost returns by how much the time of a run with the given work differs from
+// the expected one, on average, because a slow period may have begun since the newest
+// report or, in a slow period, because it may have ended. It returns math.MaxInt64 before
+// the first report.
 func (m *Model) StalenessCost(now int64, work time.Duration) time.Duration {
 	if m.last.at == 0 {
 		return math.MaxInt64
 	}
-	lasts := m.apart
+	meanLength := m.meanGap
 	if m.InSlowPeriod() {
-		lasts = m.lengths.mean()
+		meanLength = m.lengths.mean()
 	}
-	turned := 1 - math.Exp(-float64(now-m.last.at)/max(lasts, 1))
-	return time.Duration(turned * float64(work) * m.BaselineSlowdown() * m.trust * (m.level - 1))
+	changeProbability := 1 - math.Exp(-float64(now-m.last.at)/max(meanLength, 1))
+	return time.Duration(changeProbability * float64(work) * m.BaselineSlowdown() * m.trust * (m.meanRatio - 1))
 }
 
-// addLow keeps the least slowdown of the window at the front.
-func (m *Model) addLow(r reading) {
-	for len(m.lows) > 0 && m.lows[len(m.lows)-1].slowdown >= r.slowdown {
-		m.lows = m.lows[:len(m.lows)-1]
+// addMinimum adds a report to minima, and removes the reports that are no lower and those
+// that have left the baseline window.
+func (m *Model) addMinimum(r report) {
+	for len(m.minima) > 0 && m.minima[len(m.minima)-1].slowdown >= r.slowdown {
+		m.minima = m.minima[:len(m.minima)-1]
 	}
-	m.lows = append(m.lows, r)
+	m.minima = append(m.minima, r)
 	first := 0
-	for m.lows[first].at < r.at-steadyWindow {
+	for m.minima[first].at < r.at-baselineWindow {
 		first++
 	}
-	m.lows = m.lows[first:]
+	m.minima = m.minima[first:]
 }
 
-// Slowdown is the newest word; 1: as usual, or nothing is known.
+// Slowdown returns the newest reported slowdown, or 1 before the first report.
 func (m *Model) Slowdown() float64 { return max(m.last.slowdown, 1) }
 
-// BaselineSlowdown is the slowdown outside of spells: the least of the last second. One
-// that was just started is slow for seconds, and no spell.
+// BaselineSlowdown returns the slowdown outside slow periods: the least one reported
+// within the baseline window, or 1 before the first report. A backend server that has
+// just started is slow for seconds; that is its baseline, not a slow period.
 func (m *Model) BaselineSlowdown() float64 {
-	if len(m.lows) == 0 {
+	if len(m.minima) == 0 {
 		return 1
 	}
-	return m.lows[0].slowdown
+	return m.minima[0].slowdown
 }
 
-// slowed is true while the newest word is notably over the steady slowdown.
-func (m *Model) slowed() bool { return m.last.slowdown > notable*m.BaselineSlowdown() }
+// isSlow reports whether the newest reported slowdown is notably above the baseline.
+func (m *Model) isSlow() bool { return m.last.slowdown > slowPeriodRatio*m.BaselineSlowdown() }
 
-// InSlowPeriod is true while a slow spell goes on.
-func (m *Model) InSlowPeriod() bool { return m.spellSince != 0 }
+// InSlowPeriod reports whether the backend server is in a slow period.
+func (m *Model) InSlowPeriod() bool { return m.slowSince != 0 }
 
-// ExpectedSlowdown is how many times its usual work a run takes that starts now.
+// ExpectedSlowdown returns the expected slowdown of a run that starts now: the reported
+// one, corrected by what runs in slow periods have shown.
 func (m *Model) ExpectedSlowdown() float64 {
-	steady := m.BaselineSlowdown()
-	return steady + m.trust*(m.Slowdown()-steady)
+	baseline := m.BaselineSlowdown()
+	return baseline + m.trust*(m.Slowdown()-baseline)
 }
 
-// SlowdownAtStart tells at which slowdown a run starts; fresh is false when the newest word
-// is too old to tell.
+// SlowdownAtStart returns the newest reported slowdown, for a run that starts now. fresh
+// is false when the report is too old to tell the speed of the run.
 func (m *Model) SlowdownAtStart(now int64) (slowdown float64, fresh bool) {
-	return m.Slowdown(), m.last.at != 0 && now-m.last.at <= freshFor
+	return m.Slowdown(), m.last.at != 0 && now-m.last.at <= maxReportAge
 }
 
-// RecordRun learns from a run that started in a spell, at the slowdown that Start
-// told: it took ratio times its usual work.
+// RecordRun updates the trust from a run that started in a slow period. slowdown is that
+// of SlowdownAtStart, ratio the run time as a multiple of the run's work.
 func (m *Model) RecordRun(slowdown, ratio float64) {
 	if slowdown <= 1 {
 		return
 	}
 	shown := (ratio - 1) / (slowdown - 1)
-	m.trust += (min(max(shown, 0), mostTrust) - m.trust) * trustWeight
+	m.trust += (min(max(shown, 0), maxTrust) - m.trust) * trustWeight
 }
 
-// Run is a run that could start now.
+// Run describes a run that could start now.
 type Run struct {
-	// Work is how long it takes at a backend server that works as usual.
+	// Work is the expected run time at normal speed.
 	Work time.Duration
-	// TimeLeft is the time left in which it should end; 0: no bound.
+	// TimeLeft is the time within which the run should end; 0: no limit.
 	TimeLeft time.Duration
-	// LatePenalty is what ending later than that costs, as a time.
+	// LatePenalty is the cost of ending later than that, as a time.
 	LatePenalty time.Duration
 }
 
-// HoldForecast is what a run has to expect that is held until a slow spell ends.
+// HoldForecast is what a run can expect that is held until a slow period ends.
 type HoldForecast struct {
-	// Wait is the expected time until it starts.
+	// Wait is the expected time until the run starts.
 	Wait time.Duration
-	// OnTimeProbability are the odds that it then ends within the time left, 0 to 1.
+	// OnTimeProbability is the probability, 0 to 1, that the run then ends within its
+	// TimeLeft.
 	OnTimeProbability float64
 }
 
-// ShouldHold decides whether a run should wait for the end of the spell. False: it
-// does better when it starts now.
+// ShouldHold decides whether a run should wait for the end of the slow period. It returns
+// false if the run does better when it starts now.
 func (m *Model) ShouldHold(now int64, run Run) (HoldForecast, bool) {
 	if !m.InSlowPeriod() {
 		return HoldForecast{}, false
 	}
-	usual := float64(run.Work) * m.BaselineSlowdown()
+	normal := float64(run.Work) * m.BaselineSlowdown()
 	slowed := float64(run.Work) * m.ExpectedSlowdown()
-	return m.lengths.hold(time.Duration(now-m.spellSince), run, usual, slowed)
+	return m.lengths.forecastHold(time.Duration(now-m.slowSince), run, normal, slowed)
 }
--- a/pkg/speed/percent.go
+++ b/pkg/speed/percent.go
@@ -1,11 +1,11 @@
 package speed
 
-// NormalPercent is the slowdown of a backend server that works as usual, in the
-// form in which slowdowns travel: in percent of the usual work time.
+// NormalPercent is the slowdown at normal speed in percent, the unit in which slowdowns
+// are sent.
 const NormalPercent = 100
 
-// FromPercent turns percent of the usual work time into a slowdown, 1 for none.
+// FromPercent converts a slowdown in percent to a factor, 1 at normal speed.
 func FromPercent(percent int64) float64 { return float64(percent) / NormalPercent }
 
-// ToPercent turns a slowdown, 1 for none, into percent of the usual work time.
+// ToPercent converts a slowdown as a factor, 1 at normal speed, to percent.
 func ToPercent(slowdown float64) uint32 { return uint32(slowdown * NormalPercent) }
