--- a/pkg/concurrency/limiter.go
+++ b/pkg/concurrency/limiter.go
@@ -1,139 +1,142 @@
-// Package concurrency learns how many runs a backend server takes at once
-// before work slows for all of them: from how long runs take against how many
-// were running at their start. Times are nanoseconds of a steady clock, handed
-// in by the owner, which also keeps the limiter to one goroutine at a time.
-// Source: docs/design/gate.md, "The limit is learnt".
+// Package concurrency learns how many runs a backend server can execute at once before
+// they slow one another down, by comparing the times of runs that start at low and at
+// high concurrency. Times are nanoseconds of a steady clock that the caller passes in. A
+// Limiter is not safe for concurrent use. Source: docs/design/gate.md, "The limit is
+// learnt".
 package concurrency
 
 import "time"
 
 const (
-	// lowShare bounds the runs that the others are compared with: those that
-	// started while at most this share of the limit ran.
+	// lowShare is the share of the limit up to which a run counts as one at low
+	// concurrency. The others are compared with these.
 	lowShare = 0.5
-	// highShare is the share of the limit above which runs tell whether it is too
-	// high.
+	// highShare is the share of the limit above which a run counts as one at high
+	// concurrency, which shows whether the limit is too high.
 	highShare = 0.75
-	// leastShare is the share of the slots that the limit never falls below.
-	leastShare = 0.4
-	// enough is how many runs a mean must hold to be looked at: with runs that
-	// spread by a third its error is a sixteenth.
-	enough = 24
-	// fewProbes is how many runs over the limit are enough where they are clearly
-	// slowed.
-	fewProbes = 8
-	// plenty is how many are enough to give up where they are neither clearly
-	// slowed nor clearly not.
-	plenty = 2 * enough
-	// slowed is the ratio to the runs at low concurrency above which the limit is
-	// too high: over four times the error of two full means, since it is looked at
-	// after each run, and runs that call others take longer under load anyway.
-	slowed = 1.25
-	// clearly is the ratio above which few probes are enough to tell.
-	clearly = 1.35
-	// lowerBy is the part of the limit that it falls by at once.
-	lowerBy = 8
-	// unslowed is the ratio up to which the limit may rise.
-	unslowed = 1.15
-	// window is how many runs a mean looks back on.
-	window = 64
-	// probeEvery is the least time between two runs over the limit.
-	probeEvery = int64(500 * time.Millisecond)
-	// firstPause is how long no run goes over the limit after those that did were
-	// slowed; it doubles each time, up to longestPause.
-	firstPause   = int64(time.Minute)
-	longestPause = int64(time.Hour)
+	// minLimitShare is the share of the slots below which the limit is not lowered.
+	minLimitShare = 0.4
+	// minRuns is how many runs a mean must hold to be used: as run times vary by a third,
+	// its standard error is then a sixteenth.
+	minRuns = 24
+	// minSlowProbes is how many probes, runs above the limit, are enough to stop probing
+	// when they are clearly slowed.
+	minSlowProbes = 8
+	// maxProbes is how many probes are enough to stop probing when they are neither
+	// clearly slowed nor clearly not.
+	maxProbes = 2 * minRuns
+	// slowedRatio is the ratio to the runs at low concurrency above which the limit is too
+	// high. It leaves over four standard errors of two full means, because it is checked
+	// after each run and runs that make calls take longer under load anyway.
+	slowedRatio = 1.25
+	// clearlySlowedRatio is the ratio above which minSlowProbes are enough.
+	clearlySlowedRatio = 1.35
+	// decreaseDivisor sets the step by which the limit is lowered: an eighth of it, but at
+	// least 1.
+	decreaseDivisor = 8
+	// unslowedRatio is the ratio up to which the limit may rise.
+	unslowedRatio = 1.15
+	// meanWindow is the number of runs that a mean covers.
+	meanWindow = 64
+	// probeInterval is the least time between two probes, in nanoseconds.
+	probeInterval = int64(500 * time.Millisecond)
+	// firstPause is how long probing stops, in nanoseconds, after probes were slowed. The
+	// pause doubles each time, up to maxPause.
+	firstPause = int64(time.Minute)
+	maxPause   = int64(time.Hour)
 )
 
-// Limiter follows one backend server. Make it with NewLimiter.
+// Limiter learns the limit on the runs of one backend server. Make it with NewLimiter.
 type Limiter struct {
 	slots int
 	limit int
-	// low, high and over are the runs that started at low concurrency, near the
-	// limit, and over it.
+	// low, high and over are the means of the runs that started at low concurrency, at
+	// high concurrency and above the limit.
 	low, high, over mean
-	// nextProbe is when the next run may go over the limit.
+	// nextProbe is when the next probe may start, in nanoseconds.
 	nextProbe int64
 	pause     int64
 }
 
-// NewLimiter makes the limiter of a backend server with so many slots, from a
-// limit that is safe where nothing is known.
+// NewLimiter returns the limiter of a backend server with the given number of slots.
+// limit is the initial limit.
 func NewLimiter(slots, limit int) *Limiter {
 	return &Limiter{slots: slots, limit: limit, pause: firstPause}
 }
 
-// Limit is how many runs go on at once.
+// Limit returns how many runs may execute at once.
 func (l *Limiter) Limit() int { return l.limit }
 
-// ShouldProbe decides whether one run may start over the limit, to learn whether the
+// ShouldProbe decides whether one run may start above the limit, to learn whether the
 // limit could be higher.
 func (l *Limiter) ShouldProbe(now int64) bool {
-	if l.limit >= l.slots || now < l.nextProbe || l.low.runs < enough {
+	if l.limit >= l.slots || now < l.nextProbe || l.low.runs < minRuns {
 		return false
 	}
-	l.nextProbe = now + probeEvery
+	l.nextProbe = now + probeInterval
 	return true
 }
 
-// RecordRun takes over a run that started as one of so many, and took ratio times what
-// it was expected to take. It returns true when the limit has changed.
+// RecordRun records a run that has ended. running is how many runs executed when it
+// started, itself included; ratio is its time as a multiple of the expected one.
+// RecordRun returns true when the limit has changed.
 func (l *Limiter) RecordRun(now int64, running int, ratio float64) (changed bool) {
 	before := l.limit
 	switch {
 	case running > l.limit:
 		l.over.add(ratio)
-		l.judgeProbes(now)
+		l.evaluateProbes(now)
 	case float64(running) <= lowShare*float64(l.limit):
 		l.low.add(ratio)
 	case float64(running) > highShare*float64(l.limit):
 		l.high.add(ratio)
-		l.judgeLimit()
+		l.evaluateLimit()
 	}
 	return l.limit != before
 }
 
-// judgeProbes raises the limit by one when runs over it are not slowed, and
-// pauses them when they are.
-func (l *Limiter) judgeProbes(now int64) {
+// evaluateProbes raises the limit by one when the probes are not slowed, and stops
+// probing for a while when they are.
+func (l *Limiter) evaluateProbes(now int64) {
 	ratio := l.over.value / max(l.low.value, minMean)
 	switch {
-	case l.over.runs >= fewProbes && ratio > clearly, l.over.runs >= plenty:
+	case l.over.runs >= minSlowProbes && ratio > clearlySlowedRatio, l.over.runs >= maxProbes:
 		l.over = mean{}
 		l.nextProbe = now + l.pause
-		l.pause = min(2*l.pause, longestPause)
-	case l.over.runs >= enough && ratio <= unslowed:
-		l.set(l.limit + 1)
+		l.pause = min(2*l.pause, maxPause)
+	case l.over.runs >= minRuns && ratio <= unslowedRatio:
+		l.setLimit(l.limit + 1)
 	}
 }
 
-// judgeLimit lowers the limit when runs near it are slowed.
-func (l *Limiter) judgeLimit() {
-	if l.high.runs < window || l.low.runs < enough || l.high.value <= slowed*l.low.value {
+// evaluateLimit lowers the limit when the runs at high concurrency are slowed.
+func (l *Limiter) evaluateLimit() {
+	if l.high.runs < meanWindow || l.low.runs < minRuns || l.high.value <= slowedRatio*l.low.value {
 		return
 	}
-	next := l.limit - max(l.limit/lowerBy, 1)
-	if float64(next) >= leastShare*float64(l.slots) {
-		l.set(next)
+	next := l.limit - max(l.limit/decreaseDivisor, 1)
+	if float64(next) >= minLimitShare*float64(l.slots) {
+		l.setLimit(next)
 	}
 }
 
-// set changes the limit; what was learnt near the old one is forgotten.
-func (l *Limiter) set(limit int) {
+// setLimit changes the limit and clears the means of the runs near the old one.
+func (l *Limiter) setLimit(limit int) {
 	l.limit = limit
 	l.high, l.over = mean{}, mean{}
 }
 
-// minMean keeps a division from a mean of nothing.
+// minMean is the least divisor for a mean; an empty mean is 0.
 const minMean = 0.01
 
-// mean is a mean over the newest runs.
+// mean is a mean over the newest meanWindow runs, which weights older ones less once it
+// is full.
 type mean struct {
 	value float64
 	runs  int
 }
 
 func (m *mean) add(ratio float64) {
-	m.runs = min(m.runs+1, window)
+	m.runs = min(m.runs+1, meanWindow)
 	m.value += (ratio - m.value) / float64(m.runs)
 }
