--- a/pkg/worktime/worktime.go
+++ b/pkg/worktime/worktime.go
@@ -1,5 +1,5 @@
-// Package worktime follows, route by route, how long requests run at a backend
-// server that works as usual.
+// Package worktime estimates, for each route, the work time of its requests: how long
+// they run at a backend server at normal speed.
 package worktime
 
 import (
@@ -10,37 +10,39 @@
 )
 
 const (
-	// fallWeight and riseWeight are the weights of a run that is shorter, and of
-	// one that is longer, than the work time of its route. Runs are mostly long
-	// for reasons that are not the route's (slow times that nobody told of, slow
-	// calls), so the work time follows short ones sooner.
-	fallWeight = 1.0 / 4
-	riseWeight = 1.0 / 8
-	// mostRoutes bounds the routes whose work times are kept.
-	mostRoutes = 4096
-	// guessShare stands in for a work time that is not known yet, as a share of
-	// the target latency: that of the users' requests is 0.3 to 0.4.
-	guessShare = 0.3
-	// longestGuess bounds that: a generous target tells little of the work.
-	longestGuess = 300 * time.Millisecond
+	// shorterWeight and longerWeight are the weights of a run that is shorter, and of one
+	// that is longer, than the estimate. Runs are mostly long for reasons other than their
+	// route (unreported slow periods, slow calls that they make), so the estimate follows
+	// short ones faster.
+	shorterWeight = 1.0 / 4
+	longerWeight  = 1.0 / 8
+	// maxRoutes is how many routes have an estimate; further ones get none.
+	maxRoutes = 4096
+	// targetShare is the share of a route's target latency that is taken as its work time
+	// before its first run: that of the users' requests is 0.3 to 0.4.
+	targetShare = 0.3
+	// maxInitial is the upper bound of that work time, because a generous target tells
+	// little about the work.
+	maxInitial = 300 * time.Millisecond
 )
 
-// Times holds the work times. It is safe for concurrent use.
+// Times holds the work times of the routes. It is safe for concurrent use.
 type Times struct {
 	mu      sync.Mutex
-	byRoute map[string]*mean
+	byRoute map[string]*estimate
 }
 
-// mean is the work time of one route and the number of runs in it.
-type mean struct {
+// estimate is the estimated work time of one route, in nanoseconds, and the number of
+// runs that it was computed from.
+type estimate struct {
 	work float64
 	runs int
 }
 
-// NewTimes makes empty work times.
-func NewTimes() *Times { return &Times{byRoute: map[string]*mean{}} }
+// NewTimes returns empty work times.
+func NewTimes() *Times { return &Times{byRoute: map[string]*estimate{}} }
 
-// Lookup returns the work time of a route; 0: not known.
+// Lookup returns the work time of a route; 0: unknown.
 func (t *Times) Lookup(route string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -50,17 +52,18 @@
 	return 0
 }
 
-// LookupOrEstimate returns the work time of a route, or a guess from its target latency
-// while no run of it has ended here; 0 where the target has passed.
+// LookupOrEstimate returns the work time of a route. Before the first run of the route
+// has ended, it returns an estimate from the route's target latency; 0 for a target of 0
+// or less.
 func (t *Times) LookupOrEstimate(route string, target time.Duration) time.Duration {
 	if work := t.Lookup(route); work > 0 {
 		return work
 	}
-	return min(time.Duration(guessShare*float64(max(target, 0))), longestGuess)
+	return min(time.Duration(targetShare*float64(max(target, 0))), maxInitial)
 }
 
-// Record takes a run over. slowdown is what the backend server said of its speed,
-// in percent of what is usual; 0: nothing.
+// Record updates the work time of a route from a run that took the given time. slowdown
+// is the slowdown that the backend server reported, in percent; 0: it reported none.
 func (t *Times) Record(route string, took time.Duration, slowdown int) {
 	work := float64(took)
 	if slowdown > 0 {
@@ -70,21 +73,21 @@
 	defer t.mu.Unlock()
 	known := t.byRoute[route]
 	if known == nil {
-		if len(t.byRoute) >= mostRoutes {
+		if len(t.byRoute) >= maxRoutes {
 			return
 		}
-		known = &mean{}
+		known = &estimate{}
 		t.byRoute[route] = known
 	}
-	known.note(work)
+	known.add(work)
 }
 
-// note takes one run over; the first few count alike.
-func (m *mean) note(work float64) {
-	m.runs++
-	weight := fallWeight
-	if work > m.work {
-		weight = riseWeight
+// add adds the work time of one run. The first runs have equal weights.
+func (e *estimate) add(work float64) {
+	e.runs++
+	weight := shorterWeight
+	if work > e.work {
+		weight = longerWeight
 	}
-	m.work += (work - m.work) * max(weight, 1/float64(m.runs))
+	e.work += (work - e.work) * max(weight, 1/float64(e.runs))
 }
--- a/pkg/worktime/worktime_test.go
+++ b/pkg/worktime/worktime_test.go
@@ -8,53 +8,58 @@
 	"github.com/shoenig/test"
 )
 
-const usual = 80 * time.Millisecond
+// normal is the run time of the tests' requests at normal speed.
+const normal = 80 * time.Millisecond
 
-func TestTheWorkTimeIsThatOfABackendServerAsUsual(t *testing.T) {
+// TestWorkTimeIsCorrectedForSlowdown checks that the reported slowdown of a run does not
+// count as work.
+func TestWorkTimeIsCorrectedForSlowdown(t *testing.T) {
 	times := NewTimes()
 	test.Eq(t, 0, times.Lookup("r"))
-	times.Record("r", 4*usual, 400)
-	test.Eq(t, usual, times.Lookup("r"))
-	times.Record("r", usual, 0)
-	test.Eq(t, usual, times.Lookup("r"))
+	times.Record("r", 4*normal, 400)
+	test.Eq(t, normal, times.Lookup("r"))
+	times.Record("r", normal, 0)
+	test.Eq(t, normal, times.Lookup("r"))
 }
 
-// TestSlowTimesThatNobodyToldOf: a quarter of the runs take four times as long
-// while the backend server says that it works as usual.
-func TestSlowTimesThatNobodyToldOf(t *testing.T) {
+// TestUnreportedSlowRuns checks that the work time stays near that at normal speed when a
+// quarter of the runs take four times as long and the backend server reports no slowdown.
+func TestUnreportedSlowRuns(t *testing.T) {
 	times := NewTimes()
 	for i := range 400 {
-		took := usual
+		took := normal
 		if i%4 == 0 {
-			took = 4 * usual
+			took = 4 * normal
 		}
 		times.Record("r", took, 100)
 	}
-	test.Between(t, usual, times.Lookup("r"), 2*usual)
+	test.Between(t, normal, times.Lookup("r"), 2*normal)
 }
 
-func TestTheNumberOfRoutesIsBounded(t *testing.T) {
+func TestNumberOfRoutesIsBounded(t *testing.T) {
 	times := NewTimes()
-	for i := range 2 * mostRoutes {
-		times.Record(fmt.Sprint(i), usual, 0)
+	for i := range 2 * maxRoutes {
+		times.Record(fmt.Sprint(i), normal, 0)
 	}
-	test.MapLen(t, mostRoutes, times.byRoute)
+	test.MapLen(t, maxRoutes, times.byRoute)
 }
 
-// TestAWorkTimeThatIsNotKnownIsGuessed: from the target, until the first run.
-func TestAWorkTimeThatIsNotKnownIsGuessed(t *testing.T) {
+// TestUnknownWorkTimeIsEstimatedFromTarget checks LookupOrEstimate before and after the
+// first run of a route.
+func TestUnknownWorkTimeIsEstimatedFromTarget(t *testing.T) {
 	times := NewTimes()
 	test.Eq(t, 150*time.Millisecond, times.LookupOrEstimate("r", 500*time.Millisecond))
-	test.Eq(t, longestGuess, times.LookupOrEstimate("r", time.Hour))
+	test.Eq(t, maxInitial, times.LookupOrEstimate("r", time.Hour))
 	test.Eq(t, 0, times.LookupOrEstimate("r", -time.Second))
-	times.Record("r", usual, 100)
-	test.Eq(t, usual, times.LookupOrEstimate("r", time.Hour))
+	times.Record("r", normal, 100)
+	test.Eq(t, normal, times.LookupOrEstimate("r", time.Hour))
 }
 
-// TestTheFirstRunsCountAlike: one unlucky first run does not stand for long.
-func TestTheFirstRunsCountAlike(t *testing.T) {
+// TestFirstRunsHaveEqualWeights checks that a first run that is too long is corrected by
+// the next ones.
+func TestFirstRunsHaveEqualWeights(t *testing.T) {
 	times := NewTimes()
-	times.Record("r", 3*usual, 100)
-	times.Record("r", usual, 100)
-	test.Eq(t, 2*usual, times.Lookup("r"))
+	times.Record("r", 3*normal, 100)
+	times.Record("r", normal, 100)
+	test.Eq(t, 2*normal, times.Lookup("r"))
 }
