--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -7,15 +7,17 @@
 	"github.com/rushramp/rushramp/pkg/speed"
 )
 
-// RunTimeMargin is how many times its expected run a routed job that has to wait for
-// a slot must have left to be worth starting: runs spread, and one that ends too
-// late takes the slot of one that would not. Where a slot is free its expected run
-// is enough: with runs that take twice as long for three seconds after a start, as
-// cold ones do, two thirds of the requests were refused by gates that had slots.
+// RunTimeMargin is how many times its expected run time a routed job must have left
+// when it starts after a wait for a slot. Run times vary, and a run that ends too late
+// takes the slot of one that would end in time. A job that finds a free slot needs its
+// expected run time only: while runs are slow, the margin would make a gate refuse jobs
+// although it has free slots.
 const RunTimeMargin = 1.3
 
-// Admit takes a job in. run is true when the owner must start it now; false
-// with no error means that it waits, and a later Finish hands it out.
+// Admit lets a job start or wait, or refuses it. run is true when the owner must start
+// the job now. When run is false and refusal is nil, the job waits until Finish, Tick,
+// ObserveSlowdown or SetColdState returns it. The kind of a refusal is GateBusier,
+// Overloaded or DeadlineBeforeRun.
 func (g *Gate) Admit(now int64, job *Job) (run bool, refusal *errkind.Error) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,70 +25,71 @@
 	job.index = notQueued
 	g.jobSeq++
 	job.seq = g.jobSeq
-	g.turns.give(job)
-	at := g.expect(now, job)
-	if refusal := g.check(now, job, at); refusal != nil {
+	g.fairness.assignStartTag(job)
+	fc := g.forecastFor(now, job)
+	if refusal := g.refusalFor(now, job, fc); refusal != nil {
 		return false, refusal
 	}
 	g.inFlight.Add(1)
-	g.turns.admitted(job)
-	if at.free && !at.held {
-		g.begin(now, job)
+	g.fairness.charge(job)
+	if fc.canStart && !fc.held {
+		g.noteStart(now, job)
 		return true, nil
 	}
-	job.held = at.held
+	job.held = fc.held
 	job.startBy = job.Deadline
 	if job.EndBy > 0 {
-		job.startBy = min(job.Deadline, job.EndBy-withSpread(at.service))
+		job.startBy = min(job.Deadline, job.EndBy-withMargin(fc.runTime))
 	}
 	g.queue.push(job)
 	return false, nil
 }
 
-// outlook is what a job that is admitted now has to expect.
-type outlook struct {
-	// free is true where a slot is free for it, held where it should wait all the
-	// same, for the end of a slow spell.
-	free bool
-	held bool
-	// wait is the expected time until its start, service that of its run.
+// forecast is what a job can expect that is admitted now.
+type forecast struct {
+	// canStart is true when a slot is free and the backend server may get another start;
+	// held is true when the job should wait all the same, for the end of a slow period.
+	canStart bool
+	held     bool
+	// wait is the expected time until the job starts, runTime that from its start to
+	// its end.
 	wait    time.Duration
-	service time.Duration
-	// inTime are the odds that a held job ends in time.
-	inTime float64
+	runTime time.Duration
+	// onTimeProbability is the probability that a held job ends by its EndBy.
+	onTimeProbability float64
 }
 
-// expect works out what a job has to expect.
-func (g *Gate) expect(now int64, job *Job) outlook {
+// forecastFor estimates the wait and the run time of a job.
+func (g *Gate) forecastFor(now int64, job *Job) forecast {
 	limit := g.limit(now)
-	start := g.startWait(now, job)
-	at := outlook{free: g.running < limit && start == 0}
-	if !at.free {
-		at.service = g.expected(now, job)
-		at.wait = start
+	coldWait := g.coldStartWait(now, job)
+	fc := forecast{canStart: g.running < limit && coldWait == 0}
+	if !fc.canStart {
+		fc.runTime = g.expectedRunTime(now, job)
+		fc.wait = coldWait
 		if g.running >= limit {
-			at.wait = max(start, g.queueWait(now, job, at.service, limit))
+			fc.wait = max(coldWait, g.slotWait(now, job, fc.runTime, limit))
 		}
-		return at
+		return fc
 	}
-	held, hold := g.holds(now, job)
-	if !hold {
-		at.service = g.expected(now, job)
-		return at
+	hold, worthHolding := g.shouldHold(now, job)
+	if !worthHolding {
+		fc.runTime = g.expectedRunTime(now, job)
+		return fc
 	}
-	at.held, at.wait, at.inTime = true, held.Wait, held.OnTimeProbability
-	at.service = g.expectedAfterSpell(job)
-	// Others are held, too, and may fill the slots when the spell ends.
-	ahead, work := g.queue.workAhead(job, g.expectedAfterSpell)
+	fc.held, fc.wait, fc.onTimeProbability = true, hold.Wait, hold.OnTimeProbability
+	fc.runTime = g.runTimeAfterSlowPeriod(job)
+	// Other held jobs may fill the slots when the slow period ends.
+	ahead, work := g.queue.workAhead(job, g.runTimeAfterSlowPeriod)
 	if ahead >= limit-g.running {
-		at.wait += work / time.Duration(limit)
+		fc.wait += work / time.Duration(limit)
 	}
-	return at
+	return fc
 }
 
-// holds decides whether a job should wait for the end of a slow spell although
+// shouldHold decides whether a job should wait for the end of a slow period although
 // a slot is free.
-func (g *Gate) holds(now int64, job *Job) (speed.HoldForecast, bool) {
+func (g *Gate) shouldHold(now int64, job *Job) (speed.HoldForecast, bool) {
 	if job.Work == 0 {
 		return speed.HoldForecast{}, false
 	}
@@ -98,125 +101,129 @@
 	return g.speed.ShouldHold(now, run)
 }
 
-// leastInTime are the odds of ending in time that a held job must have: one that
-// is refused after a wait is worse off than one that is refused at once.
-const leastInTime = 0.4
+// minOnTimeProbability is the least probability of ending in time with which a job is
+// held. A job with a lower one is refused at once, so that its sender can still try
+// another backend server.
+const minOnTimeProbability = 0.4
 
-// tooLate is true where a job is not expected to end in time.
-func tooLate(now int64, job *Job, at outlook) bool {
+// endsTooLate reports whether a job is expected to end after its EndBy.
+func endsTooLate(now int64, job *Job, fc forecast) bool {
 	if job.EndBy == 0 {
 		return false
 	}
-	if at.held {
-		return at.inTime < leastInTime
+	if fc.held {
+		return fc.onTimeProbability < minOnTimeProbability
 	}
-	if at.free {
-		return now+int64(at.service) > job.EndBy
+	if fc.canStart {
+		return now+int64(fc.runTime) > job.EndBy
 	}
-	return now+int64(at.wait)+withSpread(at.service) > job.EndBy
+	return now+int64(fc.wait)+withMargin(fc.runTime) > job.EndBy
 }
 
-func (g *Gate) check(now int64, job *Job, at outlook) *errkind.Error {
+// refusalFor returns the error with which a job is refused; nil: it is admitted.
+func (g *Gate) refusalFor(now int64, job *Job, fc forecast) *errkind.Error {
 	switch {
-	case job.Soft && g.busyForSoft(now, job):
+	case job.Soft && g.refusesSoft(now, job):
 		return errkind.New(errkind.GateBusier, "")
-	case tooLate(now, job, at) && !g.takesLate(now, job, at):
-		return errkind.New(errkind.Overloaded, "wait %v and run %v would end too late", at.wait.Round(time.Millisecond), at.service.Round(time.Millisecond))
+	case endsTooLate(now, job, fc) && !g.admitsLate(now, job, fc):
+		return errkind.New(errkind.Overloaded, "with an expected wait of %v and an expected run time of %v the request would end too late", fc.wait.Round(time.Millisecond), fc.runTime.Round(time.Millisecond))
 	case job.Deadline <= now:
-		return errkind.New(errkind.DeadlineBeforeRun, "no time was left at the gate")
-	case job.MaxCost > 0 && at.wait+at.service > job.MaxCost:
-		return errkind.New(errkind.GateBusier, "its expected time is over the bound that came with the call")
-	case at.free && !at.held:
+		return errkind.New(errkind.DeadlineBeforeRun, "the deadline had passed when the request reached the gate")
+	case job.MaxCost > 0 && fc.wait+fc.runTime > job.MaxCost:
+		return errkind.New(errkind.GateBusier, "the expected time until the end of the run is longer than the sender accepts")
+	case fc.canStart && !fc.held:
 		return nil
 	case g.queue.len() >= g.opts.QueueLength:
 		return errkind.New(errkind.Overloaded, "the queue is full")
-	case at.wait > g.opts.QueueTime:
-		return errkind.New(errkind.Overloaded, "the expected wait of %v is over the bound", at.wait)
-	case now+int64(at.wait) >= job.Deadline:
-		return errkind.New(errkind.Overloaded, "the expected wait of %v is longer than the time left", at.wait)
+	case fc.wait > g.opts.QueueTime:
+		return errkind.New(errkind.Overloaded, "the expected wait of %v is longer than the longest wait allowed", fc.wait)
+	case now+int64(fc.wait) >= job.Deadline:
+		return errkind.New(errkind.Overloaded, "the expected wait of %v is longer than the time left until the deadline", fc.wait)
 	}
 	return nil
 }
 
-// withSpread is how long a run that is expected to take service must have, in
-// nanoseconds.
-func withSpread(service time.Duration) int64 { return int64(RunTimeMargin * float64(service)) }
+// withMargin returns the time, in nanoseconds, that a waiting job with an expected run
+// time must have left when it starts.
+func withMargin(runTime time.Duration) int64 { return int64(RunTimeMargin * float64(runTime)) }
 
-// startWait is how long a job waits until the backend server bears its start,
-// behind those that go before it.
-func (g *Gate) startWait(now int64, job *Job) time.Duration {
-	if g.cold.MaxStartsPerSecond == 0 || g.queue.len() == 0 {
-		return g.cold.wait(now, 0)
+// coldStartWait returns how long a job waits until the limit on cold starts allows it
+// to start, behind the waiting jobs that start before it.
+func (g *Gate) coldStartWait(now int64, job *Job) time.Duration {
+	if g.coldStarts.MaxStartsPerSecond == 0 || g.queue.len() == 0 {
+		return g.coldStarts.wait(now, 0)
 	}
 	ahead, _ := g.queue.workAhead(job, func(*Job) time.Duration { return 0 })
-	return g.cold.wait(now, ahead)
+	return g.coldStarts.wait(now, ahead)
 }
 
-// queueWait is how long a job waits for a slot while none is free. A routed job
-// waits only for those that go before it in the order.
-func (g *Gate) queueWait(now int64, job *Job, service time.Duration, limit int) time.Duration {
+// slotWait returns how long a job waits for a slot while none is free. A routed job
+// waits only for the jobs that start before it in the queue's order.
+func (g *Gate) slotWait(now int64, job *Job, runTime time.Duration, limit int) time.Duration {
 	if job.EndBy == 0 {
-		return service * time.Duration(g.queue.len()+1) / time.Duration(limit)
+		return runTime * time.Duration(g.queue.len()+1) / time.Duration(limit)
 	}
-	_, ahead := g.queue.workAhead(job, func(other *Job) time.Duration { return g.expected(now, other) })
-	return (ahead + service) / time.Duration(limit)
+	_, ahead := g.queue.workAhead(job, func(other *Job) time.Duration { return g.expectedRunTime(now, other) })
+	return (ahead + runTime) / time.Duration(limit)
 }
 
-// lateUse is the share of the usable slots in use below which a gate takes runs
-// that would end after their target: they take the slot of no other.
-const lateUse = 0.5
+// lateRunsBelow is the share of the usable slots in use below which a gate admits jobs
+// that are expected to end after their EndBy: the free slots are not needed for others.
+const lateRunsBelow = 0.5
 
-// AcceptsLateRuns is true while a gate that runs so many of the jobs that it could
-// has slots for runs that would end after their target.
-func AcceptsLateRuns(running, usable int64) bool { return float64(running) < lateUse*float64(usable) }
+// AcceptsLateRuns reports whether a gate admits jobs that are expected to end after
+// their EndBy, by the number of its running jobs and of its usable slots.
+func AcceptsLateRuns(running, usable int64) bool {
+	return float64(running) < lateRunsBelow*float64(usable)
+}
 
-// takesLate decides whether a job that would end too late runs all the same:
-// where slots are free, if it would end before its deadline, or as a probe.
-func (g *Gate) takesLate(now int64, job *Job, at outlook) bool {
-	if at.free && AcceptsLateRuns(int64(g.running), int64(g.usable())) && now+int64(at.wait)+int64(at.service) < job.Deadline {
+// admitsLate decides whether a job that is expected to end after its EndBy runs all the
+// same: because it ends before its deadline and enough slots are free, or as a probe.
+func (g *Gate) admitsLate(now int64, job *Job, fc forecast) bool {
+	if fc.canStart && AcceptsLateRuns(int64(g.running), int64(g.usableSlots())) && now+int64(fc.wait)+int64(fc.runTime) < job.Deadline {
 		return true
 	}
-	return g.probes(now, at.free)
+	return g.admitsLateProbe(now, fc.canStart)
 }
 
-// probeEvery is the least time between two runs that are admitted although
-// they are expected to end too late, in nanoseconds.
-const probeEvery = int64(100 * time.Millisecond)
+// lateProbeInterval is the least time between two late probes, in nanoseconds.
+const lateProbeInterval = int64(100 * time.Millisecond)
 
-// probes decides whether a job that would end too late runs all the same: it
-// would start at once on a backend server that works as usual, and no other did
-// so lately. An estimate that is too long would else refuse all the runs that
-// could correct it.
-func (g *Gate) probes(now int64, free bool) bool {
-	if !free || g.tooSlowForSoft(now) || now-g.probedAt < probeEvery {
+// admitsLateProbe decides whether a job that is expected to end too late runs as a
+// probe of that expectation: it can start at once on a backend server at normal speed,
+// and the last probe was long enough ago. Without probes, an estimate of the work that
+// is too long would refuse all the runs that could correct it.
+func (g *Gate) admitsLateProbe(now int64, canStart bool) bool {
+	if !canStart || g.tooSlowForSoft(now) || now-g.lastLateProbe < lateProbeInterval {
 		return false
 	}
-	g.probedAt = now
+	g.lastLateProbe = now
 	return true
 }
 
-// busyForSoft is true while a soft job is better off elsewhere: at a slowed
-// backend server, at a cold one that bears no further start, or where it would
-// wait. A sender of the own data centre would pay for going on, so its job may wait
-// behind as many as there are slots that the gate does not use.
-func (g *Gate) busyForSoft(now int64, job *Job) bool {
-	most := g.usable()
+// refusesSoft reports whether a soft job is refused because another backend server
+// probably serves it sooner: this one is slowed, is cold and may get no further start,
+// or has no usable slot free. A job whose sender is in this data centre may wait behind
+// as many jobs as there are slots that the gate leaves unused, since the next backend
+// server to try is farther away.
+func (g *Gate) refusesSoft(now int64, job *Job) bool {
+	maxJobs := g.usableSlots()
 	if job.Near {
-		most = g.slots
+		maxJobs = g.slots
 	}
-	return g.tooSlowForSoft(now) || g.running+g.queue.len() >= most || g.bearsNoStart(now)
+	return g.tooSlowForSoft(now) || g.running+g.queue.len() >= maxJobs || g.coldStartsExhausted(now)
 }
 
-// expected is the expected time of one run of a job that starts now.
-func (g *Gate) expected(now int64, job *Job) time.Duration {
+// expectedRunTime returns the expected run time of a job that starts now.
+func (g *Gate) expectedRunTime(now int64, job *Job) time.Duration {
 	if job.Work == 0 {
-		return g.estimate.service(now)
+		return g.serviceTime.current(now)
 	}
 	return time.Duration(float64(job.Work) * g.speed.ExpectedSlowdown())
 }
 
-// expectedAfterSpell is the expected time of one run of a job that starts when
-// the slow spell has ended.
-func (g *Gate) expectedAfterSpell(job *Job) time.Duration {
+// runTimeAfterSlowPeriod returns the expected run time of a job that starts when the
+// slow period has ended.
+func (g *Gate) runTimeAfterSlowPeriod(job *Job) time.Duration {
 	return time.Duration(float64(job.Work) * g.speed.BaselineSlowdown())
 }
--- a/pkg/gate/cold.go
+++ b/pkg/gate/cold.go
@@ -1,55 +1,60 @@
 package gate
 
-// ColdState is what is known of a backend server that is cold: one that has just
-// started, or has come back, works slowly and fails under more starts than it
-// bears. Source: docs/design/cold-backend-servers.md.
+// ColdState is what the gate knows about whether the backend server is cold. A backend
+// server is cold for some time after it has started or come back: it works slowly, and
+// it fails if more than a certain number of jobs start on it in a second.
+// Source: docs/design/cold-backend-servers.md.
 type ColdState struct {
-	// MaxStartsPerSecond is how many jobs may start in any second; 0: the backend server bears any
-	// number.
+	// MaxStartsPerSecond is how many jobs may start in any second while the backend
+	// server is cold; 0: any number.
 	MaxStartsPerSecond int
-	// Since is when it may have become cold: of one that is warm, when it said so
-	// last, since it may become cold at any time.
+	// Since is the earliest time, in nanoseconds, at which a cold backend server may
+	// have become cold. For a warm one it is the time of the report that it is warm:
+	// it may have become cold at any time after that.
 	Since int64
-	// Until is until when it is cold; in the past of one that is warm.
+	// Until is when the backend server stops being cold, in nanoseconds. For a warm one
+	// it is in the past.
 	Until int64
 }
 
-// SetColdState takes over whether the backend server is cold. It returns the jobs that
-// the owner must start now.
-func (g *Gate) SetColdState(now int64, cold ColdState) []*Job {
+// SetColdState stores the newest report on whether the backend server is cold. It
+// returns the jobs that the owner must start now.
+func (g *Gate) SetColdState(now int64, state ColdState) []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.cold.set(now, cold, predecessor{was: g.opts.Restarted, gone: int64(g.opts.RestartAfter)})
+	g.coldStarts.update(now, state, previousProcess{existed: g.opts.Restarted, minDowntime: int64(g.opts.RestartAfter)})
 	return g.startWaiting(now)
 }
 
-// usualSlowdown is the slowdown of a backend server outside of slow spells: 1, or
-// what it is used to while it is cold, when waiting for it to end gains nothing and
-// others of its service are mostly cold, too.
-func (g *Gate) usualSlowdown(now int64) float64 {
-	if !g.cold.isCold(now) {
+// normalSlowdown returns the slowdown of the backend server outside slow periods: 1
+// while it is warm. While it is cold it is the baseline slowdown, since waiting for the
+// end of the cold period gains nothing and most other backend servers of the service are
+// cold, too.
+func (g *Gate) normalSlowdown(now int64) float64 {
+	if !g.coldStarts.isCold(now) {
 		return 1
 	}
 	return g.speed.BaselineSlowdown()
 }
 
-// tooSlowForSoft is true while the backend server works so much slower than usual
-// that soft jobs are refused.
+// tooSlowForSoft reports whether the backend server is so much slower than normal that
+// soft jobs are refused.
 func (g *Gate) tooSlowForSoft(now int64) bool {
-	return g.speed.Slowdown() > g.opts.SoftSlowdown*g.usualSlowdown(now)
+	return g.speed.Slowdown() > g.opts.SoftSlowdown*g.normalSlowdown(now)
 }
 
-// mayStart is true while the backend server bears another start.
-func (g *Gate) mayStart(now int64) bool { return g.cold.wait(now, 0) == 0 }
+// allowsColdStart reports whether the limit on cold starts allows a start now.
+func (g *Gate) allowsColdStart(now int64) bool { return g.coldStarts.wait(now, 0) == 0 }
 
-// bearsNoStart is true while the backend server bears no other start, whatever its
-// next word says.
-func (g *Gate) bearsNoStart(now int64) bool { return g.cold.full(now) }
+// coldStartsExhausted reports whether the limit on cold starts allows no start now,
+// whatever the next report of the backend server says.
+func (g *Gate) coldStartsExhausted(now int64) bool { return g.coldStarts.exhausted(now) }
 
-// NeedsColdCheck is true where the owner should ask the backend server whether it
-// is still warm, before the starts are used up that its last word allows.
+// NeedsColdCheck reports whether the owner should ask the backend server whether it is
+// still warm, so that the answer comes before the starts are used up that its last
+// report allows.
 func (g *Gate) NeedsColdCheck(now int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.cold.asks(now)
+	return g.coldStarts.needsCheck(now)
 }
--- a/pkg/gate/cold_periods_test.go
+++ b/pkg/gate/cold_periods_test.go
@@ -9,107 +9,107 @@
 	"pgregory.net/rapid"
 )
 
-// wordSlack is by how much the words' times are taken for earlier than they are, as
-// the gate's owner does.
-const wordSlack = 50 * ms
+// reportSlack is subtracted from the Since of each report, as the owner of the gate does.
+const reportSlack = 50 * ms
 
-// coldRow is a backend server that is cold several times in a row.
-type coldRow struct {
+// coldPeriods is a backend server with several cold periods of the same length. begins
+// are their beginnings.
+type coldPeriods struct {
 	begins []int64
-	lasts  int64
+	length int64
 }
 
-// till is until when it is cold at a time; 0: it is warm.
-func (c coldRow) till(now int64) int64 {
+// until returns the end of the cold period at now; 0: the backend server is warm.
+func (c coldPeriods) until(now int64) int64 {
 	for _, begin := range c.begins {
-		if now >= begin && now < begin+c.lasts {
-			return begin + c.lasts
+		if now >= begin && now < begin+c.length {
+			return begin + c.length
 		}
 	}
 	return 0
 }
 
-// word is what the gate is told of an answer that the backend server gave to a
-// question asked and answered at these times.
-func (c coldRow) word(most int, asked, said, now int64) ColdState {
-	till := c.till(said)
-	if till == 0 {
-		return ColdState{MaxStartsPerSecond: most, Since: asked - wordSlack, Until: now}
+// report returns the state that the owner of the gate sets at now, from an answer that
+// the backend server gave at the time answered to a question sent at the time asked.
+func (c coldPeriods) report(maxStarts int, asked, answered, now int64) ColdState {
+	until := c.until(answered)
+	if until == 0 {
+		return ColdState{MaxStartsPerSecond: maxStarts, Since: asked - reportSlack, Until: now}
 	}
-	left := till - said
-	return ColdState{MaxStartsPerSecond: most, Since: asked + left - c.lasts - wordSlack, Until: now + left}
+	left := until - answered
+	return ColdState{MaxStartsPerSecond: maxStarts, Since: asked + left - c.length - reportSlack, Until: now + left}
 }
 
-// drawColdRow draws two or three cold times and the moment of a word in each of
-// them: heartbeats tell of a cold time that nobody asks for.
-func drawColdRow(t *rapid.T, begin int64) (row coldRow, told []int64) {
-	row.lasts = rapid.Int64Range(100, 3000).Draw(t, "lasts") * ms
-	for range rapid.IntRange(2, 3).Draw(t, "cold times") {
+// drawColdPeriods draws two or three cold periods and the time of one report in each of
+// them, as a heartbeat brings it if the owner of the gate does not ask.
+func drawColdPeriods(t *rapid.T, begin int64) (periods coldPeriods, reportTimes []int64) {
+	periods.length = rapid.Int64Range(100, 3000).Draw(t, "lasts") * ms
+	for range rapid.IntRange(2, 3).Draw(t, "cold periods") {
 		begin += rapid.Int64Range(1, 1200).Draw(t, "gap") * ms
-		row.begins = append(row.begins, begin)
-		told = append(told, begin+rapid.Int64Range(0, row.lasts/ms-1).Draw(t, "told")*ms)
-		begin += row.lasts
+		periods.begins = append(periods.begins, begin)
+		reportTimes = append(reportTimes, begin+rapid.Int64Range(0, periods.length/ms-1).Draw(t, "told")*ms)
+		begin += periods.length
 	}
-	return row, told
+	return periods, reportTimes
 }
 
-// TestColdTimesInARow: in no second does the backend server get more starts while it
-// is cold than it bears, whatever words come between its cold times and however old
-// they are.
-func TestColdTimesInARow(t *testing.T) {
+// TestStartLimitHoldsAcrossColdPeriods checks that the backend server gets no more than
+// MaxStartsPerSecond starts while it is cold in any second, whatever reports come between
+// its cold periods and however old they are.
+func TestStartLimitHoldsAcrossColdPeriods(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 5
+		const maxStarts = 5
 		now := int64(10_000 * ms)
-		row, told := drawColdRow(t, now)
+		periods, reportTimes := drawColdPeriods(t, now)
 		g := New(Options{Slots: 1000, QueueLength: 1000, QueueTime: time.Minute, Order: Ranked})
-		g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now - wordSlack})
+		g.SetColdState(now, ColdState{MaxStartsPerSecond: maxStarts, Since: now - reportSlack})
 		var cold []int64
-		note := func(started int) {
-			for ; started > 0 && row.till(now) > 0; started-- {
+		recordStarts := func(started int) {
+			for ; started > 0 && periods.until(now) > 0; started-- {
 				cold = append(cold, now)
 			}
 		}
-		tell := func(asked int64) {
-			said := rapid.Int64Range(asked/ms, now/ms).Draw(t, "said") * ms
-			note(len(g.SetColdState(now, row.word(most, asked, said, now))))
+		sendReport := func(asked int64) {
+			answered := rapid.Int64Range(asked/ms, now/ms).Draw(t, "said") * ms
+			recordStarts(len(g.SetColdState(now, periods.report(maxStarts, asked, answered, now))))
 		}
-		end := row.begins[len(row.begins)-1] + row.lasts
+		end := periods.begins[len(periods.begins)-1] + periods.length
 		for asked := int64(0); now < end; now += rapid.Int64Range(1, 60).Draw(t, "pause") * ms {
-			for len(told) > 0 && now >= told[0] {
-				// A word on this cold time came when it was due.
-				late := now
-				now, told = told[0], told[1:]
-				tell(now)
-				now = late
+			for len(reportTimes) > 0 && now >= reportTimes[0] {
+				// The heartbeat of this cold period came at its time.
+				resumeAt := now
+				now, reportTimes = reportTimes[0], reportTimes[1:]
+				sendReport(now)
+				now = resumeAt
 			}
 			if asked > 0 || rapid.IntRange(0, 9).Draw(t, "unasked") == 0 {
-				tell(max(asked, now-20*ms))
+				sendReport(max(asked, now-20*ms))
 				asked = 0
 			}
-			for range rapid.IntRange(0, most+2).Draw(t, "jobs") {
+			for range rapid.IntRange(0, maxStarts+2).Draw(t, "jobs") {
 				if run, _ := g.Admit(now, coldJob(now)); run {
-					note(1)
+					recordStarts(1)
 				}
 			}
 			start, _ := g.Tick(now)
-			note(len(start))
+			recordStarts(len(start))
 			if g.NeedsColdCheck(now) || g.AwaitsReport(now) {
 				asked = now
 			}
 		}
-		for i := most; i < len(cold); i++ {
-			must.Greater(t, int64(time.Second), cold[i]-cold[i-most], must.Sprint(cold))
+		for i := maxStarts; i < len(cold); i++ {
+			must.Greater(t, int64(time.Second), cold[i]-cold[i-maxStarts], must.Sprint(cold))
 		}
 	})
 }
 
-// TestAfterAColdTimeWordsAllowMoreThanItsRate: only the starts of the cold time itself
-// go on counting. With each word that it is warm, all that have left the window since
-// may start again, so that it is not held to its cold rate for a second longer.
-func TestAfterAColdTimeWordsAllowMoreThanItsRate(t *testing.T) {
-	const most = 10
+// TestWarmReportsAllowMoreStartsThanTheLimit checks that after a cold period only the
+// starts within it go on counting. Each report that the backend server is warm allows all
+// other starts anew, so that it is not held to the cold limit for a second longer.
+func TestWarmReportsAllowMoreStartsThanTheLimit(t *testing.T) {
+	const maxStarts = 10
 	now := int64(10_000 * ms)
-	g := coldGate(now, most)
+	g := coldGate(now, maxStarts)
 	started := 0
 	admit := func() {
 		if run, _ := g.Admit(now, coldJob(now)); run {
@@ -122,14 +122,14 @@
 		start, _ := g.Tick(now)
 		started += len(start)
 	}
-	test.LessEq(t, 3*most, started, test.Sprint("in three seconds"))
+	test.LessEq(t, 3*maxStarts, started, test.Sprint("in three seconds"))
 	g.DrainQueue()
 	started = 0
 	for ; now < end+1000*ms; now += 20 * ms {
-		started += len(g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now - wordSlack, Until: now}))
+		started += len(g.SetColdState(now, ColdState{MaxStartsPerSecond: maxStarts, Since: now - reportSlack, Until: now}))
 		for range 3 {
 			admit()
 		}
 	}
-	test.Greater(t, 4*most, started, test.Sprint("in the second after the cold time"))
+	test.Greater(t, 4*maxStarts, started, test.Sprint("in the second after the cold period"))
 }
--- a/pkg/gate/cold_priority_test.go
+++ b/pkg/gate/cold_priority_test.go
@@ -8,13 +8,15 @@
 	"github.com/shoenig/test"
 )
 
-// scarceStarts plays the load after a loss of power: a service bears 20 starts a second.
-// Its own requests, rank 0, come 30 times a second and can wait for 15 ms; calls of
-// requests of rank 1 come as often. It returns how many of each start in three seconds.
-func scarceStarts(seed uint64, patience int64) (own, called int) {
-	const most = 20
+// simulateScarceStarts simulates a gate whose cold backend server may get 20 starts a
+// second, as after a loss of power. Direct requests of rank 0 come about 33 times a second
+// and can wait for about 15 ms. Nested calls of rank 1 come as often and have
+// nestedTimeLeft nanoseconds until their deadline. It returns how many of each start in
+// three seconds.
+func simulateScarceStarts(seed uint64, nestedTimeLeft int64) (direct, nested int) {
+	const maxStarts = 20
 	now, random := int64(10_000*ms), rand.New(rand.NewPCG(seed, 0))
-	g := coldGate(now, most)
+	g := coldGate(now, maxStarts)
 	var running []*Job
 	admit := func(rank uint16, left int64) {
 		job := &Job{Rank: rank, Nested: rank > 0, Work: 10 * time.Millisecond, Deadline: now + left, EndBy: now + left}
@@ -25,7 +27,7 @@
 	for range 290 {
 		now += 10 * ms
 		if random.IntN(3) == 0 {
-			admit(1, patience)
+			admit(1, nestedTimeLeft)
 		}
 		if random.IntN(3) == 0 {
 			admit(0, 30*ms)
@@ -36,29 +38,31 @@
 			job := running[0]
 			running = running[1:]
 			if job.Rank == 0 {
-				own++
+				direct++
 			} else {
-				called++
+				nested++
 			}
 			running = append(running, g.Finish(now, job, true)...)
 		}
 	}
-	return own, called
+	return direct, nested
 }
 
-// TestWhatCanWaitTakesScarceColdStarts: the order by rank orders only those that wait.
-// Calls that may wait until their deadline take starts from more urgent requests; held
-// to their target they leave these more, and no start is lost.
-func TestWhatCanWaitTakesScarceColdStarts(t *testing.T) {
-	var ownOfPatient, patient, own, called int
+// TestNestedCallsWithMuchTimeTakeScarceColdStarts shows why nested calls are held to
+// their target while the backend server is cold. The rank orders only the jobs that wait
+// at the same time, so nested calls that may wait until a late deadline take starts from
+// more urgent requests. With a short time left they leave more starts to these, and the
+// total stays the same.
+func TestNestedCallsWithMuchTimeTakeScarceColdStarts(t *testing.T) {
+	var directIfPatient, nestedIfPatient, direct, nested int
 	for seed := range uint64(50) {
-		o, c := scarceStarts(seed, 420*ms)
-		ownOfPatient, patient = ownOfPatient+o, patient+c
-		o, c = scarceStarts(seed, 30*ms)
-		own, called = own+o, called+c
+		d, n := simulateScarceStarts(seed, 420*ms)
+		directIfPatient, nestedIfPatient = directIfPatient+d, nestedIfPatient+n
+		d, n = simulateScarceStarts(seed, 30*ms)
+		direct, nested = direct+d, nested+n
 	}
-	t.Logf("patient calls: %d own, %d calls; others: %d and %d", ownOfPatient, patient, own, called)
-	test.Greater(t, 11*ownOfPatient/10, own)
-	test.Greater(t, own*9/10, called, test.Sprint("calls are not starved"))
-	test.Eq(t, ownOfPatient+patient, own+called, test.Sprint("no start is lost"))
+	t.Logf("starts with much time left: %d direct, %d nested; with little: %d direct, %d nested", directIfPatient, nestedIfPatient, direct, nested)
+	test.Greater(t, 11*directIfPatient/10, direct)
+	test.Greater(t, direct*9/10, nested, test.Sprint("nested calls are not starved"))
+	test.Eq(t, directIfPatient+nestedIfPatient, direct+nested, test.Sprint("no start is lost"))
 }
--- a/pkg/gate/cold_starts.go
+++ b/pkg/gate/cold_starts.go
@@ -6,173 +6,178 @@
 )
 
 const (
-	// coldWindow is the span in which starts at a cold backend server are counted,
-	// in nanoseconds. Its bound holds for any second; what is more is for starts
-	// that reach the backend server closer together than they left the gate.
-	coldWindow = int64(1050 * time.Millisecond)
-	// wordWithin is how long a job waits at a backend server that is warm as far as is
-	// known, for the word that it still is: the owner asks at once, and again after
-	// 15 ms where that was not answered.
-	wordWithin = 20 * time.Millisecond
-	// coldWordUsed is the share of the starts that a word of a warm backend server
-	// allows after which the next word should be asked for, so that none waits for it.
-	coldWordUsed = 0.5
+	// startWindow is how long a start counts against MaxStartsPerSecond, in nanoseconds.
+	// It exceeds a second because starts may reach the backend server closer together
+	// than they left the gate.
+	startWindow = int64(1050 * time.Millisecond)
+	// maxReportWait is how long a job waits, while the backend server is not known to be
+	// cold, for the report that it is still warm: the owner asks for the report at once,
+	// and again after 15 ms if it gets no answer.
+	maxReportWait = 20 * time.Millisecond
+	// checkAfterShare is the share of the starts allowed by a report of a warm backend
+	// server after which the owner should ask for the next report, so that no job has
+	// to wait for it.
+	checkAfterShare = 0.5
 )
 
-// coldStart is one start of the last window.
-type coldStart struct {
+// recordedStart is the start of one job within the last startWindow.
+type recordedStart struct {
 	at int64
-	// cold is true where the backend server is known to have been cold then. It
-	// counts for a whole window, whatever words come after it.
-	cold bool
-	// assumed is true for one that the process before may have made.
+	// whileCold is true when the backend server is known to have been cold at the start.
+	// Such a start counts for a whole startWindow, whatever is reported later.
+	whileCold bool
+	// assumed is true for a start that the previous process may have made.
 	assumed bool
 }
 
-// coldStarts counts the starts that a cold backend server may have got within the
-// last window: those that came while it is known to have been cold, and those since
-// its last word that it was warm, after which it may have become cold at any time.
-// A word that it is warm takes the latter out of the count and never the former, so
-// that cold times may follow one another with any words between.
-type coldStarts struct {
+// coldStartLimiter limits the starts that the backend server may get while it is cold.
+// It counts the starts of the last startWindow at which the backend server is known to
+// have been cold, and those since its last report that it was warm, because it may have
+// become cold at any time after that. A report that it is warm removes only the latter
+// from the count, so that the limit also holds across cold periods that follow one another
+// closely.
+type coldStartLimiter struct {
 	ColdState
-	// starts are the starts that count or may come to count, the oldest first. The
-	// bound keeps them to some two times Most.
-	starts []coldStart
+	// starts are the starts that count, or may come to count after the next report, the
+	// oldest first. The limit keeps them to about twice MaxStartsPerSecond.
+	starts []recordedStart
 }
 
-// predecessor is the process of the daemon before this one, which may have started
-// jobs, too.
-type predecessor struct {
-	was bool
-	// gone is how long before this process it had ended at least, in nanoseconds.
-	gone int64
+// previousProcess is the process of the daemon before this one, which may have started
+// jobs, too. Times below 0 are before the start of this process.
+type previousProcess struct {
+	existed bool
+	// minDowntime is the least time between its end and the start of this process, in
+	// nanoseconds.
+	minDowntime int64
 }
 
-// set takes over what is known now.
-func (c *coldStarts) set(now int64, cold ColdState, before predecessor) {
-	c.ColdState = cold
-	c.forget(now)
-	if before.was && cold.Since < -before.gone {
-		c.assumeFull(-before.gone)
+// update stores the newest report and changes which starts count.
+func (c *coldStartLimiter) update(now int64, state ColdState, previous previousProcess) {
+	c.ColdState = state
+	c.dropOld(now)
+	if previous.existed && state.Since < -previous.minDowntime {
+		c.assumeFullWindow(-previous.minDowntime)
 	}
 	if c.isCold(now) {
-		c.markCold()
+		c.markColdStarts()
 	} else {
-		c.dropWarm()
+		c.dropWarmStarts()
 	}
 }
 
-// assumeFull counts as many starts of the process before as a window may have. Words
-// may come in any order, so that each of them that reaches back so far does.
-func (c *coldStarts) assumeFull(at int64) {
+// assumeFullWindow adds as many starts of the previous process as the limit allowed, at
+// the given time. Reports may come in any order, so each one that reaches back that far
+// adds them, without those that an earlier one added.
+func (c *coldStartLimiter) assumeFullWindow(at int64) {
 	missing := c.MaxStartsPerSecond
 	for _, s := range c.starts {
 		if s.assumed {
 			missing--
 		}
 	}
-	c.starts = slices.Insert(c.starts, 0, slices.Repeat([]coldStart{{at: at, assumed: true}}, max(missing, 0))...)
+	c.starts = slices.Insert(c.starts, 0, slices.Repeat([]recordedStart{{at: at, assumed: true}}, max(missing, 0))...)
 }
 
-// markCold notes which starts came in the cold time.
-func (c *coldStarts) markCold() {
+// markColdStarts marks the starts since the backend server may have become cold.
+func (c *coldStartLimiter) markColdStarts() {
 	for i := range c.starts {
-		c.starts[i].cold = c.starts[i].cold || c.starts[i].at >= c.Since
+		c.starts[i].whileCold = c.starts[i].whileCold || c.starts[i].at >= c.Since
 	}
 }
 
-// dropWarm takes out what the backend server got while it was warm.
-func (c *coldStarts) dropWarm() {
-	c.starts = slices.DeleteFunc(c.starts, func(s coldStart) bool { return !s.cold && s.at < c.Since })
+// dropWarmStarts removes the starts that the backend server got while it was warm.
+func (c *coldStartLimiter) dropWarmStarts() {
+	c.starts = slices.DeleteFunc(c.starts, func(s recordedStart) bool { return !s.whileCold && s.at < c.Since })
 }
 
-// forget takes out the starts that are older than the window.
-func (c *coldStarts) forget(now int64) {
+// dropOld removes the starts that are older than startWindow.
+func (c *coldStartLimiter) dropOld(now int64) {
 	old := 0
-	for old < len(c.starts) && now-c.starts[old].at >= coldWindow {
+	for old < len(c.starts) && now-c.starts[old].at >= startWindow {
 		old++
 	}
 	c.starts = slices.Delete(c.starts, 0, old)
 }
 
-// note counts a start.
-func (c *coldStarts) note(now int64) {
+// record adds a start.
+func (c *coldStartLimiter) record(now int64) {
 	if c.MaxStartsPerSecond == 0 {
 		return
 	}
-	c.forget(now)
-	c.starts = append(c.starts, coldStart{at: now, cold: c.isCold(now)})
+	c.dropOld(now)
+	c.starts = append(c.starts, recordedStart{at: now, whileCold: c.isCold(now)})
 }
 
-// wait is how long a job waits for its start with some others ahead of it; 0: it
-// may start now.
-func (c *coldStarts) wait(now int64, ahead int) time.Duration {
-	wait := c.until(now, ahead, c.counts)
+// wait returns how long a job waits for its start when ahead other jobs start before it;
+// 0: it may start now.
+func (c *coldStartLimiter) wait(now int64, ahead int) time.Duration {
+	wait := c.waitCounting(now, ahead, c.maybeCold)
 	if c.isCold(now) {
 		return wait
 	}
-	// A word comes in time for the starts that it can take out of the count.
-	return max(c.until(now, 0, cameCold), min(wait, wordWithin))
+	// The next report may remove all starts from the count but those known to be cold.
+	return max(c.waitCounting(now, 0, knownCold), min(wait, maxReportWait))
 }
 
-// full is true while no word would allow another start.
-func (c *coldStarts) full(now int64) bool {
+// exhausted reports whether no start is allowed now, whatever the next report says.
+func (c *coldStartLimiter) exhausted(now int64) bool {
 	if c.isCold(now) {
-		return c.until(now, 0, c.counts) > 0
+		return c.waitCounting(now, 0, c.maybeCold) > 0
 	}
-	return c.until(now, 0, cameCold) > 0
+	return c.waitCounting(now, 0, knownCold) > 0
 }
 
-// until is how long a job with some others ahead of it waits where certain starts
-// count.
-func (c *coldStarts) until(now int64, ahead int, counts func(coldStart) bool) time.Duration {
+// waitCounting returns how long a job waits for its start when ahead other jobs start
+// before it and only the starts count for which counts returns true.
+func (c *coldStartLimiter) waitCounting(now int64, ahead int, counts func(recordedStart) bool) time.Duration {
 	if c.MaxStartsPerSecond == 0 {
 		return 0
 	}
-	rounds := int64(ahead / c.MaxStartsPerSecond)
-	frees := ahead%c.MaxStartsPerSecond + c.count(now, counts) - c.MaxStartsPerSecond
-	if frees < 0 {
-		return time.Duration(rounds * coldWindow)
+	fullWindows := int64(ahead / c.MaxStartsPerSecond)
+	excess := ahead%c.MaxStartsPerSecond + c.count(now, counts) - c.MaxStartsPerSecond
+	if excess < 0 {
+		return time.Duration(fullWindows * startWindow)
 	}
+	// The job may start once the excess starts and one more have left the window.
 	for _, s := range c.starts {
-		if now-s.at >= coldWindow || !counts(s) {
+		if now-s.at >= startWindow || !counts(s) {
 			continue
 		}
-		if frees == 0 {
-			return time.Duration(s.at + coldWindow*(1+rounds) - now)
+		if excess == 0 {
+			return time.Duration(s.at + startWindow*(1+fullWindows) - now)
 		}
-		frees--
+		excess--
 	}
 	return 0
 }
 
-// count counts certain starts within the window.
-func (c *coldStarts) count(now int64, counts func(coldStart) bool) int {
+// count returns the number of starts in the window for which counts returns true.
+func (c *coldStartLimiter) count(now int64, counts func(recordedStart) bool) int {
 	n := 0
 	for _, s := range c.starts {
-		if now-s.at < coldWindow && counts(s) {
+		if now-s.at < startWindow && counts(s) {
 			n++
 		}
 	}
 	return n
 }
 
-// counts is true for a start that the backend server may have got while it was cold.
-func (c *coldStarts) counts(s coldStart) bool { return s.cold || s.at >= c.Since }
+// maybeCold reports whether the backend server may have been cold at a start.
+func (c *coldStartLimiter) maybeCold(s recordedStart) bool { return s.whileCold || s.at >= c.Since }
 
-// cameCold is true for a start that it is known to have got while it was cold.
-func cameCold(s coldStart) bool { return s.cold }
+// knownCold reports whether the backend server is known to have been cold at a start.
+func knownCold(s recordedStart) bool { return s.whileCold }
 
-// isCold is true while the backend server is known to be cold.
-func (c *coldStarts) isCold(now int64) bool { return now < c.Until }
+// isCold reports whether the backend server is known to be cold.
+func (c *coldStartLimiter) isCold(now int64) bool { return now < c.Until }
 
-// asks is true where so many jobs have started since the word that the backend
-// server is warm that the next one should be asked for.
-func (c *coldStarts) asks(now int64) bool {
-	if c.MaxStartsPerSecond == 0 || c.isCold(now) || c.full(now) {
+// needsCheck reports whether so many jobs have started since the last report that the
+// backend server is warm that the owner should ask for the next report.
+func (c *coldStartLimiter) needsCheck(now int64) bool {
+	if c.MaxStartsPerSecond == 0 || c.isCold(now) || c.exhausted(now) {
 		return false
 	}
-	cold := c.count(now, cameCold)
-	return c.count(now, c.counts)-cold > int(coldWordUsed*float64(c.MaxStartsPerSecond-cold))
+	cold := c.count(now, knownCold)
+	return c.count(now, c.maybeCold)-cold > int(checkAfterShare*float64(c.MaxStartsPerSecond-cold))
 }
--- a/pkg/gate/cold_test.go
+++ b/pkg/gate/cold_test.go
@@ -9,27 +9,29 @@
 	"pgregory.net/rapid"
 )
 
-// coldGate is a gate with many slots of a backend server that is cold from now on.
-func coldGate(now int64, most int) *Gate {
+// coldGate returns a gate with many slots whose backend server is cold for the next three
+// seconds and may get maxStarts starts a second.
+func coldGate(now int64, maxStarts int) *Gate {
 	g := New(Options{Slots: 1000, QueueLength: 1000, QueueTime: time.Minute, Order: Ranked})
-	g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now, Until: now + 3000*ms})
+	g.SetColdState(now, ColdState{MaxStartsPerSecond: maxStarts, Since: now, Until: now + 3000*ms})
 	return g
 }
 
+// coldJob returns a job with ten seconds until its deadline.
 func coldJob(now int64) *Job {
 	return &Job{Work: 10 * time.Millisecond, Deadline: now + 10_000*ms, EndBy: now + 10_000*ms}
 }
 
-// TestAColdBackendServerGetsNoMoreStartsThanItBears: in any second, whatever comes
-// and ends when.
-func TestAColdBackendServerGetsNoMoreStartsThanItBears(t *testing.T) {
+// TestStartLimitOfAColdBackendServer checks that a cold backend server gets no more than
+// MaxStartsPerSecond starts in any second, whenever jobs come and end.
+func TestStartLimitOfAColdBackendServer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		const most = 5
+		const maxStarts = 5
 		now := int64(10_000 * ms)
-		g := coldGate(now, most)
+		g := coldGate(now, maxStarts)
 		var starts []int64
 		var running []*Job
-		note := func(jobs ...*Job) {
+		recordStarts := func(jobs ...*Job) {
 			for _, job := range jobs {
 				starts = append(starts, now)
 				running = append(running, job)
@@ -41,35 +43,36 @@
 			case 0:
 				job := coldJob(now)
 				if run, refusal := g.Admit(now, job); run && refusal == nil {
-					note(job)
+					recordStarts(job)
 				}
 			case 1:
 				if len(running) > 0 {
 					job := running[0]
 					running = running[1:]
-					note(g.Finish(now, job, true)...)
+					recordStarts(g.Finish(now, job, true)...)
 				}
 			default:
 				start, _ := g.Tick(now)
-				note(start...)
+				recordStarts(start...)
 			}
 		}
-		for i := most; i < len(starts) && starts[i] < 13_000*ms; i++ {
-			must.Greater(t, int64(time.Second), starts[i]-starts[i-most])
+		for i := maxStarts; i < len(starts) && starts[i] < 13_000*ms; i++ {
+			must.Greater(t, int64(time.Second), starts[i]-starts[i-maxStarts])
 		}
 	})
 }
 
-// TestAStartThatComesTooLateIsRefusedAtOnce, and one that comes in time waits.
-func TestAStartThatComesTooLateIsRefusedAtOnce(t *testing.T) {
+// TestJobWithoutTimeForAColdStartIsRefused checks that a job that could not start in time
+// at a cold backend server is refused at once, as is a soft one, and that others wait.
+func TestJobWithoutTimeForAColdStartIsRefused(t *testing.T) {
 	now := int64(10_000 * ms)
 	g := coldGate(now, 1)
 	run, refusal := g.Admit(now, coldJob(now))
 	must.Nil(t, refusal)
 	must.True(t, run)
-	hasty := coldJob(now)
-	hasty.EndBy = now + 500*ms
-	_, refusal = g.Admit(now, hasty)
+	urgent := coldJob(now)
+	urgent.EndBy = now + 500*ms
+	_, refusal = g.Admit(now, urgent)
 	must.NotNil(t, refusal)
 	soft := coldJob(now)
 	soft.Soft = true
@@ -80,17 +83,18 @@
 	must.False(t, run)
 	start, _ := g.Tick(now + 1000*ms)
 	test.Len(t, 0, start)
-	start, _ = g.Tick(now + coldWindow)
+	start, _ = g.Tick(now + startWindow)
 	test.Len(t, 1, start)
 }
 
-// TestAWarmWordAllowsWhatAColdOneBears: the backend server may have become cold
-// right after it, so that no more starts before the next word.
-func TestAWarmWordAllowsWhatAColdOneBears(t *testing.T) {
+// TestWarmReportAllowsOnlyTheColdLimit checks that no more than MaxStartsPerSecond jobs
+// start between two reports that the backend server is warm, since it may have become
+// cold right after the first.
+func TestWarmReportAllowsOnlyTheColdLimit(t *testing.T) {
 	now := int64(10_000 * ms)
 	g := New(Options{Slots: 1000, QueueLength: 1000, QueueTime: time.Minute, Order: Ranked})
-	word := func() []*Job { return g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now}) }
-	word()
+	report := func() []*Job { return g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now}) }
+	report()
 	admitted := func(count int) (started int) {
 		for range count {
 			if run, _ := g.Admit(now, coldJob(now)); run {
@@ -105,27 +109,27 @@
 	test.Eq(t, 1, admitted(1))
 	test.True(t, g.NeedsColdCheck(now))
 	test.Eq(t, 1, admitted(4))
-	test.True(t, g.AwaitsReport(now), test.Sprint("a word is asked for"))
-	hasty := coldJob(now)
-	hasty.EndBy = now + 100*ms
-	run, refusal := g.Admit(now, hasty)
-	test.Nil(t, refusal, test.Sprint("the word comes in time"))
+	test.True(t, g.AwaitsReport(now), test.Sprint("the owner should ask for a report"))
+	urgent := coldJob(now)
+	urgent.EndBy = now + 100*ms
+	run, refusal := g.Admit(now, urgent)
+	test.Nil(t, refusal, test.Sprint("the report comes in time"))
 	test.False(t, run)
-	test.True(t, g.Withdraw(hasty))
+	test.True(t, g.Withdraw(urgent))
 	now += ms
-	test.Len(t, 3, word())
-	// The next word tells that it is cold since then: what started before counts
-	// from there only.
+	test.Len(t, 3, report())
+	// The next report says that the backend server has become cold now: the starts before
+	// this time no longer count.
 	now += 10 * ms
 	g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now, Until: now + 3000*ms})
 	test.Eq(t, 4, admitted(5))
-	test.False(t, g.AwaitsReport(now), test.Sprint("a word would change nothing"))
+	test.False(t, g.AwaitsReport(now), test.Sprint("a report would change nothing"))
 	test.False(t, g.NeedsColdCheck(now))
 }
 
-// TestTwoColdTimesInARowCountAsOne: in the second in which one ends and the next
-// begins, the backend server bears no more than in any other.
-func TestTwoColdTimesInARowCountAsOne(t *testing.T) {
+// TestStartLimitBetweenTwoColdPeriods checks that the limit also holds in the second in
+// which one cold period ends and the next begins.
+func TestStartLimitBetweenTwoColdPeriods(t *testing.T) {
 	now := int64(10_000 * ms)
 	g := coldGate(now, 4)
 	admitted := func(count int) (started int) {
@@ -143,21 +147,21 @@
 	now += 150 * ms
 	g.SetColdState(now, ColdState{MaxStartsPerSecond: 4, Since: now - 50*ms, Until: now + 3000*ms})
 	test.Eq(t, 0, admitted(4))
-	now += coldWindow
+	now += startWindow
 	start, _ := g.Tick(now)
 	test.Len(t, 4, start)
 }
 
-// TestAWarmWordBetweenTwoColdTimes: what started at the end of one cold time counts
-// in the second in which the next may begin, though a word between the two said that
-// the backend server is warm.
-func TestAWarmWordBetweenTwoColdTimes(t *testing.T) {
-	const most = 4
+// TestWarmReportBetweenTwoColdPeriods checks that the starts at the end of one cold period
+// count in the second in which the next may begin, although a report between the two said
+// that the backend server was warm.
+func TestWarmReportBetweenTwoColdPeriods(t *testing.T) {
+	const maxStarts = 4
 	now := int64(10_000 * ms)
-	g := coldGate(now, most)
+	g := coldGate(now, maxStarts)
 	started := 0
 	admit := func() {
-		for range most {
+		for range maxStarts {
 			if run, _ := g.Admit(now, coldJob(now)); run {
 				started++
 			}
@@ -166,16 +170,17 @@
 	now += 2800 * ms
 	admit()
 	now += 250 * ms
-	g.SetColdState(now, ColdState{MaxStartsPerSecond: most, Since: now})
+	g.SetColdState(now, ColdState{MaxStartsPerSecond: maxStarts, Since: now})
 	now += 100 * ms
 	admit()
-	g.SetColdState(now+50*ms, ColdState{MaxStartsPerSecond: most, Since: now - 50*ms, Until: now + 3000*ms})
-	test.LessEq(t, most, started, test.Sprint("within 350 ms"))
+	g.SetColdState(now+50*ms, ColdState{MaxStartsPerSecond: maxStarts, Since: now - 50*ms, Until: now + 3000*ms})
+	test.LessEq(t, maxStarts, started, test.Sprint("within 350 ms"))
 }
 
-// TestStartsOfTheProcessBeforeCount: a backend server that was cold before this
-// process began may have got all that it bears from the one before.
-func TestStartsOfTheProcessBeforeCount(t *testing.T) {
+// TestStartsOfThePreviousProcessCount checks that a backend server that was cold before
+// this process started is taken to have got all the allowed starts from the process
+// before.
+func TestStartsOfThePreviousProcessCount(t *testing.T) {
 	now := 50 * ms
 	for _, s := range []struct {
 		name      string
@@ -183,10 +188,10 @@
 		restarted bool
 		want      bool
 	}{
-		{"cold before this process", -500 * ms, true, false},
-		{"cold with this process", -50 * ms, true, true},
-		{"cold with this process, which took its time to start", -160 * ms, true, true},
-		{"no process before this one", -500 * ms, false, true},
+		{"cold before this process started", -500 * ms, true, false},
+		{"cold since this process started", -50 * ms, true, true},
+		{"cold since shortly before this process started", -160 * ms, true, true},
+		{"no previous process", -500 * ms, false, true},
 	} {
 		t.Run(s.name, func(t *testing.T) {
 			g := New(Options{Slots: 10, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, Restarted: s.restarted, RestartAfter: 300 * time.Millisecond})
@@ -194,7 +199,7 @@
 			run, refusal := g.Admit(now, coldJob(now))
 			must.Nil(t, refusal)
 			test.Eq(t, s.want, run)
-			start, _ := g.Tick(now + coldWindow)
+			start, _ := g.Tick(now + startWindow)
 			test.Eq(t, !s.want, len(start) == 1)
 		})
 	}
--- a/pkg/gate/fair_queueing.go
+++ b/pkg/gate/fair_queueing.go
@@ -1,54 +1,56 @@
 package gate
 
-// fairTurns orders the jobs of teams among those of one rank by start-time fair queueing
-// (Goyal, Vin and Cheng, "Start-time Fair Queueing", SIGCOMM 1996): a job's turn is the
-// virtual time at which its team's work before it would be done if all teams that wait had
-// equal shares. A team that sends many times its usual, within its limit, so waits behind
-// itself and not in front of others. Weighed against deficit round robin, whose rounds a
-// rank and a deadline cannot be mixed into, and against a queue a team, which costs memory
-// for each. Jobs without a team go before those of teams of their rank, in the order of
-// their deadlines.
-type fairTurns struct {
-	// virtual is the turn of the job that started last.
-	virtual float64
-	// ends is the virtual time at which each team's work so far is done. A team that is
-	// not in it has none left.
-	ends map[string]float64
+// fairQueueing orders the jobs of one rank among the teams by start-time fair queueing
+// (Goyal, Vin and Cheng, "Start-time Fair Queueing", SIGCOMM 1996). A job's start tag is
+// the virtual time at which its team's earlier work would be done if all teams with
+// waiting jobs had equal shares. A team that suddenly sends much more than usual
+// therefore waits behind its own jobs, not in front of those of others. Jobs without a
+// team start before those with one, in the order of their deadlines.
+//
+// Deficit round robin would not work here, because its rounds cannot be combined with
+// ranks and deadlines. A queue for each team would cost memory for each.
+type fairQueueing struct {
+	// virtualTime is the start tag of the job that started last.
+	virtualTime float64
+	// finishTags holds the virtual time at which each team's work so far is done. A team
+	// without an entry has no work left.
+	finishTags map[string]float64
 }
 
-// mostTeams is how many teams are followed until those with no work left are forgotten:
-// with 24 bytes each and their names some 100 kB.
-const mostTeams = 1024
+// maxTeams is the number of finish tags above which those of teams with no work left are
+// dropped. With 24 bytes each, and the names, they take about 100 kB.
+const maxTeams = 1024
 
-// give gives a job its turn; one without a team has the first.
-func (f *fairTurns) give(job *Job) {
-	job.turn = 0
+// assignStartTag sets the start tag of a job; that of a job without a team is 0.
+func (f *fairQueueing) assignStartTag(job *Job) {
+	job.startTag = 0
 	if job.Team != "" {
-		job.turn = max(f.virtual, f.ends[job.Team])
+		job.startTag = max(f.virtualTime, f.finishTags[job.Team])
 	}
 }
 
-// admitted charges a job's work to its team; one that was refused costs nothing.
-func (f *fairTurns) admitted(job *Job) {
+// charge adds the work of an admitted job to its team's finish tag.
+func (f *fairQueueing) charge(job *Job) {
 	if job.Team == "" {
 		return
 	}
-	if f.ends == nil {
-		f.ends = map[string]float64{}
+	if f.finishTags == nil {
+		f.finishTags = map[string]float64{}
 	}
-	f.ends[job.Team] = job.turn + job.Work.Seconds()
-	if len(f.ends) > mostTeams {
-		f.forget()
+	f.finishTags[job.Team] = job.startTag + job.Work.Seconds()
+	if len(f.finishTags) > maxTeams {
+		f.dropIdleTeams()
 	}
 }
 
-// started takes over that a job has started.
-func (f *fairTurns) started(job *Job) { f.virtual = max(f.virtual, job.turn) }
+// noteStart advances the virtual time to the start tag of a job that starts.
+func (f *fairQueueing) noteStart(job *Job) { f.virtualTime = max(f.virtualTime, job.startTag) }
 
-func (f *fairTurns) forget() {
-	for team, end := range f.ends {
-		if end <= f.virtual {
-			delete(f.ends, team)
+// dropIdleTeams removes the finish tags of the teams that have no work left.
+func (f *fairQueueing) dropIdleTeams() {
+	for team, finishTag := range f.finishTags {
+		if finishTag <= f.virtualTime {
+			delete(f.finishTags, team)
 		}
 	}
 }
--- a/pkg/gate/fair_queueing_test.go
+++ b/pkg/gate/fair_queueing_test.go
@@ -10,21 +10,23 @@
 	"github.com/shoenig/test"
 )
 
-// teamLoad plays one gate of 18 slots and runs of 200 ms, 72 small teams that send what
-// is their share of four fifths of it, and one that sends twelve times as much as it did,
-// all within their limits. It returns the share of the requests served of each small team,
-// the least first, and that of the large one.
-func teamLoad(seed uint64, named bool) (small []float64, large float64) {
+// simulateTeams simulates a gate with 18 slots and runs of 200 ms for 20 seconds. The
+// usual load is four fifths of what the gate can run, from 72 small teams and a large one
+// that sends as much as ten of these. In the simulation the large team sends twelve times
+// its usual load, and the others theirs. simulateTeams returns the share of the requests
+// of each small team that end in time, the least first, and that of the large team. When
+// withTeams is false, the jobs carry no team, so that there is no fair queueing.
+func simulateTeams(seed uint64, withTeams bool) (small []float64, large float64) {
 	const (
 		slots, smallTeams, seconds = 18, 72, 20
 		work                       = 200 * time.Millisecond
 		target                     = 600 * time.Millisecond
 		step                       = int64(time.Millisecond)
 	)
-	perTeam := 0.8 * slots / work.Seconds() / (smallTeams + 10)
+	ratePerTeam := 0.8 * slots / work.Seconds() / (smallTeams + 10)
 	g := New(Options{Slots: slots, QueueLength: 200, QueueTime: time.Second, Order: Ranked, SoftSlowdown: 1.8})
 	random := rand.New(rand.NewPCG(seed, 2))
-	var asked, served [smallTeams + 1]int
+	var requests, served [smallTeams + 1]int
 	ends := map[int64][]*Job{}
 	var start func(now int64, team int, job *Job)
 	begin := func(now int64, jobs []*Job) {
@@ -46,16 +48,16 @@
 		}
 		delete(ends, now)
 		for team := range smallTeams + 1 {
-			rate := perTeam
+			rate := ratePerTeam
 			if team == smallTeams {
-				rate = 12 * 10 * perTeam
+				rate = 12 * 10 * ratePerTeam
 			}
 			if random.Float64() >= rate*time.Duration(step).Seconds() {
 				continue
 			}
-			asked[team]++
+			requests[team]++
 			job := &Job{Rank: 1, Deadline: now + 4*int64(target), EndBy: now + int64(target), Work: work}
-			if named {
+			if withTeams {
 				job.Team = fmt.Sprint("team-", team)
 			}
 			job.Start = func() { start(now, team, job) }
@@ -63,59 +65,63 @@
 				job.Start()
 			}
 		}
-		for _, job := range g.queue.takeIf(func(j *Job) bool { return j.startBy < now }) {
+		for _, job := range g.queue.removeIf(func(j *Job) bool { return j.startBy < now }) {
 			g.inFlight.Add(-1)
 			_ = job
 		}
 	}
 	for team := range smallTeams {
-		small = append(small, float64(served[team])/float64(max(asked[team], 1)))
+		small = append(small, float64(served[team])/float64(max(requests[team], 1)))
 	}
 	slices.Sort(small)
-	return small, float64(served[smallTeams]) / float64(asked[smallTeams])
+	return small, float64(served[smallTeams]) / float64(requests[smallTeams])
 }
 
-// TestATeamDoesNotStarveOthers that send as usual beside it: the worst tenth of these is
-// served, and the slots are as full as without.
-func TestATeamDoesNotStarveOthers(t *testing.T) {
+// TestLargeTeamDoesNotStarveSmallTeams checks that small teams that send as usual are
+// served when a large team sends much more, and that they are served much worse without
+// fair queueing. It looks at the tenth of the small teams that is served worst.
+func TestLargeTeamDoesNotStarveSmallTeams(t *testing.T) {
 	for seed := range uint64(3) {
-		small, large := teamLoad(seed, true)
-		without, largeWithout := teamLoad(seed, false)
-		t.Logf("worst tenth of the small teams %.2f, the large one %.2f; without turns %.2f and %.2f",
+		small, large := simulateTeams(seed, true)
+		without, largeWithout := simulateTeams(seed, false)
+		t.Logf("share served: worst tenth of the small teams %.2f, large team %.2f; without fair queueing %.2f and %.2f",
 			mean(small[:7]), large, mean(without[:7]), largeWithout)
 		test.GreaterEq(t, 0.9, mean(small[:7]))
 		test.GreaterEq(t, 0.4, mean(small[:7])-mean(without[:7]))
 	}
 }
 
-func mean(of []float64) (out float64) {
-	for _, x := range of {
-		out += x / float64(len(of))
+// mean returns the mean of values.
+func mean(values []float64) (out float64) {
+	for _, x := range values {
+		out += x / float64(len(values))
 	}
 	return out
 }
 
-// TestTurnsOfTeamsWithNoWorkAreForgotten: memory is bounded by the teams that wait.
-func TestTurnsOfTeamsWithNoWorkAreForgotten(t *testing.T) {
-	var f fairTurns
-	for n := range 10 * mostTeams {
+// TestFinishTagsOfIdleTeamsAreDropped checks that the number of finish tags is bounded
+// when the teams have no work left.
+func TestFinishTagsOfIdleTeamsAreDropped(t *testing.T) {
+	var f fairQueueing
+	for n := range 10 * maxTeams {
 		job := &Job{Team: fmt.Sprint(n), Work: time.Millisecond}
-		f.give(job)
-		f.admitted(job)
-		job.turn += 1
-		f.started(job)
+		f.assignStartTag(job)
+		f.charge(job)
+		job.startTag += 1
+		f.noteStart(job)
 	}
-	test.LessEq(t, mostTeams+1, len(f.ends))
+	test.LessEq(t, maxTeams+1, len(f.finishTags))
 }
 
-// TestCallsKeepTheOrderOfTheirDeadlines although turns of teams go on between them.
-func TestCallsKeepTheOrderOfTheirDeadlines(t *testing.T) {
-	var f fairTurns
-	less := lessOf(Ranked)
+// TestNestedJobsStartByDeadline checks that nested jobs, which have no team, start in the
+// order of their deadlines although the virtual time advances between them.
+func TestNestedJobsStartByDeadline(t *testing.T) {
+	var f fairQueueing
+	less := lessFor(Ranked)
 	late, early := &Job{Nested: true, Deadline: 9, seq: 1}, &Job{Nested: true, Deadline: 5, seq: 2}
-	f.give(late)
-	f.started(&Job{Team: "red", turn: 3})
-	f.give(early)
+	f.assignStartTag(late)
+	f.noteStart(&Job{Team: "red", startTag: 3})
+	f.assignStartTag(early)
 	test.True(t, less(early, late))
 	test.False(t, less(late, early))
 }
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate admits calls to the one backend server beside the daemon: it
-// runs, queues or refuses them. It decides only; its owner runs the jobs.
-// Times are nanoseconds of a steady clock, handed in by the owner.
+// Package gate decides which jobs run on the backend server beside the daemon: it
+// starts, queues or refuses each of them. A job is one call or request; the owner of the
+// gate runs it. Times are nanoseconds of a steady clock that the owner passes in.
 // Source: docs/design/gate.md.
 package gate
 
@@ -13,25 +13,29 @@
 	"github.com/rushramp/rushramp/pkg/speed"
 )
 
-// Options are the gate's settings.
+// Options configures a gate.
 type Options struct {
-	Slots       int
+	// Slots is how many jobs the backend server runs at once.
+	Slots int
+	// QueueLength is how many jobs may wait, QueueTime the longest expected wait.
 	QueueLength int
 	QueueTime   time.Duration
 	Order       Order
-	Adaptive    bool
-	// SoftSlowdown is the slowdown, 1 for none, above which soft jobs are
+	// Adaptive lowers the number of jobs that run at once while runs take notably longer
+	// than on average.
+	Adaptive bool
+	// SoftSlowdown is the reported slowdown, 1 at normal speed, above which soft jobs are
 	// refused.
 	SoftSlowdown float64
-	// SlotShare is the share of the slots that the gate uses, up to 1; 0 stands for 1. Work
-	// slows for all runs of a backend server that is nearly full.
+	// SlotShare is the share of the slots that the gate uses, up to 1; 0 stands for 1.
+	// All runs of a backend server that is nearly full slow down.
 	SlotShare float64
-	// LearnLimit makes Use the start only: the gate learns from its runs how many go on
-	// at once before work slows.
+	// LearnLimit makes SlotShare the initial value only: the gate learns from its runs
+	// how many jobs may run at once before they slow one another down.
 	LearnLimit bool
-	// Restarted is true where another process of the daemon may have started jobs
-	// before this one, and RestartAfter how long before this one it had ended at
-	// least.
+	// Restarted is true when an earlier process of the daemon may have started jobs.
+	// RestartAfter is the least time between the end of that process and the start of
+	// this one.
 	Restarted    bool
 	RestartAfter time.Duration
 }
@@ -40,54 +44,54 @@
 type Gate struct {
 	opts Options
 
-	mu       sync.Mutex
-	running  int
-	queue    *queue
-	estimate estimate
-	jobSeq   uint64
-	// slots may change: the backend server says how many it has.
+	mu          sync.Mutex
+	running     int
+	queue       *queue
+	serviceTime serviceTimeEstimator
+	jobSeq      uint64
+	// slots is the number of slots that the backend server reported last, at first that
+	// of the options.
 	slots int
-	// limiter learns how many jobs run at once where Options.Learn is set; else it
-	// is nil.
+	// limiter learns how many jobs may run at once; nil without Options.LearnLimit.
 	limiter *concurrency.Limiter
-	// speed is what is known of the backend server's speed, from its own word.
+	// speed models the speed of the backend server from the slowdowns that it reports.
 	speed *speed.Model
-	// probedAt is when a job was last admitted that was expected to be late.
-	probedAt int64
-	// turns shares the slots out among teams.
-	turns fairTurns
-	// cold bounds the starts at a cold backend server.
-	cold coldStarts
+	// lastLateProbe is when the last late probe was admitted.
+	lastLateProbe int64
+	// fairness orders the jobs of different teams.
+	fairness fairQueueing
+	// coldStarts limits the starts while the backend server is cold.
+	coldStarts coldStartLimiter
 
 	stampSeq atomic.Uint64
-	// inFlight repeats running plus queued for readers without the lock.
+	// inFlight is the number of running and waiting jobs, readable without mu.
 	inFlight atomic.Int64
 }
 
-// New makes a gate.
+// New returns a gate.
 func New(opts Options) *Gate {
 	if opts.SlotShare == 0 {
 		opts.SlotShare = 1
 	}
-	g := &Gate{opts: opts, queue: newQueue(opts.Order), slots: opts.Slots, speed: speed.NewModel(), probedAt: -probeEvery}
-	g.newLimiter()
+	g := &Gate{opts: opts, queue: newQueue(opts.Order), slots: opts.Slots, speed: speed.NewModel(), lastLateProbe: -lateProbeInterval}
+	g.resetLimiter()
 	return g
 }
 
-// SetSlots changes how many jobs run at once; the owner starts those that this
-// frees at its next tick.
+// SetSlots changes the number of slots to n, or 1 if n is less. Jobs that may start now
+// are returned by the next Tick.
 func (g *Gate) SetSlots(n int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if n = max(n, 1); n != g.slots {
 		g.slots = n
-		g.newLimiter()
+		g.resetLimiter()
 	}
 }
 
-// ObserveSlowdown takes over what the backend server says of its speed, 1: as usual. It
-// returns the jobs that the owner must start now: those that were held until a
-// slow spell ended.
+// ObserveSlowdown stores a slowdown that the backend server reports, 1 at normal speed.
+// It returns the jobs that the owner must start now, such as those that were held until
+// a slow period ended.
 func (g *Gate) ObserveSlowdown(now int64, slowdown float64) []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -95,28 +99,29 @@
 	return g.startWaiting(now)
 }
 
-func (g *Gate) begin(now int64, job *Job) {
+// noteStart records that a job starts now.
+func (g *Gate) noteStart(now int64, job *Job) {
 	g.running++
-	g.turns.started(job)
-	g.cold.note(now)
+	g.fairness.noteStart(job)
+	g.coldStarts.record(now)
 	job.started = now
-	job.atOnce = g.running
-	job.slowdown, job.fresh = g.speed.SlowdownAtStart(now)
-	job.inSpell = g.speed.InSlowPeriod()
-	g.estimate.start(now)
+	job.concurrency = g.running
+	job.slowdown, job.slowdownFresh = g.speed.SlowdownAtStart(now)
+	job.inSlowPeriod = g.speed.InSlowPeriod()
+	g.serviceTime.start(now)
 }
 
-// Finish notes that a job ended and returns the jobs that the owner must start
-// now. counts is false when the run says nothing of the service time, as when
-// it was cancelled or failed at once.
-func (g *Gate) Finish(now int64, job *Job, counts bool) []*Job {
+// Finish records that a job has ended, and returns the jobs that the owner must start
+// now. representative is false when the run tells nothing about the service time, as
+// when it was cancelled or failed at once.
+func (g *Gate) Finish(now int64, job *Job, representative bool) []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.running--
 	g.inFlight.Add(-1)
-	g.estimate.end(now, job.started, counts)
-	if counts && job.fresh && job.Work > 0 {
-		g.learn(now, job)
+	g.serviceTime.end(now, job.started, representative)
+	if representative && job.slowdownFresh && job.Work > 0 {
+		g.learnFromRun(now, job)
 	}
 	return g.startWaiting(now)
 }
--- a/pkg/gate/gate_bench_test.go
+++ b/pkg/gate/gate_bench_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// busyGate is a routed gate with all usable slots taken and so many jobs waiting.
+// busyGate returns a gate for routed requests with all usable slots taken and the given
+// number of jobs waiting.
 func busyGate(b *testing.B, waiting int, cold bool) *Gate {
 	g := New(Options{Slots: 11, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true})
 	if cold {
@@ -24,7 +25,7 @@
 	return &Job{Rank: 1, Deadline: hour, EndBy: hour, Work: 100 * time.Millisecond}
 }
 
-// BenchmarkAdmit admits a job that has to wait and takes it out again.
+// BenchmarkAdmit admits a job that has to wait, and withdraws it.
 func BenchmarkAdmit(b *testing.B) {
 	for name, s := range map[string]struct {
 		waiting int
@@ -43,9 +44,9 @@
 	}
 }
 
-// BenchmarkReport takes over a word on the speed while 200 jobs are held for the end
-// of a slow spell, with free slots.
-func BenchmarkReport(b *testing.B) {
+// BenchmarkObserveSlowdown observes a slowdown while 200 jobs are held for the end of a
+// slow period, with slots free.
+func BenchmarkObserveSlowdown(b *testing.B) {
 	g := New(Options{Slots: 1000, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
 	now := int64(time.Minute)
 	for range 50 {
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -14,19 +14,21 @@
 
 const ms = int64(time.Millisecond)
 
+// job returns a job of a class with a deadline and no other limits.
 func job(class placement.Class, deadline int64) *Job { return &Job{Class: class, Deadline: deadline} }
 
-// warm runs one job of the given length, so that the gate knows its service time.
-func warm(g *Gate, service int64) int64 {
+// warmUp runs one job that takes service nanoseconds, so that the gate knows its service
+// time, and returns the time at which it ended.
+func warmUp(g *Gate, service int64) int64 {
 	j := job(placement.Normal, 1000*ms)
 	g.Admit(1, j)
 	g.Finish(1+service, j, true)
 	return 1 + service
 }
 
-func TestOrders(t *testing.T) {
-	// Each waits behind one running call: a background call with much time, an
-	// urgent one with little, a normal one with less time than the background.
+func TestQueueOrders(t *testing.T) {
+	// Three jobs arrive while one runs: a background job with a late deadline, an urgent
+	// one with an early deadline and a normal one with a deadline between these.
 	scenarios := []struct {
 		order Order
 		want  []string
@@ -39,7 +41,7 @@
 	for _, s := range scenarios {
 		t.Run(string(s.order), func(t *testing.T) {
 			g := New(Options{Slots: 1, QueueLength: 10, QueueTime: time.Second, Order: s.order})
-			now := warm(g, 5*ms)
+			now := warmUp(g, 5*ms)
 			running := job(placement.Normal, now+900*ms)
 			g.Admit(now, running)
 			names := map[*Job]string{}
@@ -67,16 +69,18 @@
 	}
 }
 
+// TestSlackKeepsDeadlines checks that a background job does not start before a job whose
+// deadline it would endanger.
 func TestSlackKeepsDeadlines(t *testing.T) {
 	g := New(Options{Slots: 1, QueueLength: 10, QueueTime: time.Second, Order: Slack})
-	now := warm(g, 5*ms)
+	now := warmUp(g, 5*ms)
 	running := job(placement.Normal, now+900*ms)
 	g.Admit(now, running)
-	pressed := job(placement.Urgent, now+12*ms)
+	urgent := job(placement.Urgent, now+12*ms)
 	g.Admit(now, job(placement.Background, now+800*ms))
-	g.Admit(now, pressed)
+	g.Admit(now, urgent)
 	next := g.Finish(now+5*ms, running, true)
-	test.Eq(t, []*Job{pressed}, next)
+	test.Eq(t, []*Job{urgent}, next)
 }
 
 func TestRefusals(t *testing.T) {
@@ -86,14 +90,14 @@
 		want errkind.Kind
 	}{
 		{"deadline passed", Job{Deadline: 1}, errkind.DeadlineBeforeRun},
-		{"wait longer than the time left", Job{Deadline: 8 * ms}, errkind.Overloaded},
-		{"busier than the entry believed", Job{Deadline: 900 * ms, MaxCost: 6 * time.Millisecond}, errkind.GateBusier},
+		{"expected wait longer than the time left", Job{Deadline: 8 * ms}, errkind.Overloaded},
+		{"expected time longer than the sender accepts", Job{Deadline: 900 * ms, MaxCost: 6 * time.Millisecond}, errkind.GateBusier},
 		{"fits", Job{Deadline: 900 * ms, MaxCost: 11 * time.Millisecond}, errkind.None},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			g := New(Options{Slots: 1, QueueLength: 10, QueueTime: time.Second, Order: FIFO})
-			now := warm(g, 5*ms)
+			now := warmUp(g, 5*ms)
 			g.Admit(now, job(placement.Normal, 900*ms))
 			_, refusal := g.Admit(now, &s.job)
 			if s.want == errkind.None {
@@ -107,9 +111,11 @@
 	}
 }
 
-func TestSlownessShowsBeforeAnyRunEnds(t *testing.T) {
+// TestSlowdownShowsBeforeAnyRunEnds checks that the service time in stamps rises, and the
+// limit falls, while runs take longer than usual but have not ended.
+func TestSlowdownShowsBeforeAnyRunEnds(t *testing.T) {
 	g := New(Options{Slots: 12, QueueLength: 10, QueueTime: time.Second, Order: FIFO, Adaptive: true})
-	now := warm(g, 5*ms)
+	now := warmUp(g, 5*ms)
 	for range 6 {
 		g.Admit(now, job(placement.Normal, 1000*ms))
 	}
@@ -121,31 +127,33 @@
 	test.Between(t, 1, after.Limit, 3)
 	test.Greater(t, before.Seq, after.Seq)
 
-	// With nothing running, an old slowness is forgotten.
+	// With nothing running, an old slowdown is forgotten.
 	for range 6 {
 		g.Finish(now+50*ms, job(placement.Normal, 0), false)
 	}
 	test.Eq(t, uint32(5_000), g.Stamp(now+400*ms).ServiceUS)
 }
 
-func TestCallsBehindASlowedServerAreSentBack(t *testing.T) {
+// TestJobsBehindSlowedRunsAreSentBack checks that Tick sends back a waiting job with a
+// MaxCost once runs have slowed, and leaves one without a MaxCost.
+func TestJobsBehindSlowedRunsAreSentBack(t *testing.T) {
 	g := New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Second, Order: FIFO, Adaptive: true})
-	now := warm(g, 5*ms)
+	now := warmUp(g, 5*ms)
 	for range 2 {
 		g.Admit(now, job(placement.Normal, 1000*ms))
 	}
-	picky := &Job{Deadline: 1000 * ms, MaxCost: 20 * time.Millisecond}
-	last := &Job{Deadline: 1000 * ms}
-	for _, j := range []*Job{picky, last} {
+	withMaxCost := &Job{Deadline: 1000 * ms, MaxCost: 20 * time.Millisecond}
+	withoutMaxCost := &Job{Deadline: 1000 * ms}
+	for _, j := range []*Job{withMaxCost, withoutMaxCost} {
 		_, refusal := g.Admit(now, j)
 		must.Nil(t, refusal)
 	}
 	_, back := g.Tick(now + 5*ms)
 	test.SliceEmpty(t, back)
 	_, back = g.Tick(now + 100*ms)
-	test.Eq(t, []*Job{picky}, back)
+	test.Eq(t, []*Job{withMaxCost}, back)
 	test.Eq(t, 3, g.InFlight())
-	test.False(t, g.Withdraw(picky))
+	test.False(t, g.Withdraw(withMaxCost))
 }
 
 func TestGateNeverRunsMoreThanItsSlots(t *testing.T) {
@@ -190,6 +198,7 @@
 	})
 }
 
+// remove returns a copy of jobs without gone.
 func remove(jobs []*Job, gone *Job) []*Job {
 	out := jobs[:0:0]
 	for _, j := range jobs {
@@ -202,7 +211,7 @@
 
 func BenchmarkAdmitFinish(b *testing.B) {
 	g := New(Options{Slots: 12, QueueLength: 200, QueueTime: time.Second, Order: FIFO, Adaptive: true})
-	now := warm(g, 5*ms)
+	now := warmUp(g, 5*ms)
 	j := job(placement.Normal, 1<<62)
 	b.ReportAllocs()
 	for b.Loop() {
@@ -212,17 +221,19 @@
 	}
 }
 
-// routedGate is a gate as the runner of routed requests makes it.
+// routedGate returns a gate with two slots that is configured as for routed requests.
 func routedGate() *Gate {
 	return New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
 }
 
+// TestSoftJobs checks that a full or slowed gate refuses soft jobs, and that those of near
+// senders may use all slots.
 func TestSoftJobs(t *testing.T) {
 	const deadline = int64(time.Hour)
-	nearlyFull := func() *Gate {
+	newGate := func() *Gate {
 		return New(Options{Slots: 3, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
 	}
-	g := nearlyFull()
+	g := newGate()
 	soft := func(near bool) *errkind.Error {
 		_, refusal := g.Admit(1, &Job{Deadline: deadline, EndBy: deadline, Work: time.Second, Soft: true, Near: near})
 		return refusal
@@ -232,14 +243,14 @@
 	test.Eq(t, errkind.GateBusier, soft(false).Kind, test.Sprint("nearly full for a far sender"))
 	must.Nil(t, soft(true))
 	test.Eq(t, errkind.GateBusier, soft(true).Kind, test.Sprint("full"))
-	g = nearlyFull()
+	g = newGate()
 	g.ObserveSlowdown(1, 4)
 	test.Eq(t, errkind.GateBusier, soft(true).Kind, test.Sprint("slowed"))
 }
 
-// TestTheGateUsesItsShareOfTheSlots: work slows for all runs above it, so that
-// a gate that fills each slot ends fewer runs in time.
-func TestTheGateUsesItsShareOfTheSlots(t *testing.T) {
+// TestGateUsesItsShareOfTheSlots checks how many jobs run at once with a SlotShare of 0.8:
+// above that all runs slow down, so that fewer end in time.
+func TestGateUsesItsShareOfTheSlots(t *testing.T) {
 	const hour = int64(time.Hour)
 	for slots, want := range map[int]int{1: 1, 2: 2, 3: 2, 6: 4, 12: 9} {
 		g := New(Options{Slots: slots, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
@@ -253,12 +264,14 @@
 			}
 		}
 		test.Len(t, want, running, test.Sprint(slots, "slots"))
-		test.Len(t, 1, g.Finish(2, running[0], true), test.Sprint("a run that ends makes place for one"))
+		test.Len(t, 1, g.Finish(2, running[0], true), test.Sprint("a job that ends frees a slot for one"))
 		test.Eq(t, uint32(want), g.Stamp(2).Limit)
 	}
 }
 
-func TestARoutedJobWaitsOnlyForWhatGoesBeforeIt(t *testing.T) {
+// TestRoutedJobWaitsOnlyForJobsAheadOfIt checks that the expected wait of a routed job
+// leaves out the waiting jobs of a later rank.
+func TestRoutedJobWaitsOnlyForJobsAheadOfIt(t *testing.T) {
 	const hour = int64(time.Hour)
 	g := routedGate()
 	for range 2 {
@@ -270,7 +283,7 @@
 		_, refusal := g.Admit(1, &Job{Rank: 2, Deadline: hour, EndBy: hour, Work: time.Second})
 		must.Nil(t, refusal)
 	}
-	// Half a second of wait and one of work with its spread, behind nobody of its rank.
+	// An expected wait of 0.5 s and a run of 1 s with its margin, with no job ahead.
 	urgent := &Job{Rank: 0, Deadline: hour, EndBy: 1 + int64(1900*time.Millisecond), Work: time.Second}
 	_, refusal := g.Admit(1, urgent)
 	must.Nil(t, refusal)
@@ -282,10 +295,11 @@
 	test.Eq(t, errkind.RanNo, refusal.Ran)
 }
 
-// TestAJobThatWaitsMustHaveTimeForTheSpreadOfItsRun: half of the runs take longer
-// than expected, so the expected time alone is not enough to end in time.
-func TestAJobThatWaitsMustHaveTimeForTheSpreadOfItsRun(t *testing.T) {
-	// Two slots, both taken: half a second of wait.
+// TestWaitingJobNeedsRunTimeMargin checks that a job that has to wait is admitted only
+// with RunTimeMargin times its expected run time left, since half of the runs take longer
+// than expected.
+func TestWaitingJobNeedsRunTimeMargin(t *testing.T) {
+	// Both slots are taken: the expected wait is 0.5 s.
 	for left, want := range map[time.Duration]bool{1750 * time.Millisecond: false, 1850 * time.Millisecond: true} {
 		g := routedGate()
 		for range 2 {
@@ -297,29 +311,29 @@
 	}
 }
 
-// TestAFreeSlotTakesARunThatIsExpectedToEndInTime, and no other once half of the
-// slots are in use.
-func TestAFreeSlotTakesARunThatIsExpectedToEndInTime(t *testing.T) {
+// TestFreeSlotNeedsNoRunTimeMargin checks that a job starts in a free slot if its expected
+// run time is left, and is refused if less is and half of the slots are in use.
+func TestFreeSlotNeedsNoRunTimeMargin(t *testing.T) {
 	for left, want := range map[time.Duration]bool{950 * time.Millisecond: false, 1050 * time.Millisecond: true} {
 		g := routedGate()
-		g.probedAt = 1
+		g.lastLateProbe = 1
 		fillHalf(t, g)
 		run, _ := g.Admit(1, &Job{Deadline: int64(time.Hour), EndBy: 1 + int64(left), Work: time.Second})
 		test.Eq(t, want, run, test.Sprint(left))
 	}
 }
 
-// fillHalf starts so many jobs that the gate takes no late ones.
+// fillHalf starts jobs until the gate accepts no late ones.
 func fillHalf(t *testing.T, g *Gate) {
-	for AcceptsLateRuns(int64(g.running), int64(g.usable())) {
+	for AcceptsLateRuns(int64(g.running), int64(g.usableSlots())) {
 		run, _ := g.Admit(1, &Job{Deadline: int64(time.Hour), EndBy: int64(time.Hour), Work: time.Second})
 		must.True(t, run)
 	}
 }
 
-// TestFreeSlotsTakeRunsThatWouldBeLate: an answer after the target is worth
-// more than none, where no other run wants the slot.
-func TestFreeSlotsTakeRunsThatWouldBeLate(t *testing.T) {
+// TestLateRunsWhileSlotsAreFree checks that a job that would end after its EndBy starts
+// while less than half of the slots are in use: a late answer is worth more than none.
+func TestLateRunsWhileSlotsAreFree(t *testing.T) {
 	const hour = int64(time.Hour)
 	g := New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
 	g.ObserveSlowdown(1, 4)
@@ -333,7 +347,9 @@
 	test.False(t, late(hour), test.Sprint("half of the slots are in use"))
 }
 
-func TestMoreSlotsStartWhatWaits(t *testing.T) {
+// TestTickStartsJobsAfterSlotsWereAdded checks that Tick returns a waiting job for a new
+// slot.
+func TestTickStartsJobsAfterSlotsWereAdded(t *testing.T) {
 	const hour = int64(time.Hour)
 	g := routedGate()
 	for range 4 {
@@ -345,9 +361,9 @@
 	test.Len(t, 1, start)
 }
 
-// TestAnEstimateThatIsTooLongDoesNotCloseTheGate: the work time was learnt in a
-// bad moment and is over each target. A few runs are admitted to correct it.
-func TestAnEstimateThatIsTooLongDoesNotCloseTheGate(t *testing.T) {
+// TestWorkEstimateThatIsTooLongIsProbed checks that a gate whose jobs have a work time
+// longer than each EndBy admits a few of them, so that the work time can be corrected.
+func TestWorkEstimateThatIsTooLongIsProbed(t *testing.T) {
 	g := New(Options{Slots: 100, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
 	fillHalf(t, g)
 	admitted := 0
@@ -363,5 +379,5 @@
 	test.Eq(t, 10, admitted)
 	g.ObserveSlowdown(1, 4)
 	_, refusal := g.Admit(int64(time.Second), &Job{Deadline: int64(time.Hour), EndBy: int64(2 * time.Second), Work: time.Minute})
-	must.NotNil(t, refusal, must.Sprint("a slowed backend server tells nothing of the work"))
+	must.NotNil(t, refusal, must.Sprint("a run on a slowed backend server says nothing about the work"))
 }
--- a/pkg/gate/hold_test.go
+++ b/pkg/gate/hold_test.go
@@ -12,11 +12,12 @@
 
 const (
 	hour = int64(time.Hour)
-	run  = 200 * time.Millisecond
+	// run is the work of a job that is held in a slow period.
+	run = 200 * time.Millisecond
 )
 
-// holdingGate is a gate of four slots whose backend server has worked as usual
-// for a second, but for spells of 100 ms, and has just said that it is slowed.
+// holdingGate returns a gate with four slots, whose backend server has had slow periods of
+// 100 ms about once a second and has just reported that it is slowed.
 func holdingGate() (g *Gate, now int64) {
 	g = New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
 	now = 1
@@ -34,9 +35,9 @@
 	return g, now
 }
 
-// TestAStartIsHeldUntilTheSpellEnds: the job takes no slot meanwhile, and what
-// gains nothing by waiting starts beside it.
-func TestAStartIsHeldUntilTheSpellEnds(t *testing.T) {
+// TestJobIsHeldUntilTheSlowPeriodEnds checks that a held job takes no slot, and that a job
+// with little work, which gains nothing by waiting, starts at once.
+func TestJobIsHeldUntilTheSlowPeriodEnds(t *testing.T) {
 	g, now := holdingGate()
 	long := &Job{Deadline: now + hour, EndBy: now + hour, Work: run}
 	started, refusal := g.Admit(now, long)
@@ -51,8 +52,9 @@
 	test.False(t, g.AwaitsReport(now+90*ms))
 }
 
-// TestHeldStartsKeepTheirOrder: by rank, and no more than there are slots.
-func TestHeldStartsKeepTheirOrder(t *testing.T) {
+// TestHeldJobsStartByRank checks the order in which held jobs start, and that no more of
+// them start than there are slots.
+func TestHeldJobsStartByRank(t *testing.T) {
 	g, now := holdingGate()
 	var want []*Job
 	for _, rank := range []uint16{2, 2, 2, 0, 1} {
@@ -65,8 +67,9 @@
 	test.Eq(t, []*Job{want[2]}, g.Finish(now+300*ms, want[3], true))
 }
 
-// TestAHoldThatDoesNotPayIsNotMade: a spell that lasts is no reason to wait.
-func TestAHoldThatDoesNotPayIsNotMade(t *testing.T) {
+// TestHeldJobStartsInALongSlowPeriod checks that a held job starts when a slow period
+// lasts longer than those before.
+func TestHeldJobStartsInALongSlowPeriod(t *testing.T) {
 	g, now := holdingGate()
 	job := &Job{Deadline: now + hour, EndBy: now + hour, Work: run}
 	_, refusal := g.Admit(now, job)
@@ -80,9 +83,10 @@
 	test.Between(t, 100*time.Millisecond, job.WaitTime(), time.Second)
 }
 
-// TestAHeldJobIsRefusedInTime: its slowed run would be late, so it waits for the
-// spell's end, and can be refused while its sender has time for another.
-func TestAHeldJobIsRefusedInTime(t *testing.T) {
+// TestHeldJobCanBeWithdrawnInTime checks that a job whose slowed run would end too late
+// waits for the end of the slow period, and that its MaxWait ends while its sender can
+// still try another backend server.
+func TestHeldJobCanBeWithdrawnInTime(t *testing.T) {
 	g, now := holdingGate()
 	began := now
 	for range 3 {
@@ -93,15 +97,16 @@
 	started, refusal := g.Admit(now, job)
 	must.Nil(t, refusal)
 	test.False(t, started)
-	test.Eq(t, 340*time.Millisecond, job.MaxWait(now), test.Sprint("1.3 times its run before it should end"))
+	test.Eq(t, 340*time.Millisecond, job.MaxWait(now), test.Sprint("its run time with the margin before its EndBy"))
 	for ; now < began+340*ms; now += 10 * ms {
 		test.SliceEmpty(t, g.ObserveSlowdown(now, 5))
 	}
 	test.True(t, g.Withdraw(job))
 }
 
-// TestLittleHopeIsRefusedAtOnce: no spell seen so far would end soon enough.
-func TestLittleHopeIsRefusedAtOnce(t *testing.T) {
+// TestJobUnlikelyToEndInTimeIsRefused checks that a job is refused at once when no slow
+// period seen so far would end soon enough for it.
+func TestJobUnlikelyToEndInTimeIsRefused(t *testing.T) {
 	g, now := holdingGate()
 	for range 2 {
 		started, _ := g.Admit(now, &Job{Deadline: now + hour, EndBy: now + hour, Work: 5 * time.Millisecond})
@@ -113,31 +118,31 @@
 	test.Eq(t, errkind.RanNo, refusal.Ran)
 }
 
-// TestTheLimitIsLearnt: runs above 0.6 of the slots take longer, so the gate runs
-// fewer at once; where none do, it runs more.
-func TestTheLimitIsLearnt(t *testing.T) {
+// TestGateLearnsItsLimit checks that the gate runs fewer jobs at once when more than six
+// of ten slow one another down, and more when none do.
+func TestGateLearnsItsLimit(t *testing.T) {
 	for knee, want := range map[int][2]int{6: {5, 6}, 10: {9, 10}} {
 		g := New(Options{Slots: 10, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true})
-		play(g, knee, 4000)
-		test.Between(t, want[0], g.UsableSlots(), want[1], test.Sprint("work slows above ", knee))
+		simulateBursts(g, knee, 4000)
+		test.Between(t, want[0], g.UsableSlots(), want[1], test.Sprint("runs slow down above ", knee))
 	}
 }
 
-// play sends a gate more than it takes for a fifth of the time, and nothing for
-// the rest.
-func play(g *Gate, knee, steps int) {
-	type going struct {
+// simulateBursts sends a gate more jobs than it can run for a fifth of the time, and none
+// for the rest. Runs that start as one of more than knee take 1.7 times as long.
+func simulateBursts(g *Gate, knee, steps int) {
+	type execution struct {
 		job  *Job
 		ends int64
 	}
-	var all []going
+	var all []execution
 	begin := func(now int64, jobs ...*Job) {
 		for _, job := range jobs {
 			took := int64(run)
 			if job.ConcurrencyAtStart() > knee {
 				took = took * 17 / 10
 			}
-			all = append(all, going{job, now + took})
+			all = append(all, execution{job, now + took})
 		}
 	}
 	for step := range steps {
@@ -163,10 +168,11 @@
 	}
 }
 
-// TestManyHeldStarts: a word in the spell looks at few of them, and the one that ends
-// it starts all that there are slots for, in their order.
-func TestManyHeldStarts(t *testing.T) {
-	const jobs, slots = 5 * mostHeldLooks, 4 * mostHeldLooks
+// TestManyHeldJobs checks that a report in a slow period makes the gate check only
+// maxHeldChecks held jobs, and that the report that ends the period starts a job for each
+// slot, in their order.
+func TestManyHeldJobs(t *testing.T) {
+	const jobs, slots = 5 * maxHeldChecks, 4 * maxHeldChecks
 	g, now := holdingGate()
 	g.opts.QueueLength = jobs
 	g.SetSlots(slots)
@@ -178,32 +184,32 @@
 		want = append(want, job)
 	}
 	test.SliceEmpty(t, g.ObserveSlowdown(now+50*ms, 5))
-	looked := 0
+	checked := 0
 	for _, job := range want {
 		job.held = false
 	}
 	test.SliceEmpty(t, g.ObserveSlowdown(now+60*ms, 5))
 	for _, job := range want {
 		if job.held {
-			looked++
+			checked++
 		}
 	}
-	test.Eq(t, mostHeldLooks, looked)
+	test.Eq(t, maxHeldChecks, checked)
 	test.Eq(t, want[:slots], g.ObserveSlowdown(now+90*ms, 1))
 	test.Eq(t, want[slots:slots+1], g.Finish(now+300*ms, want[0], true))
 }
 
-// TestShortWorkStartsBesideManyHeldJobs: eight long jobs of the first rank are held for the end of a spell; a short one of
-// the second rank, which gains nothing by waiting, finds its slot free and is not
-// looked at.
-func TestShortWorkStartsBesideManyHeldJobs(t *testing.T) {
+// TestShortJobStartsBehindManyHeldJobs guards against a failure: eight long jobs of the first
+// rank were held for the end of a slow period, and a short job of the second rank, which gains
+// nothing by waiting, was not checked although a slot was free.
+func TestShortJobStartsBehindManyHeldJobs(t *testing.T) {
 	g, now := holdingGate()
 	g.opts.QueueLength = 100
 	g.SetSlots(1)
 	first := &Job{Deadline: now + hour, EndBy: now + hour, Work: 5 * time.Millisecond}
 	started, _ := g.Admit(now, first)
 	must.True(t, started)
-	for range mostHeldLooks {
+	for range maxHeldChecks {
 		_, refusal := g.Admit(now, &Job{Deadline: now + hour, EndBy: now + hour, Work: run})
 		must.Nil(t, refusal)
 	}
--- a/pkg/gate/limit.go
+++ b/pkg/gate/limit.go
@@ -2,62 +2,64 @@
 
 import "github.com/rushramp/rushramp/pkg/concurrency"
 
-// slowTolerance is how many times slower than usual the backend server may be
-// before the limit falls below the slots.
-const slowTolerance = 2.2
+// toleratedSlowdown is the measured slowdown, as a multiple of the mean service time,
+// above which an adaptive gate lowers its limit.
+const toleratedSlowdown = 2.2
 
-// newLimiter begins to learn anew, for another number of slots.
-func (g *Gate) newLimiter() {
+// resetLimiter starts learning anew, for another number of slots.
+func (g *Gate) resetLimiter() {
 	if g.opts.LearnLimit {
-		g.limiter = concurrency.NewLimiter(g.slots, g.share())
+		g.limiter = concurrency.NewLimiter(g.slots, g.configuredSlots())
 	}
 }
 
-// limit is how many calls run at once: the share of the slots in use, or fewer
-// while a neighbour slows the backend server, so that less work is stuck behind
-// it.
+// limit returns how many jobs may run at once: the usable slots, or fewer while runs of
+// an adaptive gate are slowed, so that less work waits behind slowed runs.
 func (g *Gate) limit(now int64) int {
-	usable := g.usable()
+	usable := g.usableSlots()
 	if !g.opts.Adaptive {
 		return usable
 	}
-	slowness := g.estimate.slowness(now)
-	if slowness <= slowTolerance {
+	slowdown := g.serviceTime.slowdown(now)
+	if slowdown <= toleratedSlowdown {
 		return usable
 	}
-	return max(1, int(float64(usable)*slowTolerance/slowness))
+	return max(1, int(float64(usable)*toleratedSlowdown/slowdown))
 }
 
-// leastUse is the share of the slots below which leaving the others unused costs
-// more than work that is slowed: with two slots, one is less than two that take
+// minSlotShare is the share of the slots below which leaving the others unused costs
+// more than slower runs: of two slots, one alone does less work than two whose runs take
 // 1.7 times as long.
-const leastUse = 0.6
+const minSlotShare = 0.6
 
-// usable is how many jobs run at once at a backend server that works as usual.
-func (g *Gate) usable() int {
+// usableSlots returns how many jobs may run at once while the backend server works at
+// normal speed.
+func (g *Gate) usableSlots() int {
 	if g.limiter != nil {
 		return g.limiter.Limit()
 	}
-	return g.share()
+	return g.configuredSlots()
 }
 
-// share is the share of the slots that is used where nothing is learnt.
-func (g *Gate) share() int {
+// configuredSlots returns the number of slots that Options.SlotShare allows, or all of
+// them where that would be too few.
+func (g *Gate) configuredSlots() int {
 	usable := int(g.opts.SlotShare * float64(g.slots))
-	if float64(usable) < leastUse*float64(g.slots) {
+	if float64(usable) < minSlotShare*float64(g.slots) {
 		return g.slots
 	}
 	return usable
 }
 
-// learn takes over how long a run took that started on fresh word.
-func (g *Gate) learn(now int64, job *Job) {
+// learnFromRun passes the run time of a job that started at a freshly reported slowdown
+// to the speed model, or to the limiter if it started outside a slow period.
+func (g *Gate) learnFromRun(now int64, job *Job) {
 	ratio := float64(now-job.started) / float64(job.Work)
-	if job.inSpell {
+	if job.inSlowPeriod {
 		g.speed.RecordRun(job.slowdown, ratio)
 		return
 	}
 	if g.limiter != nil {
-		g.limiter.RecordRun(now, job.atOnce, ratio/job.slowdown)
+		g.limiter.RecordRun(now, job.concurrency, ratio/job.slowdown)
 	}
 }
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -8,82 +8,92 @@
 	"github.com/rushramp/rushramp/pkg/placement"
 )
 
-// Order says which waiting call starts first.
+// Order decides which waiting job starts first.
 type Order string
 
 // The orders. docs/design/gate.md compares them.
 const (
-	FIFO     Order = "fifo"
-	EDF      Order = "edf"
+	// FIFO starts jobs in the order of their arrival.
+	FIFO Order = "fifo"
+	// EDF starts the job with the earliest deadline first.
+	EDF Order = "edf"
+	// Priority starts jobs by their class, most urgent first.
 	Priority Order = "priority"
-	// Slack lets background calls go first only while no other call's deadline
-	// is endangered by it. The idea is that of Bosch and Mullender, "Real-Time
-	// Disk Scheduling in a Mixed-Media File System", section 3.2.
+	// Slack starts background jobs first while that endangers the deadline of no other
+	// job. The idea is that of Bosch and Mullender, "Real-Time Disk Scheduling in a
+	// Mixed-Media File System", section 3.2.
 	Slack Order = "slack"
-	// Ranked puts the rank of a routed request before its deadline.
+	// Ranked starts jobs by rank; those of one rank by Nested, the fair share of their
+	// team and their deadline, in this order.
 	Ranked Order = "ranked"
 )
 
-// Job is one call at the gate. The fields in capitals are set by the caller.
+// Job is one call or routed request at the gate. The owner sets the exported fields
+// before Admit.
 type Job struct {
-	// Class orders the job in the orders that look at it.
+	// Class orders jobs under Priority and Slack.
 	Class placement.Class
 	// Deadline is when the caller stops waiting, in nanoseconds.
 	Deadline int64
-	// MaxCost is the longest expected time at this gate, wait and run, that
-	// the sender accepts. Zero or less: no bound.
+	// MaxCost is the longest expected time until the end of the run, its wait included,
+	// that the sender accepts. Zero or less: any.
 	MaxCost time.Duration
-	// Rank orders jobs of routed requests, 0 first; it goes before the deadline.
+	// Rank orders jobs under Ranked, 0 first.
 	Rank uint16
-	// Team shares the slots with other teams of one rank evenly; empty: the job has none.
+	// Team is the team that sent the request; empty: none. Under Ranked, the teams share
+	// the slots evenly among the jobs of one rank.
 	Team string
-	// Nested jobs go first among those of one rank: a service waits for each in
-	// the middle of a run, with its slot held.
+	// Nested is true for a call that a backend server makes during a run. Under Ranked,
+	// nested jobs start first among those of one rank, since that run keeps its slot
+	// until the call is answered.
 	Nested bool
-	// Work is how long the job would run at a backend server that works as
-	// usual; 0: the gate takes its own estimate of all jobs.
+	// Work is the expected run time at a backend server at normal speed; 0: unknown, and
+	// the gate uses its estimate of the service time of all jobs.
 	Work time.Duration
-	// Soft jobs are refused at once while the backend server is slowed or
+	// Soft makes the gate refuse the job at once while the backend server is slowed or
 	// nearly full.
 	Soft bool
-	// Near relaxes Soft to a free slot: the sender would pay for going on.
+	// Near lets a soft job use all free slots, for a sender in the same data centre: the
+	// next backend server to try is farther away.
 	Near bool
-	// EndBy is when a routed job should have ended, in nanoseconds: one that
-	// cannot is refused while another server may still take it. 0: no bound.
+	// EndBy is when a routed job should have ended, in nanoseconds. A job that is
+	// expected to end later is refused while its sender can still try another backend
+	// server. 0: no limit.
 	EndBy int64
-	// Start runs the job, SendBack refuses one that waited, and Dismiss one whose
-	// backend server takes no more. The gate's owner calls them without the
-	// gate's lock.
+	// Start runs the job. SendBack refuses a waiting job that Tick returns to be sent
+	// back. Dismiss refuses a waiting job because the backend server accepts no more
+	// jobs. The owner calls them without holding the gate's lock.
 	Start    func()
 	SendBack func()
 	Dismiss  func(why *errkind.Error)
 
 	arrived int64
 	started int64
-	// turn is the job's place among those of other teams.
-	turn float64
-	// startBy is until when a waiting job is worth starting.
+	// startTag is the job's start tag in fair queueing among teams.
+	startTag float64
+	// startBy is the latest time at which it is worth starting a waiting job.
 	startBy int64
 	seq     uint64
 	index   int
-	// held is true once the job had to wait for the end of a slow spell.
+	// held is true once the job had to wait for the end of a slow period.
 	held bool
-	// atOnce is how many jobs ran when this one had started.
-	atOnce int
-	// slowdown is the one at which the job started, where fresh word told it;
-	// inSpell is true where that was in a slow spell.
-	slowdown float64
-	fresh    bool
-	inSpell  bool
+	// concurrency is how many jobs ran right after this one had started, itself included.
+	concurrency int
+	// slowdown is the newest reported slowdown when the job started, slowdownFresh
+	// whether that report was recent. inSlowPeriod is true for a start in a slow period.
+	slowdown      float64
+	slowdownFresh bool
+	inSlowPeriod  bool
 }
 
-// notQueued is the index of a job that does not wait.
+// notQueued is the index of a job that is not in the queue.
 const notQueued = -1
 
+// lessFunc reports whether a starts before b.
 type lessFunc func(a, b *Job) bool
 
-// jobHeap implements heap.Interface over jobs that know their place, so that
-// a cancelled one is taken out in logarithmic time.
+// jobHeap implements heap.Interface. Each job holds its index in the heap, so that a
+// withdrawn one is removed in logarithmic time.
 type jobHeap struct {
 	jobs []*Job
 	less lessFunc
@@ -112,7 +122,8 @@
 	return job
 }
 
-// queue holds the waiting jobs. Only the slack order uses the second heap.
+// queue holds the waiting jobs: under Slack, background jobs in a heap of their own, and
+// all others in main.
 type queue struct {
 	order      Order
 	main       jobHeap
@@ -121,19 +132,21 @@
 
 func newQueue(order Order) *queue {
 	q := &queue{order: order}
-	q.main.less = lessOf(order)
-	q.background.less = earlierArrival
+	q.main.less = lessFor(order)
+	q.background.less = arrivedEarlier
 	return q
 }
 
-func lessOf(order Order) lessFunc {
+// lessFor returns the comparison of an order. Jobs that are equal in it start in the
+// order of their arrival.
+func lessFor(order Order) lessFunc {
 	switch order {
 	case EDF, Slack:
 		return func(a, b *Job) bool {
 			if a.Deadline != b.Deadline {
 				return a.Deadline < b.Deadline
 			}
-			return earlierArrival(a, b)
+			return arrivedEarlier(a, b)
 		}
 	case Ranked:
 		return func(a, b *Job) bool {
@@ -143,29 +156,29 @@
 			if a.Nested != b.Nested {
 				return a.Nested
 			}
-			if a.turn != b.turn {
-				return a.turn < b.turn
+			if a.startTag != b.startTag {
+				return a.startTag < b.startTag
 			}
 			if a.Deadline != b.Deadline {
 				return a.Deadline < b.Deadline
 			}
-			return earlierArrival(a, b)
+			return arrivedEarlier(a, b)
 		}
 	case Priority:
 		return func(a, b *Job) bool {
 			if a.Class != b.Class {
-				return rank(a.Class) < rank(b.Class)
+				return classRank(a.Class) < classRank(b.Class)
 			}
-			return earlierArrival(a, b)
+			return arrivedEarlier(a, b)
 		}
 	}
-	return earlierArrival
+	return arrivedEarlier
 }
 
-func earlierArrival(a, b *Job) bool { return a.seq < b.seq }
+func arrivedEarlier(a, b *Job) bool { return a.seq < b.seq }
 
-// rank orders classes, most urgent first.
-func rank(class placement.Class) int {
+// classRank returns the position of a class under Priority, 0 first.
+func classRank(class placement.Class) int {
 	switch class {
 	case placement.Urgent:
 		return 0
@@ -177,33 +190,33 @@
 
 func (q *queue) len() int { return q.main.Len() + q.background.Len() }
 
-func (q *queue) heapOf(job *Job) *jobHeap {
+func (q *queue) heapFor(job *Job) *jobHeap {
 	if q.order == Slack && job.Class == placement.Background {
 		return &q.background
 	}
 	return &q.main
 }
 
-// workAhead counts the waiting jobs that would start before one, and gives
-// their expected work in all.
-func (q *queue) workAhead(job *Job, expected func(*Job) time.Duration) (jobs int, work time.Duration) {
+// workAhead returns the number of waiting jobs that start before a job, and the sum of
+// their run times as runTime gives them.
+func (q *queue) workAhead(job *Job, runTime func(*Job) time.Duration) (jobs int, work time.Duration) {
 	for _, h := range []*jobHeap{&q.main, &q.background} {
 		for _, other := range h.jobs {
 			if h.less(other, job) {
 				jobs++
-				work += expected(other)
+				work += runTime(other)
 			}
 		}
 	}
 	return jobs, work
 }
 
-func (q *queue) push(job *Job) { heap.Push(q.heapOf(job), job) }
+func (q *queue) push(job *Job) { heap.Push(q.heapFor(job), job) }
 
-// remove takes a job out; false when it does not wait, also where it was never
-// admitted.
+// remove removes a job, and returns false if it is not in the queue.
 func (q *queue) remove(job *Job) bool {
-	h := q.heapOf(job)
+	h := q.heapFor(job)
+	// The index of a job that was never admitted is 0, which may be that of another job.
 	if job.index < 0 || job.index >= h.Len() || h.jobs[job.index] != job {
 		return false
 	}
@@ -211,8 +224,8 @@
 	return true
 }
 
-// takeIf takes out all jobs that a condition holds for.
-func (q *queue) takeIf(cond func(*Job) bool) []*Job {
+// removeIf removes and returns all jobs for which cond returns true.
+func (q *queue) removeIf(cond func(*Job) bool) []*Job {
 	var out []*Job
 	for _, h := range []*jobHeap{&q.main, &q.background} {
 		for _, job := range h.jobs {
@@ -227,10 +240,10 @@
 	return out
 }
 
-// pop takes the job that starts next, or nil. service is the expected time of
-// one run.
-func (q *queue) pop(now int64, service time.Duration) *Job {
-	if q.background.Len() > 0 && (q.main.Len() == 0 || q.hasSlack(now, service)) {
+// pop removes and returns the job that starts next, or nil. runTime is the expected time
+// of one run.
+func (q *queue) pop(now int64, runTime time.Duration) *Job {
+	if q.background.Len() > 0 && (q.main.Len() == 0 || q.hasSlack(now, runTime)) {
 		return heap.Pop(&q.background).(*Job)
 	}
 	if q.main.Len() > 0 {
@@ -239,8 +252,8 @@
 	return nil
 }
 
-// takeShorter takes out the first job that runs for less than a time, or nil.
-func (q *queue) takeShorter(work time.Duration) *Job {
+// popShorter removes and returns the first job with less work than the given, or nil.
+func (q *queue) popShorter(work time.Duration) *Job {
 	for _, h := range []*jobHeap{&q.main, &q.background} {
 		var first *Job
 		for _, job := range h.jobs {
@@ -256,10 +269,9 @@
 	return nil
 }
 
-// hasSlack is true when the most pressing job would still end in time if one
-// run went before it: runs are not preempted, so it may wait one run, and then
-// needs its own.
-func (q *queue) hasSlack(now int64, service time.Duration) bool {
+// hasSlack reports whether the job in main with the earliest deadline can let one
+// background job run first: runs are not preempted, so it needs the time of two runs.
+func (q *queue) hasSlack(now int64, runTime time.Duration) bool {
 	const runs = 2
-	return q.main.jobs[0].Deadline-now > runs*int64(service)
+	return q.main.jobs[0].Deadline-now > runs*int64(runTime)
 }
--- a/pkg/gate/service_time.go
+++ b/pkg/gate/service_time.go
@@ -6,95 +6,102 @@
 )
 
 const (
-	// memory is how many runs' worth of busy time the current service time
-	// looks back on. Fewer follow a slow-down faster and are noisier.
-	memory = 16
-	// usualWeight is the weight of one run in the usual service time.
-	usualWeight = 1.0 / 512
-	// notable is the ratio to the usual service time below which a difference
-	// may be chance. The count of ended runs has a standard deviation of
-	// sqrt(memory/2), so this is three of them: once in some thousand looks.
-	notable = 2.2
-	// idleHalfLife is how many usual service times without a running call halve
-	// what is remembered: an old slowness is no reason to stay away.
+	// windowRuns is how many runs' worth of busy time the current service time is
+	// computed from. Fewer runs follow a slow-down faster, with more noise.
+	windowRuns = 16
+	// meanWeight is the weight of one run in the mean service time.
+	meanWeight = 1.0 / 512
+	// minSlowdown is the least ratio of the current to the mean service time that counts
+	// as a slowdown; a lower one may be chance. The standard deviation of endedRuns is
+	// sqrt(windowRuns/2); the ratio allows for three of them, which chance exceeds once in
+	// some thousand readings.
+	minSlowdown = 2.2
+	// idleHalfLife is the time without a running job, in mean service times, after which
+	// half of the current service time's difference from the mean is forgotten: a
+	// slowdown of long ago is no reason to send the backend server less.
 	idleHalfLife = 4
 )
 
-// estimate follows the service time of the backend server: what runs take now,
-// and what they usually take. The current one is the busy time of all slots
-// over the runs that ended in it, both forgotten at the same pace. Runs that
-// have not ended count in the busy time, so a slow-down shows before any slowed
-// run ends (the maximum-likelihood estimate of a mean from censored times).
-type estimate struct {
-	usual float64
-	// busy is remembered busy time in nanoseconds, ended the runs in it.
-	busy  float64
-	ended float64
-	// at is the time up to which busy is counted.
-	at      int64
-	running int
+// serviceTimeEstimator estimates the mean and the current service time of the backend
+// server, in nanoseconds. The current one is the busy time of all slots divided by the
+// number of runs that ended in it; both decay at the same rate. The busy time includes
+// runs that have not ended, so that a slow-down shows before any slowed run ends. This
+// is the maximum-likelihood estimate of a mean from censored times.
+type serviceTimeEstimator struct {
+	// mean is the mean service time; 0: no run has ended yet.
+	mean float64
+	// busyTime is the decayed busy time in nanoseconds, endedRuns the decayed number of
+	// runs that ended in it.
+	busyTime  float64
+	endedRuns float64
+	// updatedAt is the time up to which busyTime is counted.
+	updatedAt int64
+	running   int
 }
 
-// advance counts the busy time up to now, and forgets.
-func (e *estimate) advance(now int64) {
-	elapsed := float64(max(now-e.at, 0))
-	e.at = max(e.at, now)
-	if e.usual == 0 || elapsed == 0 {
+// advance adds the busy time up to now and decays the older one.
+func (e *serviceTimeEstimator) advance(now int64) {
+	elapsed := float64(max(now-e.updatedAt, 0))
+	e.updatedAt = max(e.updatedAt, now)
+	if e.mean == 0 || elapsed == 0 {
 		return
 	}
 	if e.running == 0 {
-		e.forget(math.Exp2(-elapsed / (idleHalfLife * e.usual)))
+		e.decayToMean(math.Exp2(-elapsed / (idleHalfLife * e.mean)))
 		return
 	}
-	// What is forgotten is replaced by what is gained, so that memory stays
-	// filled with the newest busy time.
-	full := memory * e.usual
+	// New busy time replaces what decays, so that the window stays full.
+	full := windowRuns * e.mean
 	keep := math.Exp(-elapsed * float64(e.running) / full)
-	e.busy = e.busy*keep + full*(1-keep)
-	e.ended *= keep
+	e.busyTime = e.busyTime*keep + full*(1-keep)
+	e.endedRuns *= keep
 }
 
-// forget moves the current service time towards the usual one.
-func (e *estimate) forget(keep float64) {
-	e.busy = e.busy*keep + (1-keep)*memory*e.usual
-	e.ended = e.ended*keep + (1-keep)*memory
+// decayToMean moves the current service time towards the mean; keep is the share of the
+// old values that remains.
+func (e *serviceTimeEstimator) decayToMean(keep float64) {
+	e.busyTime = e.busyTime*keep + (1-keep)*windowRuns*e.mean
+	e.endedRuns = e.endedRuns*keep + (1-keep)*windowRuns
 }
 
-func (e *estimate) start(now int64) {
+// start records that a run starts.
+func (e *serviceTimeEstimator) start(now int64) {
 	e.advance(now)
 	e.running++
 }
 
-func (e *estimate) end(now, started int64, counts bool) {
+// end records that a run ends. One that is not representative does not count as ended.
+func (e *serviceTimeEstimator) end(now, started int64, representative bool) {
 	e.advance(now)
 	e.running--
-	if !counts {
+	if !representative {
 		return
 	}
 	run := float64(now - started)
-	if e.usual == 0 {
-		e.usual, e.busy, e.ended = run, run*memory, memory
+	if e.mean == 0 {
+		e.mean, e.busyTime, e.endedRuns = run, run*windowRuns, windowRuns
 		return
 	}
-	e.ended++
-	e.usual += (run - e.usual) * usualWeight
+	e.endedRuns++
+	e.mean += (run - e.mean) * meanWeight
 }
 
-// slowness is how many times longer than usual a run takes now, 1 when the
+// slowdown returns the current service time as a multiple of the mean, or 1 while the
 // difference may be chance.
-func (e *estimate) slowness(now int64) float64 {
+func (e *serviceTimeEstimator) slowdown(now int64) float64 {
 	e.advance(now)
-	if e.usual == 0 {
+	if e.mean == 0 {
 		return 1
 	}
-	ratio := e.busy / max(e.ended, 1) / e.usual
-	if ratio < notable {
+	ratio := e.busyTime / max(e.endedRuns, 1) / e.mean
+	if ratio < minSlowdown {
 		return 1
 	}
 	return ratio
 }
 
-// service is the expected time of a run that starts now.
-func (e *estimate) service(now int64) time.Duration {
-	return time.Duration(e.usual * e.slowness(now))
+// current returns the expected service time of a run that starts now; 0: no run has
+// ended yet.
+func (e *serviceTimeEstimator) current(now int64) time.Duration {
+	return time.Duration(e.mean * e.slowdown(now))
 }
--- a/pkg/gate/status.go
+++ b/pkg/gate/status.go
@@ -7,7 +7,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Stamp reports the load now.
+// Stamp returns the present load of the gate as it is sent to other daemons.
 func (g *Gate) Stamp(now int64) wire.Stamp {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -16,79 +16,81 @@
 		Running:   uint32(g.running),
 		Queued:    uint32(g.queue.len()),
 		Limit:     uint32(g.limit(now)),
-		ServiceUS: uint32(min(g.estimate.service(now).Microseconds(), 1<<31)),
+		ServiceUS: uint32(min(g.serviceTime.current(now).Microseconds(), 1<<31)),
 		Slowdown:  speed.ToPercent(g.speed.Slowdown()),
-		Usual:     usualOf(g.usualSlowdown(now)),
+		Usual:     encodeNormalSlowdown(g.normalSlowdown(now)),
 	}
 }
 
-// usualOf is a usual slowdown as stamps carry it: 0 for none, to save a byte on
-// most of them.
-func usualOf(slowdown float64) uint32 {
+// encodeNormalSlowdown returns a normal slowdown as stamps carry it: in percent, with 0
+// for no slowdown, which saves a byte in most stamps.
+func encodeNormalSlowdown(slowdown float64) uint32 {
 	if slowdown <= 1 {
 		return 0
 	}
 	return speed.ToPercent(slowdown)
 }
 
-// StalenessCost is by how much longer the run of a job that is admitted now must be
-// expected to take, since the newest word on the backend server's speed is old; 0
-// where it could not start at once.
+// StalenessCost returns by how much the run time of a job that is admitted now differs
+// from its expected run time, on average, because the backend server's speed may have
+// changed since its newest report. It is 0 if the job could not start at once.
 func (g *Gate) StalenessCost(now int64, job *Job) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.running >= g.limit(now) || g.bearsNoStart(now) {
+	if g.running >= g.limit(now) || g.coldStartsExhausted(now) {
 		return 0
 	}
 	return g.speed.StalenessCost(now, job.Work)
 }
 
-// AwaitsReport is true while jobs wait although slots are free, for a word of the backend
-// server that the owner should ask for: that a slow spell has ended, or that it is
-// still warm.
+// AwaitsReport reports whether jobs wait although slots are free, for a report of the
+// backend server that the owner should ask for: that a slow period has ended, or that
+// the backend server is still warm.
 func (g *Gate) AwaitsReport(now int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.queue.len() == 0 || g.running >= g.limit(now) {
 		return false
 	}
-	return !g.bearsNoStart(now)
+	return !g.coldStartsExhausted(now)
 }
 
-// InFlight counts the jobs at the gate, running and waiting.
+// InFlight returns the number of jobs at the gate, running and waiting.
 func (g *Gate) InFlight() int64 { return g.inFlight.Load() }
 
-// Slowed is true while the backend server is notably slower than usual.
+// Slowed reports whether runs now take notably longer than on average.
 func (g *Gate) Slowed(now int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.estimate.slowness(now) > slowTolerance
+	return g.serviceTime.slowdown(now) > toleratedSlowdown
 }
 
-// UsableSlots is how many jobs run at once at a backend server that works as usual.
+// UsableSlots returns how many jobs may run at once while the backend server works at
+// normal speed.
 func (g *Gate) UsableSlots() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.usable()
+	return g.usableSlots()
 }
 
-// Slots returns the number of slots.
+// Slots returns the number of slots of the backend server.
 func (g *Gate) Slots() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.slots
 }
 
-// MaxWait is how long a job that waits may go on waiting.
+// MaxWait returns how much longer a waiting job may wait before the owner should
+// withdraw it.
 func (j *Job) MaxWait(now int64) time.Duration { return time.Duration(max(j.startBy-now, 0)) }
 
-// Held is true when the job had to wait for the end of a slow spell although a
-// slot was free.
+// Held reports whether the job had to wait for the end of a slow period although a slot
+// was free.
 func (j *Job) Held() bool { return j.held }
 
-// ConcurrencyAtStart is how many jobs ran when this one had started, itself among them; 0:
-// it did not start.
-func (j *Job) ConcurrencyAtStart() int { return j.atOnce }
+// ConcurrencyAtStart returns how many jobs ran right after this one had started, itself
+// included; 0: it has not started.
+func (j *Job) ConcurrencyAtStart() int { return j.concurrency }
 
 // WaitTime returns how long a started job waited.
 func (j *Job) WaitTime() time.Duration { return time.Duration(j.started - j.arrived) }
--- a/pkg/gate/waiting.go
+++ b/pkg/gate/waiting.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// patience is by how much the expected time of a waiting call may exceed what
-// its sender accepts before it is sent back: it was not run, and another
-// server may take it.
-const patience = 1.5
+// maxCostExcess is the factor by which the expected time of a waiting job may exceed its
+// MaxCost before the job is sent back, so that another backend server may run it.
+const maxCostExcess = 1.5
 
-// Tick starts waiting jobs when the limit rose since the last call, and takes
-// out those that wait behind a server that has slowed since they came, while
-// their sender knows of a better one. The owner refuses them as not run.
+// Tick returns the waiting jobs that the owner must start now, as when the limit has
+// risen. While runs are slowed it also returns, in sendBack, waiting jobs that it takes
+// out because their expected time has grown far beyond their MaxCost; the owner refuses
+// these as not run.
 func (g *Gate) Tick(now int64) (start, sendBack []*Job) {
 	if g.inFlight.Load() == 0 {
 		return nil, nil
@@ -17,33 +17,37 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	start = g.startWaiting(now)
-	if g.estimate.slowness(now) > slowTolerance {
-		sendBack = g.takeImpatient(now)
+	if g.serviceTime.slowdown(now) > toleratedSlowdown {
+		sendBack = g.removeOverMaxCost(now)
 	}
 	return start, sendBack
 }
 
-func (g *Gate) takeImpatient(now int64) []*Job {
-	service := g.estimate.service(now)
-	wait := service * time.Duration(g.queue.len()) / time.Duration(g.limit(now))
-	out := g.queue.takeIf(func(j *Job) bool {
-		return j.MaxCost > 0 && float64(wait+service) > patience*float64(j.MaxCost)
+// removeOverMaxCost removes and returns the waiting jobs whose expected time exceeds
+// their MaxCost by more than maxCostExcess.
+func (g *Gate) removeOverMaxCost(now int64) []*Job {
+	runTime := g.serviceTime.current(now)
+	wait := runTime * time.Duration(g.queue.len()) / time.Duration(g.limit(now))
+	out := g.queue.removeIf(func(j *Job) bool {
+		return j.MaxCost > 0 && float64(wait+runTime) > maxCostExcess*float64(j.MaxCost)
 	})
 	g.inFlight.Add(-int64(len(out)))
 	return out
 }
 
-// mostHeldLooks is how many jobs that stay held are looked at for one that could
-// start, and then of shorter ones. Backend servers of the users' sites have 6 to 18
-// slots, so that more than these could hardly start at once; those behind the first
-// that run as long are much like them, and a word on the speed comes with each answer.
-const mostHeldLooks = 8
+// maxHeldChecks is how many jobs that stay held startWaiting checks, in the queue's
+// order, before it goes on to jobs with less work. Backend servers have 6 to 18 slots, so
+// that more jobs could hardly start at once, and jobs behind these with as much work are
+// most likely held, too. Each answer of the backend server brings another check.
+const maxHeldChecks = 8
 
+// startWaiting starts the waiting jobs that may start now, and returns them. Jobs that
+// stay held go back into the queue.
 func (g *Gate) startWaiting(now int64) []*Job {
 	var out, held []*Job
 	limit := g.limit(now)
-	for g.running < limit && len(held) < mostHeldLooks && g.mayStart(now) {
-		job := g.queue.pop(now, g.estimate.service(now))
+	for g.running < limit && len(held) < maxHeldChecks && g.allowsColdStart(now) {
+		job := g.queue.pop(now, g.serviceTime.current(now))
 		if job == nil {
 			break
 		}
@@ -52,80 +56,80 @@
 			held = append(held, job)
 			continue
 		}
-		g.begin(now, job)
+		g.noteStart(now, job)
 		out = append(out, job)
 	}
-	if len(held) >= mostHeldLooks {
+	if len(held) >= maxHeldChecks {
 		out, held = g.startShorter(now, limit, out, held)
 	}
 	for _, job := range held {
 		g.queue.push(job)
 	}
-	if probe := g.probe(now, limit); probe != nil {
+	if probe := g.startProbe(now, limit); probe != nil {
 		out = append(out, probe)
 	}
 	return out
 }
 
-// startShorter goes on behind many held jobs: what runs for less time than all of
-// them gains less by waiting. Each look that starts nothing shortens what
-// is looked for; there are half as many as of the first ones.
+// startShorter starts waiting jobs with less work than all held ones, since these gain
+// less by waiting. Each job that stays held lowers the bound on the work, and there are
+// half as many checks as in startWaiting. It returns out and held with the jobs that it
+// started and held appended.
 func (g *Gate) startShorter(now int64, limit int, out, held []*Job) (started, stillHeld []*Job) {
 	shortest := held[0].Work
 	for _, job := range held {
 		shortest = min(shortest, job.Work)
 	}
-	for looks := 0; looks < mostHeldLooks/2 && g.running < limit && g.mayStart(now); {
-		job := g.queue.takeShorter(shortest)
+	for checks := 0; checks < maxHeldChecks/2 && g.running < limit && g.allowsColdStart(now); {
+		job := g.queue.popShorter(shortest)
 		if job == nil {
 			break
 		}
 		if g.staysHeld(now, job) {
 			job.held = true
 			held, shortest = append(held, job), job.Work
-			looks++
+			checks++
 			continue
 		}
-		g.begin(now, job)
+		g.noteStart(now, job)
 		out = append(out, job)
 	}
 	return out, held
 }
 
-// probe starts a waiting job over the limit where that tells whether the limit
-// could be higher; nil: it does not.
-func (g *Gate) probe(now int64, limit int) *Job {
-	if g.limiter == nil || g.running != limit || !g.mayStart(now) || g.queue.len() == 0 || g.speed.InSlowPeriod() || !g.limiter.ShouldProbe(now) {
+// startProbe starts and returns a waiting job above the limit if the limiter asks for
+// one to learn whether the limit could be higher; nil: none.
+func (g *Gate) startProbe(now int64, limit int) *Job {
+	if g.limiter == nil || g.running != limit || !g.allowsColdStart(now) || g.queue.len() == 0 || g.speed.InSlowPeriod() || !g.limiter.ShouldProbe(now) {
 		return nil
 	}
-	job := g.queue.pop(now, g.estimate.service(now))
-	g.begin(now, job)
+	job := g.queue.pop(now, g.serviceTime.current(now))
+	g.noteStart(now, job)
 	return job
 }
 
-// staysHeld is true while a waiting job should not start although a slot is free.
-// In a spell that outlasts what was expected, a job whose slowed run would end
-// too late goes on waiting: for the spell's end, or until it can still be refused
-// in time.
+// staysHeld reports whether a waiting job should not start although a slot is free: it
+// does better at the end of the slow period, or its slowed run would end too late. The
+// latter goes on waiting for the end of the period, or until the owner withdraws it.
 func (g *Gate) staysHeld(now int64, job *Job) bool {
-	if _, hold := g.holds(now, job); hold {
+	if _, worthHolding := g.shouldHold(now, job); worthHolding {
 		return true
 	}
-	at := outlook{free: true, service: g.expected(now, job)}
-	return g.speed.InSlowPeriod() && tooLate(now, job, at) && !g.takesLate(now, job, at)
+	fc := forecast{canStart: true, runTime: g.expectedRunTime(now, job)}
+	return g.speed.InSlowPeriod() && endsTooLate(now, job, fc) && !g.admitsLate(now, job, fc)
 }
 
-// DrainQueue takes all waiting jobs out, for a backend server that takes no
+// DrainQueue removes and returns all waiting jobs, for a backend server that accepts no
 // more; the owner dismisses them.
 func (g *Gate) DrainQueue() []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	out := g.queue.takeIf(func(*Job) bool { return true })
+	out := g.queue.removeIf(func(*Job) bool { return true })
 	g.inFlight.Add(-int64(len(out)))
 	return out
 }
 
-// Withdraw takes a waiting job out; false when it does not wait any more.
+// Withdraw removes a waiting job. It returns false if the job does not wait.
 func (g *Gate) Withdraw(job *Job) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
