--- a/pkg/speed/model.go
+++ b/pkg/speed/model.go
@@ -1,10 +1,11 @@
-// Package speed models how fast a backend server works, from the slowdowns that it
-// reports: the slowdown that it has all the time, whether it is in a slow period, as
-// noisy neighbours cause them, and how long that is likely to last. A run keeps the speed
-// that the backend server has at its start, so it may pay to hold a run until a slow
-// period ends. A slowdown is a run time as a multiple of that at normal speed. Times are
-// nanoseconds of a steady clock that the caller passes in. A Model is not safe for
-// concurrent use. Source: docs/design/gate.md, "Held starts".
+// Package speed models how fast a backend server works from the slowdowns that it
+// reports: what its baseline is, whether it is in a slow period, and how long that is
+// likely to last. A slowdown is a run time as a multiple of that at normal speed. A slow
+// period is a short time with a slowdown far above the baseline, as noisy neighbours cause
+// it. A run keeps the speed that the backend server has at its start, so it may pay to
+// hold a run until a slow period ends. Times are nanoseconds of a steady clock that the
+// caller passes in. A Model is not safe for concurrent use.
+// Source: docs/design/gate.md, "Held starts".
 package speed
 
 import (
