--- a/pkg/concurrency/limiter_test.go
+++ b/pkg/concurrency/limiter_test.go
@@ -47,10 +47,10 @@
 // knee is.
 func TestLimitFollowsTheKnee(t *testing.T) {
 	scenarios := []struct {
-		name        string
-		slots, from int
-		knee        float64
-		low, high   int
+		name           string
+		slots, initial int
+		knee           float64
+		low, high      int
 	}{
 		{"at the initial limit", 18, 14, 0.8, 13, 14},
 		{"below the initial limit", 18, 14, 0.6, 9, 11},
@@ -62,7 +62,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				l := NewLimiter(s.slots, s.from)
+				l := NewLimiter(s.slots, s.initial)
 				simulate(l, &simulatedServer{slots: s.slots, knee: s.knee, factor: 1.7, random: rand.New(rand.NewPCG(1, seed))}, 120)
 				test.Between(t, s.low, l.Limit(), s.high, test.Sprint("seed", seed))
 			}
