--- a/pkg/gate/cold_starts.go
+++ b/pkg/gate/cold_starts.go
@@ -116,7 +116,8 @@
 	if c.isCold(now) {
 		return wait
 	}
-	// The next report may remove all starts from the count but those known to be cold.
+	// The next report may remove all starts from the count but those at which the backend
+	// server is known to have been cold.
 	return max(c.waitCounting(now, 0, knownCold), min(wait, maxReportWait))
 }
 
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate decides which jobs run on the backend server beside the daemon: it
-// starts, queues or refuses each of them. A job is one call or request; the owner of the
-// gate runs it. Times are nanoseconds of a steady clock that the owner passes in.
+// Package gate decides which jobs run on the daemon's backend server: it starts, queues
+// or refuses each of them. A job is one call or request; the owner of the gate runs it.
+// Times are nanoseconds of a steady clock that the owner passes in.
 // Source: docs/design/gate.md.
 package gate
 
--- a/pkg/gate/hold_test.go
+++ b/pkg/gate/hold_test.go
@@ -199,9 +199,9 @@
 	test.Eq(t, want[slots:slots+1], g.Finish(now+300*ms, want[0], true))
 }
 
-// TestShortJobStartsBehindManyHeldJobs guards against a failure: eight long jobs of the first
-// rank were held for the end of a slow period, and a short job of the second rank, which gains
-// nothing by waiting, was not checked although a slot was free.
+// TestShortJobStartsBehindManyHeldJobs guards against a failure: eight long jobs of the
+// first rank were held for the end of a slow period, and a short job of the second rank,
+// which gains nothing by waiting, was not checked although a slot was free.
 func TestShortJobStartsBehindManyHeldJobs(t *testing.T) {
 	g, now := holdingGate()
 	g.opts.QueueLength = 100
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -44,8 +44,8 @@
 	// the slots evenly among the jobs of one rank.
 	Team string
 	// Nested is true for a call that a backend server makes during a run. Under Ranked,
-	// nested jobs start first among those of one rank, since that run keeps its slot
-	// until the call is answered.
+	// nested jobs start first among those of one rank, since the run that makes the call
+	// keeps its slot until the call is answered.
 	Nested bool
 	// Work is the expected run time at a backend server at normal speed; 0: unknown, and
 	// the gate uses its estimate of the service time of all jobs.
--- a/pkg/gate/waiting.go
+++ b/pkg/gate/waiting.go
@@ -71,10 +71,10 @@
 	return out
 }
 
-// startShorter starts waiting jobs with less work than all held ones, since these gain
-// less by waiting. Each job that stays held lowers the bound on the work, and there are
-// half as many checks as in startWaiting. It returns out and held with the jobs that it
-// started and held appended.
+// startShorter starts waiting jobs with less work than all held ones, since shorter jobs
+// gain less by waiting. Each job that stays held lowers the bound on the work, and there
+// are half as many checks as in startWaiting. It returns out and held with the jobs that
+// it started and held appended.
 func (g *Gate) startShorter(now int64, limit int, out, held []*Job) (started, stillHeld []*Job) {
 	shortest := held[0].Work
 	for _, job := range held {
