--- a/pkg/bodies/budget.go
+++ b/pkg/bodies/budget.go
@@ -1,4 +1,4 @@
-// Package bodies bounds the bytes of request bodies that a process holds, for
+// Package bodies limits the memory that request bodies take up in one process, in
 // its entry and its executor together. Source: docs/design/large-bodies.md.
 package bodies
 
@@ -8,55 +8,60 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// Budget is the room of one process. It is safe for concurrent use.
+// Budget limits the bytes of request bodies that one process holds at a time. It is
+// safe for concurrent use.
 type Budget struct {
-	most    int64
-	held    atomic.Int64
-	refused *metrics.Counter
+	limit    int64
+	reserved atomic.Int64
+	refused  *metrics.Counter
 }
 
-// NewBudget makes a budget of so many bytes, and its metrics.
-func NewBudget(most int, set *metrics.Set) *Budget {
-	b := &Budget{most: int64(most), refused: set.NewCounter("rushramp_bodies_refused_total")}
-	set.NewGauge("rushramp_bodies_bytes", func() float64 { return float64(b.held.Load()) })
+// NewBudget returns a budget of limit bytes and registers its metrics in set.
+func NewBudget(limit int, set *metrics.Set) *Budget {
+	b := &Budget{limit: int64(limit), refused: set.NewCounter("rushramp_bodies_refused_total")}
+	set.NewGauge("rushramp_bodies_bytes", func() float64 { return float64(b.reserved.Load()) })
 	return b
 }
 
-// Reserved is how many bytes are held now.
-func (b *Budget) Reserved() int64 { return b.held.Load() }
+// Reserved returns the number of bytes that are reserved now.
+func (b *Budget) Reserved() int64 { return b.reserved.Load() }
 
-// Limit is how many bytes may be held.
-func (b *Budget) Limit() int64 { return b.most }
+// Limit returns the number of bytes that may be reserved at a time.
+func (b *Budget) Limit() int64 { return b.limit }
 
-func (b *Budget) take(n int64) bool {
-	if b.held.Add(n) <= b.most {
+// reserve takes n bytes. Where they would exceed the limit it takes none, counts a
+// refusal and returns false.
+func (b *Budget) reserve(n int64) bool {
+	if b.reserved.Add(n) <= b.limit {
 		return true
 	}
-	b.held.Add(-n)
+	b.reserved.Add(-n)
 	b.refused.Inc()
 	return false
 }
 
-// Reservation is the room that one body takes. It is safe for concurrent use.
+// Reservation is the part of a Budget that one body takes up. It is safe for
+// concurrent use.
 type Reservation struct {
 	budget *Budget
 	bytes  atomic.Int64
 }
 
-// NewReservation begins with no room.
+// NewReservation returns a reservation of no bytes.
 func (b *Budget) NewReservation() *Reservation { return &Reservation{budget: b} }
 
-// Grow takes room for n bytes more; false when there is none.
-func (h *Reservation) Grow(n int64) bool {
+// Grow reserves n more bytes. It returns false, and reserves nothing, where the budget
+// has fewer left.
+func (r *Reservation) Grow(n int64) bool {
 	if n <= 0 {
 		return true
 	}
-	if !h.budget.take(n) {
+	if !r.budget.reserve(n) {
 		return false
 	}
-	h.bytes.Add(n)
+	r.bytes.Add(n)
 	return true
 }
 
-// Release gives all of it back. A second time does nothing.
-func (h *Reservation) Release() { h.budget.held.Add(-h.bytes.Swap(0)) }
+// Release returns all reserved bytes to the budget. Further calls do nothing.
+func (r *Reservation) Release() { r.budget.reserved.Add(-r.bytes.Swap(0)) }
--- a/pkg/bodies/budget_test.go
+++ b/pkg/bodies/budget_test.go
@@ -8,36 +8,36 @@
 	"github.com/shoenig/test"
 )
 
-func TestRoomIsBoundedAndComesBack(t *testing.T) {
+func TestReservationsStayWithinTheLimitAndAreReleased(t *testing.T) {
 	b := NewBudget(100, metrics.NewSet())
-	one, two := b.NewReservation(), b.NewReservation()
-	test.True(t, one.Grow(60))
-	test.False(t, two.Grow(41))
-	test.True(t, two.Grow(40))
-	test.False(t, one.Grow(1))
+	first, second := b.NewReservation(), b.NewReservation()
+	test.True(t, first.Grow(60))
+	test.False(t, second.Grow(41))
+	test.True(t, second.Grow(40))
+	test.False(t, first.Grow(1))
 	test.Eq(t, 100, b.Reserved())
-	one.Release()
-	one.Release()
+	first.Release()
+	first.Release()
 	test.Eq(t, 40, b.Reserved())
-	test.True(t, two.Grow(60))
-	two.Release()
+	test.True(t, second.Grow(60))
+	second.Release()
 	test.Eq(t, 0, b.Reserved())
-	test.True(t, one.Grow(0))
+	test.True(t, first.Grow(0))
 }
 
-func TestManyAtOnceNeverHoldMore(t *testing.T) {
+func TestConcurrentReservationsAreAllReleased(t *testing.T) {
 	b := NewBudget(1000, metrics.NewSet())
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 50 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 100 {
-				h := b.NewReservation()
-				if h.Grow(99) {
-					h.Release()
+				r := b.NewReservation()
+				if r.Grow(99) {
+					r.Release()
 				}
 			}
 		})
 	}
-	all.Wait()
+	workers.Wait()
 	test.Eq(t, 0, b.Reserved())
 }
--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds what the parts on the way of a call hand to each other:
-// how a call ends, and who can run one.
+// Package call holds the types by which the entry, the links and the executor tell
+// each other how a call ended, and the interface through which a call is run.
 package call
 
 import (
@@ -9,56 +9,59 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Answer is what the backend server answered.
+// Answer is the HTTP response of a backend server.
 type Answer struct {
 	Status  int
 	Headers []wire.Header
 	Body    []byte
-	// Queued and Run are the time at the gate and at the backend server.
+	// Queued is the time that the call waited at the gate, Run the time that it ran
+	// at the backend server.
 	Queued time.Duration
 	Run    time.Duration
-	// Slowdown is the one at which the run started, in percent of what is usual;
-	// 0: not known.
+	// Slowdown is the backend server's slowdown when the run started, in percent of
+	// its usual run time; 0: not known.
 	Slowdown int
-	// CallsFailed is true where calls of the backend server failed during the run, so that
-	// a failure of it may be theirs.
+	// CallsFailed is true when calls that the backend server made to other services
+	// failed during the run, so that they may be the cause of a failed answer.
 	CallsFailed bool
 }
 
-// Result is how a call ended at an executor: one of Answer and Refusal is set.
+// Result is how a call ended at an executor. Exactly one of Answer and Refusal is set.
 type Result struct {
 	Answer  *Answer
 	Refusal *errkind.Error
-	// FromExecutor is true when this is the executor's own word, and not this side's
-	// conclusion from silence.
+	// FromExecutor is true when the executor reported the result, and false when the
+	// entry concluded it from a lost link or a timeout.
 	FromExecutor bool
-	// Offered is true when a routed request reached a backend server, or may
-	// have: it counts as an attempt.
+	// Offered is true when a routed request reached a backend server, or may have
+	// reached one: it then counts towards the attempts that the route allows.
 	Offered bool
-	// Origin is where the route's requests begin, as the executor believes.
+	// Origin is where the requests of the route come from, as the executor believes.
 	Origin wire.Origin
-	// RetryAfter is when a caller that was refused should come back; 0: as the
-	// table of error kinds says.
+	// RetryAfter is when a refused caller should retry; 0: after the default time of
+	// the error kind.
 	RetryAfter time.Duration
-	// Stamp is the gate's load; Seq 0: none came with this result.
+	// Stamp is the load report of the gate; Seq 0: the result came without one.
 	Stamp wire.Stamp
-	// Server and DataCentre say which backend server this end is about.
+	// Server is the VM of the backend server that the result is about, DataCentre its
+	// data centre.
 	Server     string
 	DataCentre string
-	// MinRTT is the shortest round trip that was measured on the way taken.
+	// MinRTT is the shortest round-trip time measured on the link to the executor.
 	MinRTT time.Duration
-	// NextClaim is the claim to try instead when the refusal is KeyMoved.
+	// NextClaim is the claim to retry with when the refusal is of kind KeyMoved.
 	NextClaim wire.Claim
 }
 
-// Refused makes the Result of a refusal.
+// Refused returns a Result that holds a refusal and nothing else.
 func Refused(kind errkind.Kind, format string, args ...any) Result {
 	return Result{Refusal: errkind.New(kind, format, args...)}
 }
 
-// Runner runs calls: the executor of this daemon, or a link to another one.
+// Runner runs calls. It is the executor of this daemon, or a link to that of another
+// daemon.
 type Runner interface {
-	// Execute takes a call in and calls done exactly once, from any goroutine.
-	// The returned function tells that nobody waits for the call any more.
+	// Execute starts a call and invokes done exactly once with its result, from any
+	// goroutine. The caller invokes cancel when it no longer needs the result.
 	Execute(c *wire.Call, body []byte, done func(Result)) (cancel func())
 }
