--- a/pkg/callers/headers.go
+++ b/pkg/callers/headers.go
@@ -9,13 +9,13 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// internalPrefix begins the names of rushramp's own headers. What callers and
-// backend servers set under it goes no further.
+// internalPrefix is the lower-case prefix of rushramp's own headers. Headers under it
+// that callers and backend servers set are not forwarded.
 const internalPrefix = "rushramp-"
 
-// hopByHop are headers of one connection only (RFC 9110, section 7.6.1), and
-// those that the next hop sets itself.
-func hopByHop(name string) bool {
+// isHopByHop reports whether a header, named in lower case, belongs to one connection
+// only (RFC 9110, section 7.6.1) or is set anew by the next hop.
+func isHopByHop(name string) bool {
 	switch name {
 	case "connection", "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection",
 		"te", "trailer", "transfer-encoding", "upgrade", "content-length", "host":
@@ -24,40 +24,44 @@
 	return false
 }
 
-func passes(name string) bool {
+// isForwarded reports whether a header is passed on between caller and backend server.
+func isForwarded(name string) bool {
 	lower := strings.ToLower(name)
-	return !strings.HasPrefix(lower, internalPrefix) && !hopByHop(lower)
+	return !strings.HasPrefix(lower, internalPrefix) && !isHopByHop(lower)
 }
 
-func requestHeaders(h *protocol.RequestHeader) []wire.Header {
+// forwardedHeaders returns the headers of a request that go to the backend server.
+func forwardedHeaders(h *protocol.RequestHeader) []wire.Header {
 	var out []wire.Header
 	h.VisitAll(func(key, value []byte) {
-		if name := string(key); passes(name) {
+		if name := string(key); isForwarded(name) {
 			out = append(out, wire.Header{Name: name, Value: string(value)})
 		}
 	})
 	return out
 }
 
+// copyAnswerHeaders copies the backend server's headers that go to the caller.
 func copyAnswerHeaders(to *protocol.ResponseHeader, from []wire.Header) {
 	for _, h := range from {
 		switch {
 		case strings.EqualFold(h.Name, "content-type"):
 			to.SetContentType(h.Value)
 		case strings.EqualFold(h.Name, HeaderError):
-			copyDeepOverload(to, h.Value)
-		case passes(h.Name):
+			markOverloadedBelow(to, h.Value)
+		case isForwarded(h.Name):
 			to.Add(h.Name, h.Value)
 		}
 	}
 }
 
-// copyDeepOverload marks an answer that a backend server gave because a
-// service that it called was full. Nobody above retries such an answer, so
-// retries cannot multiply over the depth. Source: docs/design/retries.md.
-func copyDeepOverload(to *protocol.ResponseHeader, name string) {
+// markOverloadedBelow sets the error header of an answer that a backend server gave
+// because a service that it called was overloaded; kindName is the error kind of that
+// service's refusal. No entry further up the call chain retries a marked answer, so
+// that retries do not multiply along the chain. Source: docs/design/retries.md.
+func markOverloadedBelow(to *protocol.ResponseHeader, kindName string) {
 	for _, row := range errkind.Table() {
-		if row.Name == name && row.Overload {
+		if row.Name == kindName && row.Overload {
 			to.Set(HeaderError, errkind.OverloadedBelow.String())
 		}
 	}
--- a/pkg/callers/inflight.go
+++ b/pkg/callers/inflight.go
@@ -2,31 +2,35 @@
 
 import "sync"
 
-// inFlight counts the calls in flight of each caller address.
-type inFlight struct {
-	most int
-	mu   sync.Mutex
-	by   map[string]int
+// callerLimiter limits the number of calls in flight for each caller's IP address.
+type callerLimiter struct {
+	limit    int
+	mu       sync.Mutex
+	inFlight map[string]int
 }
 
-func newInFlight(most int) *inFlight { return &inFlight{most: most, by: map[string]int{}} }
+func newCallerLimiter(limit int) *callerLimiter {
+	return &callerLimiter{limit: limit, inFlight: map[string]int{}}
+}
 
-// enter counts one more; false when the caller has as many as allowed.
-func (i *inFlight) enter(caller string) bool {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	if i.by[caller] >= i.most {
+// acquire counts one more call of the caller. It returns false where the caller is at
+// its limit.
+func (l *callerLimiter) acquire(caller string) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.inFlight[caller] >= l.limit {
 		return false
 	}
-	i.by[caller]++
+	l.inFlight[caller]++
 	return true
 }
 
-func (i *inFlight) leave(caller string) {
-	i.mu.Lock()
-	defer i.mu.Unlock()
-	i.by[caller]--
-	if i.by[caller] == 0 {
-		delete(i.by, caller)
+// release counts one call less after a successful acquire.
+func (l *callerLimiter) release(caller string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.inFlight[caller]--
+	if l.inFlight[caller] == 0 {
+		delete(l.inFlight, caller)
 	}
 }
--- a/pkg/callers/server.go
+++ b/pkg/callers/server.go
@@ -1,4 +1,5 @@
-// Package callers is the listener for callers: HTTP in, HTTP out.
+// Package callers is the HTTP listener through which callers send calls to the entry
+// of this daemon.
 package callers
 
 import (
@@ -20,38 +21,39 @@
 	"github.com/rushramp/rushramp/pkg/httpserver"
 )
 
-// The headers of callers' requests and of rushramp's own answers.
+// The HTTP headers of callers' requests and of rushramp's own answers.
 const (
 	HeaderService        = "Rushramp-Service"
 	HeaderTimeout        = "Rushramp-Timeout"
 	HeaderIdempotencyKey = "Idempotency-Key"
 	HeaderError          = "Rushramp-Error"
 	HeaderRan            = "Rushramp-Ran"
-	// callPrefix is the path under which the service's name may stand instead
-	// of in the header.
+	// callPrefix begins the path of a request that names the service there instead
+	// of in HeaderService.
 	callPrefix = "/call/"
 )
 
-// maxTimeout bounds what a caller may ask for.
+// maxTimeout is the longest timeout that a caller may ask for.
 const maxTimeout = time.Hour
 
-// Server is the callers' listener.
+// Server handles the requests that reach the listener.
 type Server struct {
 	*common.Common
-	entry  *entry.Entry
-	limits *inFlight
-	// ownIP is this VM's IP number: callers from there have their data here
-	// already. Source: docs/design/placement.md.
+	entry   *entry.Entry
+	limiter *callerLimiter
+	// ownIP is the IP address of this VM. The data of a call from there are in this
+	// data centre already. Source: docs/design/placement.md.
 	ownIP string
 }
 
-// Start opens the listener in the settings and serves until stop is called.
+// Start opens the listener at the address listen.callers of the settings and serves
+// calls until stop is called. It returns an error where the address cannot be used.
 func Start(c *common.Common, e *entry.Entry) (stop func(), err error) {
 	host, _, err := net.SplitHostPort(c.Settings.Listen.Callers)
 	if err != nil {
 		return nil, err
 	}
-	s := &Server{Common: c, entry: e, limits: newInFlight(c.Settings.Limits.CallsPerCaller), ownIP: host}
+	s := &Server{Common: c, entry: e, limiter: newCallerLimiter(c.Settings.Limits.CallsPerCaller), ownIP: host}
 	return httpserver.Start(c.Settings.Listen.Callers, s.routes,
 		server.WithStreamBody(true),
 		server.WithSenseClientDisconnection(true),
@@ -67,20 +69,21 @@
 	h.NoMethod(s.serve)
 }
 
-// serve is the way of one call: plan, body, run, answer.
+// serve handles one call: it limits the caller, admits the call, reads the body, runs
+// the call and writes the answer.
 func (s *Server) serve(ctx context.Context, c *app.RequestContext) {
 	caller := hostOf(c.RemoteAddr())
-	if !s.limits.enter(caller) {
+	if !s.limiter.acquire(caller) {
 		s.refuse(c, errkind.New(errkind.CallerLimit, "%s has too many calls in flight", caller))
 		return
 	}
-	defer s.limits.leave(caller)
-	req, refusal := s.request(c, caller)
+	defer s.limiter.release(caller)
+	req, refusal := s.parseRequest(c, caller)
 	if refusal != nil {
 		s.refuseUnread(c, refusal)
 		return
 	}
-	plan, misplaced, refusal := s.entry.Admit(ctx, req)
+	admitted, misplaced, refusal := s.entry.Admit(ctx, req)
 	if refusal != nil {
 		s.refuseUnread(c, refusal)
 		return
@@ -89,14 +92,15 @@
 		s.redirect(c, misplaced)
 		return
 	}
-	body, refusal := s.body(c)
+	body, refusal := s.readBody(c)
 	if refusal != nil {
 		s.refuseUnread(c, refusal)
 		return
 	}
-	s.answer(c, s.entry.Run(ctx, plan, body))
+	s.writeResult(c, s.entry.Run(ctx, admitted, body))
 }
 
+// hostOf returns an address without its port.
 func hostOf(addr net.Addr) string {
 	host, _, err := net.SplitHostPort(addr.String())
 	if err != nil {
@@ -105,7 +109,9 @@
 	return host
 }
 
-func (s *Server) request(c *app.RequestContext, caller string) (*entry.Request, *errkind.Error) {
+// parseRequest reads the line and the headers of a request. It refuses a request that
+// names no service or has a timeout that is not valid.
+func (s *Server) parseRequest(c *app.RequestContext, caller string) (*entry.Request, *errkind.Error) {
 	out := &entry.Request{
 		Service:        string(c.Request.Header.Peek(HeaderService)),
 		Method:         string(c.Method()),
@@ -117,32 +123,34 @@
 		out.Service, out.URI = serviceInPath(out.URI)
 	}
 	if out.Service == "" {
-		return nil, errkind.New(errkind.BadRequest, "name the service in the %s header or as in %sSERVICE/PATH", HeaderService, callPrefix)
+		return nil, errkind.New(errkind.BadRequest, "name the service in the %s header or in the path as %sSERVICE/PATH", HeaderService, callPrefix)
 	}
-	timeout, refusal := timeoutOf(string(c.Request.Header.Peek(HeaderTimeout)))
+	timeout, refusal := parseTimeout(string(c.Request.Header.Peek(HeaderTimeout)))
 	out.Timeout = timeout
-	out.Headers = requestHeaders(&c.Request.Header)
+	out.Headers = forwardedHeaders(&c.Request.Header)
 	return out, refusal
 }
 
-// serviceInPath splits "/call/SERVICE/PATH" into the service and "/PATH".
+// serviceInPath splits "/call/SERVICE/PATH" into the service and "/PATH". For any
+// other URI the service is empty.
 func serviceInPath(uri string) (service, rest string) {
-	under, ok := strings.CutPrefix(uri, callPrefix)
+	trimmed, ok := strings.CutPrefix(uri, callPrefix)
 	if !ok {
 		return "", uri
 	}
-	end := strings.IndexAny(under, "/?")
+	end := strings.IndexAny(trimmed, "/?")
 	if end < 0 {
-		return under, "/"
+		return trimmed, "/"
 	}
-	rest = under[end:]
+	rest = trimmed[end:]
 	if rest[0] == '?' {
 		rest = "/" + rest
 	}
-	return under[:end], rest
+	return trimmed[:end], rest
 }
 
-func timeoutOf(text string) (time.Duration, *errkind.Error) {
+// parseTimeout parses a number of milliseconds up to maxTimeout; an empty text is 0.
+func parseTimeout(text string) (time.Duration, *errkind.Error) {
 	if text == "" {
 		return 0, nil
 	}
@@ -153,30 +161,32 @@
 	return time.Duration(ms) * time.Millisecond, nil
 }
 
-// body reads the whole body within its bound. A body that is shorter than its
-// stated length is refused: it is not what the caller meant to send.
-func (s *Server) body(c *app.RequestContext) ([]byte, *errkind.Error) {
-	stated := c.Request.Header.ContentLength()
-	bound := s.Settings.Limits.MaxBodyBytes
-	if stated > bound {
-		return nil, errkind.New(errkind.BodyTooLarge, "the body has %d bytes, %d are allowed", stated, bound)
+// readBody reads the whole body, which may have limits.max_body_bytes at most. It
+// refuses a body that is shorter than its Content-Length, because the caller meant to
+// send more.
+func (s *Server) readBody(c *app.RequestContext) ([]byte, *errkind.Error) {
+	contentLength := c.Request.Header.ContentLength()
+	limit := s.Settings.Limits.MaxBodyBytes
+	if contentLength > limit {
+		return nil, errkind.New(errkind.BodyTooLarge, "the body has %d bytes, %d are allowed", contentLength, limit)
 	}
 	if !c.Request.IsBodyStream() {
 		return append([]byte(nil), c.Request.Body()...), nil
 	}
-	data, err := io.ReadAll(io.LimitReader(c.RequestBodyStream(), int64(bound)+1))
+	data, err := io.ReadAll(io.LimitReader(c.RequestBodyStream(), int64(limit)+1))
 	switch {
 	case err != nil:
 		return nil, errkind.New(errkind.BodyCut, "the body ended after %d bytes", len(data))
-	case len(data) > bound:
-		return nil, errkind.New(errkind.BodyTooLarge, "the body has more than the allowed %d bytes", bound)
-	case stated >= 0 && len(data) < stated:
-		return nil, errkind.New(errkind.BodyCut, "the body ended after %d of %d bytes", len(data), stated)
+	case len(data) > limit:
+		return nil, errkind.New(errkind.BodyTooLarge, "the body has more than the allowed %d bytes", limit)
+	case contentLength >= 0 && len(data) < contentLength:
+		return nil, errkind.New(errkind.BodyCut, "the body ended after %d of %d bytes", len(data), contentLength)
 	}
 	return data, nil
 }
 
-func (s *Server) answer(c *app.RequestContext, result call.Result) {
+// writeResult writes the backend server's answer, or the refusal.
+func (s *Server) writeResult(c *app.RequestContext, result call.Result) {
 	if result.Refusal != nil {
 		s.refuse(c, result.Refusal)
 		return
@@ -186,8 +196,8 @@
 	c.Response.SetBodyRaw(result.Answer.Body)
 }
 
-// refuseUnread refuses a call whose body was not read. The connection is
-// closed, so that the body does not enter after all.
+// refuseUnread refuses a call whose body has not been read, or not to its end. It
+// closes the connection, so that the daemon does not receive the rest of the body.
 func (s *Server) refuseUnread(c *app.RequestContext, refusal *errkind.Error) {
 	if c.Request.Header.ContentLength() != 0 {
 		c.SetConnectionClose()
@@ -195,6 +205,7 @@
 	s.refuse(c, refusal)
 }
 
+// refuse writes the status, the headers and the text of a refusal.
 func (s *Server) refuse(c *app.RequestContext, refusal *errkind.Error) {
 	row := refusal.Kind.Row()
 	c.Response.Header.Set(HeaderError, row.Name)
@@ -206,8 +217,9 @@
 	c.String(row.Status, "%s: %s. %s\n", row.Name, refusal.Detail, row.Advice)
 }
 
-// redirect sends a caller from outside to a daemon in an allowed data centre,
-// before its body was read, or names such daemons.
+// redirect refuses a call that may not be handled in this data centre, before its body
+// is read. It sends the caller to a daemon in an allowed data centre where one is known
+// and the settings do not say otherwise.
 func (s *Server) redirect(c *app.RequestContext, misplaced *entry.Misplaced) {
 	uri := string(c.Request.RequestURI())
 	addresses := misplaced.Addresses
