--- a/pkg/entry/attempts.go
+++ b/pkg/entry/attempts.go
@@ -14,50 +14,54 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// try is one call's attempts. Source: docs/design/retries.md.
-type try struct {
-	owner  *Entry
-	ctx    context.Context
-	plan   *AdmittedCall
-	body   []byte
-	budget *budget
-	req    choose.Request
-	// tried are the candidates that refused this call, or were silent.
-	tried choose.IndexSet
-	// lane is the side of the service's roll-out on which the next attempt goes.
+// attempts makes the attempts of one call. An attempt may be soft: a gate that is busier
+// than the entry believed then refuses it at once. Source: docs/design/retries.md.
+type attempts struct {
+	entry    *Entry
+	ctx      context.Context
+	admitted *AdmittedCall
+	body     []byte
+	budget   *retryBudget
+	// choice is the input of the choosing policy: the time, the candidates, and those
+	// that it must leave out for the attempt at hand.
+	choice choose.Request
+	// excluded marks the candidates that refused this call or did not answer.
+	excluded choose.IndexSet
+	// lane says to which version of a service under roll-out the next attempt goes.
 	lane rollout.Lane
-	// claim is the generation of the key in which the next attempt may run.
+	// claim is the generation of the idempotency key in which the next attempt may run.
 	claim wire.Claim
-	// attempts counts those that were begun.
-	attempts int
-	// left is how many attempts remain, a soft one not counted.
-	left int
-	// soft is true while the next attempt is refused at once by a gate that is
-	// busier than believed.
+	// started counts the attempts that were begun.
+	started int
+	// remaining is how many attempts are left, without soft ones that were refused.
+	remaining int
+	// soft is true while the next attempt is soft.
 	soft bool
 }
 
-func (t *try) run() call.Result {
-	last := call.Refused(errkind.NoBackendServer, "no backend server in %v can take the call", t.plan.KindView.Kind.DataCentres)
-	for t.left > 0 {
-		t.req.Now = t.owner.Now()
-		// It may have become known between two attempts that the call's content ends the
-		// backend servers that run it.
-		if refusal, left := t.owner.Quarantine.Refusal(t.req.Now, t.content); refusal != nil {
-			return call.Result{Refusal: refusal, RetryAfter: left}
+// run makes attempts until one settles the call, no candidate is left, or all attempts
+// are used.
+func (a *attempts) run() call.Result {
+	last := call.Refused(errkind.NoBackendServer, "no backend server in %v can take the call", a.admitted.KindView.Kind.DataCentres)
+	for a.remaining > 0 {
+		a.choice.Now = a.entry.Now()
+		// Asked before each attempt, because the content of the call may have been
+		// quarantined since the last one.
+		if refusal, retryAfter := a.entry.Quarantine.Refusal(a.choice.Now, a.fingerprint); refusal != nil {
+			return call.Result{Refusal: refusal, RetryAfter: retryAfter}
 		}
-		pick := t.pick()
+		pick := a.pick()
 		if pick.Index == choose.NoCandidate {
 			return last
 		}
-		result := t.attempt(pick.Index, t.maxCost(pick))
+		result := a.runAttempt(pick.Index, a.maxCost(pick))
 		if !result.FromExecutor {
-			// A server that is silent is not asked again.
-			t.tried = t.tried.With(pick.Index)
+			// An executor that did not answer is not asked again.
+			a.excluded = a.excluded.With(pick.Index)
 		}
-		result = t.settle(result)
-		if !t.again(pick.Index, result) {
-			t.budget.answered(result)
+		result = a.sealUnanswered(result)
+		if !a.shouldRetry(pick.Index, result) {
+			a.budget.refill(result)
 			return result
 		}
 		last = result
@@ -65,209 +69,218 @@
 	return last
 }
 
-// content is that of the call.
-func (t *try) content() quarantine.Fingerprint { return t.frame(0, 0).Fingerprint(t.body) }
+// fingerprint returns the fingerprint of the call's content.
+func (a *attempts) fingerprint() quarantine.Fingerprint { return a.frame(0, 0).Fingerprint(a.body) }
 
-// pick chooses the next candidate in the call's lane. Where its lane has none left it
-// goes to the other one, so that a roll-out that tries a few calls refuses none for it.
-func (t *try) pick() choose.Pick {
-	traffic := t.owner.view.RolloutTraffic(t.plan.Request.Service)
-	if t.attempts > 0 {
-		t.lane = traffic.Again()
+// pick chooses the next candidate in the call's lane. Where that lane has no candidate
+// left it goes to the lane of retries, so that a canary causes no refusals.
+func (a *attempts) pick() choose.Pick {
+	traffic := a.entry.view.RolloutTraffic(a.admitted.Request.Service)
+	if a.started > 0 {
+		a.lane = traffic.Again()
 	}
-	t.attempts++
-	pick := t.pickIn(traffic)
-	if next := traffic.Again(); pick.Index == choose.NoCandidate && next != t.lane {
-		t.lane = next
-		return t.pickIn(traffic)
+	a.started++
+	pick := a.pickInLane(traffic)
+	if retryLane := traffic.Again(); pick.Index == choose.NoCandidate && retryLane != a.lane {
+		a.lane = retryLane
+		return a.pickInLane(traffic)
 	}
 	return pick
 }
 
-// pickIn chooses among the candidates that the call's lane allows.
-func (t *try) pickIn(traffic *rollout.Traffic) choose.Pick {
-	t.req.Excluded = t.tried
-	for i := range t.req.CandidateSet {
-		if route := t.req.CandidateSet[i].Endpoint; traffic != nil && !traffic.Takes(t.lane, route.Version(), route.VM) {
-			t.req.Excluded = t.req.Excluded.With(i)
+// pickInLane chooses among the candidates that may run calls of the lane.
+func (a *attempts) pickInLane(traffic *rollout.Traffic) choose.Pick {
+	a.choice.Excluded = a.excluded
+	for i := range a.choice.CandidateSet {
+		if route := a.choice.CandidateSet[i].Endpoint; traffic != nil && !traffic.Takes(a.lane, route.Version(), route.VM) {
+			a.choice.Excluded = a.choice.Excluded.With(i)
 		}
 	}
-	return t.owner.policy.Choose(&t.req, t.owner.random)
+	return a.entry.policy.Choose(&a.choice, a.entry.random)
 }
 
-// again decides whether another attempt follows. Only what was not run is
-// tried again, whatever the kind of request.
-func (t *try) again(index int, result call.Result) bool {
+// shouldRetry decides whether another attempt follows a result, and takes its token
+// from the budget. Only a call that did not run is retried, whatever its kind.
+func (a *attempts) shouldRetry(index int, result call.Result) bool {
 	if result.Refusal == nil {
 		return false
 	}
 	if result.Refusal.Kind == errkind.KeyMoved && result.NextClaim.Generation > 0 {
-		t.claim = result.NextClaim
-		t.left--
-		return t.left > 0
+		a.claim = result.NextClaim
+		a.remaining--
+		return a.remaining > 0
 	}
-	if !result.Refusal.RetryElsewhere() || t.plan.unkeyed() {
+	if !result.Refusal.RetryElsewhere() || a.admitted.isUnkeyed() {
 		return false
 	}
-	soft := t.soft
-	t.soft = false
+	soft := a.soft
+	a.soft = false
 	if soft && result.Refusal.Kind == errkind.GateBusier {
-		// Its stamp has told us how busy, and it stays a candidate: the others
-		// may be worse. A gate that is full for everybody says so in another
-		// way, and is a retry like any other.
-		t.owner.stats.softRefusals.Inc()
+		// The gate's load stamp has updated what is known of its load, and it stays a
+		// candidate, because the others may be busier. A gate that is full even for
+		// attempts that are not soft refuses with another kind, which costs a retry.
+		a.entry.stats.softRefusals.Inc()
 		return true
 	}
-	t.left--
-	t.tried = t.tried.With(index)
-	if t.left == 0 || !t.budget.take() {
+	a.remaining--
+	a.excluded = a.excluded.With(index)
+	if a.remaining == 0 || !a.budget.takeRetry() {
 		return false
 	}
-	t.owner.stats.retries.Inc()
+	a.entry.stats.retries.Inc()
 	return true
 }
 
-// hardFactor is how many times the next best candidate's cost an attempt after
-// the soft one accepts.
-const hardFactor = 3
+// looseCostFactor bounds the cost of an attempt that is neither soft nor the last, as a
+// multiple of the cost of the next best candidate.
+const looseCostFactor = 3
 
-// maxCost is the bound that goes with an attempt: tight on the soft one, loose
-// on the next, none on the last, which may queue.
-func (t *try) maxCost(pick choose.Pick) time.Duration {
+// maxCost returns the expected time at the gate above which an attempt is refused. It
+// is tight for a soft attempt, loose for later ones, and 0, no bound, for the last one,
+// which may queue.
+func (a *attempts) maxCost(pick choose.Pick) time.Duration {
 	switch {
-	case t.soft:
+	case a.soft:
 		return max(pick.MaxCost, 1)
-	case t.left > 1 && pick.MaxCost < t.owner.Settings.Retries.DefaultTimeout:
-		return max(hardFactor*pick.MaxCost, 1)
+	case a.remaining > 1 && pick.MaxCost < a.entry.Settings.Retries.DefaultTimeout:
+		return max(looseCostFactor*pick.MaxCost, 1)
 	}
 	return 0
 }
 
-// settle turns "may have run" into what the key's row says, for a call whose
-// key is claimed and whose executor gave no word.
-func (t *try) settle(result call.Result) call.Result {
-	if result.FromExecutor || result.Refusal == nil || result.Refusal.Ran == errkind.RanNo || !t.plan.guarded() {
+// sealUnanswered seals the key of a call that may have run, where the call claims its
+// key and the executor gave no result. It returns the result of the seal, and any other
+// result unchanged.
+func (a *attempts) sealUnanswered(result call.Result) call.Result {
+	if result.FromExecutor || result.Refusal == nil || result.Refusal.Ran == errkind.RanNo || !a.admitted.claimsKey() {
 		return result
 	}
-	return t.owner.sealer.Seal(t.frame(0, 0), t.body, result.Refusal)
+	return a.entry.sealer.Seal(a.frame(0, 0), a.body, result.Refusal)
 }
 
-// flight is one attempt that has not ended.
-type flight struct {
-	to     *tables.Candidate
-	index  int
+// attempt is one attempt that was sent and has not ended.
+type attempt struct {
+	candidate *tables.Candidate
+	// index is that of the candidate in attempts.choice.
+	index int
+	// sentAt is in nanoseconds of the daemon's clock.
 	sentAt int64
 	cancel func()
 }
 
-// landed is how a flight ended.
-type landed struct {
-	flight *flight
-	result call.Result
+// attemptEnd is the end of an attempt.
+type attemptEnd struct {
+	attempt *attempt
+	result  call.Result
 }
 
-// attempt sends the call to one candidate and waits for its end, or for that
-// of a hedge that was sent after it.
-func (t *try) attempt(index int, cost time.Duration) call.Result {
-	// Room for the hedge, too, so that the slower of the two blocks nobody.
-	ends := make(chan landed, 2)
-	first, refusal := t.launch(index, cost, ends)
+// runAttempt sends the call to one candidate and returns the result of that attempt,
+// or of the hedge that was sent after it.
+func (a *attempts) runAttempt(index int, maxCost time.Duration) call.Result {
+	// Holds the ends of the attempt and of its hedge, so that neither sender blocks.
+	ends := make(chan attemptEnd, 2)
+	first, refusal := a.send(index, maxCost, ends)
 	if refusal != nil {
 		return call.Result{Refusal: refusal}
 	}
-	return t.await(first, ends)
+	return a.await(first, ends)
 }
 
-// launch sends the call to a candidate. ends receives its end.
-func (t *try) launch(index int, cost time.Duration, ends chan<- landed) (*flight, *errkind.Error) {
-	to := &t.req.CandidateSet[index]
-	now := t.owner.Now()
-	left := time.Duration(t.plan.deadline - now)
-	if left <= 0 {
-		return nil, errkind.New(errkind.DeadlineBeforeRun, "the time ran out at the entry")
+// send sends the call to a candidate. The end of the attempt goes to ends.
+func (a *attempts) send(index int, maxCost time.Duration, ends chan<- attemptEnd) (*attempt, *errkind.Error) {
+	candidate := &a.choice.CandidateSet[index]
+	now := a.entry.Now()
+	timeLeft := time.Duration(a.admitted.deadline - now)
+	if timeLeft <= 0 {
+		return nil, errkind.New(errkind.DeadlineBeforeRun, "the deadline passed at the entry")
 	}
-	runner := to.Endpoint.Runner()
+	runner := candidate.Endpoint.Runner()
 	if runner == nil {
-		return nil, errkind.New(errkind.LinkUnavailable, "the link to %s is down", to.Endpoint.VM)
+		return nil, errkind.New(errkind.LinkUnavailable, "the link to %s is down", candidate.Endpoint.VM)
 	}
-	f := &flight{to: to, index: index, sentAt: now}
-	to.Load.RecordSent(now)
-	frame := t.frame(left, cost)
-	frame.WantStamp = t.wantStamp(to, now, cost)
-	f.cancel = runner.Execute(frame, t.body, func(r call.Result) { ends <- landed{flight: f, result: t.land(f, r)} })
-	return f, nil
+	out := &attempt{candidate: candidate, index: index, sentAt: now}
+	candidate.Load.RecordSent(now)
+	frame := a.frame(timeLeft, maxCost)
+	frame.WantStamp = a.wantStamp(candidate, now, maxCost)
+	out.cancel = runner.Execute(frame, a.body, func(r call.Result) { ends <- attemptEnd{attempt: out, result: a.recordEnd(out, r)} })
+	return out, nil
 }
 
-// land takes over what the end of a flight tells of its backend server, also
-// when nobody waits for it any more.
-func (t *try) land(f *flight, result call.Result) call.Result {
-	now := t.owner.Now()
-	f.to.Load.RecordEnded(now)
+// recordEnd updates what is known of the candidate's load at the end of an attempt,
+// also when the call has ended already. It returns the result with the backend server
+// and the round-trip time filled in.
+func (a *attempts) recordEnd(ended *attempt, result call.Result) call.Result {
+	now := a.entry.Now()
+	ended.candidate.Load.RecordEnded(now)
 	if result.Stamp.Seq > 0 {
-		f.to.Load.ApplyStamp(now, result.Stamp)
+		ended.candidate.Load.ApplyStamp(now, result.Stamp)
 	}
-	f.to.Load.RecordAnswer(failed(result))
-	result.MinRTT = f.to.Load.RoundTrip()
-	result.Server, result.DataCentre = f.to.Endpoint.VM, f.to.Endpoint.DataCentre
+	ended.candidate.Load.RecordAnswer(countsAsFailure(result))
+	result.MinRTT = ended.candidate.Load.RoundTrip()
+	result.Server, result.DataCentre = ended.candidate.Endpoint.VM, ended.candidate.Endpoint.DataCentre
 	return result
 }
 
-// await waits for the executor's word until a little after the deadline: the
-// executor knows whether the call ran, the entry does not.
-func (t *try) await(first *flight, ends chan landed) call.Result {
-	bound := time.NewTimer(time.Duration(t.plan.deadline-t.owner.Now()) + grace)
-	defer bound.Stop()
-	hedge := t.newHedge(first, ends)
+// await waits for the executor's result until answerGrace after the deadline, because
+// only the executor knows whether the call ran.
+func (a *attempts) await(first *attempt, ends chan attemptEnd) call.Result {
+	timeout := time.NewTimer(time.Duration(a.admitted.deadline-a.entry.Now()) + answerGrace)
+	defer timeout.Stop()
+	hedge := a.newHedge(first, ends)
 	defer hedge.stop()
 	for {
 		select {
 		case end := <-ends:
-			if hedge.wins(end) {
+			if hedge.settles(end) {
 				return end.result
 			}
 		case <-hedge.due():
-			hedge.consider()
-		case <-bound.C:
+			hedge.check()
+		case <-timeout.C:
 			first.cancel()
 			hedge.cancel()
-			return call.Refused(errkind.DeadlineWhileRunning, "the executor did not answer in time")
-		case <-t.ctx.Done():
+			return call.Refused(errkind.DeadlineWhileRunning, "the executor did not answer before the deadline")
+		case <-a.ctx.Done():
 			first.cancel()
 			hedge.cancel()
-			return call.Result{Refusal: errkind.New(errkind.CallerGone, "the caller left").Maybe()}
+			return call.Result{Refusal: errkind.New(errkind.CallerGone, "the caller disconnected before the result arrived").Maybe()}
 		}
 	}
 }
 
-// typicalStamp is the size that asking for a stamp is paid with in advance.
-const typicalStamp = 14
+// stampBytes is the size by which a load stamp is charged to the measuring budget when
+// it is asked for.
+const stampBytes = 14
 
-// wantStamp asks for a stamp where it is worth its bytes: always with a soft
-// attempt, which may be refused because of what the stamp then says, or when
-// the newest one is old. A stamp of this daemon's own gate costs nothing.
-func (t *try) wantStamp(to *tables.Candidate, now int64, cost time.Duration) bool {
-	if to.Endpoint.VM == t.owner.Settings.VM.ID {
+// wantStamp decides whether to ask for a load stamp with the result. The gate of this
+// daemon's own VM is always asked, because that sends no bytes over the network. Any
+// other costs stampBytes of the measuring budget, and counts as valuable when the newest
+// stamp is old or the attempt's cost is bounded, so that it may be refused for the load
+// that the stamp then shows.
+func (a *attempts) wantStamp(candidate *tables.Candidate, now int64, maxCost time.Duration) bool {
+	if candidate.Endpoint.VM == a.entry.Settings.VM.ID {
 		return true
 	}
 	value := measure.LowValue
-	if at := to.Load.StampReceivedAt(); cost > 0 || at == 0 || now-at > int64(t.owner.Settings.Choosing.StampHalfLife) {
+	if at := candidate.Load.StampReceivedAt(); maxCost > 0 || at == 0 || now-at > int64(a.entry.Settings.Choosing.StampHalfLife) {
 		value = measure.HighValue
 	}
-	return t.owner.Measure.TrySpend(now, typicalStamp, value)
+	return a.entry.Measure.TrySpend(now, stampBytes, value)
 }
 
-func (t *try) frame(left, cost time.Duration) *wire.Call {
-	req := t.plan.Request
+// frame returns the frame that carries the call to an executor.
+func (a *attempts) frame(timeLeft, maxCost time.Duration) *wire.Call {
+	req := a.admitted.Request
 	return &wire.Call{
 		Service:   req.Service,
-		Kind:      t.plan.KindView.Kind.Name,
+		Kind:      a.admitted.KindView.Kind.Name,
 		Method:    req.Method,
 		URI:       req.URI,
 		Headers:   req.Headers,
 		Key:       req.IdempotencyKey,
-		Placement: t.plan.KindView.Kind.Version,
-		Claim:     t.claim,
-		Remaining: left,
-		MaxCost:   cost,
+		Placement: a.admitted.KindView.Kind.Version,
+		Claim:     a.claim,
+		Remaining: timeLeft,
+		MaxCost:   maxCost,
 	}
 }
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -16,17 +16,17 @@
 )
 
 const (
-	// wantPoll is how often a call looks whether the first view of its service,
-	// or its first link, has come. Only calls before that wait so.
-	wantPoll = time.Millisecond
-	// wantBound is the longest wait for a first link.
-	wantBound = 2 * time.Second
-	// grace is how long after the deadline the entry still
-	// waits for the word of the executor, which knows whether the call ran.
-	grace = 20 * time.Millisecond
+	// readyPoll is the interval at which waitUntil checks its condition.
+	readyPoll = time.Millisecond
+	// readyTimeout is the longest time that waitUntil waits.
+	readyTimeout = 2 * time.Second
+	// answerGrace is how long after the deadline the entry still waits for the
+	// executor's result, because only the executor knows whether the call ran.
+	answerGrace = 20 * time.Millisecond
 )
 
-// Entry takes calls in. It is safe for concurrent use.
+// Entry admits and runs the calls that callers send to this daemon. It is safe for
+// concurrent use.
 type Entry struct {
 	*common.Common
 	view    *tables.View
@@ -34,19 +34,23 @@
 	policy  choose.Policy
 	random  choose.Random
 	sealer  Sealer
-	budgets *budgets
+	budgets *retryBudgets
 	stats   *stats
 
 	inFlight atomic.Int64
 }
 
-// Sealer closes the key of a never-repeat call whose outcome was not learned.
-// Source: docs/design/at-most-once.md.
+// Sealer closes the idempotency key of a never-repeat call whose outcome the entry did
+// not learn. Source: docs/design/at-most-once.md.
 type Sealer interface {
+	// Seal prevents the call from running with its present claim. Where the call has not
+	// run, the result is a KeyMoved refusal with the next claim; otherwise the result
+	// says what the store knows of the call. reason is the refusal to return when the
+	// store does not answer.
 	Seal(c *wire.Call, body []byte, reason *errkind.Error) call.Result
 }
 
-// NewEntry makes the entry of one daemon.
+// NewEntry returns the entry of one daemon.
 func NewEntry(c *common.Common, w *tables.World, policy choose.Policy, sealer Sealer) *Entry {
 	return &Entry{
 		Common:  c,
@@ -55,39 +59,43 @@
 		policy:  policy,
 		random:  choose.RuntimeRandom{},
 		sealer:  sealer,
-		budgets: newBudgets(c.Settings.Retries),
+		budgets: newRetryBudgets(c.Settings.Retries),
 		stats:   newStats(c.Metrics, c.Settings.Retries.HedgeQuantile),
 	}
 }
 
-// Admit finds the kind of a request and checks that it may enter here. It runs
-// before the body is read.
+// Admit finds the kind of a request and checks that the request may enter at this
+// daemon, before its body is read. The call may run only where both the Misplaced and
+// the error are nil. ctx ends when the caller disconnects.
 func (e *Entry) Admit(ctx context.Context, req *Request) (*AdmittedCall, *Misplaced, *errkind.Error) {
-	began := e.Now()
+	startedAt := e.Now()
 	if e.view.Leaving() {
 		return nil, nil, errkind.New(errkind.Leaving, "this daemon is leaving")
 	}
 	if !e.view.Ready() {
 		return nil, nil, errkind.New(errkind.PlacementUnknown, "this daemon has no placement or no list of members yet")
 	}
-	service, refusal := e.service(ctx, req.Service)
+	service, refusal := e.serviceView(ctx, req.Service)
 	if refusal != nil {
 		return nil, nil, refusal
 	}
 	kind := service.Match(req.Method, executor.PathOf(req.URI))
 	if kind == nil {
-		return nil, nil, errkind.New(errkind.UnknownRequestKind, "service %s places no kind for %s and this path", req.Service, req.Method)
+		return nil, nil, errkind.New(errkind.UnknownRequestKind, "service %s has no kind of request for method %s and this path", req.Service, req.Method)
 	}
-	plan := &AdmittedCall{Request: req, KindView: kind, began: began}
-	plan.deadline = began + int64(e.timeout(req, kind.Kind))
+	admitted := &AdmittedCall{Request: req, KindView: kind, startedAt: startedAt}
+	admitted.deadline = startedAt + int64(e.timeout(req, kind.Kind))
 	misplaced, refusal := e.checkKind(req, kind)
-	return plan, misplaced, refusal
+	return admitted, misplaced, refusal
 }
 
+// checkKind applies the rules of a kind to a request: a strict kind needs a placement
+// that is surely in force, a kind may require an idempotency key, and data from another
+// VM must not enter a data centre that the kind does not allow.
 func (e *Entry) checkKind(req *Request, kind *tables.KindView) (*Misplaced, *errkind.Error) {
 	switch {
 	case kind.Kind.Strict && e.view.PlacementUnsure():
-		return nil, errkind.New(errkind.PlacementUnsure, "version %d may have been replaced", kind.Kind.Version)
+		return nil, errkind.New(errkind.PlacementUnsure, "placement version %d may have been replaced", kind.Kind.Version)
 	case kind.Kind.NeverRepeat && kind.Kind.Key == placement.KeyRequired && req.IdempotencyKey == "":
 		return nil, errkind.New(errkind.KeyMissing, "kind %s may never be repeated", kind.Kind.Name)
 	case req.FromOtherVM && !kind.Kind.Allows(e.Settings.VM.DataCentre):
@@ -99,6 +107,7 @@
 	return nil, nil
 }
 
+// timeout returns the caller's timeout, else that of the kind, else the default.
 func (e *Entry) timeout(req *Request, kind *placement.CompiledKind) time.Duration {
 	switch {
 	case req.Timeout > 0:
@@ -109,14 +118,14 @@
 	return e.Settings.Retries.DefaultTimeout
 }
 
-// service returns the view of a service. The first call for a service waits
-// until the systems have built it.
-func (e *Entry) service(ctx context.Context, name string) (*tables.ServiceView, *errkind.Error) {
+// serviceView returns the view of a service. The first call for a service asks for the
+// view to be built, and waits for it.
+func (e *Entry) serviceView(ctx context.Context, name string) (*tables.ServiceView, *errkind.Error) {
 	if v := e.view.Service(name); v != nil {
 		return v, nil
 	}
 	if p := e.view.Placement(); p == nil || p.Service(name) == nil {
-		return nil, errkind.New(errkind.UnknownService, "service %q is not placed", name)
+		return nil, errkind.New(errkind.UnknownService, "the placement has no service %q", name)
 	}
 	e.inbox.Post(true, func(m *tables.Mail) { m.RequestedServices = append(m.RequestedServices, name) })
 	var found *tables.ServiceView
@@ -125,89 +134,92 @@
 		return found != nil
 	})
 	if found == nil {
-		return nil, errkind.New(errkind.PlacementUnknown, "service %q is not ready here yet", name)
+		return nil, errkind.New(errkind.PlacementUnknown, "service %q is not ready at this daemon yet", name)
 	}
 	return found, nil
 }
 
-// waitUntil polls a condition that comes true once in a daemon's life.
+// waitUntil polls until ready returns true, ctx ends or readyTimeout has passed. It is
+// meant for conditions that come true once in a daemon's life, so few calls poll.
 func waitUntil(ctx context.Context, ready func() bool) {
-	bound := time.NewTimer(wantBound)
-	defer bound.Stop()
-	poll := time.NewTicker(wantPoll)
+	timeout := time.NewTimer(readyTimeout)
+	defer timeout.Stop()
+	poll := time.NewTicker(readyPoll)
 	defer poll.Stop()
 	for !ready() {
 		select {
 		case <-ctx.Done():
 			return
-		case <-bound.C:
+		case <-timeout.C:
 			return
 		case <-poll.C:
 		}
 	}
 }
 
-// InFlight counts calls that have not ended.
+// InFlight returns the number of calls that have not ended.
 func (e *Entry) InFlight() int64 { return e.inFlight.Load() }
 
-// Run takes a planned call with its whole body to an end. ctx ends when the
-// caller leaves.
-func (e *Entry) Run(ctx context.Context, plan *AdmittedCall, body []byte) call.Result {
+// Run runs an admitted call with its whole body and returns how it ended. ctx ends when
+// the caller disconnects.
+func (e *Entry) Run(ctx context.Context, admitted *AdmittedCall, body []byte) call.Result {
 	e.inFlight.Add(1)
 	defer e.inFlight.Add(-1)
-	result := e.attempts(ctx, plan, body)
-	e.stats.note(plan, result, e.Now())
+	result := e.runAttempts(ctx, admitted, body)
+	e.stats.record(admitted, result, e.Now())
 	return result
 }
 
-func (e *Entry) attempts(ctx context.Context, plan *AdmittedCall, body []byte) call.Result {
-	set, refusal := e.candidates(ctx, plan)
+// runAttempts finds the candidates for a call and makes its attempts.
+func (e *Entry) runAttempts(ctx context.Context, admitted *AdmittedCall, body []byte) call.Result {
+	candidates, refusal := e.candidates(ctx, admitted)
 	if refusal != nil {
 		return call.Result{Refusal: refusal}
 	}
-	t := &try{
-		owner: e, ctx: ctx, plan: plan, body: body,
-		budget: e.budgets.of(plan.Request.Service),
-		req:    choose.Request{CandidateSet: set},
-		lane:   e.view.RolloutTraffic(plan.Request.Service).Next(plan.KindView.Kind.Name),
-		claim:  wire.Claim{Generation: 1},
-		left:   e.Settings.Retries.Attempts,
-		soft:   e.Settings.Choosing.SoftFirst && len(set) > 1,
+	a := &attempts{
+		entry: e, ctx: ctx, admitted: admitted, body: body,
+		budget:    e.budgets.forService(admitted.Request.Service),
+		choice:    choose.Request{CandidateSet: candidates},
+		lane:      e.view.RolloutTraffic(admitted.Request.Service).Next(admitted.KindView.Kind.Name),
+		claim:     wire.Claim{Generation: 1},
+		remaining: e.Settings.Retries.Attempts,
+		soft:      e.Settings.Choosing.SoftFirst && len(candidates) > 1,
 	}
-	if plan.unkeyed() {
-		t.left, t.soft = 1, false
+	if admitted.isUnkeyed() {
+		a.remaining, a.soft = 1, false
 	}
-	return t.run()
+	return a.run()
 }
 
-// candidates returns the linked candidates, and waits for the first link.
-func (e *Entry) candidates(ctx context.Context, plan *AdmittedCall) ([]tables.Candidate, *errkind.Error) {
-	if len(plan.KindView.LinkedCandidates) > 0 {
-		return plan.KindView.LinkedCandidates, nil
+// candidates returns the candidates to which this daemon has a link. Where there is
+// none yet, it waits for the first link.
+func (e *Entry) candidates(ctx context.Context, admitted *AdmittedCall) ([]tables.Candidate, *errkind.Error) {
+	if len(admitted.KindView.LinkedCandidates) > 0 {
+		return admitted.KindView.LinkedCandidates, nil
 	}
-	if len(plan.KindView.UnlinkedEndpoints) == 0 {
-		return nil, errkind.New(errkind.NoBackendServer, "no backend server is live in %v", plan.KindView.Kind.DataCentres)
+	if len(admitted.KindView.UnlinkedEndpoints) == 0 {
+		return nil, errkind.New(errkind.NoBackendServer, "no backend server is live in %v", admitted.KindView.Kind.DataCentres)
 	}
-	kind := plan.KindView.Kind
+	kind := admitted.KindView.Kind
 	waitUntil(ctx, func() bool {
 		service := e.view.Service(kind.Service)
 		if service == nil {
 			return false
 		}
-		if v := service.Match(plan.Request.Method, executor.PathOf(plan.Request.URI)); v != nil {
-			plan.KindView = v
+		if v := service.Match(admitted.Request.Method, executor.PathOf(admitted.Request.URI)); v != nil {
+			admitted.KindView = v
 		}
-		return len(plan.KindView.LinkedCandidates) > 0 || e.Now() >= plan.deadline
+		return len(admitted.KindView.LinkedCandidates) > 0 || e.Now() >= admitted.deadline
 	})
-	if len(plan.KindView.LinkedCandidates) == 0 {
-		return nil, errkind.New(errkind.LinkUnavailable, "no daemon of service %s could be reached", kind.Service)
+	if len(admitted.KindView.LinkedCandidates) == 0 {
+		return nil, errkind.New(errkind.LinkUnavailable, "this daemon has no link to a daemon of service %s", kind.Service)
 	}
-	return plan.KindView.LinkedCandidates, nil
+	return admitted.KindView.LinkedCandidates, nil
 }
 
-// failed is true for what counts against a backend server, so that one that
-// fails fast does not look like one that is fast.
-func failed(r call.Result) bool {
+// countsAsFailure reports whether a result counts towards the failure share of a
+// backend server. Without it, a server that fails fast would look like a fast one.
+func countsAsFailure(r call.Result) bool {
 	if r.Answer != nil {
 		return r.Answer.Status >= 500
 	}
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -22,32 +22,34 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// server is a fake executor: it ends each call in the same way, after a time.
-type server struct {
-	after     time.Duration
+// fakeExecutor ends each call with the same result, after a delay.
+type fakeExecutor struct {
+	delay     time.Duration
 	result    call.Result
 	calls     int
 	cancelled int
 }
 
-func (s *server) Execute(_ *wire.Call, _ []byte, done func(call.Result)) func() {
-	s.calls++
-	result := s.result
+func (x *fakeExecutor) Execute(_ *wire.Call, _ []byte, done func(call.Result)) func() {
+	x.calls++
+	result := x.result
 	result.FromExecutor = result.Refusal == nil || result.Refusal.Kind != errkind.LinkLost
-	time.AfterFunc(s.after, func() { done(result) })
-	return func() { s.cancelled++ }
+	time.AfterFunc(x.delay, func() { done(result) })
+	return func() { x.cancelled++ }
 }
 
-func answers(after time.Duration) *server {
-	return &server{after: after, result: call.Result{Answer: &call.Answer{Status: 200, Body: []byte("ok")}}}
+func answering(delay time.Duration) *fakeExecutor {
+	return &fakeExecutor{delay: delay, result: call.Result{Answer: &call.Answer{Status: 200, Body: []byte("ok")}}}
 }
 
-func refuses(kind errkind.Kind) *server { return &server{result: call.Refused(kind, "test")} }
+func refusing(kind errkind.Kind) *fakeExecutor {
+	return &fakeExecutor{result: call.Refused(kind, "test")}
+}
 
-// inOrder tries candidates in their order.
-type inOrder struct{}
+// firstUntried is a policy that chooses the first candidate that was not tried.
+type firstUntried struct{}
 
-func (inOrder) Choose(req *choose.Request, _ choose.Random) choose.Pick {
+func (firstUntried) Choose(req *choose.Request, _ choose.Random) choose.Pick {
 	for i := range req.CandidateSet {
 		if !req.Excluded.Has(i) {
 			return choose.Pick{Index: i, MaxCost: time.Second}
@@ -56,19 +58,20 @@
 	return choose.Pick{Index: choose.NoCandidate}
 }
 
-// sealer is a fake that says how seals end.
-type sealer struct {
+// fakeSealer ends each seal with the same result.
+type fakeSealer struct {
 	result call.Result
 	calls  int
 }
 
-func (s *sealer) Seal(*wire.Call, []byte, *errkind.Error) call.Result {
+func (s *fakeSealer) Seal(*wire.Call, []byte, *errkind.Error) call.Result {
 	s.calls++
 	return s.result
 }
 
-// newEntry makes an entry with one service "s" and a kind, over servers.
-func newEntry(kind placement.Kind, seal Sealer, servers ...*server) *Entry {
+// newEntry returns an entry with a service "s" that has one kind, "k". Each server is a
+// candidate, in the order given.
+func newEntry(kind placement.Kind, sealer Sealer, servers ...*fakeExecutor) *Entry {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
 	kind.Name, kind.Path, kind.DataCentres = "k", "/*", []string{"here"}
@@ -83,53 +86,56 @@
 	w.View.SetPlacement(compiled)
 	w.View.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{view}))
 	w.View.SetReady()
-	return NewEntry(common.NewCommon(events.Discard(), &s), w, inOrder{}, seal)
+	return NewEntry(common.NewCommon(events.Discard(), &s), w, firstUntried{}, sealer)
 }
 
-func run(t *testing.T, e *Entry, key string) call.Result {
-	plan, misplaced, refusal := e.Admit(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a", IdempotencyKey: key})
+// runCall admits and runs a call with an idempotency key, which may be empty.
+func runCall(t *testing.T, e *Entry, key string) call.Result {
+	admitted, misplaced, refusal := e.Admit(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a", IdempotencyKey: key})
 	must.Nil(t, refusal)
 	must.Nil(t, misplaced)
-	return e.Run(context.Background(), plan, nil)
+	return e.Run(context.Background(), admitted, nil)
 }
 
-func TestWhatIsTriedAgain(t *testing.T) {
-	never := placement.Kind{NeverRepeat: true}
-	optional := placement.Kind{NeverRepeat: true, Key: placement.KeyOptional}
+func TestOnlyCallsThatDidNotRunAreRetried(t *testing.T) {
+	neverRepeat := placement.Kind{NeverRepeat: true}
+	optionalKey := placement.Kind{NeverRepeat: true, Key: placement.KeyOptional}
 	scenarios := []struct {
 		name  string
 		kind  placement.Kind
 		key   string
-		first *server
-		// seal is how a seal ends, where one is tried.
-		seal  call.Result
-		want  errkind.Kind
-		ran   errkind.Ran
+		first *fakeExecutor
+		// sealResult is how a seal ends.
+		sealResult call.Result
+		want       errkind.Kind
+		ran        errkind.Ran
+		// calls is the number of calls that the second server gets.
 		calls int
 		seals int
 	}{
-		{name: "not run goes elsewhere", first: refuses(errkind.Leaving), want: errkind.None, calls: 1},
-		{name: "busier than believed goes elsewhere", first: refuses(errkind.GateBusier), want: errkind.None, calls: 1},
-		{name: "maybe stays", first: refuses(errkind.LinkLost), want: errkind.LinkLost, ran: errkind.RanMaybe},
-		{name: "the backend server broke off", first: refuses(errkind.BackendFailed), want: errkind.BackendFailed, ran: errkind.RanMaybe},
-		{name: "not run goes elsewhere, never-repeat", kind: never, key: "k", first: refuses(errkind.Overloaded), want: errkind.None, calls: 1},
-		{name: "silence is sealed, and then tried elsewhere", kind: never, key: "k", first: refuses(errkind.LinkLost),
-			seal: call.Result{Refusal: errkind.New(errkind.KeyMoved, ""), NextClaim: wire.Claim{Version: 1, Generation: 2}}, want: errkind.None, calls: 1, seals: 1},
-		{name: "silence after a run stays a maybe", kind: never, key: "k", first: refuses(errkind.LinkLost),
-			seal: call.Refused(errkind.KeyInProgress, ""), want: errkind.KeyInProgress, ran: errkind.RanMaybe, seals: 1},
-		{name: "without a key it is sent once", kind: optional, first: refuses(errkind.Overloaded), want: errkind.Overloaded},
+		{name: "a call that did not run goes to another server", first: refusing(errkind.Leaving), want: errkind.None, calls: 1},
+		{name: "a soft refusal sends the call to another server", first: refusing(errkind.GateBusier), want: errkind.None, calls: 1},
+		{name: "a call that may have run is not retried", first: refusing(errkind.LinkLost), want: errkind.LinkLost, ran: errkind.RanMaybe},
+		{name: "a call that the backend server broke off is not retried", first: refusing(errkind.BackendFailed), want: errkind.BackendFailed, ran: errkind.RanMaybe},
+		{name: "a never-repeat call that did not run goes to another server", kind: neverRepeat, key: "k", first: refusing(errkind.Overloaded), want: errkind.None, calls: 1},
+		{name: "an unanswered never-repeat call is sealed, then retried", kind: neverRepeat, key: "k", first: refusing(errkind.LinkLost),
+			sealResult: call.Result{Refusal: errkind.New(errkind.KeyMoved, ""), NextClaim: wire.Claim{Version: 1, Generation: 2}}, want: errkind.None, calls: 1, seals: 1},
+		{name: "an unanswered never-repeat call that may have run is not retried", kind: neverRepeat, key: "k", first: refusing(errkind.LinkLost),
+			sealResult: call.Refused(errkind.KeyInProgress, ""), want: errkind.KeyInProgress, ran: errkind.RanMaybe, seals: 1},
+		{name: "a never-repeat call without a key is sent once", kind: optionalKey, first: refusing(errkind.Overloaded), want: errkind.Overloaded},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			second, seal := answers(0), &sealer{result: s.seal}
-			e := newEntry(s.kind, seal, s.first, second)
-			// The first is chosen again after a soft refusal; let it be tried.
+			second, sealer := answering(0), &fakeSealer{result: s.sealResult}
+			e := newEntry(s.kind, sealer, s.first, second)
+			// After a soft refusal the policy would choose the first server again, so that
+			// server refuses as one that is leaving instead.
 			if s.first.result.Refusal.Kind == errkind.GateBusier {
-				s.first.result = call.Refused(errkind.Leaving, "now it leaves")
+				s.first.result = call.Refused(errkind.Leaving, "leaving now")
 			}
-			result := run(t, e, s.key)
+			result := runCall(t, e, s.key)
 			test.Eq(t, s.calls, second.calls)
-			test.Eq(t, s.seals, seal.calls)
+			test.Eq(t, s.seals, sealer.calls)
 			if s.want == errkind.None {
 				test.NotNil(t, result.Answer)
 				return
@@ -141,53 +147,53 @@
 	}
 }
 
-func TestHedgesGoOnlyWhereTheyAreSafe(t *testing.T) {
+func TestOnlySlowCallsOfSafeKindsAreHedged(t *testing.T) {
 	scenarios := []struct {
 		name   string
 		kind   placement.Kind
 		key    string
-		slow   time.Duration
-		hedged int
+		delay  time.Duration
+		hedges int
 	}{
 		{"a slow call of a safe kind", placement.Kind{HedgeSafe: true}, "", time.Second, 1},
 		{"a fast call of a safe kind", placement.Kind{HedgeSafe: true}, "", time.Millisecond, 0},
 		{"a slow call of a kind that is not safe", placement.Kind{}, "", time.Second, 0},
-		// The placement refuses this pair; the entry does not rely on it.
+		// The placement rejects this combination; the entry does not rely on that.
 		{"a never-repeat kind", placement.Kind{HedgeSafe: true, NeverRepeat: true}, "k", time.Second, 0},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				first, second := answers(s.slow), answers(time.Millisecond)
-				e := newEntry(s.kind, &sealer{}, first, second)
-				result := run(t, e, s.key)
+				first, second := answering(s.delay), answering(time.Millisecond)
+				e := newEntry(s.kind, &fakeSealer{}, first, second)
+				result := runCall(t, e, s.key)
 				test.NotNil(t, result.Answer)
-				test.Eq(t, s.hedged, second.calls)
-				test.Eq(t, s.hedged, first.cancelled)
+				test.Eq(t, s.hedges, second.calls)
+				test.Eq(t, s.hedges, first.cancelled)
 				time.Sleep(2 * time.Second)
 			})
 		})
 	}
 }
 
-func TestARefusedHedgeSettlesNothing(t *testing.T) {
+func TestARefusedHedgeDoesNotEndTheCall(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second := answers(time.Second), refuses(errkind.GateBusier)
-		e := newEntry(placement.Kind{HedgeSafe: true}, &sealer{}, first, second)
-		result := run(t, e, "")
+		first, second := answering(time.Second), refusing(errkind.GateBusier)
+		e := newEntry(placement.Kind{HedgeSafe: true}, &fakeSealer{}, first, second)
+		result := runCall(t, e, "")
 		test.Eq(t, 1, second.calls)
 		must.NotNil(t, result.Answer)
 		test.Eq(t, "ok", string(result.Answer.Body))
 	})
 }
 
-func TestHedgesKeepTheirBudget(t *testing.T) {
+func TestHedgesStayWithinTheirBudget(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, second := answers(time.Second), answers(time.Second)
-		e := newEntry(placement.Kind{HedgeSafe: true}, &sealer{}, first, second)
+		first, second := answering(time.Second), answering(time.Second)
+		e := newEntry(placement.Kind{HedgeSafe: true}, &fakeSealer{}, first, second)
 		const calls = 200
 		for range calls {
-			run(t, e, "")
+			runCall(t, e, "")
 		}
 		floor := e.Settings.Retries.BudgetFloor
 		test.LessEq(t, floor+int(calls*e.Settings.Retries.HedgeBudget)+1, int(e.Counts().Hedges))
@@ -195,28 +201,28 @@
 	})
 }
 
-func TestADeadlineIsAnsweredAtOnce(t *testing.T) {
+func TestACallIsRefusedAfterItsDeadline(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEntry(placement.Kind{Timeout: 300 * time.Millisecond}, &sealer{}, answers(time.Hour))
-		began := time.Now()
-		result := run(t, e, "")
+		e := newEntry(placement.Kind{Timeout: 300 * time.Millisecond}, &fakeSealer{}, answering(time.Hour))
+		startedAt := time.Now()
+		result := runCall(t, e, "")
 		must.NotNil(t, result.Refusal)
 		test.Eq(t, errkind.DeadlineWhileRunning, result.Refusal.Kind)
 		test.Eq(t, errkind.RanMaybe, result.Refusal.Ran)
-		test.Eq(t, 300*time.Millisecond+grace, time.Since(began))
+		test.Eq(t, 300*time.Millisecond+answerGrace, time.Since(startedAt))
 		time.Sleep(time.Hour)
 	})
 }
 
-// level is a backend server that calls the next service through its own entry,
-// and answers 503 when that was refused, as applications do.
-type level struct{ next *Entry }
+// callingServer is a backend server that calls another service through an entry, and
+// answers 503 when that call is refused, as applications do.
+type callingServer struct{ entry *Entry }
 
-func (l *level) Execute(_ *wire.Call, _ []byte, done func(call.Result)) func() {
-	plan, _, refusal := l.next.Admit(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a"})
+func (s *callingServer) Execute(_ *wire.Call, _ []byte, done func(call.Result)) func() {
+	admitted, _, refusal := s.entry.Admit(context.Background(), &Request{Service: "s", Method: "GET", URI: "/a"})
 	status := 503
 	if refusal == nil {
-		if r := l.next.Run(context.Background(), plan, nil); r.Answer != nil {
+		if r := s.entry.Run(context.Background(), admitted, nil); r.Answer != nil {
 			status = r.Answer.Status
 		}
 	}
@@ -224,43 +230,44 @@
 	return func() {}
 }
 
-// TestRetriesDoNotMultiplyOverDepth offers calls to a chain of 29 services
-// whose last one refuses all as overloaded.
-func TestRetriesDoNotMultiplyOverDepth(t *testing.T) {
-	const depth, offered = 29, 1000
-	bottom := []*server{refuses(errkind.Overloaded), refuses(errkind.Overloaded), refuses(errkind.Overloaded)}
-	e := newEntry(placement.Kind{}, &sealer{}, bottom...)
-	for range depth - 1 {
-		above := newEntry(placement.Kind{}, &sealer{}, answers(0))
-		view := above.view.Service("s").Match("GET", "/a")
-		view.LinkedCandidates[0].Endpoint.SetRunner(&level{next: e})
-		e = above
+// TestRetriesDoNotMultiplyAlongAChainOfServices sends calls through a chain of 29
+// services. The last service refuses all calls as overloaded, and the retries of all
+// entries together may raise its load by a tenth at most.
+func TestRetriesDoNotMultiplyAlongAChainOfServices(t *testing.T) {
+	const services, calls = 29, 1000
+	last := []*fakeExecutor{refusing(errkind.Overloaded), refusing(errkind.Overloaded), refusing(errkind.Overloaded)}
+	e := newEntry(placement.Kind{}, &fakeSealer{}, last...)
+	for range services - 1 {
+		caller := newEntry(placement.Kind{}, &fakeSealer{}, answering(0))
+		view := caller.view.Service("s").Match("GET", "/a")
+		view.LinkedCandidates[0].Endpoint.SetRunner(&callingServer{entry: e})
+		e = caller
 	}
-	for range offered {
-		test.Eq(t, 503, run(t, e, "").Answer.Status)
+	for range calls {
+		test.Eq(t, 503, runCall(t, e, "").Answer.Status)
 	}
 	reached := 0
-	for _, s := range bottom {
+	for _, s := range last {
 		reached += s.calls
 	}
-	t.Logf("%d calls reached the bottom for %d offered", reached, offered)
-	test.LessEq(t, offered*11/10, reached)
+	t.Logf("%d calls reached the last service for %d calls of the first", reached, calls)
+	test.LessEq(t, calls*11/10, reached)
 }
 
-// TestACallThatEndsBackendServersIsHeldBack: nobody is asked, and the caller is told when
-// it may come again.
-func TestACallThatEndsBackendServersIsHeldBack(t *testing.T) {
-	one := answers(0)
-	e := newEntry(placement.Kind{}, nil, one)
-	must.NotNil(t, run(t, e, "").Answer)
+// TestACallThatCrashesBackendServersIsRefused: it is quarantined, so it is sent to no
+// executor, and the caller is told when to retry.
+func TestACallThatCrashesBackendServersIsRefused(t *testing.T) {
+	server := answering(0)
+	e := newEntry(placement.Kind{}, nil, server)
+	must.NotNil(t, runCall(t, e, "").Answer)
 	content := (&wire.Call{Service: "s", Method: "GET", URI: "/a"}).Fingerprint(nil)
-	for id := range uint64(2) {
-		e.Quarantine.RecordCrash(e.Now(), id+1, []quarantine.Fingerprint{content})
+	for crash := range uint64(2) {
+		e.Quarantine.RecordCrash(e.Now(), crash+1, []quarantine.Fingerprint{content})
 	}
-	got := run(t, e, "")
+	got := runCall(t, e, "")
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 	test.Greater(t, 9*time.Minute, got.RetryAfter)
-	test.Eq(t, 1, one.calls)
+	test.Eq(t, 1, server.calls)
 }
--- a/pkg/entry/hedge.go
+++ b/pkg/entry/hedge.go
@@ -9,68 +9,75 @@
 )
 
 const (
-	// slowHint is by how many times a server must be slower than the fastest
-	// candidate for a call there to be hedged before its time.
-	slowHint = 2
-	// earlyLook is after how many service times a call is looked at for that.
-	earlyLook = 2
-	// quantileStep is the relative step of the quantile's estimate.
+	// earlyHedgeRatio is how many times slower than another candidate a server must
+	// be for its call to be hedged early.
+	earlyHedgeRatio = 2
+	// earlyCheckAfter is the age at which a call is first checked for an early hedge,
+	// as a multiple of the server's service time.
+	earlyCheckAfter = 2
+	// quantileStep is the largest relative change of a quantileEstimate by one value.
 	quantileStep = 0.05
-	// firstHedgeAfter stands in for a quantile that is not known yet.
-	firstHedgeAfter = 100 * time.Millisecond
+	// initialEstimate is a quantileEstimate's value before the first answer.
+	initialEstimate = 100 * time.Millisecond
 )
 
-// quantile follows a high quantile of the answer times of one kind, in constant
-// memory: each answer moves it a little up or down. Source: Ma, Muthukrishnan
-// and Sandler, "Frugal Streaming for Estimating Quantiles", 2013.
-type quantile struct {
+// quantileEstimate estimates a high quantile of the answer times of one kind in
+// constant memory: each answer moves the estimate a little up or down. Source: Ma,
+// Muthukrishnan and Sandler, "Frugal Streaming for Estimating Quantiles", 2013.
+type quantileEstimate struct {
+	// value is the estimate in nanoseconds.
 	value atomic.Int64
-	share float64
+	// quantile lies between 0 and 1.
+	quantile float64
 }
 
-func newQuantile(share float64) *quantile {
-	q := &quantile{share: share}
-	q.value.Store(int64(firstHedgeAfter))
+func newQuantileEstimate(quantile float64) *quantileEstimate {
+	q := &quantileEstimate{quantile: quantile}
+	q.value.Store(int64(initialEstimate))
 	return q
 }
 
-// note takes one answer time in. A lost update of two that race does no harm.
-func (q *quantile) note(took time.Duration) {
+// add updates the estimate by one answer time. Two concurrent updates may lose one of
+// them, which the estimate tolerates.
+func (q *quantileEstimate) add(took time.Duration) {
 	value := float64(q.value.Load())
 	if float64(took) > value {
-		value *= 1 + quantileStep*q.share
+		value *= 1 + quantileStep*q.quantile
 	} else {
-		value *= 1 - quantileStep*(1-q.share)
+		value *= 1 - quantileStep*(1-q.quantile)
 	}
 	q.value.Store(int64(math.Max(value, float64(time.Millisecond))))
 }
 
-func (q *quantile) get() time.Duration { return time.Duration(q.value.Load()) }
+func (q *quantileEstimate) get() time.Duration { return time.Duration(q.value.Load()) }
 
-// hedge is the second copy of a slow call, of a kind that is marked safe for
-// it. Source: docs/design/retries.md.
+// hedge decides whether a slow call is sent a second time, to another backend server,
+// and which of the two attempts gives the result. Only kinds that the placement marks as
+// safe for it are hedged. Source: docs/design/retries.md.
 type hedge struct {
-	try    *try
-	first  *flight
-	second *flight
-	ends   chan landed
-	timer  *time.Timer
-	// after is when the call is slow enough to be hedged in any case.
+	attempts *attempts
+	first    *attempt
+	// second is nil until the hedge is sent.
+	second *attempt
+	ends   chan attemptEnd
+	// timer is nil for a call that is not hedged.
+	timer *time.Timer
+	// after is the age at which the call is hedged whatever its server's load.
 	after time.Duration
-	// open counts the flights that have not ended.
-	open int
+	// running counts the attempts that have not ended.
+	running int
 }
 
-// newHedge plans the hedge of a flight. Its timer never fires for a kind that
-// is not safe.
-func (t *try) newHedge(first *flight, ends chan landed) *hedge {
-	out := &hedge{try: t, first: first, ends: ends, open: 1}
-	kind := t.plan.KindView.Kind
-	if !kind.HedgeSafe || kind.NeverRepeat || len(t.req.CandidateSet) < 2 {
+// newHedge returns the hedge of an attempt, and starts its timer where the call may be
+// hedged.
+func (a *attempts) newHedge(first *attempt, ends chan attemptEnd) *hedge {
+	out := &hedge{attempts: a, first: first, ends: ends, running: 1}
+	kind := a.admitted.KindView.Kind
+	if !kind.HedgeSafe || kind.NeverRepeat || len(a.choice.CandidateSet) < 2 {
 		return out
 	}
-	out.after = t.owner.stats.kindOf(t.plan).quantile.get()
-	early := earlyLook * first.to.Load.Snapshot(first.sentAt).ServiceTime
+	out.after = a.entry.stats.ofCall(a.admitted).hedgeAfter.get()
+	early := earlyCheckAfter * first.candidate.Load.Snapshot(first.sentAt).ServiceTime
 	if early <= 0 {
 		early = out.after
 	}
@@ -78,7 +85,8 @@
 	return out
 }
 
-// due fires when the call is to be looked at.
+// due returns the channel that receives when check must be called. It is nil, and
+// never receives, for a call that is not hedged.
 func (h *hedge) due() <-chan time.Time {
 	if h.timer == nil {
 		return nil
@@ -92,73 +100,77 @@
 	}
 }
 
-// consider sends the second copy when the call is slower than most, or when
-// its server is known to have slowed since; else it looks again later.
-func (h *hedge) consider() {
-	now := h.try.owner.Now()
+// check sends the hedge when the call is older than the quantile of its kind, or when
+// its server has become slow, and the budget allows it. Otherwise it sets the timer for
+// the next check.
+func (h *hedge) check() {
+	now := h.attempts.entry.Now()
 	age := time.Duration(now - h.first.sentAt)
-	if age < h.after && !h.slowed(now) {
+	if age < h.after && !h.serverIsSlow(now) {
 		h.timer.Reset(min(h.after-age, max(age/2, time.Millisecond)))
 		return
 	}
-	if !h.try.budget.takeHedge() {
+	if !h.attempts.budget.takeHedge() {
 		return
 	}
 	h.send(now)
 }
 
-// slowed is true when stamps that came since tell that the first flight's
-// server is much slower than another candidate.
-func (h *hedge) slowed(now int64) bool {
-	mine := h.first.to.Load.Snapshot(now)
-	if mine.StampReceivedAt < h.first.sentAt || mine.ServiceTime == 0 {
+// serverIsSlow reports whether a load stamp that came after the first attempt was sent
+// shows its server to be much slower than another candidate.
+func (h *hedge) serverIsSlow(now int64) bool {
+	own := h.first.candidate.Load.Snapshot(now)
+	if own.StampReceivedAt < h.first.sentAt || own.ServiceTime == 0 {
 		return false
 	}
-	for i := range h.try.req.CandidateSet {
-		other := h.try.req.CandidateSet[i].Load.Snapshot(now)
-		if other.ServiceTime > 0 && slowHint*other.ServiceTime < mine.ServiceTime {
+	for i := range h.attempts.choice.CandidateSet {
+		other := h.attempts.choice.CandidateSet[i].Load.Snapshot(now)
+		if other.ServiceTime > 0 && earlyHedgeRatio*other.ServiceTime < own.ServiceTime {
 			return true
 		}
 	}
 	return false
 }
 
+// send sends the second attempt to another candidate, where there is one.
 func (h *hedge) send(now int64) {
-	req := h.try.req
-	req.Now = now
-	req.Excluded = req.Excluded.With(h.first.index)
-	pick := h.try.owner.policy.Choose(&req, h.try.owner.random)
+	choice := h.attempts.choice
+	choice.Now = now
+	choice.Excluded = choice.Excluded.With(h.first.index)
+	pick := h.attempts.entry.policy.Choose(&choice, h.attempts.entry.random)
 	if pick.Index == choose.NoCandidate {
 		return
 	}
-	// A hedge never queues: it must not be one more call for a full server.
-	second, refusal := h.try.launch(pick.Index, max(pick.MaxCost, 1), h.ends)
+	// A hedge must not add to the queue of a full server, so its cost is always bounded.
+	second, refusal := h.attempts.send(pick.Index, max(pick.MaxCost, 1), h.ends)
 	if refusal != nil {
 		return
 	}
 	h.second = second
-	h.open++
-	h.try.owner.stats.hedges.Inc()
+	h.running++
+	h.attempts.entry.stats.hedges.Inc()
 }
 
-// wins decides whether an end settles the call, and cancels the other flight.
-// A refusal of one of two flights settles nothing: the other may still answer.
-func (h *hedge) wins(end landed) bool {
-	h.open--
-	if end.result.Refusal != nil && h.open > 0 {
+// settles reports whether the end of an attempt ends the call, and then cancels the
+// other attempt. A refusal does not end the call while the other attempt may still be
+// answered.
+func (h *hedge) settles(end attemptEnd) bool {
+	h.running--
+	if end.result.Refusal != nil && h.running > 0 {
 		return false
 	}
-	if h.second == nil || h.open == 0 {
+	if h.second == nil || h.running == 0 {
 		return true
 	}
 	other := h.first
-	if end.flight == h.first {
+	if end.attempt == h.first {
 		other = h.second
 	}
 	other.cancel()
 	return true
 }
 
+// cancel cancels the second attempt, if it was sent.
 func (h *hedge) cancel() {
 	if h.second != nil {
 		h.second.cancel()
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -1,6 +1,6 @@
-// Package entry is where calls enter: it finds the kind of request, checks the
-// place, chooses a backend server, retries what was not run, and answers.
-// Source: docs/DESIGN.md, "The way of a call".
+// Package entry takes in calls: it finds the kind of each call, checks that the call
+// may be handled in this data centre, chooses a backend server, retries a call that did
+// not run, and returns the answer. Source: docs/DESIGN.md, "The way of a call".
 package entry
 
 import (
@@ -17,37 +17,40 @@
 	Method  string
 	URI     string
 	Headers []wire.Header
-	// IdempotencyKey is the Idempotency-IdempotencyKey, or empty.
+	// IdempotencyKey is the value of the Idempotency-Key header; it may be empty.
 	IdempotencyKey string
-	// Timeout is what the caller allows; 0: not said.
+	// Timeout is the time that the caller allows; 0: the caller set none.
 	Timeout time.Duration
-	// FromOtherVM is true for a caller that is not on this daemon's VM: its data
-	// must not enter a data centre where it may not be handled.
+	// FromOtherVM is true when the caller is not on this daemon's VM. Its data must
+	// not enter a data centre in which the call may not be handled.
 	FromOtherVM bool
 }
 
-// AdmittedCall is a request that may enter: its kind is known and the place is right.
+// AdmittedCall is a call that Admit has let in.
 type AdmittedCall struct {
-	Request  *Request
+	Request *Request
+	// KindView holds the kind of the request and the candidates for it.
 	KindView *tables.KindView
-	began    int64
-	deadline int64
+	// startedAt and deadline are in nanoseconds of the daemon's clock.
+	startedAt int64
+	deadline  int64
 }
 
-// Misplaced refuses a caller from outside in a data centre where the kind may
-// not be handled. Addresses name daemons in allowed ones.
+// Misplaced refuses a call that came from another VM to a data centre in which its kind
+// may not be handled. Addresses are those of daemons in allowed data centres.
 type Misplaced struct {
 	Refusal   *errkind.Error
 	Addresses []string
 }
 
-// guarded is true for a call whose key is claimed before it runs.
-func (p *AdmittedCall) guarded() bool {
-	return p.KindView.Kind.NeverRepeat && p.Request.IdempotencyKey != ""
+// claimsKey reports whether the call's idempotency key must be claimed before the call
+// runs.
+func (c *AdmittedCall) claimsKey() bool {
+	return c.KindView.Kind.NeverRepeat && c.Request.IdempotencyKey != ""
 }
 
-// unkeyed is true for a never-repeat call that the placement lets in without a
-// key: it is sent to one executor once, and never again by us.
-func (p *AdmittedCall) unkeyed() bool {
-	return p.KindView.Kind.NeverRepeat && p.Request.IdempotencyKey == ""
+// isUnkeyed reports whether this is a never-repeat call without an idempotency key,
+// where the placement allows that. The entry sends such a call once, to one executor.
+func (c *AdmittedCall) isUnkeyed() bool {
+	return c.KindView.Kind.NeverRepeat && c.Request.IdempotencyKey == ""
 }
--- a/pkg/entry/retry_budget.go
+++ b/pkg/entry/retry_budget.go
@@ -8,26 +8,27 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// tokenUnit is the fixed-point form of one retry.
+// tokenUnit is one token, which pays for one retry or hedge, in fixed point.
 const tokenUnit = 1 << 20
 
-// budget holds the retries and hedges of one service at this entry: answers earn a
-// share of one each, retries and hedges spend it. When a service fails as a whole
-// nothing is earned, so retries cannot multiply its load.
-type budget struct {
-	retries bucket
-	hedges  bucket
+// retryBudget limits the retries and hedges of one service at this entry. Each good
+// answer adds a share of a token to both buckets, and each retry or hedge takes one. A
+// service that fails as a whole adds nothing, so retries cannot multiply its load.
+type retryBudget struct {
+	retries tokenBucket
+	hedges  tokenBucket
 }
 
-func newBudget(s settings.Retries) *budget {
-	b := &budget{}
+func newRetryBudget(s settings.Retries) *retryBudget {
+	b := &retryBudget{}
 	b.retries.init(s.Budget, s.BudgetFloor)
 	b.hedges.init(s.HedgeBudget, s.BudgetFloor)
 	return b
 }
 
-// answered earns for a call that the backend server answered.
-func (b *budget) answered(r call.Result) {
+// refill adds tokens for a call that the backend server answered without a server
+// error. Other results add nothing.
+func (b *retryBudget) refill(r call.Result) {
 	if r.Answer == nil || r.Answer.Status >= 500 {
 		return
 	}
@@ -35,55 +36,57 @@
 	b.hedges.add()
 }
 
-// take spends one retry; false when none is left.
-func (b *budget) take() bool { return b.retries.take() }
+// takeRetry takes the token for one retry; false when there is none.
+func (b *retryBudget) takeRetry() bool { return b.retries.take() }
 
-// takeHedge spends one hedge; false when none is left.
-func (b *budget) takeHedge() bool { return b.hedges.take() }
+// takeHedge takes the token for one hedge; false when there is none.
+func (b *retryBudget) takeHedge() bool { return b.hedges.take() }
 
-// bucket holds tokens in fixed point.
-type bucket struct {
-	tokens atomic.Int64
-	earn   int64
-	most   int64
+// tokenBucket holds tokens in fixed point. It begins full.
+type tokenBucket struct {
+	tokens    atomic.Int64
+	perAnswer int64
+	capacity  int64
 }
 
-func (b *bucket) init(share float64, floor int) {
-	b.earn = int64(share * tokenUnit)
-	b.most = int64(floor) * tokenUnit
-	b.tokens.Store(b.most)
+// init sets the tokens that each answer adds, and the tokens that the bucket holds.
+func (b *tokenBucket) init(perAnswer float64, capacity int) {
+	b.perAnswer = int64(perAnswer * tokenUnit)
+	b.capacity = int64(capacity) * tokenUnit
+	b.tokens.Store(b.capacity)
 }
 
-func (b *bucket) add() {
-	if b.tokens.Load() < b.most {
-		b.tokens.Add(b.earn)
+func (b *tokenBucket) add() {
+	if b.tokens.Load() < b.capacity {
+		b.tokens.Add(b.perAnswer)
 	}
 }
 
-func (b *bucket) take() bool {
+func (b *tokenBucket) take() bool {
 	for {
-		have := b.tokens.Load()
-		if have < tokenUnit {
+		tokens := b.tokens.Load()
+		if tokens < tokenUnit {
 			return false
 		}
-		if b.tokens.CompareAndSwap(have, have-tokenUnit) {
+		if b.tokens.CompareAndSwap(tokens, tokens-tokenUnit) {
 			return true
 		}
 	}
 }
 
-// budgets holds the budget of each service.
-type budgets struct {
-	settings settings.Retries
-	byName   sync.Map
+// retryBudgets holds the budget of each service, by the service's name.
+type retryBudgets struct {
+	settings  settings.Retries
+	byService sync.Map
 }
 
-func newBudgets(s settings.Retries) *budgets { return &budgets{settings: s} }
+func newRetryBudgets(s settings.Retries) *retryBudgets { return &retryBudgets{settings: s} }
 
-func (bu *budgets) of(service string) *budget {
-	if b, ok := bu.byName.Load(service); ok {
-		return b.(*budget)
+// forService returns the budget of a service, and makes it on the first call.
+func (rb *retryBudgets) forService(service string) *retryBudget {
+	if b, ok := rb.byService.Load(service); ok {
+		return b.(*retryBudget)
 	}
-	b, _ := bu.byName.LoadOrStore(service, newBudget(bu.settings))
-	return b.(*budget)
+	b, _ := rb.byService.LoadOrStore(service, newRetryBudget(rb.settings))
+	return b.(*retryBudget)
 }
--- a/pkg/entry/rollout_test.go
+++ b/pkg/entry/rollout_test.go
@@ -15,9 +15,10 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// underRollout makes an entry whose first server is of version v1 and whose second one,
-// of v2, is the canary of a roll-out in a phase, with a share in thousandths.
-func underRollout(phase rollout.Phase, perMille uint32, servers ...*server) *Entry {
+// newEntryUnderRollout returns an entry with a first server of version v1 and a second one
+// of version v2. The second one is the canary of a roll-out in the given phase, and gets
+// perMille thousandths of the calls while that is the canary phase.
+func newEntryUnderRollout(phase rollout.Phase, perMille uint32, servers ...*fakeExecutor) *Entry {
 	e := newEntry(placement.Kind{}, nil, servers...)
 	for i, c := range e.view.Service("s").Match("GET", "/a").LinkedCandidates {
 		c.Endpoint.SetVersion([]string{"v1", "v2"}[i])
@@ -31,16 +32,17 @@
 	return e
 }
 
-func send(t *testing.T, e *Entry) call.Result {
-	plan, _, refusal := e.Admit(t.Context(), &Request{Service: "s", Method: "GET", URI: "/a", Timeout: time.Second})
+// sendCall admits and runs a call.
+func sendCall(t *testing.T, e *Entry) call.Result {
+	admitted, _, refusal := e.Admit(t.Context(), &Request{Service: "s", Method: "GET", URI: "/a", Timeout: time.Second})
 	must.Nil(t, refusal)
-	return e.Run(t.Context(), plan, nil)
+	return e.Run(t.Context(), admitted, nil)
 }
 
-// TestCallsAreDividedByTheRollout: the share goes to the canary, all after the switch,
-// none after the end.
-func TestCallsAreDividedByTheRollout(t *testing.T) {
-	for name, c := range map[string]struct {
+// TestEachPhaseOfARollOutDividesTheCalls: the canary gets its share, the new version all
+// calls from the switch on, and none after a rollback.
+func TestEachPhaseOfARollOutDividesTheCalls(t *testing.T) {
+	for name, scenario := range map[string]struct {
 		phase    rollout.Phase
 		perMille uint32
 		target   int
@@ -51,23 +53,23 @@
 		"rolled back": {rollout.RolledBack, 0, 0},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			old, target := answers(0), answers(0)
-			e := underRollout(c.phase, c.perMille, old, target)
+			old, target := answering(0), answering(0)
+			e := newEntryUnderRollout(scenario.phase, scenario.perMille, old, target)
 			for range 1000 {
-				must.NotNil(t, send(t, e).Answer)
+				must.NotNil(t, sendCall(t, e).Answer)
 			}
-			test.Between(t, c.target-1, target.calls, c.target+1, test.Sprint(name))
+			test.Between(t, scenario.target-1, target.calls, scenario.target+1, test.Sprint(name))
 			test.Eq(t, 1000, old.calls+target.calls, test.Sprint(name))
 		})
 	}
 }
 
-// TestNoCallIsRefusedForATrial: one that the canary refuses goes on at the old version.
-func TestNoCallIsRefusedForATrial(t *testing.T) {
+// TestACallThatTheCanaryRefusesGoesToTheOldVersion instead of being refused.
+func TestACallThatTheCanaryRefusesGoesToTheOldVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		old, target := answers(0), refuses(errkind.VersionHeld)
-		e := underRollout(rollout.Canary, 1000, old, target)
-		test.NotNil(t, send(t, e).Answer)
+		old, target := answering(0), refusing(errkind.VersionHeld)
+		e := newEntryUnderRollout(rollout.Canary, 1000, old, target)
+		test.NotNil(t, sendCall(t, e).Answer)
 		test.Eq(t, 1, target.calls)
 		test.Eq(t, 1, old.calls)
 	})
