--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -12,130 +12,136 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// send sends the request to one candidate and waits for its end.
+// send sends the request to the picked candidate, waits for the end of the attempt, and
+// records the attempt for the log.
 func (a *attempts) send(pick choose.RoutedPick, soft bool) call.Result {
-	to := &a.set[pick.Index]
-	began := a.owner.Now()
-	note := noteAttempt(began, to, soft, a.placeOf(to), pick.PassedOver)
-	note.target = a.lane == rollout.LaneTarget
-	result := a.sendTo(to, soft)
-	note.end(&result, time.Duration(a.owner.Now()-began))
-	a.trail = append(a.trail, note)
+	candidate := &a.candidates[pick.Index]
+	startedAt := a.forwarder.Now()
+	record := newAttemptRecord(startedAt, candidate, soft, a.proximityOf(candidate), pick.PassedOver)
+	record.target = a.lane == rollout.LaneTarget
+	result := a.execute(candidate, soft)
+	record.setEnd(&result, time.Duration(a.forwarder.Now()-startedAt))
+	a.records = append(a.records, record)
 	return result
 }
 
-func (a *attempts) sendTo(to *tables.Candidate, soft bool) call.Result {
-	runner := to.Endpoint.Runner()
+// execute runs one attempt at a candidate and returns how it ended.
+func (a *attempts) execute(candidate *tables.Candidate, soft bool) call.Result {
+	runner := candidate.Endpoint.Runner()
 	if runner == nil {
-		return call.Refused(errkind.LinkUnavailable, "the link to %s is down", to.Endpoint.VM)
+		return call.Refused(errkind.LinkUnavailable, "the link to %s is down", candidate.Endpoint.VM)
 	}
-	now := a.owner.Now()
-	to.Load.RecordSent(now)
+	now := a.forwarder.Now()
+	candidate.Load.RecordSent(now)
 	ends := make(chan call.Result, 1)
-	cancel := runner.Execute(a.frame(to, soft), a.req.Body, func(r call.Result) { ends <- a.land(to, r) })
-	return a.await(to, runner, cancel, ends)
+	cancel := runner.Execute(a.frame(candidate, soft), a.req.Body, func(r call.Result) { ends <- a.recordEnd(candidate, r) })
+	return a.await(candidate, runner, cancel, ends)
 }
 
-// mayGoOn is true when a request that leaves a backend server could be sent to
-// another one. Where it could not, giving up gains nothing: the backend server may
-// be at work, and its answer may still come.
-func (a *attempts) mayGoOn(from *tables.Candidate) bool {
-	if a.offered+1 >= a.route.Attempts || a.left() < leastLeft || a.owner.budgets.of(a.service).left() < 1 {
+// canGoElsewhere reports whether the request could be sent to another candidate after
+// this one is given up. Where it could not, giving up gains nothing: the backend server
+// may be running the request, and its answer may still come.
+func (a *attempts) canGoElsewhere(from *tables.Candidate) bool {
+	if a.offered+1 >= a.route.Attempts || a.timeLeft() < minRetryTime || a.forwarder.budgets.forService(a.service).balance() < 1 {
 		return false
 	}
-	traffic := a.owner.view.RolloutTraffic(a.service)
+	traffic := a.forwarder.view.RolloutTraffic(a.service)
 	lane := traffic.Again()
-	for i := range a.set {
-		other := &a.set[i]
-		if other != from && !a.closed.Has(i) && a.mayTake(other) && traffic.Takes(lane, other.Endpoint.Version(), other.Endpoint.VM) && other.Endpoint.Runner() != nil {
+	for i := range a.candidates {
+		other := &a.candidates[i]
+		if other != from && !a.excluded.Has(i) && a.isAllowed(other) && traffic.Takes(lane, other.Endpoint.Version(), other.Endpoint.VM) && other.Endpoint.Runner() != nil {
 			return true
 		}
 	}
 	return false
 }
 
-// await waits for the end of an attempt: the executor's word, the deadline, the
-// caller's leaving, or the executor's silence, where the request may go on.
-func (a *attempts) await(to *tables.Candidate, runner call.Runner, cancel func(), ends <-chan call.Result) call.Result {
-	bound := time.NewTimer(a.left() + grace)
-	defer bound.Stop()
-	watch := newWatch(runner)
+// await waits for the executor's result. It gives up answerGrace after the deadline, when
+// the caller disconnects, or when the executor's daemon is unresponsive and the request is
+// repeatable and can go elsewhere.
+func (a *attempts) await(candidate *tables.Candidate, runner call.Runner, cancel func(), ends <-chan call.Result) call.Result {
+	timeout := time.NewTimer(a.timeLeft() + answerGrace)
+	defer timeout.Stop()
+	watch := newLivenessWatch(runner)
 	defer watch.stop()
 	for {
 		select {
 		case result := <-ends:
 			return result
 		case <-watch.due():
-			if !watch.silent() {
+			if !watch.checkUnresponsive() {
 				continue
 			}
-			to.Load.MarkUnresponsive(a.owner.Now())
-			if a.route.Repeatable && a.mayGoOn(to) {
+			candidate.Load.MarkUnresponsive(a.forwarder.Now())
+			if a.route.Repeatable && a.canGoElsewhere(candidate) {
 				cancel()
-				return a.unheard(errkind.New(errkind.LinkLost, "%s gives no sign of life", to.Endpoint.VM))
+				return a.unanswered(errkind.New(errkind.LinkLost, "the daemon on %s does not respond", candidate.Endpoint.VM))
 			}
-		case <-bound.C:
+		case <-timeout.C:
 			select {
 			case result := <-ends:
-				// A process that stood still finds both; what has come goes out.
+				// After a pause of this process both channels may be ready.
 				return result
 			default:
 			}
 			cancel()
-			return a.unheard(errkind.New(errkind.DeadlineWhileRunning, "no word of %s in time", to.Endpoint.VM))
+			return a.unanswered(errkind.New(errkind.DeadlineWhileRunning, "%s did not answer before the deadline", candidate.Endpoint.VM))
 		case <-a.ctx.Done():
 			cancel()
-			return a.unheard(errkind.New(errkind.CallerGone, "the caller left").Maybe())
+			return a.unanswered(errkind.New(errkind.CallerGone, "the caller disconnected before the result arrived").Maybe())
 		}
 	}
 }
 
-// unheard is the end of an attempt whose executor gave no word.
-func (a *attempts) unheard(refusal *errkind.Error) call.Result {
+// unanswered returns the result of an attempt that ended without the executor's result.
+// The request may have reached the backend server.
+func (a *attempts) unanswered(refusal *errkind.Error) call.Result {
 	return call.Result{Refusal: refusal, Offered: true}
 }
 
-// land takes over what an end tells of the backend server, also when nobody
-// waits for it any more.
-func (a *attempts) land(to *tables.Candidate, result call.Result) call.Result {
-	now := a.owner.Now()
-	to.Load.RecordEnded(now)
+// recordEnd updates what is known of the backend server and of the route at the end of an
+// attempt, also when the request has ended already. It returns the result with the
+// backend server filled in.
+func (a *attempts) recordEnd(candidate *tables.Candidate, result call.Result) call.Result {
+	now := a.forwarder.Now()
+	candidate.Load.RecordEnded(now)
 	if result.Stamp.Seq > 0 {
-		to.Load.ApplyStamp(now, result.Stamp)
-		a.owner.called.note(a.route.Name, result.Origin)
+		candidate.Load.ApplyStamp(now, result.Stamp)
+		a.forwarder.calledRoutes.record(a.route.Name, result.Origin)
 	}
 	switch {
 	case result.Answer != nil:
 		result.Offered = true
-		to.Load.RecordAnswer(result.Answer.Status >= 500)
+		candidate.Load.RecordAnswer(result.Answer.Status >= 500)
 		if result.Answer.Status < 500 {
-			a.owner.work.Record(a.route.Name, result.Answer.Run, result.Answer.Slowdown)
-			a.owner.sizes.note(a.route.Name, len(a.req.Body), len(result.Answer.Body))
+			a.forwarder.work.Record(a.route.Name, result.Answer.Run, result.Answer.Slowdown)
+			a.forwarder.sizes.add(a.route.Name, len(a.req.Body), len(result.Answer.Body))
 		}
 	case result.Refusal.Ran == errkind.RanMaybe:
 		result.Offered = true
-		to.Load.RecordAnswer(result.Refusal.Kind != errkind.CallerGone)
+		candidate.Load.RecordAnswer(result.Refusal.Kind != errkind.CallerGone)
 	}
-	result.Server, result.DataCentre = to.Endpoint.VM, to.Endpoint.DataCentre
+	result.Server, result.DataCentre = candidate.Endpoint.VM, candidate.Endpoint.DataCentre
 	return result
 }
 
-func (a *attempts) frame(to *tables.Candidate, soft bool) *wire.Call {
-	elapsed := time.Duration(a.owner.Now() - a.began)
+// frame returns the frame that carries the request to a candidate's executor.
+func (a *attempts) frame(candidate *tables.Candidate, soft bool) *wire.Call {
+	elapsed := time.Duration(a.forwarder.Now() - a.startedAt)
 	out := &wire.Call{
 		Service:   a.service,
 		Kind:      a.route.Name,
 		Method:    a.req.Method,
 		URI:       a.req.URI,
 		Headers:   a.req.Headers,
-		Placement: a.rules.version,
-		Remaining: a.left(),
+		Placement: a.rule.version,
+		Remaining: a.timeLeft(),
 		WantStamp: true,
 		Claim:     wire.Claim{Generation: uint32(a.offered)},
 		Routed: wire.Routed{
-			ID: a.req.ID, Host: a.req.Host, Caller: a.owner.Settings.BackendServer.Service,
+			ID: a.req.ID, Host: a.req.Host, Caller: a.forwarder.Settings.BackendServer.Service,
 			Repeatable: a.route.Repeatable, Priority: a.route.Priority, Soft: soft,
-			Near: a.placeOf(to) == proximity.SameDataCentre, Target: a.target - elapsed,
+			Near: a.proximityOf(candidate) == proximity.SameDataCentre, Target: a.target - elapsed,
 		},
 	}
 	if a.team != nil {
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -17,263 +17,284 @@
 )
 
 const (
-	// grace is how long after the deadline the entry still waits for the word
-	// of the executor, which knows whether the request ran.
-	grace = 20 * time.Millisecond
-	// leastLeft is the time below which a request that ran is not sent again.
-	leastLeft = 30 * time.Millisecond
-	// mostTries bounds the attempts of one request, refusals included.
-	mostTries = 12
-	// retryShare is the longest that a caller is asked to stay away, as a share
-	// of its time: callers heed up to a third.
-	retryShare = 0.32
+	// answerGrace is how long after the deadline the entry still waits for the
+	// executor's result, because only the executor knows whether the request ran.
+	answerGrace = 20 * time.Millisecond
+	// minRetryTime is the time to the deadline below which a request that reached a
+	// backend server is not sent again.
+	minRetryTime = 30 * time.Millisecond
+	// maxTries limits the attempts of one request, including those that were refused
+	// before they reached a backend server.
+	maxTries = 12
+	// retryAfterShare limits the Retry-After of a refusal, as a share of the request's
+	// time left: callers ignore one that is longer than a third of their time.
+	retryAfterShare = 0.32
 )
 
-// attempts are one request's attempts. Source: docs/design/platform.md, "The
-// first decisions".
+// attempts makes the attempts of one routed request. An attempt may be soft: the gate of a
+// backend server that is slowed or nearly full then refuses it at once. Source:
+// docs/design/platform.md, "The first decisions".
 type attempts struct {
-	owner   *Forwarder
-	ctx     context.Context
-	req     *Request
-	route   *routing.CompiledRoute
+	forwarder *Forwarder
+	ctx       context.Context
+	req       *Request
+	route     *routing.CompiledRoute
+	// version is that of the placement in which the route was found.
 	version uint64
-	rules   rules
+	rule    dataCentreRule
 	service string
-	// began and deadline are in nanoseconds of the daemon's clock.
-	began    int64
-	deadline int64
-	target   time.Duration
+	// startedAt and deadline are in nanoseconds of the daemon's clock.
+	startedAt int64
+	deadline  int64
+	// target is the time from startedAt in which an answer has its full worth.
+	target time.Duration
 	// team is the one whose key the request carries; nil: it carries none.
 	team *teams.Team
-	// lane is the side of a roll-out that the request is on.
+	// lane says to which version of a service under roll-out the request goes.
 	lane rollout.Lane
 
-	set []tables.Candidate
-	// softLeft is how many attempts may still be refused softly; softTried are
-	// the candidates that did so, and closed those not to be asked again.
-	softLeft  int
-	softTried choose.IndexSet
-	closed    choose.IndexSet
-	// tries counts all attempts, offered those that reached a backend server.
+	candidates []tables.Candidate
+	// softLeft is how many more soft attempts may be refused. softRefused marks the
+	// candidates that refused one, excluded those that are not asked again.
+	softLeft    int
+	softRefused choose.IndexSet
+	excluded    choose.IndexSet
+	// tries counts all attempts, offered those that may have reached a backend server.
 	tries   int
 	offered int
-	// content is the request's, once it is fingerprinted.
-	content       quarantine.Fingerprint
-	fingerprinted bool
-	// trail holds the attempts for the log.
-	trail []attemptNote
-	// stopped is why no further attempt was made, for the log.
-	stopped string
-	// inHand is the answer or failure of an attempt that ran; it is what the
-	// caller gets when no later attempt ends better.
-	inHand *call.Result
+	// cachedFingerprint is that of the request's content, once hasFingerprint is true.
+	cachedFingerprint quarantine.Fingerprint
+	hasFingerprint    bool
+	// records describes the attempts for the log.
+	records []attemptRecord
+	// stopReason says why no further attempt was made, for the log.
+	stopReason string
+	// fallback is the result of an earlier attempt that ran and failed. The caller gets
+	// it where no later attempt has a backend server's answer.
+	fallback *call.Result
 }
 
+// run makes attempts until one ends the request, no candidate is left, or all tries are
+// used. It returns the result for the caller.
 func (a *attempts) run() call.Result {
-	last := a.nobody()
-	a.earn()
-	for a.tries < mostTries {
-		if a.left() <= 0 {
-			return a.conclude(call.Refused(errkind.DeadlineBeforeRun, "the time ran out at the entry"))
+	last := a.noCandidate()
+	a.creditBudget()
+	for a.tries < maxTries {
+		if a.timeLeft() <= 0 {
+			return a.finalResult(call.Refused(errkind.DeadlineBeforeRun, "the deadline passed at the entry"))
 		}
 		if a.ctx.Err() != nil {
-			// A process that stood still may learn of both at once.
-			return a.conclude(call.Refused(errkind.CallerGone, "the caller left before the request was sent"))
+			// After a pause of this process, a request may arrive whose caller has
+			// disconnected already.
+			return a.finalResult(call.Refused(errkind.CallerGone, "the caller disconnected before the request was sent"))
 		}
-		if refusal := a.revoked(); refusal != nil {
-			a.stopped = stoppedByKind
-			return a.conclude(*refusal)
+		if refusal := a.revokedKeyRefusal(); refusal != nil {
+			a.stopReason = stoppedByKind
+			return a.finalResult(*refusal)
 		}
-		if refusal := a.heldBack(); refusal != nil {
-			a.stopped = stoppedByQuarantine
-			return a.conclude(*refusal)
+		if refusal := a.quarantineRefusal(); refusal != nil {
+			a.stopReason = stoppedByQuarantine
+			return a.finalResult(*refusal)
 		}
 		pick, soft := a.pick()
 		if pick.PassedOver > 0 {
-			last = call.Refused(errkind.Overloaded, "%d gates have just shown that they would refuse it", pick.PassedOver)
+			last = call.Refused(errkind.Overloaded, "the latest load reports of %d gates show that they would refuse the request", pick.PassedOver)
 		}
 		index := pick.Index
 		if index == choose.NoCandidate {
-			a.stopped = stoppedByChoice
-			a.notePassedOver()
+			a.stopReason = stoppedByChoice
+			a.recordPassedOver()
 			break
 		}
 		a.tries++
 		result := a.send(pick, soft)
 		if a.isLast(index, &result) {
-			return a.conclude(result)
+			return a.finalResult(result)
 		}
 		last = result
 	}
-	return a.conclude(last)
+	return a.finalResult(last)
 }
 
-// earn lets the request earn its share of a retry. A call that the backend
-// server beside this daemon makes may belong to a run that repeats one elsewhere:
-// at the called service it counts as a repeat, though it is sent once.
-func (a *attempts) earn() {
-	budget := a.owner.budgets.of(a.service)
-	if a.owner.runs != nil && a.owner.called.has(a.route.Name) {
-		budget.call(a.owner.runs.RepeatShare())
+// creditBudget adds the request to the retry budget of its service. A request on a route
+// that services call comes from the backend server beside this daemon. The run that makes
+// it may itself repeat a run elsewhere, and for the called service the request is then a
+// retry, although this entry sends it for the first time.
+func (a *attempts) creditBudget() {
+	budget := a.forwarder.budgets.forService(a.service)
+	if a.forwarder.localRuns != nil && a.forwarder.calledRoutes.contains(a.route.Name) {
+		budget.addCall(a.forwarder.localRuns.RepeatShare())
 		return
 	}
-	budget.request()
+	budget.addRequest()
 }
 
-// conclude returns the answer in hand where the last attempt got none.
-func (a *attempts) conclude(result call.Result) call.Result {
-	if result.Answer == nil && a.inHand != nil {
-		result = *a.inHand
+// finalResult turns the result of the last attempt into the one for the caller: it
+// prefers the fallback to a refusal, and sets Retry-After on an overload.
+func (a *attempts) finalResult(result call.Result) call.Result {
+	if result.Answer == nil && a.fallback != nil {
+		result = *a.fallback
 	}
-	result = a.truthful(result)
+	result = a.withoutFalsePromise(result)
 	if result.Refusal != nil && result.Refusal.Kind.Row().Overload {
-		result.RetryAfter = min(a.owner.Settings.Routing.RetryAfter, time.Duration(retryShare*float64(a.left())))
+		result.RetryAfter = min(a.forwarder.Settings.Routing.RetryAfter, time.Duration(retryAfterShare*float64(a.timeLeft())))
 	}
 	return result
 }
 
-// truthful keeps a backend server's own 503 from passing for the promise that
-// the request has not run, where only the backend server's mark would prove it.
-func (a *attempts) truthful(result call.Result) call.Result {
+// withoutFalsePromise replaces an answer whose status would tell the caller that a request
+// that must run at most once has not run. A backend server's own 503, for example, does
+// not prove that: only its mark of a request that it did not run does, and that mark
+// makes the result a refusal.
+func (a *attempts) withoutFalsePromise(result call.Result) call.Result {
 	if result.Answer == nil || a.route.Repeatable || !promisesNotRun(result.Answer.Status) {
 		return result
 	}
 	return call.Refused(errkind.BackendFailed, "the backend server answered %d without saying that it did not run the request", result.Answer.Status)
 }
 
-// promisesNotRun is true for the statuses by which a caller may repeat a
-// request that must run at most once.
+// promisesNotRun reports whether callers take a status to mean that the request has not
+// run, so that they repeat even one that must run at most once.
 func promisesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
-func (a *attempts) left() time.Duration { return time.Duration(a.deadline - a.owner.Now()) }
+// timeLeft returns the time to the deadline, which is negative after it.
+func (a *attempts) timeLeft() time.Duration { return time.Duration(a.deadline - a.forwarder.Now()) }
 
-// pick chooses the next candidate. While soft attempts are left it takes one
-// that has not refused softly; then any that is not closed, and may queue there. One
-// that would cross to another region a large request takes only where waiting nearer
-// costs more, or would end too late.
+// pick chooses the candidate of the next attempt and whether the attempt is soft. A
+// request that is under a roll-out changes its lane where its own has only candidates at
+// which it would queue, or none.
 func (a *attempts) pick() (pick choose.RoutedPick, soft bool) {
-	a.refresh()
-	a.renewRules()
-	traffic := a.owner.view.RolloutTraffic(a.service)
+	a.loadCandidates()
+	a.updateRule()
+	traffic := a.forwarder.view.RolloutTraffic(a.service)
 	if a.tries > 0 {
 		a.lane = traffic.Again()
 	}
-	pick, soft = a.pickIn(traffic)
-	next := traffic.Again()
-	if next == a.lane || pick.Index != choose.NoCandidate && (soft || a.softLeft == 0) {
+	pick, soft = a.pickInLane(traffic)
+	retryLane := traffic.Again()
+	if retryLane == a.lane || pick.Index != choose.NoCandidate && (soft || a.softLeft == 0) {
 		return pick, soft
 	}
-	// Its lane's backend servers are gone, not linked here, or full by what is known: a
-	// roll-out that tries a few requests refuses none for it, nor lets one queue.
-	first := a.lane
-	a.lane = next
-	if other, otherSoft := a.pickIn(traffic); other.Index != choose.NoCandidate || pick.Index == choose.NoCandidate {
+	// The lane's backend servers are gone, not linked to this daemon, or known to be full.
+	// A canary must neither refuse a request nor make it queue for that.
+	firstLane := a.lane
+	a.lane = retryLane
+	if other, otherSoft := a.pickInLane(traffic); other.Index != choose.NoCandidate || pick.Index == choose.NoCandidate {
 		return other, otherSoft
 	}
-	a.lane = first
+	a.lane = firstLane
 	return pick, soft
 }
 
-// pickIn chooses among the backend servers that the request's lane allows.
-func (a *attempts) pickIn(traffic *rollout.Traffic) (pick choose.RoutedPick, soft bool) {
-	req := choose.RoutedRequest{
-		Now: a.owner.Now(), CandidateSet: a.set, Allowed: a.rules.allowed, Evacuated: a.owner.view.Evacuation(),
+// pickInLane chooses among the candidates that may run requests of the lane. While soft
+// attempts are left, it prefers one at a candidate that has not refused any. Otherwise it
+// takes any candidate that is not excluded, and the request may queue there. A large
+// request takes a soft attempt in another region only where queueing nearer costs more or
+// would end too late.
+func (a *attempts) pickInLane(traffic *rollout.Traffic) (pick choose.RoutedPick, soft bool) {
+	choice := choose.RoutedRequest{
+		Now: a.forwarder.Now(), CandidateSet: a.candidates, Allowed: a.rule.allowed, Evacuated: a.forwarder.view.Evacuation(),
 		Rollout: traffic, Lane: a.lane,
-		Location: a.owner.Here(), CrossingCost: a.leaveCost(), Work: a.work(),
-		// What gates refuse by, so that the entry knows before it asks.
-		SoftSlowdown: a.owner.Settings.Routing.SoftSlowdown, UsableShare: a.owner.Settings.Routing.Use,
-		TimeToTarget: a.within(), TimeToDeadline: a.left(),
+		Location: a.forwarder.Here(), CrossingCost: a.crossingCosts(), Work: a.expectedWork(),
+		// The settings by which gates refuse requests, so that the entry can foresee it.
+		SoftSlowdown: a.forwarder.Settings.Routing.SoftSlowdown, UsableShare: a.forwarder.Settings.Routing.Use,
+		TimeToTarget: a.usefulTime(), TimeToDeadline: a.timeLeft(),
 	}
 	if a.softLeft > 0 {
-		req.Soft = true
-		req.Excluded = a.softTried | a.closed
-		if pick = choose.PickRouted(&req, a.owner.random); pick.Index != choose.NoCandidate && pick.Proximity != proximity.OtherRegion {
+		choice.Soft = true
+		choice.Excluded = a.softRefused | a.excluded
+		if pick = choose.PickRouted(&choice, a.forwarder.random); pick.Index != choose.NoCandidate && pick.Proximity != proximity.OtherRegion {
 			return pick, true
 		}
 	}
-	crosses := req.Soft && pick.Index != choose.NoCandidate
+	crosses := choice.Soft && pick.Index != choose.NoCandidate
 	if crosses && !a.isLarge() {
 		return pick, true
 	}
-	earnest := req
-	earnest.Soft = false
-	earnest.Excluded = a.closed
-	waits := choose.PickRouted(&earnest, a.owner.random)
-	if crosses && !waitsNearer(&pick, &waits, req.TimeToTarget) {
+	queueChoice := choice
+	queueChoice.Soft = false
+	queueChoice.Excluded = a.excluded
+	queued := choose.PickRouted(&queueChoice, a.forwarder.random)
+	if crosses && !queuesNearer(&pick, &queued, choice.TimeToTarget) {
 		return pick, true
 	}
-	return waits, false
+	return queued, false
 }
 
-// isLarge is true for a request that moves more bytes than the mean. Only these wait
-// nearer for the price alone: when all did, a region with a burst of callers queued
-// while others had room, and twice as many small requests were late there.
+// isLarge reports whether the request moves more bytes than the mean. Only such requests
+// queue nearer to save the cost of a crossing: if small ones did too, a region with a
+// burst of callers would queue requests, and answer them late, while others have room.
 func (a *attempts) isLarge() bool {
-	return a.owner.sizes.share(a.route.Name, len(a.req.Body)) > 1
+	return a.forwarder.sizes.relative(a.route.Name, len(a.req.Body)) > 1
 }
 
-// waitsNearer is true where a request had better wait nearer than cross to another
-// region: it costs less, and the request is expected to end in time all the same, with
-// the spread that gates allow for. The price of a crossing makes no request late.
-func waitsNearer(crosses, waits *choose.RoutedPick, within time.Duration) bool {
-	nearer := waits.Index != choose.NoCandidate && waits.Proximity < crosses.Proximity
-	return nearer && waits.Cost < crosses.Cost && gate.RunTimeMargin*waits.ExpectedTime <= float64(within)
+// queuesNearer reports whether a request should queue at a nearer candidate instead of
+// crossing to another region. Queueing must cost less, and its expected time, with the
+// margin that gates allow for the spread of run times, must fit into the time given by
+// within. So the cost of a crossing makes no request late.
+func queuesNearer(crossing, queued *choose.RoutedPick, within time.Duration) bool {
+	nearer := queued.Index != choose.NoCandidate && queued.Proximity < crossing.Proximity
+	return nearer && queued.Cost < crossing.Cost && gate.RunTimeMargin*queued.ExpectedTime <= float64(within)
 }
 
-// within is the time in which the request must end to be worth its run: its
-// target, or, for calls that services make, its deadline.
-func (a *attempts) within() time.Duration {
-	if a.owner.called.has(a.route.Name) {
-		return a.left()
+// usefulTime returns the time in which the request must end to be worth its run: the rest
+// of its target, or of its timeout on a route that services call.
+func (a *attempts) usefulTime() time.Duration {
+	if a.forwarder.calledRoutes.contains(a.route.Name) {
+		return a.timeLeft()
 	}
-	return a.target - time.Duration(a.owner.Now()-a.began)
+	return a.target - time.Duration(a.forwarder.Now()-a.startedAt)
 }
 
-// refresh takes the candidates once; a view that had none is looked at again.
-func (a *attempts) refresh() {
-	if len(a.set) > 0 {
+// loadCandidates takes the candidates from the view, once there are any, and keeps them
+// for all later attempts.
+func (a *attempts) loadCandidates() {
+	if len(a.candidates) > 0 {
 		return
 	}
-	service := a.owner.view.Service(a.service)
+	service := a.forwarder.view.Service(a.service)
 	if service == nil {
 		return
 	}
 	if kind := service.Match(a.req.Method, a.req.Path); kind != nil {
-		a.set = kind.LinkedCandidates
+		a.candidates = kind.LinkedCandidates
 	}
 }
 
-func (a *attempts) work() time.Duration {
-	return a.owner.work.LookupOrEstimate(a.route.Name, a.target)
+// expectedWork returns how long the request is expected to run at a backend server that
+// works at its usual speed.
+func (a *attempts) expectedWork() time.Duration {
+	return a.forwarder.work.LookupOrEstimate(a.route.Name, a.target)
 }
 
-// isLast takes over how an attempt ended and decides whether it was the last.
+// isLast updates the state of the request by the result of an attempt, and reports whether
+// that attempt was the last.
 func (a *attempts) isLast(index int, result *call.Result) bool {
 	if result.Refusal != nil && result.Refusal.Kind == errkind.GateBusier {
-		a.softTried = a.softTried.With(index)
+		a.softRefused = a.softRefused.With(index)
 		a.softLeft--
 		return false
 	}
-	a.closed = a.closed.With(index)
+	a.excluded = a.excluded.With(index)
 	if result.Refusal != nil && result.Refusal.Ran == errkind.RanNo && !result.Offered {
 		if result.Refusal.RetryElsewhere() {
 			return false
 		}
-		a.stopped = stoppedByKind
+		a.stopReason = stoppedByKind
 		return true
 	}
 	a.offered++
 	if result.Answer != nil && result.Answer.Status < 500 {
-		a.stopped = stoppedByAnswer
+		a.stopReason = stoppedByAnswer
 		return true
 	}
-	a.stopped = a.whyNotAgain(result)
-	return a.stopped != ""
+	a.stopReason = a.reasonToStop(result)
+	return a.stopReason != ""
 }
 
-// The reasons why a request is not sent once more, as they stand in the log.
+// The reasons why no further attempt was made, as the log has them.
 const (
 	stoppedByAnswer   = "answered"
 	stoppedByKind     = "no_other_can_do_better"
@@ -287,9 +308,10 @@
 	stoppedByQuarantine = "content_held_back"
 )
 
-// whyNotAgain decides whether a request that reached a backend server and did
-// not end well goes to another one; empty: it does.
-func (a *attempts) whyNotAgain(result *call.Result) string {
+// reasonToStop returns why a request that reached a backend server and failed is not sent
+// to another one. It is empty where the request is sent again, which takes a retry from
+// the budget.
+func (a *attempts) reasonToStop(result *call.Result) string {
 	notRun := result.Refusal != nil && result.Refusal.Ran == errkind.RanNo
 	if !notRun && !a.route.Repeatable {
 		return stoppedByMaybe
@@ -298,30 +320,27 @@
 		return stoppedByTime
 	}
 	if !notRun {
-		a.inHand = result
+		a.fallback = result
 	}
 	if a.offered >= a.route.Attempts {
 		return stoppedByAttempts
 	}
-	if a.left() < leastLeft {
+	if a.timeLeft() < minRetryTime {
 		return stoppedByTime
 	}
-	if failedBelow(result) {
+	if hasFailedCalls(result) {
 		return stoppedByCalls
 	}
-	if !a.owner.budgets.take(a.service) {
+	if !a.forwarder.budgets.take(a.service) {
 		return stoppedByBudget
 	}
 	return ""
 }
 
-// failedBelow is true for a failure that may be that of a call which the run made. Its
-// entry has sent that call again as often as it may, and the run would make its calls
-// once more, which are repeats at the service they go to: where seven runs in ten made
-// calls and a service below shed half of them, 14 in 100 runs were repeats and 20 in 100
-// of the calls, over what the service below may get. Answered at once, callers come back
-// by themselves: two days of high load on 82 VMs went from 0.744 and 0.734 of their worth
-// to 0.764 and 0.767.
-func failedBelow(result *call.Result) bool {
+// hasFailedCalls reports whether a failed answer may be due to a call that the run made to
+// another service. Such a request is not sent again: the entry of that call has retried
+// the call already, and another run would repeat all its calls, which could exceed the
+// retries that the called service may get.
+func hasFailedCalls(result *call.Result) bool {
 	return result.Answer != nil && result.Answer.CallsFailed
 }
--- a/pkg/forward/called_routes.go
+++ b/pkg/forward/called_routes.go
@@ -6,11 +6,12 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// mostCalledRoutes bounds the routes that are remembered.
-const mostCalledRoutes = 4096
+// maxCalledRoutes limits the number of routes in a calledRoutes.
+const maxCalledRoutes = 4096
 
-// calledRoutes holds the routes that services call in the middle of a run, as
-// executors tell: an entry sees requests of its own VM only, and cannot tell.
+// calledRoutes is the set of routes that services call in the middle of a run. It is
+// learned from what executors report of a route's origin, because an entry sees the
+// requests of its own VM only. It is safe for concurrent use.
 type calledRoutes struct {
 	mu     sync.Mutex
 	byName map[string]struct{}
@@ -18,20 +19,20 @@
 
 func newCalledRoutes() *calledRoutes { return &calledRoutes{byName: map[string]struct{}{}} }
 
-// note takes the word of an executor over.
-func (c *calledRoutes) note(route string, origin wire.Origin) {
+// record updates the set by the origin that an executor reported for a route.
+func (c *calledRoutes) record(route string, origin wire.Origin) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
 	case origin == wire.OriginCallers:
 		delete(c.byName, route)
-	case origin == wire.OriginService && len(c.byName) < mostCalledRoutes:
+	case origin == wire.OriginService && len(c.byName) < maxCalledRoutes:
 		c.byName[route] = struct{}{}
 	}
 }
 
-// has is true when services call the route.
-func (c *calledRoutes) has(route string) bool {
+// contains reports whether services call the route.
+func (c *calledRoutes) contains(route string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	_, found := c.byName[route]
--- a/pkg/forward/crossing_cost.go
+++ b/pkg/forward/crossing_cost.go
@@ -8,21 +8,22 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// leaveCost is what crossing to each place costs the request, as a time: of a request
-// of mean size routing.leave_cost, of others by their bytes, so that what crosses first
-// is what is worth most a byte. Source:
+// crossingCosts returns what it costs the request, as a time, to leave its data centre:
+// for another one of the region, and for another region. To another region, a request of
+// mean size costs the share routing.leave_cost of its target, and any other request in
+// proportion to its bytes, so that requests with few bytes cross first. Source:
 // docs/design/regions.md, "Regions as prices".
-func (a *attempts) leaveCost() choose.CrossingCosts {
-	routing := &a.owner.Settings.Routing
-	dearest := routing.LeaveCost * float64(a.target) * a.owner.sizes.share(a.route.Name, len(a.req.Body))
-	share := routing.RegionShare
-	if share == 0 {
-		share = a.owner.view.RegionShare()
+func (a *attempts) crossingCosts() choose.CrossingCosts {
+	routing := &a.forwarder.Settings.Routing
+	otherRegion := routing.LeaveCost * float64(a.target) * a.forwarder.sizes.relative(a.route.Name, len(a.req.Body))
+	regionShare := routing.RegionShare
+	if regionShare == 0 {
+		regionShare = a.forwarder.view.RegionShare()
 	}
-	return choose.CrossingCosts{proximity.Region: time.Duration(share * dearest), proximity.OtherRegion: time.Duration(dearest)}
+	return choose.CrossingCosts{proximity.Region: time.Duration(regionShare * otherRegion), proximity.OtherRegion: time.Duration(otherRegion)}
 }
 
-// placeOf is how far a candidate is.
-func (a *attempts) placeOf(to *tables.Candidate) proximity.Level {
-	return a.owner.Here().To(to.Endpoint.DataCentre, to.Endpoint.Region)
+// proximityOf returns how far a candidate is from this entry.
+func (a *attempts) proximityOf(candidate *tables.Candidate) proximity.Level {
+	return a.forwarder.Here().To(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
 }
--- a/pkg/forward/data_centres.go
+++ b/pkg/forward/data_centres.go
@@ -7,36 +7,38 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// rules say in which data centres a request may be handled, by one version.
-type rules struct {
+// dataCentreRule holds the data centres in which a request may be handled, according to
+// one version of the placement. An empty list allows all of them.
+type dataCentreRule struct {
 	version uint64
 	allowed []string
 }
 
-// renewRules takes the rules of the newest version that this entry knows, so that
-// a request that began under an older one is not sent where it may not go now. A
-// route that the newest version does not have any more keeps its last rules.
-func (a *attempts) renewRules() {
-	newest := a.owner.view.Placement()
-	if newest == nil || newest.Version <= a.rules.version {
+// updateRule takes the rule of the newest placement that this entry knows, so that a
+// request that began under an older one is not sent where it is no longer allowed. Where
+// the newest placement has no route for the request, the request keeps its last rule.
+func (a *attempts) updateRule() {
+	newest := a.forwarder.view.Placement()
+	if newest == nil || newest.Version <= a.rule.version {
 		return
 	}
 	if route := newest.Routes.Match(a.req.Host, a.req.Path); route != nil {
-		a.rules = rules{newest.Version, route.DataCentres}
+		a.rule = dataCentreRule{newest.Version, route.DataCentres}
 	}
 }
 
-// mayTake is true when the rules allow a candidate's data centre.
-func (a *attempts) mayTake(to *tables.Candidate) bool {
-	dataCentre := to.Endpoint.DataCentre
-	return !a.owner.view.Evacuation().Has(dataCentre) && routing.AllowsDataCentre(a.rules.allowed, dataCentre)
+// isAllowed reports whether the request may be sent to a candidate's data centre: the
+// rule allows it, and it is not evacuated.
+func (a *attempts) isAllowed(candidate *tables.Candidate) bool {
+	dataCentre := candidate.Endpoint.DataCentre
+	return !a.forwarder.view.Evacuation().Has(dataCentre) && routing.AllowsDataCentre(a.rule.allowed, dataCentre)
 }
 
-// nobody is the refusal of a request for which no candidate is known at all.
-func (a *attempts) nobody() call.Result {
-	if len(a.rules.allowed) == 0 {
+// noCandidate returns the refusal of a request for which no candidate is known.
+func (a *attempts) noCandidate() call.Result {
+	if len(a.rule.allowed) == 0 {
 		return call.Refused(errkind.NoBackendServer, "no backend server of service %s is known", a.service)
 	}
-	return call.Refused(errkind.NoBackendServer, "no backend server of service %s is known in %q, where version %d lets route %s be handled",
-		a.service, a.rules.allowed, a.rules.version, a.route.Name)
+	return call.Refused(errkind.NoBackendServer, "no backend server of service %s is known in the data centres %q, which placement version %d allows for route %s",
+		a.service, a.rule.allowed, a.rule.version, a.route.Name)
 }
--- a/pkg/forward/data_centres_test.go
+++ b/pkg/forward/data_centres_test.go
@@ -18,43 +18,43 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// bind puts a version in force in which the routes may be handled in some data
-// centres only, and places the candidates, one a data centre.
-func bind(f *Forwarder, version uint64, allowed []string, places ...string) {
+// allowDataCentres puts a placement into force that allows the routes in the given data centres only.
+// It moves the candidates to data centres, in their order.
+func allowDataCentres(f *Forwarder, version uint64, allowed []string, dataCentres ...string) {
 	doc := *f.view.Placement().Document
 	doc.Version, doc.Routes = version, append([]routing.Route(nil), doc.Routes...)
 	for i := range doc.Routes {
 		doc.Routes[i].DataCentres = allowed
 	}
-	set := f.view.Service("s").Match("GET", "/read/").LinkedCandidates
-	for i, place := range places {
-		set[i].Endpoint.DataCentre = place
+	candidates := f.view.Service("s").Match("GET", "/read/").LinkedCandidates
+	for i, dataCentre := range dataCentres {
+		candidates[i].Endpoint.DataCentre = dataCentre
 	}
 	f.view.SetPlacement(placement.Compile(&doc))
 }
 
-func TestOnlyAllowedDataCentresAreAsked(t *testing.T) {
+func TestRequestsGoToAllowedDataCentresOnly(t *testing.T) {
 	here, there, far := &fakeRunner{answer: answers(500)}, &fakeRunner{answer: answers(500)}, &fakeRunner{answer: answers(500)}
 	f := newForwarder(here, there, far)
-	bind(f, 4, []string{"there"}, "here", "there", "far")
+	allowDataCentres(f, 4, []string{"there"}, "here", "there", "far")
 	for range 10 {
-		got := f.Forward(t.Context(), request("/read/1"))
+		got := f.Forward(t.Context(), newRequest("/read/1"))
 		must.NotNil(t, got.Answer)
 		test.Eq(t, 500, got.Answer.Status)
 	}
 	test.Len(t, 0, here.calls)
-	test.Len(t, 0, far.calls, test.Sprint("a retry has nobody else to go to"))
+	test.Len(t, 0, far.calls, test.Sprint("a retry must not go there either"))
 	test.Len(t, 10, there.calls)
 	test.Eq(t, 4, there.calls[0].Placement)
 }
 
-func TestWhereNobodyIsAllowedTheRequestIsRefusedAtOnce(t *testing.T) {
+func TestARequestIsRefusedWhereNoCandidateIsAllowed(t *testing.T) {
 	for _, allowed := range [][]string{{"far"}, {routing.NoDataCentre}} {
 		here := &fakeRunner{answer: answers(200)}
 		f := newForwarder(here)
-		bind(f, 4, allowed, "here")
+		allowDataCentres(f, 4, allowed, "here")
 		for _, path := range []string{"/read/1", "/post/1"} {
-			got := f.Forward(t.Context(), request(path))
+			got := f.Forward(t.Context(), newRequest(path))
 			must.NotNil(t, got.Refusal)
 			test.Eq(t, errkind.NoBackendServer, got.Refusal.Kind)
 			test.Eq(t, errkind.RanNo, got.Refusal.Ran)
@@ -64,144 +64,146 @@
 	}
 }
 
-// TestARetryKeepsTheNewestRules: the configuration changes while the first attempt
-// is under way.
-func TestARetryKeepsTheNewestRules(t *testing.T) {
+// TestARetryFollowsTheNewestPlacement: the allowed data centres change during the first
+// attempt.
+func TestARetryFollowsTheNewestPlacement(t *testing.T) {
 	var f *Forwarder
-	moves := func(*wire.Call) (call.Result, bool) {
-		bind(f, 4, []string{"far"})
+	changes := func(*wire.Call) (call.Result, bool) {
+		allowDataCentres(f, 4, []string{"far"})
 		return call.Refused(errkind.BackendAbsent, ""), false
 	}
-	near, other, far := &fakeRunner{answer: moves}, &fakeRunner{answer: moves}, &fakeRunner{answer: answers(200)}
+	near, other, far := &fakeRunner{answer: changes}, &fakeRunner{answer: changes}, &fakeRunner{answer: answers(200)}
 	f = newForwarder(near, other, far)
-	bind(f, 3, []string{"here"}, "here", "here", "far")
-	got := f.Forward(t.Context(), request("/post/1"))
+	allowDataCentres(f, 3, []string{"here"}, "here", "here", "far")
+	got := f.Forward(t.Context(), newRequest("/post/1"))
 	must.NotNil(t, got.Answer)
-	test.Eq(t, 1, total(near, other))
+	test.Eq(t, 1, totalCalls(near, other))
 	must.Len(t, 1, far.calls)
-	test.Eq(t, 4, far.calls[0].Placement, test.Sprint("the executor is told by which version"))
+	test.Eq(t, 4, far.calls[0].Placement, test.Sprint("the executor gets the version that allows its data centre"))
 }
 
-// TestASilentExecutorIsNotLeftForOneThatIsNotAllowed: there is nobody to go on at,
-// and the answer may still come.
-func TestASilentExecutorIsNotLeftForOneThatIsNotAllowed(t *testing.T) {
+// TestAnUnresponsiveExecutorIsNotLeftForOneThatIsNotAllowed: the request cannot go
+// elsewhere, and its answer may still come.
+func TestAnUnresponsiveExecutorIsNotLeftForOneThatIsNotAllowed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		mute, other := &fakeRunner{answer: silent}, &fakeRunner{answer: answers(200)}
-		f := newForwarder(mute, other)
-		bind(f, 4, []string{"there"}, "there", "far")
-		got := f.Forward(t.Context(), request("/read/1"))
+		silentRunner, other := &fakeRunner{answer: silent}, &fakeRunner{answer: answers(200)}
+		f := newForwarder(silentRunner, other)
+		allowDataCentres(f, 4, []string{"there"}, "there", "far")
+		got := f.Forward(t.Context(), newRequest("/read/1"))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.DeadlineWhileRunning, got.Refusal.Kind)
 		test.Len(t, 0, other.calls)
 	})
 }
 
-// TestTheTrailSaysHowFarEachAttemptWent.
-func TestTheTrailSaysHowFarEachAttemptWent(t *testing.T) {
+func TestTheLogSaysHowFarEachAttemptWent(t *testing.T) {
 	f := newForwarder(&fakeRunner{answer: answers(200)})
 	f.Settings.VM.Region = "r"
 	for region, want := range map[string]string{"r": "vm-1 region load=unknown -> x", "s": "vm-1 other load=unknown -> x"} {
-		to := &tables.Candidate{Endpoint: &tables.Endpoint{VM: "vm-1", DataCentre: "there", Region: region}, Load: tables.NewLoad(4)}
-		a := &attempts{owner: f}
-		note := noteAttempt(1, to, false, a.placeOf(to), 0)
-		note.outcome = "x"
-		test.Eq(t, want, note.String())
+		candidate := &tables.Candidate{Endpoint: &tables.Endpoint{VM: "vm-1", DataCentre: "there", Region: region}, Load: tables.NewLoad(4)}
+		a := &attempts{forwarder: f}
+		record := newAttemptRecord(1, candidate, false, a.proximityOf(candidate), 0)
+		record.outcome = "x"
+		test.Eq(t, want, record.String())
 	}
 }
 
-// TestACrossingWithinTheRegionCostsItsShare: what operators say goes before what the
-// links have measured.
-func TestACrossingWithinTheRegionCostsItsShare(t *testing.T) {
+// TestACrossingWithinTheRegionCostsAShare of one to another region: the share in the
+// settings or, without that, the one that was measured.
+func TestACrossingWithinTheRegionCostsAShare(t *testing.T) {
 	f := newForwarder(&fakeRunner{answer: answers(200)})
 	f.Settings.Routing.LeaveCost = 0.5
-	a := &attempts{owner: f, target: time.Second, req: request("/read/1"), route: f.view.Placement().Routes.Match("h", "/read/1")}
-	test.Eq(t, choose.CrossingCosts{proximity.Region: 500 * time.Millisecond, proximity.OtherRegion: 500 * time.Millisecond}, a.leaveCost(), test.Sprint("not measured"))
+	a := &attempts{forwarder: f, target: time.Second, req: newRequest("/read/1"), route: f.view.Placement().Routes.Match("h", "/read/1")}
+	test.Eq(t, choose.CrossingCosts{proximity.Region: 500 * time.Millisecond, proximity.OtherRegion: 500 * time.Millisecond}, a.crossingCosts(), test.Sprint("not measured"))
 	f.view.SetRegionShare(0.125)
-	test.Eq(t, 62500*time.Microsecond, a.leaveCost()[proximity.Region])
+	test.Eq(t, 62500*time.Microsecond, a.crossingCosts()[proximity.Region])
 	f.Settings.Routing.RegionShare = 0.25
-	test.Eq(t, choose.CrossingCosts{proximity.Region: 125 * time.Millisecond, proximity.OtherRegion: 500 * time.Millisecond}, a.leaveCost())
+	test.Eq(t, choose.CrossingCosts{proximity.Region: 125 * time.Millisecond, proximity.OtherRegion: 500 * time.Millisecond}, a.crossingCosts())
 }
 
-// TestACrossingIsPricedByItsBytes: an upload of 60 kB beside lookups of 5.
-func TestACrossingIsPricedByItsBytes(t *testing.T) {
-	s := newSizes()
-	test.Eq(t, 1, s.share("lookup", 0), test.Sprint("nothing is known"))
+// TestRelativeSizesFollowTheBytes of a mix of requests: lookups with answers of 5 kB, and
+// uploads of 60 kB.
+func TestRelativeSizesFollowTheBytes(t *testing.T) {
+	s := newRequestSizes()
+	test.Eq(t, 1, s.relative("lookup", 0), test.Sprint("no answer is known yet"))
 	for range 1000 {
 		for range 9 {
-			s.note("lookup", 0, 5000)
+			s.add("lookup", 0, 5000)
 		}
-		s.note("upload", 60000, 400)
+		s.add("upload", 60000, 400)
 	}
-	test.Between(t, 0.4, s.share("lookup", 0), 0.6)
-	test.Between(t, 4.5, s.share("upload", 60000), 6.5)
-	test.Greater(t, s.share("upload", 60000), s.share("upload", 360000), test.Sprint("by the request's own body"))
-	test.Eq(t, 1, s.share("other", 0))
+	test.Between(t, 0.4, s.relative("lookup", 0), 0.6)
+	test.Between(t, 4.5, s.relative("upload", 60000), 6.5)
+	test.Greater(t, s.relative("upload", 60000), s.relative("upload", 360000), test.Sprint("the request's own body counts"))
+	test.Eq(t, 1, s.relative("other", 0))
 }
 
-// crossable is a forwarder with a full backend server near, an idle one in another
-// region, and a size in which a request of no body is some share of the mean.
-func crossable(near, other *fakeRunner, share float64) *Forwarder {
+// newCrossingForwarder returns a forwarder with a full backend server near, and an idle
+// one in another region. A read without a body has relativeSize times the mean size of all
+// requests.
+func newCrossingForwarder(near, other *fakeRunner, relativeSize float64) *Forwarder {
 	f := newForwarder(near, other)
 	f.Settings.VM.Region = "r"
-	set := f.view.Service("s").Match("GET", "/read/").LinkedCandidates
-	set[0].Endpoint.Region = "r"
-	set[1].Endpoint.DataCentre, set[1].Endpoint.Region = "there", "x"
-	f.sizes.note("read", 0, 1000)
-	f.sizes.all.mean = (frameBytes + 1000) / share
+	candidates := f.view.Service("s").Match("GET", "/read/").LinkedCandidates
+	candidates[0].Endpoint.Region = "r"
+	candidates[1].Endpoint.DataCentre, candidates[1].Endpoint.Region = "there", "x"
+	f.sizes.add("read", 0, 1000)
+	f.sizes.all.mean = (frameBytes + 1000) / relativeSize
 	full := wire.Stamp{Seq: 1, Limit: 4, Running: 4, Queued: 1, Slowdown: 100}
-	set[0].Load.ApplyStamp(f.Now(), full)
-	set[1].Load.ApplyStamp(f.Now(), wire.Stamp{Seq: 1, Limit: 4, Slowdown: 100})
+	candidates[0].Load.ApplyStamp(f.Now(), full)
+	candidates[1].Load.ApplyStamp(f.Now(), wire.Stamp{Seq: 1, Limit: 4, Slowdown: 100})
 	return f
 }
 
-// TestWhatIsLargeWaitsNearerInsteadOfCrossingRegions: the near gate is full, and would
-// refuse a soft attempt.
-func TestWhatIsLargeWaitsNearerInsteadOfCrossingRegions(t *testing.T) {
-	for share, crosses := range map[float64]int{0.1: 1, 0.99: 1, 10: 0} {
+// TestLargeRequestsQueueNearerInsteadOfCrossingRegions: the near gate is full and would
+// refuse a soft attempt. Small requests cross.
+func TestLargeRequestsQueueNearerInsteadOfCrossingRegions(t *testing.T) {
+	for relativeSize, crosses := range map[float64]int{0.1: 1, 0.99: 1, 10: 0} {
 		near, other := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: answers(200)}
-		f := crossable(near, other, share)
-		got := f.Forward(t.Context(), request("/read/1"))
+		f := newCrossingForwarder(near, other, relativeSize)
+		got := f.Forward(t.Context(), newRequest("/read/1"))
 		must.NotNil(t, got.Answer)
-		test.Eq(t, crosses, len(other.calls), test.Sprint(share))
+		test.Eq(t, crosses, len(other.calls), test.Sprint(relativeSize))
 		test.Eq(t, 1-crosses, len(near.calls))
 		if crosses == 0 {
-			test.False(t, near.calls[0].Routed.Soft, test.Sprint("it may queue there"))
+			test.False(t, near.calls[0].Routed.Soft, test.Sprint("a soft attempt could not queue"))
 		}
 	}
 }
 
-// TestWhatIsLargeCrossesWhereNobodyNearerIsLeft: a price never refuses a request.
-func TestWhatIsLargeCrossesWhereNobodyNearerIsLeft(t *testing.T) {
+// TestLargeRequestsCrossWhereNoNearerCandidateIsLeft: no request is refused for the cost of
+// a crossing.
+func TestLargeRequestsCrossWhereNoNearerCandidateIsLeft(t *testing.T) {
 	near, other := &fakeRunner{answer: refuses(errkind.Overloaded, false)}, &fakeRunner{answer: answers(200)}
-	got := crossable(near, other, 10).Forward(t.Context(), request("/read/1"))
+	got := newCrossingForwarder(near, other, 10).Forward(t.Context(), newRequest("/read/1"))
 	must.NotNil(t, got.Answer)
 	test.Len(t, 1, near.calls)
 	test.Len(t, 1, other.calls)
 }
 
-// TestThePriceOfACrossingMakesNoRequestLate.
-func TestThePriceOfACrossingMakesNoRequestLate(t *testing.T) {
-	crosses := choose.RoutedPick{Index: 1, Proximity: proximity.OtherRegion, Cost: 1000, ExpectedTime: 100}
+func TestTheCostOfACrossingMakesNoRequestLate(t *testing.T) {
+	crossing := choose.RoutedPick{Index: 1, Proximity: proximity.OtherRegion, Cost: 1000, ExpectedTime: 100}
 	for _, s := range []struct {
 		name   string
-		waits  choose.RoutedPick
+		queued choose.RoutedPick
 		within time.Duration
 		want   bool
 	}{
 		{"cheaper and in time", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, 800, true},
-		{"cheaper, and too late with the spread of runs", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, 600, false},
-		{"dearer", choose.RoutedPick{Proximity: proximity.Region, Cost: 1500, ExpectedTime: 1500}, 9000, false},
-		{"cheaper and no nearer", choose.RoutedPick{Proximity: proximity.OtherRegion, Cost: 500, ExpectedTime: 500}, 800, false},
-		{"nobody to wait at", choose.RoutedPick{Index: choose.NoCandidate}, 9000, false},
-		{"late already", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, -1, false},
+		{"cheaper, but too late with the spread of run times", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, 600, false},
+		{"more expensive", choose.RoutedPick{Proximity: proximity.Region, Cost: 1500, ExpectedTime: 1500}, 9000, false},
+		{"cheaper, but no nearer", choose.RoutedPick{Proximity: proximity.OtherRegion, Cost: 500, ExpectedTime: 500}, 800, false},
+		{"no candidate to queue at", choose.RoutedPick{Index: choose.NoCandidate}, 9000, false},
+		{"already late", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, -1, false},
 	} {
-		test.Eq(t, s.want, waitsNearer(&crosses, &s.waits, s.within), test.Sprint(s.name))
+		test.Eq(t, s.want, queuesNearer(&crossing, &s.queued, s.within), test.Sprint(s.name))
 	}
 }
 
-// TestARouteOfRegionsAloneSendsNoBodyElsewhere: a route that names regions and no data centres (rushramp's own form allows it): the
-// entry sends the request, with its body, anywhere; only the executor says no.
-func TestARouteOfRegionsAloneSendsNoBodyElsewhere(t *testing.T) {
+// TestARouteWithRegionsOnlySendsNoBodyElsewhere: a route may name regions and no data
+// centres. The entry once sent such a request, with its body, to any data centre, and only
+// the executor refused it.
+func TestARouteWithRegionsOnlySendsNoBodyElsewhere(t *testing.T) {
 	here := &fakeRunner{answer: refuses(errkind.PlacementStale, false)}
 	f := newForwarder(here)
 	doc := *f.view.Placement().Document
@@ -210,6 +212,6 @@
 		doc.Routes[i].Regions = []string{"south"}
 	}
 	f.view.SetPlacement(placement.Compile(&doc))
-	f.Forward(t.Context(), request("/read/1"))
+	f.Forward(t.Context(), newRequest("/read/1"))
 	test.Len(t, 0, here.calls)
 }
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -1,6 +1,6 @@
-// Package forward is the entry side of routed requests: it finds the route,
-// chooses backend servers, sends the request again where that is right, and
-// says how it ended. Source: docs/design/platform.md, "The way of a request".
+// Package forward sends routed requests from their entry to backend servers: it finds the
+// route of a request, chooses a backend server, sends the request again where that is
+// safe, and logs how it ended. Source: docs/design/platform.md, "The way of a request".
 package forward
 
 import (
@@ -23,7 +23,8 @@
 
 // Request is a routed request as the caller sent it.
 type Request struct {
-	// ID is the caller's own; it reaches the backend server unchanged.
+	// ID is the one that the caller gave the request. The backend server gets it
+	// unchanged.
 	ID      string
 	Host    string
 	Method  string
@@ -31,74 +32,76 @@
 	Path    string
 	Headers []wire.Header
 	Body    []byte
-	// TeamKey is the one that came with the request.
+	// TeamKey is the key of a team that came with the request.
 	TeamKey TeamKey
-	// Timeout is what the caller allows; 0: not said.
+	// Timeout is the time that the caller allows; 0: the caller set none.
 	Timeout time.Duration
-	// PipelinedBehind is how many requests of its connection were unanswered when it was
-	// read, and Waited how long it was held for that. What it waited counts
-	// against its time.
+	// PipelinedBehind is the number of earlier requests on the same connection that were
+	// unanswered when this one was read, PipelineWait how long it waited for them. That
+	// wait is part of the request's time.
 	PipelinedBehind int
 	PipelineWait    time.Duration
 }
 
-// fingerprint stands for the request's content.
+// fingerprint returns the fingerprint of the request's content.
 func (r *Request) fingerprint() quarantine.Fingerprint {
 	return wire.FingerprintOf(r.Method, r.Host, r.URI, r.Headers, r.Body)
 }
 
-// RouteMatch is the route of a request under the placement that was in force when
-// it was looked for.
+// RouteMatch is the route that Match found for a request, and the placement that it
+// belongs to. Both are nil where there was none.
 type RouteMatch struct {
 	placement *placement.Compiled
 	route     *routing.CompiledRoute
 }
 
-// Repeatable is true for a request that may run more than once. One without a
-// route isn't: it does not run at all.
+// Repeatable reports whether the request may run more than once. It is false for a
+// request without a route, which does not run at all.
 func (m RouteMatch) Repeatable() bool { return m.route != nil && m.route.Repeatable }
 
-// LocalRuns tells of the runs at the backend server beside this daemon.
+// LocalRuns describes the runs at the backend server beside this daemon.
 type LocalRuns interface {
-	// RepeatShare is the share of them that repeat a run elsewhere, from 0 to 1.
+	// RepeatShare returns the share, from 0 to 1, of the runs that repeat a run
+	// elsewhere.
 	RepeatShare() float64
-	// CallFailed notes that a call of that backend server failed.
+	// CallFailed records that a call of that backend server failed.
 	CallFailed()
 }
 
-// Forwarder takes routed requests to an end. It is safe for concurrent use.
+// Forwarder forwards the routed requests that enter at this daemon. It is safe for
+// concurrent use.
 type Forwarder struct {
 	*common.Common
-	view    *tables.View
-	random  choose.Random
-	budgets *budgets
-	work    *worktime.Times
-	called  *calledRoutes
-	sizes   *sizes
-	// runs is nil on a daemon without a backend server.
-	runs LocalRuns
+	view         *tables.View
+	random       choose.Random
+	budgets      *retryBudgets
+	work         *worktime.Times
+	calledRoutes *calledRoutes
+	sizes        *requestSizes
+	// localRuns is nil on a daemon without a backend server.
+	localRuns LocalRuns
 
 	inFlight atomic.Int64
 }
 
-// NewForwarder makes the forwarder of one daemon; runs may be nil.
-func NewForwarder(c *common.Common, view *tables.View, runs LocalRuns) *Forwarder {
+// NewForwarder returns the forwarder of one daemon; localRuns may be nil.
+func NewForwarder(c *common.Common, view *tables.View, localRuns LocalRuns) *Forwarder {
 	return &Forwarder{
-		Common:  c,
-		view:    view,
-		random:  choose.RuntimeRandom{},
-		budgets: newBudgets(c, view.MemberCount),
-		work:    worktime.NewTimes(),
-		called:  newCalledRoutes(),
-		sizes:   newSizes(),
-		runs:    runs,
+		Common:       c,
+		view:         view,
+		random:       choose.RuntimeRandom{},
+		budgets:      newRetryBudgets(c, view.MemberCount),
+		work:         worktime.NewTimes(),
+		calledRoutes: newCalledRoutes(),
+		sizes:        newRequestSizes(),
+		localRuns:    localRuns,
 	}
 }
 
-// InFlight counts requests that have not ended.
+// InFlight returns the number of requests that have not ended.
 func (f *Forwarder) InFlight() int64 { return f.inFlight.Load() }
 
-// Match looks for the route of a request.
+// Match finds the route of a request in the placement in force.
 func (f *Forwarder) Match(req *Request) RouteMatch {
 	out := RouteMatch{placement: f.view.Placement()}
 	if out.placement != nil {
@@ -107,38 +110,40 @@
 	return out
 }
 
-// Forward takes a request to its end. ctx ends when the caller leaves.
+// Forward forwards a request and returns how it ended. ctx ends when the caller
+// disconnects.
 func (f *Forwarder) Forward(ctx context.Context, req *Request) call.Result {
 	return f.ForwardMatched(ctx, f.Match(req), req)
 }
 
-// ForwardMatched is Forward for a request whose route has been looked for.
-func (f *Forwarder) ForwardMatched(ctx context.Context, to RouteMatch, req *Request) call.Result {
+// ForwardMatched is Forward for a request whose route Match has found.
+func (f *Forwarder) ForwardMatched(ctx context.Context, match RouteMatch, req *Request) call.Result {
 	f.inFlight.Add(1)
 	defer f.inFlight.Add(-1)
-	began := f.Now() - int64(req.PipelineWait)
-	if to.placement == nil {
-		return f.ended(req, nil, began, call.Refused(errkind.PlacementUnknown, "this daemon has no placement yet"))
+	startedAt := f.Now() - int64(req.PipelineWait)
+	if match.placement == nil {
+		return f.finish(req, nil, startedAt, call.Refused(errkind.PlacementUnknown, "this daemon has no placement yet"))
 	}
-	if to.route == nil {
-		return f.ended(req, nil, began, call.Refused(errkind.UnknownRoute, "version %d has no route for this host and path", to.placement.Version))
+	if match.route == nil {
+		return f.finish(req, nil, startedAt, call.Refused(errkind.UnknownRoute, "placement version %d has no route for this host and path", match.placement.Version))
 	}
-	team, refusal := f.identify(to, req)
+	team, refusal := f.authenticate(match, req)
 	if refusal != nil {
-		return f.ended(req, nil, began, call.Result{Refusal: refusal})
+		return f.finish(req, nil, startedAt, call.Result{Refusal: refusal})
 	}
-	a := f.newAttempts(ctx, req, to.route, to.placement.Version, began)
+	a := f.newAttempts(ctx, req, match.route, match.placement.Version, startedAt)
 	a.team = team
-	if refused := f.count(ctx, a); refused != nil {
-		return f.ended(req, a, began, *refused)
+	if refused := f.takeToken(ctx, a); refused != nil {
+		return f.finish(req, a, startedAt, *refused)
 	}
 	result := a.run()
-	f.giveBack(a, &result)
-	return f.ended(req, a, began, result)
+	f.returnToken(a, &result)
+	return f.finish(req, a, startedAt, result)
 }
 
-// ended counts and logs how a request ended.
-func (f *Forwarder) ended(req *Request, a *attempts, began int64, result call.Result) call.Result {
+// finish counts and logs the end of a request, and returns its result. a is nil for a
+// request that was refused before its first attempt could be prepared.
+func (f *Forwarder) finish(req *Request, a *attempts, startedAt int64, result call.Result) call.Result {
 	outcome, service := "answered", ""
 	if a != nil {
 		service = a.service
@@ -146,26 +151,27 @@
 	if result.Refusal != nil {
 		outcome = result.Refusal.Kind.String()
 	}
-	f.Metrics.GetOrCreateCounter(`rushramp_routed_total{service="` + utils.Label(service) + `",kind="` + kindOf(a) + `",outcome="` + outcome + `"}`).Inc()
-	f.observe(service, time.Duration(f.Now()-began), &result)
-	if a != nil && f.runs != nil && failed(&result) && f.called.has(a.route.Name) {
-		f.runs.CallFailed()
+	f.Metrics.GetOrCreateCounter(`rushramp_routed_total{service="` + utils.Label(service) + `",kind="` + kindLabel(a) + `",outcome="` + outcome + `"}`).Inc()
+	f.observeTimes(service, time.Duration(f.Now()-startedAt), &result)
+	if a != nil && f.localRuns != nil && failedForCaller(&result) && f.calledRoutes.contains(a.route.Name) {
+		f.localRuns.CallFailed()
 	}
-	f.logEnd(req, a, began, &result)
+	f.logEnd(req, a, startedAt, &result)
 	return result
 }
 
-// failed is true for a request whose caller got no answer that it can use, and waited
-// for one.
-func failed(result *call.Result) bool {
+// failedForCaller reports whether a caller that waited for the result got no answer that
+// it can use.
+func failedForCaller(result *call.Result) bool {
 	if result.Answer != nil {
 		return result.Answer.Status >= 500
 	}
 	return result.Refusal.Kind != errkind.CallerGone
 }
 
-// kindOf is the label that tells requests that may be repeated from others.
-func kindOf(a *attempts) string {
+// kindLabel returns the metric label that says whether a request may run more than once.
+// It is empty for a request without a route.
+func kindLabel(a *attempts) string {
 	switch {
 	case a == nil:
 		return ""
@@ -175,8 +181,10 @@
 	return "once"
 }
 
-// observe adds a request's times to the histograms of its service.
-func (f *Forwarder) observe(service string, took time.Duration, result *call.Result) {
+// observeTimes adds the times of a request to the histograms of its service: the whole
+// time, and for an answered request also the times in the queue, of the run, and
+// elsewhere.
+func (f *Forwarder) observeTimes(service string, took time.Duration, result *call.Result) {
 	label := `{service="` + utils.Label(service) + `"}`
 	f.Metrics.GetOrCreateHistogram("rushramp_routed_seconds" + label).Update(took.Seconds())
 	answer := result.Answer
@@ -188,10 +196,11 @@
 	f.Metrics.GetOrCreateHistogram("rushramp_routed_elsewhere_seconds" + label).Update((took - answer.Queued - answer.Run).Seconds())
 }
 
-// Timeout is how long a request may take, its body included.
+// Timeout returns how long a request may take, including the time to read its body.
 func (f *Forwarder) Timeout(req *Request) time.Duration { return f.timeout(req, f.Match(req).route) }
 
-// timeout is the shorter one of what the route and the caller allow; route may be nil.
+// timeout returns the shorter of the timeouts that the route and the caller set, or the
+// default where neither sets one. route may be nil.
 func (f *Forwarder) timeout(req *Request, route *routing.CompiledRoute) time.Duration {
 	timeout := time.Duration(0)
 	if route != nil {
@@ -206,8 +215,10 @@
 	return timeout
 }
 
-// newAttempts begins the attempts of a request whose route is known.
-func (f *Forwarder) newAttempts(ctx context.Context, req *Request, route *routing.CompiledRoute, version uint64, began int64) *attempts {
+// newAttempts prepares the attempts of a request on a route. It draws the service, where
+// the route is divided among several, and the lane. version is that of the placement,
+// startedAt the time in nanoseconds from which the request's timeout and target run.
+func (f *Forwarder) newAttempts(ctx context.Context, req *Request, route *routing.CompiledRoute, version uint64, startedAt int64) *attempts {
 	timeout := f.timeout(req, route)
 	target := route.Target
 	if target == 0 {
@@ -215,10 +226,10 @@
 	}
 	service := route.NextService()
 	return &attempts{
-		owner: f, ctx: ctx, req: req, route: route, version: version, service: service,
-		rules: rules{version, route.DataCentres},
-		lane:  f.view.RolloutTraffic(service).Next(route.Name),
-		began: began, deadline: began + int64(timeout), target: target,
+		forwarder: f, ctx: ctx, req: req, route: route, version: version, service: service,
+		rule:      dataCentreRule{version, route.DataCentres},
+		lane:      f.view.RolloutTraffic(service).Next(route.Name),
+		startedAt: startedAt, deadline: startedAt + int64(timeout), target: target,
 		softLeft: f.Settings.Routing.SoftAttempts,
 	}
 }
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -22,12 +22,13 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// fakeRunner answers calls by hand, and keeps them.
+// fakeRunner records calls and ends them as its answer function says.
 type fakeRunner struct {
-	mu     sync.Mutex
-	calls  []wire.Call
+	mu    sync.Mutex
+	calls []wire.Call
+	// answer returns the result of a call. A silent call never ends.
 	answer func(c *wire.Call) (result call.Result, silent bool)
-	// cancelled counts the calls that nobody waited for any more.
+	// cancelled counts the calls that were cancelled.
 	cancelled int
 }
 
@@ -59,8 +60,8 @@
 
 func silent(*wire.Call) (call.Result, bool) { return call.Result{}, true }
 
-// busySoftly refuses soft attempts only.
-func busySoftly(status int) func(*wire.Call) (call.Result, bool) {
+// refusesSoft refuses soft attempts and answers all others with the status.
+func refusesSoft(status int) func(*wire.Call) (call.Result, bool) {
 	return func(c *wire.Call) (call.Result, bool) {
 		if c.Routed.Soft {
 			return call.Refused(errkind.GateBusier, ""), false
@@ -69,8 +70,8 @@
 	}
 }
 
-// newForwarder makes a forwarder with a route of each sort over runners, one a
-// backend server of service s.
+// newForwarder returns a forwarder with two routes to service s: "read", which is
+// repeatable, and "post", which is not. Each runner is that of one backend server.
 func newForwarder(runners ...*fakeRunner) *Forwarder {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
@@ -94,11 +95,12 @@
 	return NewForwarder(common.NewCommon(events.Discard(), &s), view, nil)
 }
 
-func request(path string) *Request {
+func newRequest(path string) *Request {
 	return &Request{ID: "r-1", Host: "h", Method: "GET", URI: path, Path: path}
 }
 
-func total(runners ...*fakeRunner) int {
+// totalCalls returns the number of calls that all runners got together.
+func totalCalls(runners ...*fakeRunner) int {
 	n := 0
 	for _, r := range runners {
 		n += len(r.calls)
@@ -106,9 +108,9 @@
 	return n
 }
 
-func TestTheRequestCarriesWhatTheExecutorNeeds(t *testing.T) {
+func TestTheFrameCarriesTheRequestsProperties(t *testing.T) {
 	r := &fakeRunner{answer: answers(200)}
-	got := newForwarder(r).Forward(t.Context(), request("/read/1"))
+	got := newForwarder(r).Forward(t.Context(), newRequest("/read/1"))
 	must.NotNil(t, got.Answer)
 	sent := r.calls[0]
 	test.Eq(t, "s", sent.Service)
@@ -121,29 +123,30 @@
 	test.Between(t, 0, sent.Remaining, time.Second)
 }
 
-func TestOutcomes(t *testing.T) {
+func TestOutcomesAndNumbersOfAttempts(t *testing.T) {
 	ok := answers(200)
 	scenarios := []struct {
-		name     string
-		path     string
-		runners  []func(*wire.Call) (call.Result, bool)
-		status   int
-		kind     errkind.Kind
-		ran      errkind.Ran
+		name    string
+		path    string
+		runners []func(*wire.Call) (call.Result, bool)
+		status  int
+		kind    errkind.Kind
+		ran     errkind.Ran
+		// attempts counts those of all runners; -1: any number.
 		attempts int
 	}{
-		{"all refuse softly, then one may queue", "/read/", []func(*wire.Call) (call.Result, bool){busySoftly(200), busySoftly(200)}, 200, 0, 0, 3},
-		{"a soft refusal costs a post nothing", "/post/", []func(*wire.Call) (call.Result, bool){busySoftly(200)}, 200, 0, 0, 2},
-		{"what was not offered goes on", "/post/", []func(*wire.Call) (call.Result, bool){refuses(errkind.BackendAbsent, false), ok}, 200, 0, 0, -1},
+		{"all refuse soft attempts, then the request may queue", "/read/", []func(*wire.Call) (call.Result, bool){refusesSoft(200), refusesSoft(200)}, 200, 0, 0, 3},
+		{"a post is sent again after a soft refusal", "/post/", []func(*wire.Call) (call.Result, bool){refusesSoft(200)}, 200, 0, 0, 2},
+		{"a post that reached no backend server is sent again", "/post/", []func(*wire.Call) (call.Result, bool){refuses(errkind.BackendAbsent, false), ok}, 200, 0, 0, -1},
 		{"a read that failed is sent again", "/read/", []func(*wire.Call) (call.Result, bool){answers(500), answers(500)}, 500, 0, 0, 2},
 		{"a read whose answer was lost is sent again", "/read/", []func(*wire.Call) (call.Result, bool){refuses(errkind.BackendFailed, true), refuses(errkind.BackendFailed, true)}, 0, errkind.BackendFailed, errkind.RanMaybe, 2},
-		{"a post that failed is not", "/post/", []func(*wire.Call) (call.Result, bool){answers(500), answers(500)}, 500, 0, 0, 1},
-		{"a post whose answer was lost is not", "/post/", []func(*wire.Call) (call.Result, bool){refuses(errkind.LinkLost, false), refuses(errkind.LinkLost, false)}, 0, errkind.LinkLost, errkind.RanMaybe, 1},
-		{"a post that the backend server marked as not run is", "/post/", []func(*wire.Call) (call.Result, bool){refuses(errkind.BackendRefused, true), refuses(errkind.BackendRefused, true)}, 0, errkind.BackendRefused, errkind.RanNo, 2},
-		{"an unmarked 503 is no promise", "/post/", []func(*wire.Call) (call.Result, bool){answers(503)}, 0, errkind.BackendFailed, errkind.RanMaybe, 1},
+		{"a post that failed is not sent again", "/post/", []func(*wire.Call) (call.Result, bool){answers(500), answers(500)}, 500, 0, 0, 1},
+		{"a post whose answer was lost is not sent again", "/post/", []func(*wire.Call) (call.Result, bool){refuses(errkind.LinkLost, false), refuses(errkind.LinkLost, false)}, 0, errkind.LinkLost, errkind.RanMaybe, 1},
+		{"a post that the backend server marked as not run is sent again", "/post/", []func(*wire.Call) (call.Result, bool){refuses(errkind.BackendRefused, true), refuses(errkind.BackendRefused, true)}, 0, errkind.BackendRefused, errkind.RanNo, 2},
+		{"an unmarked 503 of a post becomes a failure that may have run", "/post/", []func(*wire.Call) (call.Result, bool){answers(503)}, 0, errkind.BackendFailed, errkind.RanMaybe, 1},
 		{"an unmarked 503 of a read is passed on", "/read/", []func(*wire.Call) (call.Result, bool){answers(503)}, 503, 0, 0, 1},
-		{"all full", "/read/", []func(*wire.Call) (call.Result, bool){refuses(errkind.Overloaded, false), refuses(errkind.Overloaded, false)}, 0, errkind.Overloaded, errkind.RanNo, 2},
-		{"nobody is known", "/read/", nil, 0, errkind.NoBackendServer, errkind.RanNo, 0},
+		{"all backend servers are full", "/read/", []func(*wire.Call) (call.Result, bool){refuses(errkind.Overloaded, false), refuses(errkind.Overloaded, false)}, 0, errkind.Overloaded, errkind.RanNo, 2},
+		{"no candidate is known", "/read/", nil, 0, errkind.NoBackendServer, errkind.RanNo, 0},
 		{"no route", "/none/", nil, 0, errkind.UnknownRoute, errkind.RanNo, 0},
 	}
 	for _, s := range scenarios {
@@ -152,9 +155,9 @@
 			for _, answer := range s.runners {
 				runners = append(runners, &fakeRunner{answer: answer})
 			}
-			got := newForwarder(runners...).Forward(t.Context(), request(s.path))
+			got := newForwarder(runners...).Forward(t.Context(), newRequest(s.path))
 			if s.attempts >= 0 {
-				test.Eq(t, s.attempts, total(runners...))
+				test.Eq(t, s.attempts, totalCalls(runners...))
 			}
 			if s.status > 0 {
 				must.NotNil(t, got.Answer)
@@ -168,7 +171,7 @@
 	}
 }
 
-func TestAFirstFailureIsAnsweredWhenTheSecondAttemptIsRefused(t *testing.T) {
+func TestTheCallerGetsTheFirstFailureWhenTheSecondAttemptIsRefused(t *testing.T) {
 	first := &fakeRunner{answer: answers(500)}
 	second := &fakeRunner{answer: answers(500)}
 	second.answer = func(c *wire.Call) (call.Result, bool) {
@@ -178,39 +181,39 @@
 		first.answer = refuses(errkind.Overloaded, false)
 		return answers(500)(c)
 	}
-	got := newForwarder(first, second).Forward(t.Context(), request("/read/"))
+	got := newForwarder(first, second).Forward(t.Context(), newRequest("/read/"))
 	must.NotNil(t, got.Answer)
 	test.Eq(t, 500, got.Answer.Status)
 }
 
-func TestNoVersionYet(t *testing.T) {
+func TestARequestIsRefusedWhileThereIsNoPlacement(t *testing.T) {
 	f := newForwarder()
 	f.view.SetPlacement(nil)
-	got := f.Forward(t.Context(), request("/read/"))
+	got := f.Forward(t.Context(), newRequest("/read/"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.PlacementUnknown, got.Refusal.Kind)
 	test.Eq(t, 503, got.Refusal.Kind.Row().Status)
 }
 
-func TestSilenceEndsAtTheTimeoutAndIsMaybe(t *testing.T) {
+func TestAnUnansweredRequestEndsAtItsTimeoutAndMayHaveRun(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeRunner{answer: silent}
 		f := newForwarder(r)
-		began := time.Now()
-		got := f.Forward(t.Context(), request("/post/"))
+		startedAt := time.Now()
+		got := f.Forward(t.Context(), newRequest("/post/"))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.RanMaybe, got.Refusal.Ran)
-		test.Eq(t, time.Second+grace, time.Since(began))
+		test.Eq(t, time.Second+answerGrace, time.Since(startedAt))
 		test.Eq(t, 1, r.cancelled)
 	})
 }
 
-func TestACallerThatLeavesCancels(t *testing.T) {
+func TestAnAttemptIsCancelledWhenTheCallerDisconnects(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeRunner{answer: silent}
 		ctx, cancel := context.WithTimeout(t.Context(), 100*time.Millisecond)
 		defer cancel()
-		got := newForwarder(r).Forward(ctx, request("/read/"))
+		got := newForwarder(r).Forward(ctx, newRequest("/read/"))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.CallerGone, got.Refusal.Kind)
 		test.Eq(t, 1, r.cancelled)
@@ -218,75 +221,74 @@
 	})
 }
 
-// stamped reports a stamp of each candidate's gate, as of now.
-func stamped(f *Forwarder, stamp wire.Stamp) {
+// reportLoads updates the known load of each candidate by a load stamp received now.
+func reportLoads(f *Forwarder, stamp wire.Stamp) {
 	for _, candidate := range f.view.Service("s").Match("GET", "/").LinkedCandidates {
 		candidate.Load.ApplyStamp(f.Now(), stamp)
 	}
 }
 
-// TestGatesThatHaveJustShownThatTheyAreFullAreNotAsked: the request is refused
-// at once, as not run and with a time to come back, without having crossed the
-// fleet once more.
-func TestGatesThatHaveJustShownThatTheyAreFullAreNotAsked(t *testing.T) {
+// TestGatesThatHaveJustReportedToBeFullAreNotAsked: the entry refuses the request itself,
+// as not run and with a Retry-After, and sends it to no gate.
+func TestGatesThatHaveJustReportedToBeFullAreNotAsked(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		one, two := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: answers(200)}
 		f := newForwarder(one, two)
-		stamped(f, wire.Stamp{Seq: 1, Limit: 4, Running: 4, Queued: 400, Slowdown: 100})
-		result := f.Forward(t.Context(), request("/read/x"))
+		reportLoads(f, wire.Stamp{Seq: 1, Limit: 4, Running: 4, Queued: 400, Slowdown: 100})
+		result := f.Forward(t.Context(), newRequest("/read/x"))
 		must.NotNil(t, result.Refusal)
 		test.Eq(t, errkind.Overloaded, result.Refusal.Kind)
 		test.Eq(t, errkind.RanNo, result.Refusal.Ran)
 		test.Positive(t, result.RetryAfter)
-		test.Eq(t, 0, total(one, two))
+		test.Eq(t, 0, totalCalls(one, two))
 		time.Sleep(time.Second)
-		result = f.Forward(t.Context(), request("/read/x"))
-		must.NotNil(t, result.Answer, must.Sprint("what was shown a second ago says nothing of now"))
+		result = f.Forward(t.Context(), newRequest("/read/x"))
+		must.NotNil(t, result.Answer, must.Sprint("a load report of a second ago no longer counts"))
 	})
 }
 
-// TestCallsOfServicesHaveUntilTheirDeadline: refusing one fails the request that
-// made it, which has run already.
-func TestCallsOfServicesHaveUntilTheirDeadline(t *testing.T) {
+// TestCallsThatServicesMakeMayUseTheirWholeTimeout, and are not refused for missing their
+// target: a refusal would fail the run that made the call, and waste its work.
+func TestCallsThatServicesMakeMayUseTheirWholeTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		origin := wire.OriginUnknown
 		runner := &fakeRunner{answer: func(*wire.Call) (call.Result, bool) {
 			return call.Result{Answer: &call.Answer{Status: 200}, Offered: true, Origin: origin, Stamp: wire.Stamp{Seq: 10, Limit: 4, Slowdown: 100}}, false
 		}}
 		f := newForwarder(runner)
-		// 120 ms of work; 26 more wait for four slots: over the target of 400 ms,
-		// within the time of a second.
-		late := wire.Stamp{Seq: 1, Limit: 4, Running: 4, Queued: 10, Slowdown: 100}
-		stamped(f, late)
-		must.NotNil(t, f.Forward(t.Context(), request("/read/x")).Refusal)
+		// The request has 120 ms of expected work, and ten others wait for four slots. It
+		// would miss its target of 400 ms, but not its timeout of a second.
+		full := wire.Stamp{Seq: 1, Limit: 4, Running: 4, Queued: 10, Slowdown: 100}
+		reportLoads(f, full)
+		must.NotNil(t, f.Forward(t.Context(), newRequest("/read/x")).Refusal)
 		origin = wire.OriginService
 		time.Sleep(time.Second)
-		must.NotNil(t, f.Forward(t.Context(), request("/read/x")).Answer)
-		late.Seq = 20
-		stamped(f, late)
-		must.NotNil(t, f.Forward(t.Context(), request("/read/x")).Answer)
+		must.NotNil(t, f.Forward(t.Context(), newRequest("/read/x")).Answer)
+		full.Seq = 20
+		reportLoads(f, full)
+		must.NotNil(t, f.Forward(t.Context(), newRequest("/read/x")).Answer)
 	})
 }
 
-// TestACallerThatHasLeftIsNotSentOn: a process that stood still learns late that
-// the caller has left, and must not send the request on then.
-func TestACallerThatHasLeftIsNotSentOn(t *testing.T) {
+// TestARequestWhoseCallerHasDisconnectedIsNotSent: after a pause of the process the caller
+// may be gone before the first attempt.
+func TestARequestWhoseCallerHasDisconnectedIsNotSent(t *testing.T) {
 	runner := &fakeRunner{answer: answers(200)}
 	f := newForwarder(runner)
-	ctx, leave := context.WithCancel(t.Context())
-	leave()
-	result := f.Forward(ctx, request("/read/x"))
+	ctx, disconnect := context.WithCancel(t.Context())
+	disconnect()
+	result := f.Forward(ctx, newRequest("/read/x"))
 	must.NotNil(t, result.Refusal)
 	test.Eq(t, errkind.CallerGone, result.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, result.Refusal.Ran)
-	test.Eq(t, 0, total(runner))
+	test.Eq(t, 0, totalCalls(runner))
 }
 
-// TestAnAttemptTellsHowManyBeforeItReachedABackendServer: the daemon beside the
-// next one then knows that its run repeats another.
-func TestAnAttemptTellsHowManyBeforeItReachedABackendServer(t *testing.T) {
+// TestAnAttemptCarriesTheNumberOfEarlierOnes that reached a backend server. From it the
+// executor knows that its run repeats another.
+func TestAnAttemptCarriesTheNumberOfEarlierOnes(t *testing.T) {
 	first, second := &fakeRunner{answer: answers(500)}, &fakeRunner{answer: answers(500)}
-	newForwarder(first, second).Forward(t.Context(), request("/read/"))
+	newForwarder(first, second).Forward(t.Context(), newRequest("/read/"))
 	generations := map[uint32]int{}
 	for _, c := range append(first.calls, second.calls...) {
 		generations[c.Claim.Generation]++
@@ -294,9 +296,9 @@
 	test.Eq(t, map[uint32]int{0: 1, 1: 1}, generations)
 }
 
-// TestARequestThatWaitedThroughASuspensionIsNotSent: its time is over, though the steady
-// clock did not move.
-func TestARequestThatWaitedThroughASuspensionIsNotSent(t *testing.T) {
+// TestARequestIsNotSentAgainAfterASuspension that lasted beyond its deadline, although the
+// steady clock stood still during the suspension.
+func TestARequestIsNotSentAgainAfterASuspension(t *testing.T) {
 	var vm *clock.Manual
 	suspends := func(*wire.Call) (call.Result, bool) {
 		vm.Suspend(10 * time.Second)
@@ -305,15 +307,15 @@
 	one, two := &fakeRunner{answer: suspends}, &fakeRunner{answer: suspends}
 	f := newForwarder(one, two)
 	f.Clock, vm = clock.NewManual()
-	got := f.Forward(t.Context(), request("/post/1"))
+	got := f.Forward(t.Context(), newRequest("/post/1"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.DeadlineBeforeRun, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-	test.Eq(t, 1, total(one, two))
+	test.Eq(t, 1, totalCalls(one, two))
 }
 
-// TestARunWhoseCallsFailedIsNotRepeated: its calls were sent again already, and would be
-// made once more. One that failed by itself is.
+// TestARunWhoseCallsFailedIsNotRepeated: its calls were retried already, and a second run
+// would make them again. A run that failed for another reason is repeated.
 func TestARunWhoseCallsFailedIsNotRepeated(t *testing.T) {
 	for _, callsFailed := range []bool{true, false} {
 		fails := func(*wire.Call) (call.Result, bool) {
@@ -321,36 +323,37 @@
 		}
 		one, two := &fakeRunner{answer: fails}, &fakeRunner{answer: fails}
 		f := newForwarder(one, two)
-		got := f.Forward(t.Context(), request("/read/1"))
+		got := f.Forward(t.Context(), newRequest("/read/1"))
 		must.NotNil(t, got.Answer)
 		test.Eq(t, 500, got.Answer.Status)
 		want := 2
 		if callsFailed {
 			want = 1
 		}
-		test.Eq(t, want, total(one, two))
+		test.Eq(t, want, totalCalls(one, two))
 		test.Eq(t, callsFailed, got.Answer.CallsFailed)
 	}
 }
 
-// failedCalls counts the calls that were told to have failed.
-type failedCalls struct{ count int }
+// callFailureCounter counts the calls that were reported as failed.
+type callFailureCounter struct{ count int }
 
-func (f *failedCalls) RepeatShare() float64 { return 0 }
-func (f *failedCalls) CallFailed()          { f.count++ }
+func (c *callFailureCounter) RepeatShare() float64 { return 0 }
+func (c *callFailureCounter) CallFailed()          { c.count++ }
 
-// TestTheRunnerIsToldOfFailedCalls of the backend server beside it, not of callers'.
-func TestTheRunnerIsToldOfFailedCalls(t *testing.T) {
+// TestFailedCallsOfTheLocalBackendServerAreReported, and failed requests of other callers
+// are not.
+func TestFailedCallsOfTheLocalBackendServerAreReported(t *testing.T) {
 	failing := &fakeRunner{answer: refuses(errkind.Overloaded, false)}
 	f := newForwarder(failing)
-	told := &failedCalls{}
-	f.runs = told
-	f.Forward(t.Context(), request("/post/1"))
-	test.Eq(t, 0, told.count)
-	f.called.note("post", wire.OriginService)
-	f.Forward(t.Context(), request("/post/1"))
-	test.Eq(t, 1, told.count)
+	counter := &callFailureCounter{}
+	f.localRuns = counter
+	f.Forward(t.Context(), newRequest("/post/1"))
+	test.Eq(t, 0, counter.count)
+	f.calledRoutes.record("post", wire.OriginService)
+	f.Forward(t.Context(), newRequest("/post/1"))
+	test.Eq(t, 1, counter.count)
 	failing.answer = answers(200)
-	f.Forward(t.Context(), request("/post/1"))
-	test.Eq(t, 1, told.count)
+	f.Forward(t.Context(), newRequest("/post/1"))
+	test.Eq(t, 1, counter.count)
 }
--- a/pkg/forward/liveness.go
+++ b/pkg/forward/liveness.go
@@ -7,68 +7,76 @@
 )
 
 const (
-	// probeAfter is how long an attempt waits before the executor is asked for
-	// a sign of life, where none came in the meantime.
+	// probeAfter is how long an attempt waits for a sign of life from the executor's
+	// daemon before it sends a probe.
 	probeAfter = 150 * time.Millisecond
-	// silentAfter is how long after that an executor without one counts as
-	// silent. It is over the tenth of a second for which a processor quota may
-	// stop a process.
-	silentAfter = 200 * time.Millisecond
+	// unresponsiveAfter is how long after the probe a daemon that gave no sign of life
+	// counts as unresponsive. It is longer than the 100 ms for which a CPU quota may stop
+	// a process.
+	unresponsiveAfter = 200 * time.Millisecond
 )
 
-// liveness is a runner that tells whether its daemon gives signs of life, as a
-// link does. The runner of this daemon itself does not need to.
+// liveness is implemented by runners whose daemon may be unreachable, as links are. The
+// runner of this daemon's own executor does not implement it.
 type liveness interface {
+	// Silence returns the time since the daemon last gave a sign of life.
 	Silence() time.Duration
+	// Probe asks the daemon for a sign of life.
 	Probe()
 }
 
-// watch looks after the executor of one attempt: a VM without power, behind a
-// cut or stopped says nothing, and no error comes of it.
-type watch struct {
+// livenessWatch detects during one attempt that the executor's daemon is unresponsive. The
+// daemon of a VM that is powered off, cut off or suspended sends nothing, not even an
+// error.
+type livenessWatch struct {
+	// peer and timer are nil for a runner without liveness.
 	peer  liveness
 	timer *time.Timer
-	began time.Time
-	// probed is true once a sign of life was asked for.
+	// since is when the watch began to wait for a sign of life.
+	since time.Time
+	// probed is true once a probe was sent in that time.
 	probed bool
 }
 
-func newWatch(runner call.Runner) *watch {
+// newLivenessWatch starts to watch a runner.
+func newLivenessWatch(runner call.Runner) *livenessWatch {
 	peer, ok := runner.(liveness)
 	if !ok {
-		return &watch{}
+		return &livenessWatch{}
 	}
-	return &watch{peer: peer, timer: time.NewTimer(probeAfter), began: time.Now()}
+	return &livenessWatch{peer: peer, timer: time.NewTimer(probeAfter), since: time.Now()}
 }
 
-// due is readable when silent must be asked.
-func (w *watch) due() <-chan time.Time {
+// due returns the channel that receives when checkUnresponsive must be called. It is nil, and
+// never receives, for a runner without liveness.
+func (w *livenessWatch) due() <-chan time.Time {
 	if w.timer == nil {
 		return nil
 	}
 	return w.timer.C
 }
 
-// silent decides whether the executor is silent. It asks for a sign of life at
-// first, and looks again after a while.
-func (w *watch) silent() bool {
-	heard := w.peer.Silence() < time.Since(w.began)
+// checkUnresponsive reports whether the daemon is unresponsive. The first check without a
+// sign of life sends a probe; the daemon is unresponsive if the next check finds none
+// either.
+func (w *livenessWatch) checkUnresponsive() bool {
+	heard := w.peer.Silence() < time.Since(w.since)
 	switch {
 	case heard:
-		w.began, w.probed = time.Now(), false
+		w.since, w.probed = time.Now(), false
 		w.timer.Reset(probeAfter)
 		return false
 	case !w.probed:
 		w.probed = true
 		w.peer.Probe()
-		w.timer.Reset(silentAfter)
+		w.timer.Reset(unresponsiveAfter)
 		return false
 	}
-	w.timer.Reset(silentAfter)
+	w.timer.Reset(unresponsiveAfter)
 	return true
 }
 
-func (w *watch) stop() {
+func (w *livenessWatch) stop() {
 	if w.timer != nil {
 		w.timer.Stop()
 	}
--- a/pkg/forward/quarantine.go
+++ b/pkg/forward/quarantine.go
@@ -5,22 +5,22 @@
 	"github.com/rushramp/rushramp/pkg/quarantine"
 )
 
-// heldBack refuses a request whose content ends the backend servers that run it. It is
-// asked before each attempt: the content may have become known between two of them.
-// The caller is told when it may run again, which is far beyond its time: each further
-// try would be refused.
-func (a *attempts) heldBack() *call.Result {
-	refusal, left := a.owner.Quarantine.Refusal(a.owner.Now(), a.fingerprint)
+// quarantineRefusal refuses a request whose content is quarantined because it crashes the
+// backend servers that run it; nil: the request may run. It is called before each attempt,
+// as the content may have been quarantined since the last one. RetryAfter is the time until
+// the quarantine ends, however long: earlier retries would be refused again.
+func (a *attempts) quarantineRefusal() *call.Result {
+	refusal, retryAfter := a.forwarder.Quarantine.Refusal(a.forwarder.Now(), a.fingerprint)
 	if refusal == nil {
 		return nil
 	}
-	return &call.Result{Refusal: refusal, RetryAfter: left}
+	return &call.Result{Refusal: refusal, RetryAfter: retryAfter}
 }
 
-// fingerprint stands for the request's content; it is worked out once.
+// fingerprint returns the fingerprint of the request's content, computed once.
 func (a *attempts) fingerprint() quarantine.Fingerprint {
-	if !a.fingerprinted {
-		a.content, a.fingerprinted = a.req.fingerprint(), true
+	if !a.hasFingerprint {
+		a.cachedFingerprint, a.hasFingerprint = a.req.fingerprint(), true
 	}
-	return a.content
+	return a.cachedFingerprint
 }
--- a/pkg/forward/quarantine_test.go
+++ b/pkg/forward/quarantine_test.go
@@ -13,50 +13,52 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// crash tells the forwarder that a content ran when a backend server's process ended.
-func crash(f *Forwarder, id uint64, req *Request) {
+// reportCrash reports a crash, with the given id, of a backend server that was running the
+// request.
+func reportCrash(f *Forwarder, id uint64, req *Request) {
 	f.Quarantine.RecordCrash(f.Now(), id, []quarantine.Fingerprint{req.fingerprint()})
 }
 
-// TestAHeldRequestIsRefusedAtOnce: as not run, with the time when it may run again, and
-// without asking anybody. Others are served.
-func TestAHeldRequestIsRefusedAtOnce(t *testing.T) {
+// TestAQuarantinedRequestIsRefusedAtOnce: as not run, with the time to the end of the
+// quarantine as Retry-After, and without an attempt. Other requests are answered.
+func TestAQuarantinedRequestIsRefusedAtOnce(t *testing.T) {
 	r := &fakeRunner{answer: answers(200)}
 	f := newForwarder(r)
-	crash(f, 1, request("/read/1"))
-	must.NotNil(t, f.Forward(t.Context(), request("/read/1")).Answer)
-	crash(f, 2, request("/read/1"))
-	got := f.Forward(t.Context(), request("/read/1"))
+	reportCrash(f, 1, newRequest("/read/1"))
+	must.NotNil(t, f.Forward(t.Context(), newRequest("/read/1")).Answer)
+	reportCrash(f, 2, newRequest("/read/1"))
+	got := f.Forward(t.Context(), newRequest("/read/1"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 	test.Between(t, 9*time.Minute, got.RetryAfter, 10*time.Minute)
-	test.Eq(t, 1, total(r))
-	must.NotNil(t, f.Forward(t.Context(), request("/read/2")).Answer)
+	test.Eq(t, 1, totalCalls(r))
+	must.NotNil(t, f.Forward(t.Context(), newRequest("/read/2")).Answer)
 }
 
-// TestARequestThatTurnsOutToEndBackendServersStops between two attempts. What its first
-// one ended with is told: it ran.
-func TestARequestThatTurnsOutToEndBackendServersStops(t *testing.T) {
+// TestARequestQuarantinedBetweenTwoAttemptsIsNotSentAgain. The caller gets the failure of
+// the first attempt, because that one ran.
+func TestARequestQuarantinedBetweenTwoAttemptsIsNotSentAgain(t *testing.T) {
 	var f *Forwarder
-	ends := func(*wire.Call) (call.Result, bool) {
-		crash(f, 1, request("/read/1"))
-		crash(f, 2, request("/read/1"))
+	crashes := func(*wire.Call) (call.Result, bool) {
+		reportCrash(f, 1, newRequest("/read/1"))
+		reportCrash(f, 2, newRequest("/read/1"))
 		return refuses(errkind.BackendFailed, true)(nil)
 	}
-	one, two := &fakeRunner{answer: ends}, &fakeRunner{answer: ends}
-	f = newForwarder(one, two)
-	got := f.Forward(t.Context(), request("/read/1"))
+	first, second := &fakeRunner{answer: crashes}, &fakeRunner{answer: crashes}
+	f = newForwarder(first, second)
+	got := f.Forward(t.Context(), newRequest("/read/1"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.BackendFailed, got.Refusal.Kind)
-	test.Eq(t, 1, total(one, two))
+	test.Eq(t, 1, totalCalls(first, second))
 }
 
-// TestAnExecutorThatKnowsMoreEndsTheAttempts: no other one is asked.
-func TestAnExecutorThatKnowsMoreEndsTheAttempts(t *testing.T) {
-	one, two := &fakeRunner{answer: refuses(errkind.RequestHeld, false)}, &fakeRunner{answer: refuses(errkind.RequestHeld, false)}
-	got := newForwarder(one, two).Forward(t.Context(), request("/post/1"))
+// TestAQuarantineRefusalOfAnExecutorEndsTheAttempts: an executor may know of a quarantine
+// before the entry does.
+func TestAQuarantineRefusalOfAnExecutorEndsTheAttempts(t *testing.T) {
+	first, second := &fakeRunner{answer: refuses(errkind.RequestHeld, false)}, &fakeRunner{answer: refuses(errkind.RequestHeld, false)}
+	got := newForwarder(first, second).Forward(t.Context(), newRequest("/post/1"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
-	test.Eq(t, 1, total(one, two))
+	test.Eq(t, 1, totalCalls(first, second))
 }
--- a/pkg/forward/request_log.go
+++ b/pkg/forward/request_log.go
@@ -11,105 +11,110 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// attemptNote is what an attempt was decided on, and how it ended. The trail of
-// a request is written on one line, so that its id leads to all of them.
-type attemptNote struct {
-	vm   string
-	soft bool
-	at   proximity.Level
-	// target is true for an attempt at the version that a roll-out moves to.
+// attemptRecord describes one attempt for the log: what the entry knew when it made the
+// attempt, and how the attempt ended. One log line holds all attempts of a request, so
+// that the request's id finds them.
+type attemptRecord struct {
+	vm        string
+	soft      bool
+	proximity proximity.Level
+	// target is true for an attempt at the version to which a roll-out moves.
 	target bool
-	// known is what the entry knew of the backend server, age how old it was; a
-	// negative age: nothing.
-	known tables.LoadSnapshot
-	age   time.Duration
-	// refusing counts the candidates that were passed over for this attempt.
-	refusing int
-	outcome  string
-	offered  bool
-	took     time.Duration
+	// load is what the entry knew of the backend server's load, loadAge the age of that;
+	// a negative loadAge: the entry knew nothing.
+	load    tables.LoadSnapshot
+	loadAge time.Duration
+	// passedOver counts the candidates that were passed over for this attempt, because
+	// their load showed that they would refuse it.
+	passedOver int
+	outcome    string
+	offered    bool
+	took       time.Duration
 }
 
-// noteAttempt begins the note of an attempt.
-func noteAttempt(now int64, to *tables.Candidate, soft bool, at proximity.Level, refusing int) attemptNote {
-	out := attemptNote{vm: to.Endpoint.VM, soft: soft, at: at, refusing: refusing, age: -1}
-	to.Load.SnapshotInto(now, &out.known)
-	if out.known.StampReceivedAt != 0 {
-		out.age = time.Duration(max(now-out.known.StampReceivedAt, 0))
+// newAttemptRecord returns the record of an attempt that begins at now, in nanoseconds of
+// the daemon's clock.
+func newAttemptRecord(now int64, candidate *tables.Candidate, soft bool, at proximity.Level, passedOver int) attemptRecord {
+	out := attemptRecord{vm: candidate.Endpoint.VM, soft: soft, proximity: at, passedOver: passedOver, loadAge: -1}
+	candidate.Load.SnapshotInto(now, &out.load)
+	if out.load.StampReceivedAt != 0 {
+		out.loadAge = time.Duration(max(now-out.load.StampReceivedAt, 0))
 	}
 	return out
 }
 
-// end takes over how the attempt ended.
-func (n *attemptNote) end(result *call.Result, took time.Duration) {
-	n.took, n.offered = took, result.Offered
+// setEnd records how the attempt ended and how long it took.
+func (r *attemptRecord) setEnd(result *call.Result, took time.Duration) {
+	r.took, r.offered = took, result.Offered
 	if result.Refusal != nil {
-		n.outcome = result.Refusal.Kind.String()
+		r.outcome = result.Refusal.Kind.String()
 		return
 	}
-	n.outcome = strconv.Itoa(result.Answer.Status)
+	r.outcome = strconv.Itoa(result.Answer.Status)
 }
 
-// passedOver is the outcome of a candidate that was not asked.
-const passedOver = "passed_over"
+// outcomePassedOver is the outcome in the record of a candidate that was not tried.
+const outcomePassedOver = "passed_over"
 
-// notePassedOver notes what was known of the candidates that were left and not
-// asked: the request is refused because of it.
-func (a *attempts) notePassedOver() {
-	now := a.owner.Now()
-	for i := range a.set {
-		if a.closed.Has(i) {
+// recordPassedOver records the candidates that were left but not tried, each with the load
+// because of which the request is refused.
+func (a *attempts) recordPassedOver() {
+	now := a.forwarder.Now()
+	for i := range a.candidates {
+		if a.excluded.Has(i) {
 			continue
 		}
-		to := &a.set[i]
-		note := noteAttempt(now, to, false, a.placeOf(to), 0)
-		note.outcome = passedOver
-		a.trail = append(a.trail, note)
+		candidate := &a.candidates[i]
+		record := newAttemptRecord(now, candidate, false, a.proximityOf(candidate), 0)
+		record.outcome = outcomePassedOver
+		a.records = append(a.records, record)
 	}
 }
 
-// String is the note in a log line: where, on which knowledge, and the end.
-// docs/OPERATIONS.md explains it.
-func (n *attemptNote) String() string {
+// String returns the record as it stands in a log line: the VM, the properties of the
+// attempt, the known load, the outcome and the time taken. docs/OPERATIONS.md explains
+// the format.
+func (r *attemptRecord) String() string {
 	var out strings.Builder
-	out.WriteString(n.vm)
-	if n.soft {
+	out.WriteString(r.vm)
+	if r.soft {
 		out.WriteString(" soft")
 	}
-	if n.at != proximity.SameDataCentre {
-		out.WriteString(" " + n.at.String())
+	if r.proximity != proximity.SameDataCentre {
+		out.WriteString(" " + r.proximity.String())
 	}
-	if n.target {
+	if r.target {
 		out.WriteString(" target")
 	}
-	if n.age >= 0 {
-		out.WriteString(" load=" + strconv.FormatInt(n.known.InFlight+n.known.SentSinceStamp, 10) + "/" + strconv.FormatInt(n.known.Limit, 10))
-		out.WriteString(" slowdown=" + strconv.FormatInt(n.known.Slowdown, 10))
-		out.WriteString(" age=" + events.Milliseconds(n.age))
+	if r.loadAge >= 0 {
+		out.WriteString(" load=" + strconv.FormatInt(r.load.InFlight+r.load.SentSinceStamp, 10) + "/" + strconv.FormatInt(r.load.Limit, 10))
+		out.WriteString(" slowdown=" + strconv.FormatInt(r.load.Slowdown, 10))
+		out.WriteString(" age=" + events.Milliseconds(r.loadAge))
 	} else {
 		out.WriteString(" load=unknown")
 	}
-	if n.refusing > 0 {
-		out.WriteString(" passed_over=" + strconv.Itoa(n.refusing))
+	if r.passedOver > 0 {
+		out.WriteString(" passed_over=" + strconv.Itoa(r.passedOver))
 	}
-	out.WriteString(" -> " + n.outcome)
-	if n.took > 0 {
-		out.WriteString(" " + events.Milliseconds(n.took))
+	out.WriteString(" -> " + r.outcome)
+	if r.took > 0 {
+		out.WriteString(" " + events.Milliseconds(r.took))
 	}
 	return out.String()
 }
 
-// trailText is all attempts of a request in a log line.
-func (a *attempts) trailText() string {
-	parts := make([]string, 0, len(a.trail))
-	for i := range a.trail {
-		parts = append(parts, a.trail[i].String())
+// recordsText returns the records of all attempts as they stand in a log line.
+func (a *attempts) recordsText() string {
+	parts := make([]string, 0, len(a.records))
+	for i := range a.records {
+		parts = append(parts, a.records[i].String())
 	}
 	return strings.Join(parts, "; ")
 }
 
-// logEnd writes the line of a request's end.
-func (f *Forwarder) logEnd(req *Request, a *attempts, began int64, result *call.Result) {
+// logEnd writes the log line for the end of a request. a is nil for a request that was
+// refused before its first attempt could be prepared.
+func (f *Forwarder) logEnd(req *Request, a *attempts, startedAt int64, result *call.Result) {
 	id := events.RequestAnswered
 	if result.Refusal != nil {
 		id = events.RequestFailed
@@ -117,7 +122,7 @@
 	if !f.Log.Wants(id) {
 		return
 	}
-	fields := []events.Field{events.F("request", req.ID), events.F("took", events.Milliseconds(time.Duration(f.Now()-began)))}
+	fields := []events.Field{events.F("request", req.ID), events.F("took", events.Milliseconds(time.Duration(f.Now()-startedAt)))}
 	if req.PipelinedBehind > 0 {
 		fields = append(fields, events.F("behind", req.PipelinedBehind), events.F("waited", events.Milliseconds(req.PipelineWait)))
 	}
@@ -127,8 +132,8 @@
 	if a != nil {
 		fields = append(fields,
 			events.F("route", a.route.Name), events.F("service", a.service), events.F("version", a.version),
-			events.F("priority", a.route.Priority), events.F("target", events.Milliseconds(a.target)), events.F("timeout", events.Milliseconds(time.Duration(a.deadline-a.began))),
-			events.F("tries", a.tries), events.F("offered", a.offered), events.F("stopped", a.stopped), events.F("attempts", a.trailText()))
+			events.F("priority", a.route.Priority), events.F("target", events.Milliseconds(a.target)), events.F("timeout", events.Milliseconds(time.Duration(a.deadline-a.startedAt))),
+			events.F("tries", a.tries), events.F("offered", a.offered), events.F("stopped", a.stopReason), events.F("attempts", a.recordsText()))
 	}
 	fields = append(fields, endFields(result)...)
 	if a != nil && result.Refusal != nil {
@@ -137,7 +142,7 @@
 	f.Log.Event(id, fields...)
 }
 
-// endFields say how a request ended.
+// endFields returns the log fields that say how a request ended.
 func endFields(result *call.Result) []events.Field {
 	if refusal := result.Refusal; refusal != nil {
 		out := []events.Field{events.F("outcome", refusal.Kind), events.F("ran", refusal.Ran), events.F("detail", refusal.Detail)}
--- a/pkg/forward/request_sizes.go
+++ b/pkg/forward/request_sizes.go
@@ -3,64 +3,68 @@
 import "sync"
 
 const (
-	// sizeWeight is the weight of one answer in its route's mean, meanWeight that of
-	// one request in the mean of all: a hundred and some requests are a second or so of
-	// a busy entry.
-	sizeWeight = 1.0 / 8
-	meanWeight = 1.0 / 128
-	// frameBytes is what a request and its answer take on a link beside their bodies:
-	// two frames with heads, measured as 200 and 130 bytes.
+	// answerWeight is the weight of a new answer in the mean of its route.
+	answerWeight = 1.0 / 8
+	// requestWeight is the weight of a new request in the mean of all requests. A busy
+	// entry sees as many requests as that mean covers in about a second.
+	requestWeight = 1.0 / 128
+	// frameBytes is what a request and its answer take on a link besides their bodies:
+	// two frames with headers.
 	frameBytes = 330
-	// mostSizes bounds the routes whose sizes are kept.
-	mostSizes = 4096
+	// maxSizedRoutes limits the number of routes whose answer sizes are kept.
+	maxSizedRoutes = 4096
 )
 
-// sizes follows how many bytes requests and their answers take, so that a crossing is
-// priced by what it moves. It is safe for concurrent use.
-type sizes struct {
-	mu      sync.Mutex
-	answers map[string]*running
-	// all is the mean of requests of all routes with their answers.
-	all running
+// requestSizes keeps the mean number of bytes that requests and their answers take, from
+// which the cost of crossing to another data centre is computed. It is safe for
+// concurrent use.
+type requestSizes struct {
+	mu sync.Mutex
+	// answers holds the mean size of an answer's body by route.
+	answers map[string]*runningMean
+	// all is the mean size of a request and its answer, over all routes.
+	all runningMean
 }
 
-func newSizes() *sizes { return &sizes{answers: map[string]*running{}} }
+func newRequestSizes() *requestSizes { return &requestSizes{answers: map[string]*runningMean{}} }
 
-// running is a mean in which the first few values count alike.
-type running struct {
+// runningMean is an exponentially weighted mean that begins as a plain mean, so that the
+// first values count alike.
+type runningMean struct {
 	mean  float64
 	count int
 }
 
-func (r *running) note(value, weight float64) {
-	r.count++
-	r.mean += (value - r.mean) * max(weight, 1/float64(r.count))
+func (m *runningMean) add(value, weight float64) {
+	m.count++
+	m.mean += (value - m.mean) * max(weight, 1/float64(m.count))
 }
 
-// note takes a request of a route over that was answered; sizes are in bytes.
-func (s *sizes) note(route string, body, answer int) {
+// add records an answered request of a route by the sizes of both bodies in bytes.
+func (s *requestSizes) add(route string, requestBody, answerBody int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.answers[route]
 	if known == nil {
-		if len(s.answers) >= mostSizes {
+		if len(s.answers) >= maxSizedRoutes {
 			return
 		}
-		known = &running{}
+		known = &runningMean{}
 		s.answers[route] = known
 	}
-	known.note(float64(answer), sizeWeight)
-	s.all.note(float64(frameBytes+body+answer), meanWeight)
+	known.add(float64(answerBody), answerWeight)
+	s.all.add(float64(frameBytes+requestBody+answerBody), requestWeight)
 }
 
-// share is how many bytes a request of a route and its answer are expected to take, as
-// a share of the mean of all requests; 1 while no answer of the route is known.
-func (s *sizes) share(route string, body int) float64 {
+// relative returns how many bytes a request with a body of that size and its answer are
+// expected to take, as a multiple of the mean of all requests. It is 1 while no answer of
+// the route is known.
+func (s *requestSizes) relative(route string, requestBody int) float64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	known := s.answers[route]
 	if known == nil {
 		return 1
 	}
-	return (frameBytes + float64(body) + known.mean) / s.all.mean
+	return (frameBytes + float64(requestBody) + known.mean) / s.all.mean
 }
--- a/pkg/forward/retry_budget.go
+++ b/pkg/forward/retry_budget.go
@@ -8,41 +8,48 @@
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
-// budget holds one service's retries at this entry. All daemons together may
-// use a share of the service's requests and a fixed number besides in each
-// window; each daemon spends its own part of both, so nobody has to be asked:
-// it saves up at most its part of the fixed number, and earns by its requests.
-type budget struct {
+// retryBudget limits the retries of one service at this entry. In each window, all
+// daemons together may retry a share of the service's requests, and a fixed number, the
+// slack, besides. Each daemon spends its own part of both, so that daemons need not
+// coordinate: a request adds its share of a retry to the balance, which is at most the
+// daemon's part of the slack.
+type retryBudget struct {
+	// ratio is the number of retries that one request adds.
 	ratio float64
 	slack float64
-	// daemons counts those that share the slack.
+	// daemons returns the number of daemons that share the slack.
 	daemons func() int
 
-	mu     sync.Mutex
+	mu sync.Mutex
+	// tokens is the balance in retries. It is negative while addCall has charged more
+	// than was added.
 	tokens float64
-	begun  bool
-	// empty is true since a retry was not allowed.
+	// filled is true once the balance was set to the capacity, by the first request.
+	filled bool
+	// empty is true when the last attempt to take a retry failed.
 	empty bool
 }
 
-// most is how many retries may be saved up.
-func (b *budget) most() float64 { return max(b.slack/float64(max(b.daemons(), 1)), 1) }
+// capacity returns the largest balance, in retries.
+func (b *retryBudget) capacity() float64 {
+	return max(b.slack/float64(max(b.daemons(), 1)), 1)
+}
 
-// request earns for one request of the service.
-func (b *budget) request() { b.earn(1) }
+// addRequest adds the share of a retry for one request of the service.
+func (b *retryBudget) addRequest() { b.add(1) }
 
-// earn earns for a share of a request.
-func (b *budget) earn(share float64) {
+// add adds the share of a retry for a number of requests, which may be a fraction.
+func (b *retryBudget) add(requests float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if !b.begun {
-		b.begun, b.tokens = true, b.most()
+	if !b.filled {
+		b.filled, b.tokens = true, b.capacity()
 	}
-	b.tokens = min(b.tokens+share*b.ratio, b.most())
+	b.tokens = min(b.tokens+requests*b.ratio, b.capacity())
 }
 
-// take spends one retry; false when none is left.
-func (b *budget) take() bool {
+// take takes one retry; false when the balance is below one.
+func (b *retryBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.tokens < 1 {
@@ -52,31 +59,32 @@
 	return true
 }
 
-// mostDebt bounds what charges may leave a service owing at one entry, in
-// retries: a quarter of the calls that one backend server of the users' largest
-// site makes to another service in ten seconds, which is eight a second. More
-// would hold retries back for longer than the platform's window.
-const mostDebt = 20
-
-// call takes over a call that a backend server makes in the middle of a run. With the
-// share of its runs that repeat others elsewhere it is a repeat, and no request.
-func (b *budget) call(repeats float64) {
-	b.earn(1 - repeats)
+// maxDebt limits how far charges may lower a balance below zero, in retries. It is a
+// quarter of the calls that one backend server makes to another service in the ten
+// seconds of the budget's window, at eight calls a second. A larger debt would hold
+// retries back for longer than the window.
+const maxDebt = 20
+
+// addCall adds a call that a backend server makes in the middle of a run. repeatShare
+// is the share of that server's runs that repeat a run elsewhere: by that share the call
+// is charged as a retry, and by the rest it counts as a request.
+func (b *retryBudget) addCall(repeatShare float64) {
+	b.add(1 - repeatShare)
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.tokens = max(b.tokens-repeats, -mostDebt)
+	b.tokens = max(b.tokens-repeatShare, -maxDebt)
 }
 
-// left is how many retries are saved up.
-func (b *budget) left() float64 {
+// balance returns the number of retries that are left; it may be negative.
+func (b *retryBudget) balance() float64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.tokens
 }
 
-// noteEmpty is true for the first retry that found the budget empty since one
-// was allowed.
-func (b *budget) noteEmpty(empty bool) bool {
+// setEmpty notes whether the budget was empty for the last retry. It returns true for
+// the first retry that found it empty since one was allowed.
+func (b *retryBudget) setEmpty(empty bool) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	first := empty && !b.empty
@@ -84,36 +92,39 @@
 	return first
 }
 
-// budgets holds the budget of each service.
-type budgets struct {
+// retryBudgets holds the retry budget of each service.
+type retryBudgets struct {
 	*common.Common
-	daemons func() int
-	mu      sync.Mutex
-	byName  map[string]*budget
+	daemons   func() int
+	mu        sync.Mutex
+	byService map[string]*retryBudget
 }
 
-func newBudgets(c *common.Common, daemons func() int) *budgets {
-	return &budgets{Common: c, daemons: daemons, byName: map[string]*budget{}}
+func newRetryBudgets(c *common.Common, daemons func() int) *retryBudgets {
+	return &retryBudgets{Common: c, daemons: daemons, byService: map[string]*retryBudget{}}
 }
 
-func (b *budgets) of(service string) *budget {
+// forService returns the budget of a service. The first call for a service makes the
+// budget and its metric.
+func (b *retryBudgets) forService(service string) *retryBudget {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	found := b.byName[service]
+	found := b.byService[service]
 	if found == nil {
 		s := b.Settings.Routing
-		found = &budget{ratio: s.RetryRatio, slack: float64(s.RetrySlack), daemons: b.daemons}
-		b.byName[service] = found
-		b.Metrics.GetOrCreateGauge(`rushramp_retry_budget{service="`+utils.Label(service)+`"}`, found.left)
+		found = &retryBudget{ratio: s.RetryRatio, slack: float64(s.RetrySlack), daemons: b.daemons}
+		b.byService[service] = found
+		b.Metrics.GetOrCreateGauge(`rushramp_retry_budget{service="`+utils.Label(service)+`"}`, found.balance)
 	}
 	return found
 }
 
-// take spends one retry of a service, and logs when the budget begins to be empty.
-func (b *budgets) take(service string) bool {
-	found := b.of(service)
+// take takes one retry of a service; false when its budget is empty. It logs an event
+// when the budget becomes empty.
+func (b *retryBudgets) take(service string) bool {
+	found := b.forService(service)
 	taken := found.take()
-	if found.noteEmpty(!taken) {
+	if found.setEmpty(!taken) {
 		b.Log.Event(events.RetryBudgetEmpty, events.F("service", service), events.F("daemons", b.daemons()))
 	}
 	return taken
--- a/pkg/forward/rollout_test.go
+++ b/pkg/forward/rollout_test.go
@@ -13,9 +13,10 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// rollingOut makes a forwarder to a backend server of the old version and to one of the
-// new one, under a plan in a phase that gives the new one a quarter of the requests.
-func rollingOut(phase rollout.Phase, old, target *fakeRunner) *Forwarder {
+// newForwarderUnderRollout returns a forwarder with one backend server of the old version
+// and one of the target version, under a roll-out in the given phase. The target version
+// gets a quarter of the requests while that is the canary phase.
+func newForwarderUnderRollout(phase rollout.Phase, old, target *fakeRunner) *Forwarder {
 	f := newForwarder(old, target)
 	for i, c := range f.view.Service("s").Match("GET", "/").LinkedCandidates {
 		c.Endpoint.VM = []string{"old", "new"}[i]
@@ -25,6 +26,7 @@
 	return f
 }
 
+// setPlan puts the plan of the roll-out into force, in the given phase.
 func setPlan(view *tables.View, phase rollout.Phase) {
 	book := rollout.NewBook()
 	book.Take(rollout.News{
@@ -37,76 +39,77 @@
 	view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.Traffic{"s": book.Traffic("s")}, Digest: book.Digest()})
 }
 
-// TestWhoGetsTheRequestsInEachPhase of 1000.
-func TestWhoGetsTheRequestsInEachPhase(t *testing.T) {
+// TestEachPhaseDividesTheRequests between the old and the target version.
+func TestEachPhaseDividesTheRequests(t *testing.T) {
 	const requests = 1000
-	for phase, targets := range map[rollout.Phase][2]int{
+	for phase, expected := range map[rollout.Phase][2]int{
 		rollout.Waiting: {0, 0}, rollout.Canary: {245, 255}, rollout.Switching: {requests, requests},
 		rollout.Completed: {requests, requests}, rollout.RolledBack: {0, 0},
 	} {
 		old, target := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: answers(200)}
-		f := rollingOut(phase, old, target)
+		f := newForwarderUnderRollout(phase, old, target)
 		for range requests {
-			must.NotNil(t, f.Forward(t.Context(), request("/read/1")).Answer)
+			must.NotNil(t, f.Forward(t.Context(), newRequest("/read/1")).Answer)
 		}
-		test.Between(t, targets[0], total(target), targets[1], test.Sprint(phase))
-		test.Eq(t, requests-total(target), total(old), test.Sprint(phase))
+		test.Between(t, expected[0], totalCalls(target), expected[1], test.Sprint(phase))
+		test.Eq(t, requests-totalCalls(target), totalCalls(old), test.Sprint(phase))
 	}
 }
 
-// TestNoRequestIsLostToATrial: what the new version's backend server refuses, fails or
-// is not there for goes to the old one, once more at most.
-func TestNoRequestIsLostToATrial(t *testing.T) {
+// TestTheOldVersionTakesOverFromTheCanary: a request that the canary refuses or fails is
+// sent once more, to the old version. All requests are answered while there is no canary.
+func TestTheOldVersionTakesOverFromTheCanary(t *testing.T) {
 	for name, target := range map[string]*fakeRunner{
 		"refused": {answer: refuses(errkind.VersionHeld, false)},
 		"full":    {answer: refuses(errkind.Overloaded, false)},
 		"failed":  {answer: answers(500)},
 	} {
 		old := &fakeRunner{answer: answers(200)}
-		f := rollingOut(rollout.Canary, old, target)
+		f := newForwarderUnderRollout(rollout.Canary, old, target)
 		const requests = 100
 		for range requests {
-			got := f.Forward(t.Context(), request("/read/1"))
+			got := f.Forward(t.Context(), newRequest("/read/1"))
 			must.NotNil(t, got.Answer, must.Sprint(name))
 			test.Eq(t, 200, got.Answer.Status, test.Sprint(name))
 		}
-		test.Between(t, 1, total(target), requests/4+2, test.Sprint(name))
-		test.Eq(t, requests, total(old), test.Sprint(name))
+		test.Between(t, 1, totalCalls(target), requests/4+2, test.Sprint(name))
+		test.Eq(t, requests, totalCalls(old), test.Sprint(name))
 	}
 	old := &fakeRunner{answer: answers(200)}
-	f := rollingOut(rollout.Canary, old, &fakeRunner{answer: answers(200)})
+	f := newForwarderUnderRollout(rollout.Canary, old, &fakeRunner{answer: answers(200)})
 	f.view.Service("s").Match("GET", "/").LinkedCandidates[1].Endpoint.SetVersion("v1")
 	for range 20 {
-		must.NotNil(t, f.Forward(t.Context(), request("/read/1")).Answer, must.Sprint("nobody is on trial"))
+		must.NotNil(t, f.Forward(t.Context(), newRequest("/read/1")).Answer, must.Sprint("there is no canary"))
 	}
 }
 
-// TestAPostThatFailedOnTrialIsNotSentAgain: it may have run.
-func TestAPostThatFailedOnTrialIsNotSentAgain(t *testing.T) {
+// TestAPostThatFailedAtTheCanaryIsNotSentAgain: it may have run.
+func TestAPostThatFailedAtTheCanaryIsNotSentAgain(t *testing.T) {
 	old, target := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: answers(500)}
-	f := rollingOut(rollout.Canary, old, target)
+	f := newForwarderUnderRollout(rollout.Canary, old, target)
 	const requests = 100
 	for range requests {
-		f.Forward(t.Context(), request("/post/1"))
+		f.Forward(t.Context(), newRequest("/post/1"))
 	}
-	test.Eq(t, requests, total(old)+total(target))
+	test.Eq(t, requests, totalCalls(old)+totalCalls(target))
 }
 
-// TestWhileSwitchingNothingGoesBack: the old backend server must become empty.
-func TestWhileSwitchingNothingGoesBack(t *testing.T) {
+// TestNoRequestGoesToTheOldVersionWhileSwitching: its backend server must run out of
+// requests.
+func TestNoRequestGoesToTheOldVersionWhileSwitching(t *testing.T) {
 	old, target := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: refuses(errkind.Overloaded, false)}
-	f := rollingOut(rollout.Switching, old, target)
+	f := newForwarderUnderRollout(rollout.Switching, old, target)
 	for range 20 {
-		got := f.Forward(t.Context(), request("/read/1"))
+		got := f.Forward(t.Context(), newRequest("/read/1"))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 	}
-	test.Eq(t, 0, total(old))
+	test.Eq(t, 0, totalCalls(old))
 }
 
-// TestARequestUnderWayFollowsAChange: between two of its attempts the plan begins to
-// move all requests.
-func TestARequestUnderWayFollowsAChange(t *testing.T) {
+// TestTheNextAttemptFollowsAChangeOfPhase: the roll-out begins to switch between two
+// attempts of a request.
+func TestTheNextAttemptFollowsAChangeOfPhase(t *testing.T) {
 	target := &fakeRunner{answer: answers(200)}
 	var f *Forwarder
 	old := &fakeRunner{}
@@ -114,15 +117,16 @@
 		setPlan(f.view, rollout.Switching)
 		return refuses(errkind.VersionHeld, false)(c)
 	}
-	f = rollingOut(rollout.Waiting, old, target)
-	must.NotNil(t, f.Forward(t.Context(), request("/post/1")).Answer)
-	test.Eq(t, 1, total(target))
+	f = newForwarderUnderRollout(rollout.Waiting, old, target)
+	must.NotNil(t, f.Forward(t.Context(), newRequest("/post/1")).Answer)
+	test.Eq(t, 1, totalCalls(target))
 }
 
-// TestEachPartOfARouteHasItsOwnRollOut: the other part's requests go where they went.
+// TestEachPartOfARouteHasItsOwnRollOut: the roll-out of one part's service does not change
+// where the requests of the other part go.
 func TestEachPartOfARouteHasItsOwnRollOut(t *testing.T) {
 	first, second := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: answers(200)}
-	f, view := newWeighted(first, second)
+	f, view := newDividedForwarder(first, second)
 	for _, service := range []string{"first", "second"} {
 		view.Service(service).Match("GET", "/").LinkedCandidates[0].Endpoint.SetVersion("v1")
 	}
@@ -132,43 +136,43 @@
 	const requests = 100
 	refused := 0
 	for range requests {
-		if f.Forward(t.Context(), request("/read/1")).Refusal != nil {
+		if f.Forward(t.Context(), newRequest("/read/1")).Refusal != nil {
 			refused++
 		}
 	}
-	test.Eq(t, 0, total(second))
-	test.Eq(t, requests-refused, total(first))
+	test.Eq(t, 0, totalCalls(second))
+	test.Eq(t, requests-refused, totalCalls(first))
 	test.Between(t, requests/10-2, refused, requests/10+2)
 }
 
-// TestACanaryKnownToBeFullIsPassedOver for the old version before anything is queued
-// there, and asked where the old version has nobody.
+// TestACanaryKnownToBeFullIsPassedOver: its requests go to the old version and do not
+// queue at the canary. They do queue there where the old version has no backend server.
 func TestACanaryKnownToBeFullIsPassedOver(t *testing.T) {
-	hard := 0
+	mayQueue := 0
 	old := &fakeRunner{answer: answers(200)}
 	target := &fakeRunner{answer: func(c *wire.Call) (call.Result, bool) {
 		if !c.Routed.Soft {
-			hard++
+			mayQueue++
 		}
 		return refuses(errkind.GateBusier, false)(c)
 	}}
-	full := func() *Forwarder {
-		f := rollingOut(rollout.Canary, old, target)
+	withFullCanary := func() *Forwarder {
+		f := newForwarderUnderRollout(rollout.Canary, old, target)
 		canary := f.view.Service("s").Match("GET", "/").LinkedCandidates[1]
 		canary.Load.ApplyStamp(f.Now(), wire.Stamp{Seq: 1, Limit: 8, Running: 8, Queued: 0, Slowdown: 100})
 		return f
 	}
-	f := full()
+	f := withFullCanary()
 	for range 100 {
-		f.Forward(t.Context(), request("/read/1"))
+		f.Forward(t.Context(), newRequest("/read/1"))
 	}
-	test.Eq(t, 0, hard)
-	test.Eq(t, 100, total(old))
+	test.Eq(t, 0, mayQueue)
+	test.Eq(t, 100, totalCalls(old))
 
-	f = full()
+	f = withFullCanary()
 	f.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetVersion("v2")
 	for range 100 {
-		f.Forward(t.Context(), request("/read/1"))
+		f.Forward(t.Context(), newRequest("/read/1"))
 	}
-	test.Positive(t, hard, test.Sprint("nobody else may run those of its lane"))
+	test.Positive(t, mayQueue, test.Sprint("no other backend server may run requests of the canary's lane"))
 }
--- a/pkg/forward/team.go
+++ b/pkg/forward/team.go
@@ -11,101 +11,107 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// TeamKeyHeader carries the key of a request's team, in its canonical spelling.
+// TeamKeyHeader is the header that carries the key of a request's team, in canonical
+// form.
 const TeamKeyHeader = "Authorization"
 
-// TeamKey is what an entry keeps of the key that came with a request.
+// TeamKey is the key that came with a request. An entry keeps only the digest of it.
 type TeamKey struct {
 	Digest teams.KeyDigest
-	// Given is false for a request that came without a key.
+	// Given is false for a request without a key.
 	Given bool
 }
 
-// identify finds the team of a request. A placement without teams lets all in, and a
-// request of an exempt route needs no key; one that it carries counts all the same.
-func (f *Forwarder) identify(to RouteMatch, req *Request) (*teams.Team, *errkind.Error) {
-	directory := to.placement.Teams
+// authenticate returns the team whose key a request carries, and removes the key from the
+// headers. The team is nil for a placement without teams, which lets all requests in, and
+// may be nil for a route that is exempt from keys. Any other request needs a key that a
+// team holds.
+func (f *Forwarder) authenticate(match RouteMatch, req *Request) (*teams.Team, *errkind.Error) {
+	directory := match.placement.Teams
 	if directory.Len() == 0 {
 		return nil, nil
 	}
-	// The key itself goes no further than here.
+	// The key must not reach the backend server.
 	req.Headers = slices.DeleteFunc(req.Headers, func(h wire.Header) bool { return h.Name == TeamKeyHeader })
-	team := holderOf(directory, req.TeamKey)
-	if team == nil && !to.route.KeyExempt {
-		return nil, errkind.New(errkind.KeyUnknown, "version %d has no team that holds the request's key", to.placement.Version)
+	team := teamOf(directory, req.TeamKey)
+	if team == nil && !match.route.KeyExempt {
+		return nil, errkind.New(errkind.KeyUnknown, "placement version %d has no team with the request's key", match.placement.Version)
 	}
-	if team != nil && f.keysAreOld() {
-		return nil, errkind.New(errkind.KeysUnsure, "the newest word on keys is %v old", f.keysAge())
+	if team != nil && f.keysAreOutdated() {
+		return nil, errkind.New(errkind.KeysUnsure, "the keys of teams were last confirmed %v ago", f.keysAge())
 	}
 	return team, nil
 }
 
-func holderOf(directory *teams.Directory, key TeamKey) *teams.Team {
+// teamOf returns the team that holds a key, or nil.
+func teamOf(directory *teams.Directory, key TeamKey) *teams.Team {
 	if !key.Given {
 		return nil
 	}
 	return directory.Holder(key.Digest)
 }
 
-// count takes a token of the request's team, where that has a limit.
-func (f *Forwarder) count(ctx context.Context, a *attempts) *call.Result {
+// takeToken takes a token of the rate limit of the request's team. It returns nil when it
+// has taken one or the team has no limit, and otherwise why the request may not run.
+func (f *Forwarder) takeToken(ctx context.Context, a *attempts) *call.Result {
 	if a.team == nil || !a.team.Limit.Limited() {
 		return nil
 	}
 	if f.Quota == nil {
-		out := call.Refused(errkind.LimitUnsure, "this daemon counts no requests of teams")
+		out := call.Refused(errkind.LimitUnsure, "this daemon cannot check the limits of teams")
 		return &out
 	}
-	// A request that has waited for half of its target had better be told.
+	// A request that has waited for half of its target is refused, not held longer.
 	verdict := f.Quota.Take(ctx, f.Now(), a.team.Name, a.target/2)
 	switch {
 	case verdict.Granted:
 		return nil
 	case ctx.Err() != nil:
-		out := call.Refused(errkind.CallerGone, "the caller left before its team's limit was known")
+		out := call.Refused(errkind.CallerGone, "the caller disconnected before its team's limit was checked")
 		return &out
 	case verdict.Unsure:
-		out := call.Refused(errkind.LimitUnsure, "nobody has told whether team %s is within its limit", a.team.Name)
+		out := call.Refused(errkind.LimitUnsure, "no daemon has answered whether team %s is within its limit", a.team.Name)
 		return &out
 	}
-	out := call.Refused(errkind.LimitUsed, "team %s has used its limit of %g a second", a.team.Name, a.team.Limit.Rate)
+	out := call.Refused(errkind.LimitUsed, "team %s has used its limit of %g requests per second", a.team.Name, a.team.Limit.Rate)
 	out.RetryAfter = verdict.RetryAfter
 	return &out
 }
 
-// giveBack returns the token of a request that was not run.
-func (f *Forwarder) giveBack(a *attempts, result *call.Result) {
+// returnToken returns the token that takeToken took, where the request did not run.
+func (f *Forwarder) returnToken(a *attempts, result *call.Result) {
 	if a.team != nil && a.team.Limit.Limited() && result.Refusal != nil && result.Refusal.Ran == errkind.RanNo {
 		f.Quota.ReturnToken(a.team.Name)
 	}
 }
 
-// revoked refuses a request whose key was taken away since it came, as long as no backend
-// server has had it.
-func (a *attempts) revoked() *call.Result {
-	newest := a.owner.view.Placement()
+// revokedKeyRefusal refuses a request whose key was revoked since the request came, as
+// long as no backend server has had the request; nil: the request may run.
+func (a *attempts) revokedKeyRefusal() *call.Result {
+	newest := a.forwarder.view.Placement()
 	if a.team == nil || a.offered > 0 || newest == nil || newest.Version == a.version {
 		return nil
 	}
-	if holderOf(newest.Teams, a.req.TeamKey) != nil || newest.Teams.Len() == 0 {
+	if teamOf(newest.Teams, a.req.TeamKey) != nil || newest.Teams.Len() == 0 {
 		return nil
 	}
-	out := call.Refused(errkind.KeyUnknown, "version %d has taken the request's key away", newest.Version)
+	out := call.Refused(errkind.KeyUnknown, "placement version %d has revoked the request's key", newest.Version)
 	return &out
 }
 
-// oldShare is the share of teams.revoke_within for which a daemon trusts its keys without
-// a newer proof: what is left is for a request on its way and clocks that differ in pace.
-const oldShare = 0.8
+// maxKeysAgeShare is the share of teams.revoke_within after which a daemon no longer
+// trusts keys that were not confirmed. The rest allows for the time that a request is on
+// its way, and for clocks that run at different speeds.
+const maxKeysAgeShare = 0.8
 
-// keysAreOld is true where a key might have been taken away without this daemon knowing,
-// for nearly as long as that may be.
-func (f *Forwarder) keysAreOld() bool {
+// keysAreOutdated reports whether the keys were confirmed so long ago that one of them
+// may have been revoked for nearly the time that teams.revoke_within allows.
+func (f *Forwarder) keysAreOutdated() bool {
 	within := f.Settings.Teams.RevokeWithin
-	return within > 0 && f.keysAge() > time.Duration(oldShare*float64(within))
+	return within > 0 && f.keysAge() > time.Duration(maxKeysAgeShare*float64(within))
 }
 
-// keysAge is how old the newest proof is that the keys are in force.
+// keysAge returns the time since the keys were last known to be in force.
 func (f *Forwarder) keysAge() time.Duration {
 	return time.Duration(f.Now() - f.view.PlacementProvenAt())
 }
--- a/pkg/forward/team_test.go
+++ b/pkg/forward/team_test.go
@@ -16,30 +16,33 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// ofTeams puts a version with teams in force: red without a limit, blue with one.
-func ofTeams(f *Forwarder, version uint64, red ...string) {
-	was := f.view.Placement().Document
-	doc := *was
+// setTeams puts a placement with two teams into force: red, which has the given keys and no
+// limit, and blue, which has the key "b" and a limit.
+func setTeams(f *Forwarder, version uint64, redKeys ...string) {
+	previous := f.view.Placement().Document
+	doc := *previous
 	doc.Version = version
 	doc.Teams = []teams.Team{
 		{Name: "red", Priority: 1},
 		{Name: "blue", Keys: []teams.KeyDigest{teams.DigestOf("b")}, Limit: teams.Limit{Rate: 10, Burst: 2}},
 	}
-	for _, key := range red {
+	for _, key := range redKeys {
 		doc.Teams[0].Keys = append(doc.Teams[0].Keys, teams.DigestOf(key))
 	}
 	f.view.SetPlacement(placement.Compile(&doc))
 }
 
-func requestOf(path, key string) *Request {
-	out := request(path)
+// newKeyedRequest returns a request that carries a team's key.
+func newKeyedRequest(path, key string) *Request {
+	out := newRequest(path)
 	out.Headers = []wire.Header{{Name: TeamKeyHeader, Value: "Bearer " + key}, {Name: "X-Own", Value: "v"}}
 	out.TeamKey = TeamKey{Digest: teams.DigestOf(key), Given: true}
 	return out
 }
 
-// alone makes the daemon the only one that counts, and returns what keeps it so.
-func alone(f *Forwarder) (tick func()) {
+// enforceLimits makes this daemon the only one that counts requests of teams. The test must call
+// tick from time to time for it to go on counting.
+func enforceLimits(f *Forwarder) (tick func()) {
 	f.Quota = quota.NewNode(quota.Options{VM: "vm", Slack: 2, Window: 5 * time.Second, Limit: f.view.TeamLimit})
 	var ranked [quota.Groups][]quota.Peer
 	for g := range ranked {
@@ -50,34 +53,34 @@
 	return tick
 }
 
-func TestARequestIsKnownByItsKey(t *testing.T) {
+func TestARequestsKeyNamesItsTeam(t *testing.T) {
 	r := &fakeRunner{answer: answers(200)}
 	f := newForwarder(r)
-	ofTeams(f, 4, "r")
-	got := f.Forward(t.Context(), requestOf("/read/1", "r"))
+	setTeams(f, 4, "r")
+	got := f.Forward(t.Context(), newKeyedRequest("/read/1", "r"))
 	must.NotNil(t, got.Answer)
 	sent := r.calls[0]
 	test.Eq(t, "red", sent.Routed.Team)
 	test.Eq(t, 1, sent.Routed.TeamPriority)
 	test.Eq(t, []wire.Header{{Name: "X-Own", Value: "v"}}, sent.Headers)
 	for _, key := range []string{"unknown", ""} {
-		got = f.Forward(t.Context(), requestOf("/read/1", key))
+		got = f.Forward(t.Context(), newKeyedRequest("/read/1", key))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.KeyUnknown, got.Refusal.Kind)
 	}
-	got = f.Forward(t.Context(), request("/read/1"))
+	got = f.Forward(t.Context(), newRequest("/read/1"))
 	test.Eq(t, errkind.KeyUnknown, got.Refusal.Kind)
-	test.Eq(t, 1, total(r))
+	test.Eq(t, 1, totalCalls(r))
 }
 
 func TestAnExemptRouteNeedsNoKey(t *testing.T) {
 	r := &fakeRunner{answer: answers(200)}
 	f := newForwarder(r)
 	f.view.Placement().Document.Routes[0].KeyExempt = true
-	ofTeams(f, 4, "r")
-	must.NotNil(t, f.Forward(t.Context(), request("/read/1")).Answer)
-	must.NotNil(t, f.Forward(t.Context(), requestOf("/read/1", "r")).Answer)
-	must.NotNil(t, f.Forward(t.Context(), requestOf("/read/1", "unknown")).Answer)
+	setTeams(f, 4, "r")
+	must.NotNil(t, f.Forward(t.Context(), newRequest("/read/1")).Answer)
+	must.NotNil(t, f.Forward(t.Context(), newKeyedRequest("/read/1", "r")).Answer)
+	must.NotNil(t, f.Forward(t.Context(), newKeyedRequest("/read/1", "unknown")).Answer)
 	test.Eq(t, "", r.calls[0].Routed.Team)
 	test.Eq(t, "red", r.calls[1].Routed.Team)
 	test.Eq(t, "", r.calls[2].Routed.Team)
@@ -88,82 +91,82 @@
 	}
 }
 
-// TestAKeyTakenAwayMeanwhileLetsNothingIn: also a request that has come before, and waits
-// for another backend server.
-func TestAKeyTakenAwayMeanwhileLetsNothingIn(t *testing.T) {
+// TestARequestWhoseKeyIsRevokedIsNotSentAgain: the key is revoked during an attempt that
+// reaches no backend server.
+func TestARequestWhoseKeyIsRevokedIsNotSentAgain(t *testing.T) {
 	r := &fakeRunner{}
 	f := newForwarder(r, r)
-	ofTeams(f, 4, "r")
+	setTeams(f, 4, "r")
 	r.answer = func(*wire.Call) (call.Result, bool) {
-		ofTeams(f, 5)
+		setTeams(f, 5)
 		return call.Refused(errkind.BackendAbsent, ""), false
 	}
-	got := f.Forward(t.Context(), requestOf("/read/1", "r"))
+	got := f.Forward(t.Context(), newKeyedRequest("/read/1", "r"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.KeyUnknown, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-	test.Eq(t, 1, total(r))
+	test.Eq(t, 1, totalCalls(r))
 }
 
-func TestALimitHoldsAndWhatDidNotRunIsGivenBack(t *testing.T) {
+func TestALimitHoldsAndRequestsThatDidNotRunDoNotCount(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := &fakeRunner{answer: answers(200)}
 		f := newForwarder(r)
-		ofTeams(f, 4)
-		tick := alone(f)
-		const earn = 300 * time.Millisecond
-		time.Sleep(earn)
-		// Three tokens were earned in that time.
+		setTeams(f, 4)
+		tick := enforceLimits(f)
+		const threeTokens = 300 * time.Millisecond
+		time.Sleep(threeTokens)
 		for range 3 {
-			must.NotNil(t, f.Forward(t.Context(), requestOf("/post/1", "b")).Answer)
+			must.NotNil(t, f.Forward(t.Context(), newKeyedRequest("/post/1", "b")).Answer)
 		}
-		got := f.Forward(t.Context(), requestOf("/post/1", "b"))
+		got := f.Forward(t.Context(), newKeyedRequest("/post/1", "b"))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.LimitUsed, got.Refusal.Kind)
 		test.Between(t, 0, got.RetryAfter, 100*time.Millisecond)
 		tick()
 		time.Sleep(got.RetryAfter)
-		must.NotNil(t, f.Forward(t.Context(), requestOf("/post/1", "b")).Answer)
+		must.NotNil(t, f.Forward(t.Context(), newKeyedRequest("/post/1", "b")).Answer)
 
 		tick()
 		time.Sleep(100 * time.Millisecond)
 		r.answer = refuses(errkind.BackendAbsent, false)
-		test.Eq(t, errkind.BackendAbsent, f.Forward(t.Context(), requestOf("/post/1", "b")).Refusal.Kind)
+		test.Eq(t, errkind.BackendAbsent, f.Forward(t.Context(), newKeyedRequest("/post/1", "b")).Refusal.Kind)
 		r.answer = answers(200)
-		got = f.Forward(t.Context(), requestOf("/post/1", "b"))
+		got = f.Forward(t.Context(), newKeyedRequest("/post/1", "b"))
 		must.NotNil(t, got.Answer, must.Sprint(got.Refusal))
 	})
 }
 
-// TestNobodyCountsMeansRefused: not run, after half of the target at most.
-func TestNobodyCountsMeansRefused(t *testing.T) {
+// TestARequestIsRefusedWhereNoDaemonChecksTheLimit: as not run, after half of its target.
+func TestARequestIsRefusedWhereNoDaemonChecksTheLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newForwarder(&fakeRunner{answer: answers(200)})
-		ofTeams(f, 4)
+		setTeams(f, 4)
 		f.Quota = quota.NewNode(quota.Options{VM: "vm", Limit: f.view.TeamLimit})
-		began := time.Now()
-		got := f.Forward(t.Context(), requestOf("/read/1", "b"))
+		startedAt := time.Now()
+		got := f.Forward(t.Context(), newKeyedRequest("/read/1", "b"))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.LimitUnsure, got.Refusal.Kind)
 		test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-		test.Eq(t, 200*time.Millisecond, time.Since(began))
+		test.Eq(t, 200*time.Millisecond, time.Since(startedAt))
 	})
 }
 
-// TestOldKeysLetNothingIn where a key that was taken away must let nothing in anywhere.
-func TestOldKeysLetNothingIn(t *testing.T) {
+// TestKeysThatWereNotConfirmedAreRefused once teams.revoke_within bounds the time in which
+// a revoked key must stop working.
+func TestKeysThatWereNotConfirmedAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newForwarder(&fakeRunner{answer: answers(200)})
-		ofTeams(f, 4, "r")
+		setTeams(f, 4, "r")
 		f.view.SetPlacementProvenAt(f.Now())
 		time.Sleep(4 * time.Second)
-		test.NotNil(t, f.Forward(t.Context(), requestOf("/read/1", "r")).Answer)
+		test.NotNil(t, f.Forward(t.Context(), newKeyedRequest("/read/1", "r")).Answer)
 		f.Settings.Teams.RevokeWithin = 5 * time.Second
 		time.Sleep(time.Millisecond)
-		got := f.Forward(t.Context(), requestOf("/read/1", "r"))
+		got := f.Forward(t.Context(), newKeyedRequest("/read/1", "r"))
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.KeysUnsure, got.Refusal.Kind)
 		f.view.SetPlacementProvenAt(f.Now())
-		test.NotNil(t, f.Forward(t.Context(), requestOf("/read/1", "r")).Answer)
+		test.NotNil(t, f.Forward(t.Context(), newKeyedRequest("/read/1", "r")).Answer)
 	})
 }
--- a/pkg/forward/weighted_test.go
+++ b/pkg/forward/weighted_test.go
@@ -17,10 +17,10 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// newWeighted makes a forwarder with a route of two parts, weights 9 and 1, each
-// with one backend server: the first part's in data centre "here", the second's in
-// "there".
-func newWeighted(first, second *fakeRunner) (*Forwarder, *tables.View) {
+// newDividedForwarder returns a forwarder with a route that is divided between two
+// services with the weights 9 and 1. Each service has one backend server: the first in data
+// centre "here", the second in "there".
+func newDividedForwarder(first, second *fakeRunner) (*Forwarder, *tables.View) {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
 	view := &tables.View{}
@@ -29,41 +29,40 @@
 		Parts: []routing.Part{{Service: "first", Weight: 9}, {Service: "second", Weight: 1}},
 	}}})
 	view.SetPlacement(compiled)
-	for service, at := range map[string]struct {
+	for service, server := range map[string]struct {
 		dataCentre string
 		runner     *fakeRunner
 	}{"first": {"here", first}, "second": {"there", second}} {
-		route := &tables.Endpoint{DataCentre: at.dataCentre, Load: tables.NewLoad(4)}
-		route.SetRunner(at.runner)
+		route := &tables.Endpoint{DataCentre: server.dataCentre, Load: tables.NewLoad(4)}
+		route.SetRunner(server.runner)
 		kind := &tables.KindView{Kind: compiled.Service(service).Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
 		view.SetService(service, tables.NewServiceView(compiled.Service(service), []*tables.KindView{kind}))
 	}
 	return NewForwarder(common.NewCommon(events.Discard(), &s), view, nil), view
 }
 
-// TestAPartThatIsShortOfRoomKeepsItsShare: what does not fit there, as its data
-// centre is evacuated or its backend server bears no more, is refused, not moved to
-// another part.
-func TestAPartThatIsShortOfRoomKeepsItsShare(t *testing.T) {
+// TestAPartKeepsItsShareWhenItCannotServeIt: where the part's data centre is evacuated or
+// its backend server is full, its requests are refused and do not go to the other part.
+func TestAPartKeepsItsShareWhenItCannotServeIt(t *testing.T) {
 	const requests = 1000
 	scenarios := []struct {
-		name    string
-		evacuee string
-		second  func() *fakeRunner
+		name      string
+		evacuated string
+		second    func() *fakeRunner
 	}{
 		{"its data centre is evacuated", "there", func() *fakeRunner { return &fakeRunner{answer: answers(200)} }},
-		{"its backend server bears no more", "", func() *fakeRunner { return &fakeRunner{answer: refuses(errkind.Overloaded, false)} }},
+		{"its backend server is full", "", func() *fakeRunner { return &fakeRunner{answer: refuses(errkind.Overloaded, false)} }},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			first, second := &fakeRunner{answer: answers(200)}, s.second()
-			f, view := newWeighted(first, second)
-			if s.evacuee != "" {
-				view.SetEvacuation(evacuation.Set{}.With(1, []evacuation.Change{{DataCentre: s.evacuee, Evacuated: true}}))
+			f, view := newDividedForwarder(first, second)
+			if s.evacuated != "" {
+				view.SetEvacuation(evacuation.Set{}.With(1, []evacuation.Change{{DataCentre: s.evacuated, Evacuated: true}}))
 			}
 			refused := 0
 			for range requests {
-				got := f.Forward(t.Context(), request("/read/1"))
+				got := f.Forward(t.Context(), newRequest("/read/1"))
 				if got.Refusal != nil {
 					must.Eq(t, errkind.RanNo, got.Refusal.Ran)
 					refused++
@@ -71,7 +70,7 @@
 			}
 			test.Between(t, requests/10-5, refused, requests/10+5)
 			test.Eq(t, requests-refused, len(first.calls))
-			if s.evacuee != "" {
+			if s.evacuated != "" {
 				test.Eq(t, 0, len(second.calls))
 			}
 		})
