--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -36,7 +36,8 @@
 	// Offered is true when a routed request reached a backend server, or may have
 	// reached one: it then counts towards the attempts that the route allows.
 	Offered bool
-	// Origin is where the requests of the route come from, as the executor believes.
+	// Origin is what the executor has inferred about where the requests of the route
+	// come from.
 	Origin wire.Origin
 	// RetryAfter is when a refused caller should retry; 0: after the default time of
 	// the error kind.
--- a/pkg/entry/attempts.go
+++ b/pkg/entry/attempts.go
@@ -92,7 +92,7 @@
 func (a *attempts) pickInLane(traffic *rollout.Traffic) choose.Pick {
 	a.choice.Excluded = a.excluded
 	for i := range a.choice.CandidateSet {
-		if route := a.choice.CandidateSet[i].Endpoint; traffic != nil && !traffic.Takes(a.lane, route.Version(), route.VM) {
+		if endpoint := a.choice.CandidateSet[i].Endpoint; traffic != nil && !traffic.Takes(a.lane, endpoint.Version(), endpoint.VM) {
 			a.choice.Excluded = a.choice.Excluded.With(i)
 		}
 	}
@@ -149,8 +149,8 @@
 }
 
 // sealUnanswered seals the key of a call that may have run, where the call claims its
-// key and the executor gave no result. It returns the result of the seal, and any other
-// result unchanged.
+// key and the executor gave no result, and returns the result of the seal. Any other
+// result it returns unchanged.
 func (a *attempts) sealUnanswered(result call.Result) call.Result {
 	if result.FromExecutor || result.Refusal == nil || result.Refusal.Ran == errkind.RanNo || !a.admitted.claimsKey() {
 		return result
@@ -161,7 +161,7 @@
 // attempt is one attempt that was sent and has not ended.
 type attempt struct {
 	candidate *tables.Candidate
-	// index is that of the candidate in attempts.choice.
+	// index is that of the candidate in attempts.choice.CandidateSet.
 	index int
 	// sentAt is in nanoseconds of the daemon's clock.
 	sentAt int64
--- a/pkg/entry/entry_test.go
+++ b/pkg/entry/entry_test.go
@@ -79,9 +79,9 @@
 	w := tables.NewWorld("vm", "here")
 	view := &tables.KindView{Kind: compiled.Service("s").Kinds[0]}
 	for i, runner := range servers {
-		route := &tables.Endpoint{VM: fmt.Sprint("server-", i), Load: tables.NewLoad(4)}
-		route.SetRunner(runner)
-		view.LinkedCandidates = append(view.LinkedCandidates, tables.Candidate{Endpoint: route, Load: route.Load})
+		endpoint := &tables.Endpoint{VM: fmt.Sprint("server-", i), Load: tables.NewLoad(4)}
+		endpoint.SetRunner(runner)
+		view.LinkedCandidates = append(view.LinkedCandidates, tables.Candidate{Endpoint: endpoint, Load: endpoint.Load})
 	}
 	w.View.SetPlacement(compiled)
 	w.View.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{view}))
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -46,7 +46,7 @@
 	// startedAt and deadline are in nanoseconds of the daemon's clock.
 	startedAt int64
 	deadline  int64
-	// target is the time from startedAt in which an answer has its full worth.
+	// target is the latency target of the route, counted from startedAt.
 	target time.Duration
 	// team is the one whose key the request carries; nil: it carries none.
 	team *teams.Team
@@ -117,7 +117,7 @@
 }
 
 // creditBudget adds the request to the retry budget of its service. A request on a route
-// that services call comes from the backend server beside this daemon. The run that makes
+// that services call comes from the backend server on this daemon's VM. The run that makes
 // it may itself repeat a run elsewhere, and for the called service the request is then a
 // retry, although this entry sends it for the first time.
 func (a *attempts) creditBudget() {
@@ -239,8 +239,8 @@
 	return nearer && queued.Cost < crossing.Cost && gate.RunTimeMargin*queued.ExpectedTime <= float64(within)
 }
 
-// usefulTime returns the time in which the request must end to be worth its run: the rest
-// of its target, or of its timeout on a route that services call.
+// usefulTime returns the time left until an answer is too late to be useful: the rest of
+// the target, or of the timeout on a route that services call.
 func (a *attempts) usefulTime() time.Duration {
 	if a.forwarder.calledRoutes.contains(a.route.Name) {
 		return a.timeLeft()
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -59,7 +59,7 @@
 // request without a route, which does not run at all.
 func (m RouteMatch) Repeatable() bool { return m.route != nil && m.route.Repeatable }
 
-// LocalRuns describes the runs at the backend server beside this daemon.
+// LocalRuns describes the runs at the backend server on this daemon's VM.
 type LocalRuns interface {
 	// RepeatShare returns the share, from 0 to 1, of the runs that repeat a run
 	// elsewhere.
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -85,8 +85,8 @@
 	view.SetPlacement(compiled)
 	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0]}
 	for range runners {
-		route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
-		kind.LinkedCandidates = append(kind.LinkedCandidates, tables.Candidate{Endpoint: route, Load: route.Load})
+		endpoint := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
+		kind.LinkedCandidates = append(kind.LinkedCandidates, tables.Candidate{Endpoint: endpoint, Load: endpoint.Load})
 	}
 	for i, r := range runners {
 		kind.LinkedCandidates[i].Endpoint.SetRunner(r)
--- a/pkg/forward/weighted_test.go
+++ b/pkg/forward/weighted_test.go
@@ -33,9 +33,9 @@
 		dataCentre string
 		runner     *fakeRunner
 	}{"first": {"here", first}, "second": {"there", second}} {
-		route := &tables.Endpoint{DataCentre: server.dataCentre, Load: tables.NewLoad(4)}
-		route.SetRunner(server.runner)
-		kind := &tables.KindView{Kind: compiled.Service(service).Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
+		endpoint := &tables.Endpoint{DataCentre: server.dataCentre, Load: tables.NewLoad(4)}
+		endpoint.SetRunner(server.runner)
+		kind := &tables.KindView{Kind: compiled.Service(service).Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: endpoint, Load: endpoint.Load}}}
 		view.SetService(service, tables.NewServiceView(compiled.Service(service), []*tables.KindView{kind}))
 	}
 	return NewForwarder(common.NewCommon(events.Discard(), &s), view, nil), view
