--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -56,9 +56,9 @@
 	return false
 }
 
-// await waits for the executor's result. It gives up answerGrace after the deadline, when
-// the caller disconnects, or when the executor's daemon is unresponsive and the request is
-// repeatable and can go elsewhere.
+// await waits for the executor's result. It stops waiting when answerGrace has passed after
+// the deadline, when the caller disconnects, or when the executor's daemon is unresponsive
+// and the request is repeatable and can go elsewhere.
 func (a *attempts) await(candidate *tables.Candidate, runner call.Runner, cancel func(), ends <-chan call.Result) call.Result {
 	timeout := time.NewTimer(a.timeLeft() + answerGrace)
 	defer timeout.Stop()
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -69,8 +69,8 @@
 	records []attemptRecord
 	// stopReason says why no further attempt was made, for the log.
 	stopReason string
-	// fallback is the result of an earlier attempt that ran and failed. The caller gets
-	// it where no later attempt has a backend server's answer.
+	// fallback is the result of an earlier attempt that failed and may have run. The
+	// caller gets it where the last attempt has no backend server's answer.
 	fallback *call.Result
 }
 
