--- a/pkg/forward/liveness_test.go
+++ b/pkg/forward/liveness_test.go
@@ -28,7 +28,7 @@
 	f.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetRunner(r)
 }
 
-func TestARepeatableRequestLeavesAUnresponsiveExecutor(t *testing.T) {
+func TestARepeatableRequestLeavesAnUnresponsiveExecutor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		startedAt := time.Now()
 		dead := &livenessRunner{fakeRunner: fakeRunner{answer: silent}, silence: func() time.Duration { return time.Since(startedAt) + time.Second }}
@@ -67,7 +67,7 @@
 	})
 }
 
-func TestAPostStaysWithAUnresponsiveExecutor(t *testing.T) {
+func TestAPostStaysWithAnUnresponsiveExecutor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		dead := &livenessRunner{fakeRunner: fakeRunner{answer: silent}, silence: func() time.Duration { return time.Hour }}
 		other := &fakeRunner{answer: answers(200)}
