--- a/pkg/routing/allowed.go
+++ b/pkg/routing/allowed.go
@@ -2,26 +2,26 @@
 
 import "slices"
 
-// NoDataCentre stands in a list of data centres that would else be empty: the rules
-// allow some, and none of them exists. No data centre has an empty name, so that
-// whoever compares names keeps the rule without knowing of it.
+// NoDataCentre is the only entry of a list of data centres if the rules name data centres
+// or regions but none of them exists. An empty list would allow all. No data centre has an
+// empty name, so code that compares names needs no special case.
 const NoDataCentre = ""
 
-// AllowsDataCentre is true when a list of data centres allows one of them.
+// AllowsDataCentre is true if the list allows the data centre. An empty list allows all.
 func AllowsDataCentre(list []string, dataCentre string) bool {
 	return len(list) == 0 || dataCentre != NoDataCentre && slices.Contains(list, dataCentre)
 }
 
-// AllowsLocation is true when the route's requests may be handled by a daemon that
-// knows its own data centre and region.
+// AllowsLocation is true if a daemon in this data centre and region may handle requests of
+// the route. An empty region is unknown: a route with regions does not allow it.
 func (r *Route) AllowsLocation(dataCentre, region string) bool {
 	inRegion := len(r.Regions) == 0 || region != "" && slices.Contains(r.Regions, region)
 	return inRegion && AllowsDataCentre(r.DataCentres, dataCentre)
 }
 
-// DataCentresInRegions translates regions into the data centres that belong to them, in
-// the order of their names; regionOf holds the region of each data centre. No
-// region: no rule. Regions without data centres: Nowhere.
+// DataCentresInRegions returns the names of the data centres in the regions, sorted.
+// regionOf maps each data centre to its region. Without regions the result is nil, which
+// allows all data centres; if the regions have no data centre, it is NoDataCentre alone.
 func DataCentresInRegions(regions []string, regionOf map[string]string) []string {
 	if len(regions) == 0 {
 		return nil
--- a/pkg/routing/table.go
+++ b/pkg/routing/table.go
@@ -7,9 +7,10 @@
 	"sync/atomic"
 )
 
-// Table is a set of routes made ready for the hot path. It never changes, but
-// for the turn counters of its routes.
+// Table is a set of routes prepared for fast lookups. It is immutable except for the
+// request counters of its routes.
 type Table struct {
+	// byHost holds the routes of each host, longest prefix first.
 	byHost   map[string][]*CompiledRoute
 	services map[string]Service
 	limits   Limits
@@ -19,12 +20,13 @@
 // CompiledRoute is one route of a Table.
 type CompiledRoute struct {
 	Route
-	total uint64
-	// turn counts the requests of this route; it spreads them over the parts.
-	turn atomic.Uint64
+	totalWeight uint64
+	// requests counts the route's requests from a random start; NextService derives the
+	// part from it.
+	requests atomic.Uint64
 }
 
-// Compile makes a table of routes and services.
+// Compile builds a table of routes and services.
 func Compile(routes []Route, services []Service, limits Limits) *Table {
 	out := &Table{
 		byHost:   make(map[string][]*CompiledRoute, len(routes)),
@@ -36,8 +38,8 @@
 		host := strings.ToLower(r.Host)
 		out.byHost[host] = append(out.byHost[host], compileRoute(r))
 	}
-	for _, ofHost := range out.byHost {
-		sort.SliceStable(ofHost, func(i, j int) bool { return len(ofHost[i].Prefix) > len(ofHost[j].Prefix) })
+	for _, hostRoutes := range out.byHost {
+		sort.SliceStable(hostRoutes, func(i, j int) bool { return len(hostRoutes[i].Prefix) > len(hostRoutes[j].Prefix) })
 	}
 	for _, s := range services {
 		out.services[s.Name] = s
@@ -48,33 +50,33 @@
 func compileRoute(r Route) *CompiledRoute {
 	out := &CompiledRoute{Route: r}
 	if len(r.Regions) > 0 && len(r.DataCentres) == 0 {
-		// Entries go by data centres: none would be no rule for them.
+		// Entries check only DataCentres, and an empty list would allow all.
 		out.DataCentres = []string{NoDataCentre}
 	}
 	out.Attempts = max(r.Attempts, 1)
 	for _, p := range r.Parts {
-		out.total += uint64(p.Weight)
+		out.totalWeight += uint64(p.Weight)
 	}
-	// Each daemon starts elsewhere in the sequence, so that many daemons with
-	// few requests each still keep the weights in sum.
-	out.turn.Store(rand.Uint64())
+	// Each daemon starts at a random point of the sequence, so that many daemons with
+	// few requests each still keep to the weights together.
+	out.requests.Store(rand.Uint64())
 	return out
 }
 
-// Len counts the routes.
+// Len returns the number of routes.
 func (t *Table) Len() int { return t.routes }
 
 // Limits returns the bounds on what callers may send.
 func (t *Table) Limits() Limits { return t.limits }
 
-// Service returns what is said of a service; ok is false when nothing is.
+// Service returns the settings of a service; ok is false if there are none.
 func (t *Table) Service(name string) (s Service, ok bool) {
 	s, ok = t.services[name]
 	return s, ok
 }
 
-// Match returns the route with the longest prefix that begins the path, or nil.
-// host may carry a port.
+// Match returns the route of the host with the longest prefix of the path, or nil.
+// host may include a port.
 func (t *Table) Match(host, path string) *CompiledRoute {
 	for _, r := range t.byHost[hostName(host)] {
 		if strings.HasPrefix(path, r.Prefix) {
@@ -84,31 +86,31 @@
 	return nil
 }
 
-// hostName is a Host header without its port, in lower case.
+// hostName returns a Host header without its port, in lower case.
 func hostName(host string) string {
-	if at := strings.LastIndexByte(host, ':'); at >= 0 && !strings.HasSuffix(host, "]") {
-		host = host[:at]
+	if colon := strings.LastIndexByte(host, ':'); colon >= 0 && !strings.HasSuffix(host, "]") {
+		host = host[:colon]
 	}
 	return strings.ToLower(host)
 }
 
-// golden is 2^64 divided by the golden ratio. Multiples of it fill the range of
-// 64 bits evenly, whatever their number (Weyl's sequence), so that each part
-// has its share of few requests already, which independent draws would miss.
-const golden = 0x9e3779b97f4a7c15
+// weylIncrement is 2^64 divided by the golden ratio. Its multiples modulo 2^64 are evenly
+// distributed for any number of terms (a Weyl sequence), so that a few requests already
+// match the weights. Independent random choices would need many.
+const weylIncrement = 0x9e3779b97f4a7c15
 
-// NextService picks the service of the next request by weight.
+// NextService returns the service for the next request, chosen by weight.
 func (c *CompiledRoute) NextService() string {
-	if len(c.Parts) == 1 || c.total == 0 {
+	if len(c.Parts) == 1 || c.totalWeight == 0 {
 		return c.Parts[0].Service
 	}
-	place := (c.turn.Add(1) * golden) >> 32
-	at := place * c.total >> 32
+	fraction := (c.requests.Add(1) * weylIncrement) >> 32
+	point := fraction * c.totalWeight >> 32
 	for _, p := range c.Parts {
-		if at < uint64(p.Weight) {
+		if point < uint64(p.Weight) {
 			return p.Service
 		}
-		at -= uint64(p.Weight)
+		point -= uint64(p.Weight)
 	}
 	return c.Parts[len(c.Parts)-1].Service
 }
--- a/pkg/routing/table_test.go
+++ b/pkg/routing/table_test.go
@@ -13,7 +13,7 @@
 	return Route{Name: name, Host: host, Prefix: prefix, Parts: parts, Timeout: time.Second}
 }
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchReturnsTheLongestPrefixOfTheHost(t *testing.T) {
 	table := Compile([]Route{
 		route("short", "a.example", "/x/", Part{"s", 1}),
 		route("long", "a.example", "/x/y/", Part{"s", 1}),
@@ -38,7 +38,8 @@
 	}
 }
 
-func TestPartsHaveTheirShareOfFewRequests(t *testing.T) {
+// TestNextServiceKeepsTheWeightsOverFewRequests: 100 requests already match the weights.
+func TestNextServiceKeepsTheWeightsOverFewRequests(t *testing.T) {
 	table := Compile([]Route{route("r", "h", "/", Part{"a", 90}, Part{"b", 10})}, nil, Limits{})
 	r := table.Match("h", "/")
 	counts := map[string]int{}
@@ -48,7 +49,7 @@
 	test.Between(t, 88, counts["a"], 92)
 }
 
-func TestAPartWithoutWeightGetsNothing(t *testing.T) {
+func TestPartWithZeroWeightGetsNoRequests(t *testing.T) {
 	table := Compile([]Route{route("r", "h", "/", Part{"a", 0}, Part{"b", 3})}, nil, Limits{})
 	for range 50 {
 		must.Eq(t, "b", table.Match("h", "/").NextService())
