--- a/pkg/crash/detector.go
+++ b/pkg/crash/detector.go
@@ -1,5 +1,5 @@
-// Package crash tells when the process of a backend server has ended under the requests
-// that it ran, and lets all daemons know which these were. Source:
+// Package crash detects that the process of a backend server has ended while it ran
+// requests, and reports these requests to the quarantine. Source:
 // docs/design/quarantine.md.
 package crash
 
@@ -21,136 +21,140 @@
 )
 
 const (
-	// othersBreakWithin is how long after the first one the connections of other runs
-	// may still seem whole when the process behind them has ended. On one VM the
-	// system closes them all at once; what takes time is to read that of each.
-	othersBreakWithin = 30 * time.Millisecond
-	othersBreakEvery  = 2 * time.Millisecond
-	// refusedWithin bounds the question whether somebody listens: on one VM the system
-	// says so at once, and where it does not, somebody is there who is too busy to accept.
-	refusedWithin = 50 * time.Millisecond
-	// mostLogged bounds the runs that the line of a crash names.
-	mostLogged = 16
+	// abortTimeout bounds the time in which all runs must be reported as aborted after a
+	// crash. On one VM the system closes all connections at once, but each reader notices
+	// it at its own time. abortPollInterval is the time between two checks.
+	abortTimeout      = 30 * time.Millisecond
+	abortPollInterval = 2 * time.Millisecond
+	// dialTimeout bounds the check whether the backend server listens. On one VM a refusal
+	// is immediate; without one, a process listens but is too busy to accept.
+	dialTimeout = 50 * time.Millisecond
+	// maxLoggedRuns is the maximum number of runs in the log line of a crash.
+	maxLoggedRuns = 16
 )
 
-// AbortedRun is a request that broke off at the backend server.
+// AbortedRun is a request whose connection to the backend server ended before the answer.
 type AbortedRun struct {
-	// ID is the request's own, for the log.
-	ID      string
+	// ID is the id of the request, for the log.
+	ID string
+	// Content is the fingerprint of the request's content.
 	Content quarantine.Fingerprint
 }
 
-// Deps is what a watch works with besides the shared dependencies.
+// Deps are the dependencies of a Detector besides the common ones.
 type Deps struct {
-	// Running counts the requests at the backend server, those that have just broken
-	// off among them.
+	// Running returns the number of requests at the backend server, including those
+	// that have just been aborted.
 	Running func() int
-	// Instance is the backend server's incarnation; leaving is true for one that has
-	// said that it leaves, so that its end is planned.
+	// Instance returns the id of the backend server's process. leaving is true if the
+	// process has announced that it will end, so that its end is planned.
 	Instance func() (instance string, leaving bool)
-	// OnCrash is told that the process of an incarnation has ended.
+	// OnCrash is called when a process has ended unexpectedly.
 	OnCrash func(instance string)
 }
 
-// Detector tells runs that broke off because the backend server's process ended from those
-// that it broke off itself: then new connections are refused, and no other run goes on.
-// A backend server that is full refuses connections, too, while others run. It is safe
-// for concurrent use.
+// Detector finds out whether a run was aborted because the backend server's process ended.
+// In that case the backend server refuses new connections and all of its runs are aborted.
+// A refusal alone is not enough: a backend server at its connection limit also refuses
+// connections, but its other runs go on. A Detector is safe for concurrent use.
 type Detector struct {
 	*common.Common
 	deps    Deps
 	crashes *metrics.Counter
 
 	mu sync.Mutex
-	// broken are the runs that the look under way is about; look is nil without one.
-	broken []AbortedRun
-	look   *look
+	// aborted holds the runs that the current check covers; current is nil if no check
+	// is in progress.
+	aborted []AbortedRun
+	current *check
 }
 
-// look is one look at whether the process has ended.
-type look struct {
+// check is one check whether the process has ended. ended is set before done is closed.
+type check struct {
 	done  chan struct{}
 	ended bool
 }
 
-// NewDetector makes the watch of the backend server in the settings.
+// NewDetector returns a Detector for the backend server in the settings.
 func NewDetector(c *common.Common, deps Deps) *Detector {
 	return &Detector{Common: c, deps: deps, crashes: c.Metrics.GetOrCreateCounter("rushramp_backend_crashes_total")}
 }
 
-// ReportAborted takes a run that broke off without an answer, and is true where the backend
-// server's process has ended. It waits for that to be known: less than a millisecond
-// while the process is there.
-func (w *Detector) ReportAborted(run AbortedRun) (ended bool) {
-	w.mu.Lock()
-	w.broken = append(w.broken, run)
-	if w.look == nil {
-		w.look = &look{done: make(chan struct{})}
-		go w.run(w.look)
+// ReportAborted reports an aborted run and returns whether the backend server's process has
+// ended. It waits for the check, at most about dialTimeout and abortTimeout together; a
+// process that accepts connections is recognised at once.
+func (d *Detector) ReportAborted(run AbortedRun) (ended bool) {
+	d.mu.Lock()
+	d.aborted = append(d.aborted, run)
+	if d.current == nil {
+		d.current = &check{done: make(chan struct{})}
+		go d.runCheck(d.current)
 	}
-	l := w.look
-	w.mu.Unlock()
-	<-l.done
-	return l.ended
+	c := d.current
+	d.mu.Unlock()
+	<-c.done
+	return c.ended
 }
 
-func (w *Detector) run(l *look) {
-	instance, leaving := w.deps.Instance()
-	l.ended = !leaving && w.refusesConnections() && w.allBreak()
-	w.mu.Lock()
-	runs := w.broken
-	w.broken, w.look = nil, nil
-	w.mu.Unlock()
-	if l.ended {
-		w.tell(instance, runs)
+func (d *Detector) runCheck(c *check) {
+	instance, leaving := d.deps.Instance()
+	c.ended = !leaving && d.refusesConnections() && d.allAborted()
+	d.mu.Lock()
+	runs := d.aborted
+	d.aborted, d.current = nil, nil
+	d.mu.Unlock()
+	if c.ended {
+		d.report(instance, runs)
 	}
-	close(l.done)
+	close(c.done)
 }
 
-// refusesConnections is true where nobody listens at the backend server's address.
-func (w *Detector) refusesConnections() bool {
-	c, err := netdial.New(refusedWithin, 0).DialContext(context.Background(), "tcp", w.Settings.BackendServer.Address)
+// refusesConnections is true if no process listens on the backend server's address.
+func (d *Detector) refusesConnections() bool {
+	c, err := netdial.New(dialTimeout, 0).DialContext(context.Background(), "tcp", d.Settings.BackendServer.Address)
 	if err == nil {
 		_ = c.Close()
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// allBreak waits for the other runs; false where one goes on.
-func (w *Detector) allBreak() bool {
-	for waited := time.Duration(0); waited < othersBreakWithin; waited += othersBreakEvery {
-		w.mu.Lock()
-		all := len(w.broken) >= w.deps.Running()
-		w.mu.Unlock()
+// allAborted waits until all runs are aborted. It returns false if one is still running
+// after abortTimeout.
+func (d *Detector) allAborted() bool {
+	for waited := time.Duration(0); waited < abortTimeout; waited += abortPollInterval {
+		d.mu.Lock()
+		all := len(d.aborted) >= d.deps.Running()
+		d.mu.Unlock()
 		if all {
 			return true
 		}
-		time.Sleep(othersBreakEvery)
+		time.Sleep(abortPollInterval)
 	}
 	return false
 }
 
-// tell lets all daemons know what ran, before the ends of the runs are told: their
-// entries may send them to other backend servers.
-func (w *Detector) tell(instance string, runs []AbortedRun) {
+// report records the crash and its runs. It is called before the callers of ReportAborted
+// continue, so that the quarantine knows of the crash before an entry sends a run to
+// another backend server.
+func (d *Detector) report(instance string, runs []AbortedRun) {
 	contents := make([]quarantine.Fingerprint, 0, len(runs))
 	for _, run := range runs {
 		contents = append(contents, run.Content)
 	}
-	w.crashes.Inc()
-	w.Quarantine.RecordCrash(w.Now(), rand.Uint64(), contents)
-	w.log(instance, runs)
-	w.deps.OnCrash(instance)
+	d.crashes.Inc()
+	d.Quarantine.RecordCrash(d.Now(), rand.Uint64(), contents)
+	d.log(instance, runs)
+	d.deps.OnCrash(instance)
 }
 
-// log names what ran when the process ended: the request that ended it is among them.
-func (w *Detector) log(instance string, runs []AbortedRun) {
-	if !w.Log.Wants(events.BackendEnded) {
+// log logs the runs at the time of the crash: the request that caused it is among them.
+func (d *Detector) log(instance string, runs []AbortedRun) {
+	if !d.Log.Wants(events.BackendEnded) {
 		return
 	}
-	parts := make([]string, 0, mostLogged)
-	for _, run := range runs[:min(len(runs), mostLogged)] {
+	parts := make([]string, 0, maxLoggedRuns)
+	for _, run := range runs[:min(len(runs), maxLoggedRuns)] {
 		parts = append(parts, run.ID+"="+run.Content.String())
 	}
-	w.Log.Event(events.BackendEnded, events.F("instance", instance), events.F("runs", len(runs)), events.F("contents", strings.Join(parts, " ")))
+	d.Log.Event(events.BackendEnded, events.F("instance", instance), events.F("runs", len(runs)), events.F("contents", strings.Join(parts, " ")))
 }
