--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,5 +1,6 @@
-// Package quarantine holds back requests that end the process of each backend server
-// that runs them. Source: docs/design/quarantine.md.
+// Package quarantine holds requests that crash the backend servers that run them: it
+// finds their contents among those that ran at the time of crashes, and refuses them for
+// some time. Source: docs/design/quarantine.md.
 package quarantine
 
 import (
@@ -9,41 +10,41 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Fingerprint stands for the content of a request: two requests with the same one ask
-// for the same work, whatever their ids and wherever they entered. It is no proof
-// against callers that search for a collision: what they could reach is that a request
-// of another caller is refused as not run.
+// Fingerprint is a hash of a request's content. Requests with the same fingerprint ask
+// for the same work, whatever their ids and entries. The hash is not cryptographic: with a
+// collision, a caller can cause another caller's request to be refused as not run.
 type Fingerprint uint64
 
-// String is the fingerprint as it stands in log lines and keys of the store.
+// String returns the fingerprint as 16 hexadecimal digits, as in the log and store keys.
 func (f Fingerprint) String() string { return fmt.Sprintf("%016x", uint64(f)) }
 
-// Content is what a backend server's work on a request hangs on.
+// Content holds the parts of a request that determine a backend server's work on it.
 type Content struct {
 	Method string
 	Host   string
-	// Target is the path with its query, as it was sent.
+	// Target is the path and query, as sent by the caller.
 	Target string
-	// Credentials is what the caller proves itself by; empty: nothing.
+	// Credentials identifies the caller, as in its authorisation headers; empty if there
+	// are none.
 	Credentials string
 	Body        []byte
 }
 
-// Fingerprint returns the content's fingerprint.
+// Fingerprint returns the fingerprint of the content.
 func (c *Content) Fingerprint() Fingerprint {
 	var digest xxhash.Digest
 	digest.Reset()
-	for _, text := range [...]string{c.Method, c.Host, c.Target, c.Credentials} {
-		writeLength(&digest, len(text))
-		_, _ = digest.WriteString(text)
+	for _, part := range [...]string{c.Method, c.Host, c.Target, c.Credentials} {
+		writeLength(&digest, len(part))
+		_, _ = digest.WriteString(part)
 	}
 	writeLength(&digest, len(c.Body))
 	_, _ = digest.Write(c.Body)
 	return Fingerprint(digest.Sum64())
 }
 
-// writeLength keeps two neighbouring parts from being taken for others with the same
-// bytes. A digest takes everything.
+// writeLength writes the length of the next part, so that the same bytes split differently
+// give another fingerprint. Writes to a digest do not fail.
 func writeLength(digest *xxhash.Digest, n int) {
 	var buf [8]byte
 	binary.LittleEndian.PutUint64(buf[:], uint64(n))
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -6,8 +6,8 @@
 	"github.com/shoenig/test"
 )
 
-// TestEachPartOfTheContentCounts and nothing else does.
-func TestEachPartOfTheContentCounts(t *testing.T) {
+// TestFingerprintDependsOnEachPart of the content, and is the same for equal contents.
+func TestFingerprintDependsOnEachPart(t *testing.T) {
 	base := Content{Method: "GET", Host: "h", Target: "/a?b", Credentials: "c", Body: []byte("d")}
 	seen := map[Fingerprint]string{base.Fingerprint(): "base"}
 	for name, change := range map[string]func(*Content){
@@ -16,16 +16,16 @@
 		"target": func(c *Content) { c.Target = "/a?c" },
 		"caller": func(c *Content) { c.Credentials = "" },
 		"body":   func(c *Content) { c.Body = nil },
-		// The same bytes in other places.
+		// The same bytes, split differently.
 		"border": func(c *Content) { c.Host, c.Target = "h/", "a?b" },
 	} {
 		other := base
 		change(&other)
-		before, twice := seen[other.Fingerprint()]
-		test.False(t, twice, test.Sprintf("%s and %s", name, before))
+		same, collides := seen[other.Fingerprint()]
+		test.False(t, collides, test.Sprintf("%s and %s have the same fingerprint", name, same))
 		seen[other.Fingerprint()] = name
 	}
-	again := base
-	test.Eq(t, base.Fingerprint(), again.Fingerprint())
+	equal := base
+	test.Eq(t, base.Fingerprint(), equal.Fingerprint())
 	test.Eq(t, "000000000000002a", Fingerprint(42).String())
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -11,216 +11,217 @@
 )
 
 const (
-	// crashesCertain is how many crashes with one content among the requests that ran
-	// hold it back. Two do where no other content ran in both: the others that ran
-	// beside it are mostly tried again elsewhere, and may be beside it once more.
-	crashesCertain = 3
-	crashesLeast   = 2
-	// holdFor is how long after its newest crash a content is held back. It then may run
-	// again, and one crash more holds it back anew: what ends a backend server is mostly
-	// mended by a new version, and ten minutes cost one backend server a few seconds
-	// six times an hour at the most.
-	holdFor = 10 * time.Minute
-	// CrashRetention is how long a crash counts. It is longer than holdFor, so that a
-	// content that is tried again is known.
+	// crashesToHold is the number of crashes during which a content ran after which it is
+	// held. crashesToHoldOnlyCommon are enough if no other content ran during all of them.
+	// Otherwise two are not enough: requests that ran together are usually retried
+	// elsewhere, and a harmless one may run beside the cause of the crash again.
+	crashesToHold           = 3
+	crashesToHoldOnlyCommon = 2
+	// holdDuration is how long a content is held after its newest crash. Then it may run
+	// again, because a new version of the backend server may have fixed the fault; one
+	// more crash holds it again. A content thus causes at most six crashes per hour.
+	holdDuration = 10 * time.Minute
+	// CrashRetention is how long a crash counts. It exceeds holdDuration, so that the
+	// earlier crashes still count when a content runs again after its hold.
 	CrashRetention = 30 * time.Minute
-	// mostCrashes bounds those that are remembered, and MostRequests the requests of
-	// one: with more of either the oldest, or the last, are left out. 21,000 VMs of
-	// which 24 fail a day have one in half an hour.
-	mostCrashes         = 256
+	// maxCrashes bounds the number of crashes kept; the oldest is dropped first.
+	// MaxRequestsPerCrash bounds the contents kept per crash; further ones are ignored.
+	maxCrashes          = 256
 	MaxRequestsPerCrash = 64
 )
 
-// Crash is an end of a backend server's process under requests, as daemons tell each
-// other of it.
+// Crash is the unexpected end of a backend server's process while it ran requests, as
+// daemons report it to each other.
 type Crash struct {
 	_ struct{} `cbor:",toarray"`
-	// ID tells crashes apart.
+	// ID is a random id.
 	ID uint64
-	// Requests are the contents that ran, each once.
+	// Requests holds the fingerprints of the contents that ran, each once.
 	Requests []Fingerprint
-	// AgeMS is how long ago it was, in milliseconds: clocks of VMs differ.
+	// AgeMS is the time since the crash in milliseconds. It is an age because the clocks
+	// of VMs differ.
 	AgeMS uint64
 }
 
-// Completion tells that a request ran to its end, and so did not end its backend server.
+// Completion reports that a request ran to completion, so that its content did not crash the
+// backend server.
 type Completion struct {
 	_       struct{} `cbor:",toarray"`
 	Request Fingerprint
-	// AgeMS is how long ago that was, in milliseconds.
+	// AgeMS is the time since the completion in milliseconds.
 	AgeMS uint64
 }
 
-// Update is what one daemon tells another.
+// Update is a set of crashes and completions that one daemon reports to another.
 type Update struct {
 	Crashes     []Crash
 	Completions []Completion
 }
 
-// Empty is true for news of nothing.
-func (n *Update) Empty() bool { return len(n.Crashes) == 0 && len(n.Completions) == 0 }
+// Empty is true if the update reports nothing.
+func (u *Update) Empty() bool { return len(u.Crashes) == 0 && len(u.Completions) == 0 }
 
-// Add appends other news.
-func (n *Update) Add(other Update) {
-	n.Crashes = append(n.Crashes, other.Crashes...)
-	n.Completions = append(n.Completions, other.Completions...)
+// Add appends another update.
+func (u *Update) Add(other Update) {
+	u.Crashes = append(u.Crashes, other.Crashes...)
+	u.Completions = append(u.Completions, other.Completions...)
 }
 
-// crash is a crash in the table.
+// crash is a crash in the table. at is its time on the daemon's clock.
 type crash struct {
 	at       int64
 	requests []Fingerprint
 }
 
-// suspect is a content that ran when a backend server's process ended.
+// suspect is a content that ran at the time of a crash.
 type suspect struct {
-	// crashes are the ids of those that count.
+	// crashes holds the ids of the crashes during which the content ran.
 	crashes []uint64
-	// completedAt is when such a request last ran to its end; crashes before do not
-	// count.
+	// completedAt is when a request with this content last ran to completion; earlier
+	// crashes do not count.
 	completedAt int64
 }
 
-// never stands in completedAt: what others tell of may be older than this process, whose
-// clock begins at 0.
-const never = math.MinInt64
+// neverCompleted is the value of completedAt before any completion. It is not 0, because
+// reported times can be negative: they may precede this process, whose clock starts at 0.
+const neverCompleted = math.MinInt64
 
-// Table remembers the crashes that daemons told of, and decides which contents are held
-// back. Times are nanoseconds of the daemon's steady clock, handed in. It is safe for
-// concurrent use.
+// Table keeps the crashes reported by daemons and decides which contents are held. Times
+// are nanoseconds of the daemon's clock, passed in by the caller. It is safe for concurrent
+// use.
 type Table struct {
-	// any is true while there are suspects, so that the way of a request costs one load
-	// while there are none.
+	// any is true while there are suspects. While there are none, a check of a
+	// request costs one atomic load.
 	any atomic.Bool
-	// version grows with each change.
+	// version increases with each change.
 	version atomic.Uint64
 
 	mu       sync.Mutex
 	crashes  map[uint64]*crash
 	suspects map[Fingerprint]*suspect
-	// own is what this daemon saw itself and has not told yet.
-	own Update
-	// changed is told, without the lock, when there is something to tell.
-	changed func()
+	// pending holds what this daemon observed itself and TakePending has not returned yet.
+	pending Update
+	// onUpdate is called without the lock when something was added to pending.
+	onUpdate func()
 }
 
-// NewTable makes an empty table.
+// NewTable returns an empty table.
 func NewTable() *Table {
-	return &Table{crashes: map[uint64]*crash{}, suspects: map[Fingerprint]*suspect{}, changed: func() {}}
+	return &Table{crashes: map[uint64]*crash{}, suspects: map[Fingerprint]*suspect{}, onUpdate: func() {}}
 }
 
-// OnUpdate sets who is told when this daemon has news of its own. It is called before the
-// table is used.
-func (t *Table) OnUpdate(changed func()) { t.changed = changed }
+// OnUpdate sets the function that is called when TakePending has something new to return.
+// It must be called before the table is used.
+func (t *Table) OnUpdate(callback func()) { t.onUpdate = callback }
 
-// AnySuspects is true while there are contents that ran when a process ended.
+// AnySuspects is true while there are contents that ran at the time of a crash.
 func (t *Table) AnySuspects() bool { return t.any.Load() }
 
-// Version grows with each change, so that who must look at something again can see
-// cheaply that there was none.
+// Version increases with each change of the table. Callers compare versions to detect
+// changes cheaply.
 func (t *Table) Version() uint64 { return t.version.Load() }
 
-// RecordCrash notes a crash of the backend server beside this daemon.
+// RecordCrash records a crash of this daemon's own backend server.
 func (t *Table) RecordCrash(now int64, id uint64, requests []Fingerprint) {
 	t.mu.Lock()
 	c := Crash{ID: id, Requests: requests}
 	if t.addCrash(now, &c) {
 		c.Requests = slices.Clone(t.crashes[id].requests)
-		t.own.Crashes = append(t.own.Crashes, c)
+		t.pending.Crashes = append(t.pending.Crashes, c)
 	}
 	t.mu.Unlock()
-	t.changed()
+	t.onUpdate()
 }
 
-// RecordCompletion notes that a request ran to its end at the backend server beside this
-// daemon.
+// RecordCompletion records that a request ran to completion at this daemon's own backend
+// server.
 func (t *Table) RecordCompletion(now int64, request Fingerprint) {
 	t.mu.Lock()
-	fresh := t.complete(request, now)
-	if fresh {
-		t.own.Completions = append(t.own.Completions, Completion{Request: request})
+	added := t.addCompletion(request, now)
+	if added {
+		t.pending.Completions = append(t.pending.Completions, Completion{Request: request})
 	}
 	t.mu.Unlock()
-	if fresh {
-		t.changed()
+	if added {
+		t.onUpdate()
 	}
 }
 
-// TakePending returns what this daemon saw since it was last asked.
+// TakePending returns what this daemon recorded itself since the last call.
 func (t *Table) TakePending() Update {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := t.own
-	t.own = Update{}
+	out := t.pending
+	t.pending = Update{}
 	return out
 }
 
-// Merge takes over what another daemon told, and returns what of it was new here.
-func (t *Table) Merge(now int64, told Update) (fresh Update) {
+// Merge adds what another daemon reported, and returns the part that was new here.
+func (t *Table) Merge(now int64, reported Update) (added Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for i := range told.Crashes {
-		if t.addCrash(now, &told.Crashes[i]) {
-			fresh.Crashes = append(fresh.Crashes, told.Crashes[i])
+	for i := range reported.Crashes {
+		if t.addCrash(now, &reported.Crashes[i]) {
+			added.Crashes = append(added.Crashes, reported.Crashes[i])
 		}
 	}
-	for _, c := range told.Completions {
-		if t.complete(c.Request, ago(now, c.AgeMS)) {
-			fresh.Completions = append(fresh.Completions, c)
+	for _, c := range reported.Completions {
+		if t.addCompletion(c.Request, timeOf(now, c.AgeMS)) {
+			added.Completions = append(added.Completions, c)
 		}
 	}
-	return fresh
+	return added
 }
 
-// Snapshot returns what the table holds, for a daemon that may know nothing.
+// Snapshot returns the whole table, for a daemon that may know none of it.
 func (t *Table) Snapshot(now int64) (out Update) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.forget(now)
+	t.dropExpired(now)
 	for id, c := range t.crashes {
-		out.Crashes = append(out.Crashes, Crash{ID: id, Requests: c.requests, AgeMS: age(now, c.at)})
+		out.Crashes = append(out.Crashes, Crash{ID: id, Requests: c.requests, AgeMS: millisecondsSince(now, c.at)})
 	}
 	for request, s := range t.suspects {
-		if s.completedAt != never {
-			out.Completions = append(out.Completions, Completion{Request: request, AgeMS: age(now, s.completedAt)})
+		if s.completedAt != neverCompleted {
+			out.Completions = append(out.Completions, Completion{Request: request, AgeMS: millisecondsSince(now, s.completedAt)})
 		}
 	}
 	return out
 }
 
-// Held tells whether a content is held back, and for how much longer.
-func (t *Table) Held(now int64, request Fingerprint) (left time.Duration, held bool) {
+// Held returns whether a content is held, and for how much longer.
+func (t *Table) Held(now int64, request Fingerprint) (remaining time.Duration, held bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.heldFor(now, request)
 }
 
-// Refusal is that of a request whose content is held back, with the time until it may
-// run again; nil: it may run. content is asked for only while there are suspects.
-func (t *Table) Refusal(now int64, content func() Fingerprint) (refusal *errkind.Error, left time.Duration) {
+// Refusal returns an error for a request whose content is held, with the time until it may
+// run again, or nil if it may run. content is called only while there are suspects.
+func (t *Table) Refusal(now int64, content func() Fingerprint) (refusal *errkind.Error, remaining time.Duration) {
 	if !t.any.Load() {
 		return nil, 0
 	}
 	request := content()
-	left, held := t.Held(now, request)
+	remaining, held := t.Held(now, request)
 	if !held {
 		return nil, 0
 	}
-	return errkind.New(errkind.RequestHeld, "requests of content %s end the backend servers that run them", request), left
+	return errkind.New(errkind.RequestHeld, "requests of content %s end the backend servers that run them", request), remaining
 }
 
-// RecordAnswer notes that a request has run to its end where its content is a suspect, with what
-// its answer said: one that failed tells nothing.
+// RecordAnswer records a completion from the HTTP status of a request's answer. A status of
+// minFailureStatus or more is ignored: it does not show that the content is harmless.
 func (t *Table) RecordAnswer(now int64, content func() Fingerprint, status int) {
-	if t.any.Load() && status < leastFailure {
+	if t.any.Load() && status < minFailureStatus {
 		t.RecordCompletion(now, content())
 	}
 }
 
-// leastFailure is the least status that says that the backend server failed.
-const leastFailure = 500
+// minFailureStatus is the lowest HTTP status of a server error.
+const minFailureStatus = 500
 
-// CountHeld is how many contents are held back.
+// CountHeld returns the number of contents that are held.
 func (t *Table) CountHeld(now int64) (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -232,25 +233,25 @@
 	return count
 }
 
-func (t *Table) heldFor(now int64, request Fingerprint) (left time.Duration, held bool) {
+func (t *Table) heldFor(now int64, request Fingerprint) (remaining time.Duration, held bool) {
 	s := t.suspects[request]
 	if s == nil {
 		return 0, false
 	}
-	counting := t.counting(now, s)
-	if len(counting) < crashesLeast || len(counting) < crashesCertain && !t.alone(request, counting) {
+	counted := t.countedCrashes(now, s)
+	if len(counted) < crashesToHoldOnlyCommon || len(counted) < crashesToHold && !t.isOnlyCommon(request, counted) {
 		return 0, false
 	}
-	newest := counting[0].at
-	for _, c := range counting {
+	newest := counted[0].at
+	for _, c := range counted {
 		newest = max(newest, c.at)
 	}
-	left = holdFor - time.Duration(now-newest)
-	return left, left > 0
+	remaining = holdDuration - time.Duration(now-newest)
+	return remaining, remaining > 0
 }
 
-// CrashesAgainst are the crashes that count against a content, for what lasts longer than
-// this process.
+// CrashesAgainst returns the crashes that count against a content, each with this content
+// alone, for storage beyond the life of this process.
 func (t *Table) CrashesAgainst(now int64, request Fingerprint) (out []Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -260,14 +261,14 @@
 	}
 	for _, id := range s.crashes {
 		if c := t.crashes[id]; c != nil && c.at > s.completedAt {
-			out = append(out, Crash{ID: id, Requests: []Fingerprint{request}, AgeMS: age(now, c.at)})
+			out = append(out, Crash{ID: id, Requests: []Fingerprint{request}, AgeMS: millisecondsSince(now, c.at)})
 		}
 	}
 	return out
 }
 
-// counting are the crashes that count against a suspect.
-func (t *Table) counting(now int64, s *suspect) (out []*crash) {
+// countedCrashes returns the crashes that count against a suspect.
+func (t *Table) countedCrashes(now int64, s *suspect) (out []*crash) {
 	for _, id := range s.crashes {
 		c := t.crashes[id]
 		if c != nil && c.at > s.completedAt && now-c.at <= int64(CrashRetention) {
@@ -277,18 +278,20 @@
 	return out
 }
 
-// alone is true where no other content ran in all the crashes, but for those that have
-// run to their end since.
-func (t *Table) alone(request Fingerprint, crashes []*crash) bool {
+// isOnlyCommon is true if no other content ran during all of the crashes. Contents that
+// have run to completion since a crash are disregarded.
+func (t *Table) isOnlyCommon(request Fingerprint, crashes []*crash) bool {
 	for _, other := range crashes[0].requests {
-		if other != request && t.inAll(other, crashes) {
+		if other != request && t.ranInAll(other, crashes) {
 			return false
 		}
 	}
 	return true
 }
 
-func (t *Table) inAll(request Fingerprint, crashes []*crash) bool {
+// ranInAll is true if a content ran during all of the crashes and has not run to completion
+// since.
+func (t *Table) ranInAll(request Fingerprint, crashes []*crash) bool {
 	s := t.suspects[request]
 	for _, c := range crashes {
 		if !slices.Contains(c.requests, request) || s != nil && s.completedAt >= c.at {
@@ -298,47 +301,48 @@
 	return true
 }
 
-// addCrash takes a crash over; false where nothing of it is new. The lock is held.
-func (t *Table) addCrash(now int64, told *Crash) bool {
-	at := ago(now, told.AgeMS)
-	if now-at > int64(CrashRetention) {
+// addCrash adds a reported crash. It returns false if nothing of it is new. The caller
+// holds the lock.
+func (t *Table) addCrash(now int64, reported *Crash) bool {
+	crashedAt := timeOf(now, reported.AgeMS)
+	if now-crashedAt > int64(CrashRetention) {
 		return false
 	}
-	c := t.crashes[told.ID]
+	c := t.crashes[reported.ID]
 	if c == nil {
-		t.forget(now)
-		t.makeRoom()
-		c = &crash{at: at}
-		t.crashes[told.ID] = c
+		t.dropExpired(now)
+		t.evictOldest()
+		c = &crash{at: crashedAt}
+		t.crashes[reported.ID] = c
 	}
-	fresh := false
-	for _, request := range told.Requests {
+	added := false
+	for _, request := range reported.Requests {
 		if len(c.requests) >= MaxRequestsPerCrash || slices.Contains(c.requests, request) {
 			continue
 		}
 		c.requests = append(c.requests, request)
-		t.suspectOf(request).crashes = append(t.suspectOf(request).crashes, told.ID)
-		fresh = true
+		t.suspectOf(request).crashes = append(t.suspectOf(request).crashes, reported.ID)
+		added = true
 	}
-	if fresh {
+	if added {
 		t.version.Add(1)
 	}
-	return fresh
+	return added
 }
 
 func (t *Table) suspectOf(request Fingerprint) *suspect {
 	s := t.suspects[request]
 	if s == nil {
-		s = &suspect{completedAt: never}
+		s = &suspect{completedAt: neverCompleted}
 		t.suspects[request] = s
 		t.any.Store(true)
 	}
 	return s
 }
 
-// complete notes that a request ran to its end; false where that changes nothing. The
-// lock is held.
-func (t *Table) complete(request Fingerprint, at int64) bool {
+// addCompletion records a completion. It returns false if the completion clears no crash.
+// The caller holds the lock.
+func (t *Table) addCompletion(request Fingerprint, at int64) bool {
 	s := t.suspects[request]
 	if s == nil || at <= s.completedAt {
 		return false
@@ -353,8 +357,8 @@
 	return false
 }
 
-// forget drops what is too old. The lock is held.
-func (t *Table) forget(now int64) {
+// dropExpired drops crashes older than CrashRetention. The caller holds the lock.
+func (t *Table) dropExpired(now int64) {
 	for id, c := range t.crashes {
 		if now-c.at > int64(CrashRetention) {
 			t.drop(id)
@@ -362,9 +366,9 @@
 	}
 }
 
-// makeRoom drops the oldest crash where there is no room for one more. The lock is held.
-func (t *Table) makeRoom() {
-	if len(t.crashes) < mostCrashes {
+// evictOldest drops the oldest crash if the table is full. The caller holds the lock.
+func (t *Table) evictOldest() {
+	if len(t.crashes) < maxCrashes {
 		return
 	}
 	oldest, oldestAt := uint64(0), int64(math.MaxInt64)
@@ -376,6 +380,7 @@
 	t.drop(oldest)
 }
 
+// drop removes a crash, and the suspects that have no other. The caller holds the lock.
 func (t *Table) drop(id uint64) {
 	for _, request := range t.crashes[id].requests {
 		s := t.suspects[request]
@@ -388,9 +393,12 @@
 	t.any.Store(len(t.suspects) > 0)
 }
 
-// ago is when something was that is so old; what is far too old stays so.
-func ago(now int64, ageMS uint64) int64 {
+// timeOf returns the time of an event of this age. The age is capped at twice
+// CrashRetention, which is still expired, to avoid an overflow.
+func timeOf(now int64, ageMS uint64) int64 {
 	return now - int64(min(ageMS, uint64(2*CrashRetention/time.Millisecond)))*int64(time.Millisecond)
 }
 
-func age(now, at int64) uint64 { return uint64(max(now-at, 0) / int64(time.Millisecond)) }
+func millisecondsSince(now, at int64) uint64 {
+	return uint64(max(now-at, 0) / int64(time.Millisecond))
+}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -12,137 +12,139 @@
 
 const second = int64(time.Second)
 
-func holds(t *Table, now int64, request Fingerprint) bool {
+func isHeld(t *Table, now int64, request Fingerprint) bool {
 	_, held := t.Held(now, request)
 	return held
 }
 
-// TestTwoCrashesHoldTheOneContentThatRanInBoth and three hold each that ran in all.
-func TestTwoCrashesHoldTheOneContentThatRanInBoth(t *testing.T) {
+// TestContentIsHeldAfterTwoOrThreeCrashes: two are enough for the only content that ran in
+// both, three for each content that ran in all.
+func TestContentIsHeldAfterTwoOrThreeCrashes(t *testing.T) {
 	table := NewTable()
 	test.False(t, table.AnySuspects())
 	table.RecordCrash(second, 1, []Fingerprint{10, 11, 12})
 	test.True(t, table.AnySuspects())
-	test.False(t, holds(table, second, 10), test.Sprint("one crash tells nothing"))
+	test.False(t, isHeld(table, second, 10), test.Sprint("one crash is not enough"))
 	table.RecordCrash(2*second, 2, []Fingerprint{10, 13})
-	test.True(t, holds(table, 2*second, 10))
-	test.False(t, holds(table, 2*second, 13))
+	test.True(t, isHeld(table, 2*second, 10))
+	test.False(t, isHeld(table, 2*second, 13))
 
 	table.RecordCrash(3*second, 3, []Fingerprint{20, 21})
 	table.RecordCrash(4*second, 4, []Fingerprint{20, 21, 22})
-	test.False(t, holds(table, 4*second, 20), test.Sprint("either of two"))
+	test.False(t, isHeld(table, 4*second, 20), test.Sprint("two contents ran in both crashes"))
 	table.RecordCrash(5*second, 5, []Fingerprint{20, 22})
-	test.True(t, holds(table, 5*second, 20))
-	test.False(t, holds(table, 5*second, 21))
+	test.True(t, isHeld(table, 5*second, 20))
+	test.False(t, isHeld(table, 5*second, 21))
 }
 
-// TestARunToItsEndFreesAContent: it only ran beside one that ends backend servers.
-func TestARunToItsEndFreesAContent(t *testing.T) {
+// TestCompletionReleasesAContent: a content that runs to completion did not cause the
+// crashes before it.
+func TestCompletionReleasesAContent(t *testing.T) {
 	table := NewTable()
 	table.RecordCrash(second, 1, []Fingerprint{10, 11})
 	table.RecordCrash(2*second, 2, []Fingerprint{10, 11})
-	test.False(t, holds(table, 2*second, 10))
+	test.False(t, isHeld(table, 2*second, 10))
 	table.RecordCompletion(3*second, 11)
-	test.True(t, holds(table, 3*second, 10), test.Sprint("it is alone now"))
+	test.True(t, isHeld(table, 3*second, 10), test.Sprint("no other suspect ran in both crashes"))
 	table.RecordCompletion(4*second, 10)
-	test.False(t, holds(table, 4*second, 10))
+	test.False(t, isHeld(table, 4*second, 10))
 	test.Len(t, 0, table.CrashesAgainst(4*second, 10))
-	// What comes late does not count either.
+	// Crashes that are reported later but are older than the completion do not count.
 	table.Merge(5*second, Update{Crashes: []Crash{{ID: 3, Requests: []Fingerprint{10}, AgeMS: 2000}, {ID: 4, Requests: []Fingerprint{10}, AgeMS: 1500}}})
-	test.False(t, holds(table, 5*second, 10))
+	test.False(t, isHeld(table, 5*second, 10))
 	table.RecordCrash(6*second, 5, []Fingerprint{10})
 	table.RecordCrash(7*second, 6, []Fingerprint{10})
-	test.True(t, holds(table, 7*second, 10))
+	test.True(t, isHeld(table, 7*second, 10))
 }
 
-// TestOneCrashMoreHoldsAContentAnew once its time was over.
-func TestOneCrashMoreHoldsAContentAnew(t *testing.T) {
+// TestOneMoreCrashHoldsAContentAgain after the end of its hold.
+func TestOneMoreCrashHoldsAContentAgain(t *testing.T) {
 	table := NewTable()
 	table.RecordCrash(second, 1, []Fingerprint{10})
 	table.RecordCrash(2*second, 2, []Fingerprint{10})
-	left, held := table.Held(3*second, 10)
+	remaining, held := table.Held(3*second, 10)
 	must.True(t, held)
-	test.Eq(t, holdFor-time.Second, left)
-	later := 2*second + int64(holdFor)
-	test.False(t, holds(table, later, 10))
+	test.Eq(t, holdDuration-time.Second, remaining)
+	later := 2*second + int64(holdDuration)
+	test.False(t, isHeld(table, later, 10))
 	table.RecordCrash(later, 3, []Fingerprint{10})
-	test.True(t, holds(table, later, 10))
+	test.True(t, isHeld(table, later, 10))
 
-	forgotten := later + int64(CrashRetention) + 1
-	test.Len(t, 0, table.Snapshot(forgotten).Crashes)
+	expired := later + int64(CrashRetention) + 1
+	test.Len(t, 0, table.Snapshot(expired).Crashes)
 	test.False(t, table.AnySuspects())
 }
 
-// TestWhatIsOlderThanTheProcessCounts: a daemon that was just started hears of it.
-func TestWhatIsOlderThanTheProcessCounts(t *testing.T) {
+// TestCrashesBeforeTheStartCount: a newly started daemon learns of them from others.
+func TestCrashesBeforeTheStartCount(t *testing.T) {
 	table := NewTable()
-	fresh := table.Merge(1, Update{Crashes: []Crash{{ID: 1, Requests: []Fingerprint{10}, AgeMS: 60_000}, {ID: 2, Requests: []Fingerprint{10}, AgeMS: 30_000}}})
-	test.Len(t, 2, fresh.Crashes)
-	left, held := table.Held(1, 10)
+	added := table.Merge(1, Update{Crashes: []Crash{{ID: 1, Requests: []Fingerprint{10}, AgeMS: 60_000}, {ID: 2, Requests: []Fingerprint{10}, AgeMS: 30_000}}})
+	test.Len(t, 2, added.Crashes)
+	remaining, held := table.Held(1, 10)
 	must.True(t, held)
-	test.Eq(t, holdFor-30*time.Second, left)
-	test.False(t, func() bool { n := table.TakePending(); return !n.Empty() }(), test.Sprint("what others told is not told as own"))
+	test.Eq(t, holdDuration-30*time.Second, remaining)
+	test.False(t, func() bool { n := table.TakePending(); return !n.Empty() }(), test.Sprint("reports of other daemons are not pending"))
 }
 
-// TestTablesThatHeardTheSameAgree, in whatever order and how often they did.
-func TestTablesThatHeardTheSameAgree(t *testing.T) {
+// TestTablesWithTheSameUpdatesAgree, in whatever order and however often they got them.
+func TestTablesWithTheSameUpdatesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = 100 * second
-		var told []Update
+		var updates []Update
 		for id := range rapid.IntRange(1, 8).Draw(t, "crashes") {
 			requests := rapid.SliceOfNDistinct(rapid.Uint64Range(1, 4), 1, 3, rapid.ID).Draw(t, "requests")
 			c := Crash{ID: uint64(id), AgeMS: rapid.Uint64Range(0, 50_000).Draw(t, "age")}
 			for _, r := range requests {
 				c.Requests = append(c.Requests, Fingerprint(r))
 			}
-			told = append(told, Update{Crashes: []Crash{c}})
+			updates = append(updates, Update{Crashes: []Crash{c}})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "completions") {
-			told = append(told, Update{Completions: []Completion{{Request: Fingerprint(rapid.Uint64Range(1, 4).Draw(t, "request")), AgeMS: rapid.Uint64Range(0, 50_000).Draw(t, "age")}}})
+			updates = append(updates, Update{Completions: []Completion{{Request: Fingerprint(rapid.Uint64Range(1, 4).Draw(t, "request")), AgeMS: rapid.Uint64Range(0, 50_000).Draw(t, "age")}}})
 		}
-		// A completion tells nothing to one that has not heard of a crash; it is told
-		// with all else over the next link.
-		first, second := NewTable(), NewTable()
-		for _, n := range told {
-			first.Merge(now, n)
+		// A table ignores a completion without a crash before it. It gets the completion
+		// again with the snapshot on the next link.
+		first, other := NewTable(), NewTable()
+		for _, u := range updates {
+			first.Merge(now, u)
 		}
-		for _, n := range rapid.Permutation(told).Draw(t, "order") {
-			second.Merge(now, n)
-			second.Merge(now, n)
+		for _, u := range rapid.Permutation(updates).Draw(t, "order") {
+			other.Merge(now, u)
+			other.Merge(now, u)
 		}
-		first.Merge(now, second.Snapshot(now))
-		second.Merge(now, first.Snapshot(now))
+		first.Merge(now, other.Snapshot(now))
+		other.Merge(now, first.Snapshot(now))
 		for r := Fingerprint(1); r <= 4; r++ {
-			if holds(first, now, r) != holds(second, now, r) {
-				t.Fatalf("content %s: %v and %v", r, holds(first, now, r), holds(second, now, r))
+			if isHeld(first, now, r) != isHeld(other, now, r) {
+				t.Fatalf("content %s is held: %v and %v", r, isHeld(first, now, r), isHeld(other, now, r))
 			}
 		}
-		if fresh := second.Merge(now, first.Snapshot(now)); !fresh.Empty() {
-			t.Fatalf("still news: %v", fresh)
+		if added := other.Merge(now, first.Snapshot(now)); !added.Empty() {
+			t.Fatalf("the tables still differ by %v", added)
 		}
 	})
 }
 
-// TestTheTableStaysBounded, with the newest crashes kept.
-func TestTheTableStaysBounded(t *testing.T) {
+// TestTableSizeIsBounded: the newest crashes are kept.
+func TestTableSizeIsBounded(t *testing.T) {
 	table := NewTable()
-	many := make([]Fingerprint, 2*MaxRequestsPerCrash)
-	for n := range 3 * mostCrashes {
-		for i := range many {
-			many[i] = Fingerprint(n*len(many) + i)
+	requests := make([]Fingerprint, 2*MaxRequestsPerCrash)
+	for n := range 3 * maxCrashes {
+		for i := range requests {
+			requests[i] = Fingerprint(n*len(requests) + i)
 		}
-		table.RecordCrash(int64(n+1)*int64(time.Millisecond), uint64(n+1), many)
+		table.RecordCrash(int64(n+1)*int64(time.Millisecond), uint64(n+1), requests)
 		_ = table.TakePending()
 	}
 	all := table.Snapshot(second)
-	test.Len(t, mostCrashes, all.Crashes)
-	test.MapLen(t, mostCrashes*MaxRequestsPerCrash, table.suspects)
+	test.Len(t, maxCrashes, all.Crashes)
+	test.MapLen(t, maxCrashes*MaxRequestsPerCrash, table.suspects)
 	for _, c := range all.Crashes {
-		test.Greater(t, 2*mostCrashes, int(c.ID), test.Sprint(fmt.Sprint("crash ", c.ID)))
+		test.Greater(t, 2*maxCrashes, int(c.ID), test.Sprint(fmt.Sprint("crash ", c.ID)))
 	}
 }
 
-func BenchmarkHeldAmongMany(b *testing.B) {
+func BenchmarkHeld(b *testing.B) {
 	table := NewTable()
 	for n := range uint64(100) {
 		table.RecordCrash(second, n+1, []Fingerprint{Fingerprint(n), Fingerprint(n + 1000), Fingerprint(n + 2000)})
