--- a/pkg/placement/store.go
+++ b/pkg/placement/store.go
@@ -40,7 +40,7 @@
 }
 
 // ConflictError is returned for a change that is based on a version that is no longer in
-// force.
+// force. InForce is the head of the version that is.
 type ConflictError struct{ InForce Head }
 
 // Error implements error.
--- a/pkg/quarantine/fingerprint_test.go
+++ b/pkg/quarantine/fingerprint_test.go
@@ -6,7 +6,8 @@
 	"github.com/shoenig/test"
 )
 
-// TestFingerprintDependsOnEachPart of the content, and is the same for equal contents.
+// TestFingerprintDependsOnEachPart: equal contents have the same fingerprint, and a change
+// of any part gives another.
 func TestFingerprintDependsOnEachPart(t *testing.T) {
 	base := Content{Method: "GET", Host: "h", Target: "/a?b", Credentials: "c", Body: []byte("d")}
 	seen := map[Fingerprint]string{base.Fingerprint(): "base"}
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -57,7 +57,7 @@
 	test.True(t, isHeld(table, 7*second, 10))
 }
 
-// TestOneMoreCrashHoldsAContentAgain after the end of its hold.
+// TestOneMoreCrashHoldsAContentAgain: the crashes before its first hold still count.
 func TestOneMoreCrashHoldsAContentAgain(t *testing.T) {
 	table := NewTable()
 	table.RecordCrash(second, 1, []Fingerprint{10})
@@ -86,7 +86,7 @@
 	test.False(t, func() bool { n := table.TakePending(); return !n.Empty() }(), test.Sprint("reports of other daemons are not pending"))
 }
 
-// TestTablesWithTheSameUpdatesAgree, in whatever order and however often they got them.
+// TestTablesWithTheSameUpdatesAgree: the order of updates and repeated ones do not matter.
 func TestTablesWithTheSameUpdatesAgree(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const now = 100 * second
--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -32,8 +32,8 @@
 // Verdict is the result of a request for a token.
 type Verdict struct {
 	Granted bool
-	// Unsure is true if no counter answered in time, so that it is unknown whether the
-	// team is within its limit.
+	// Unsure is true if no counter answered before the wait ended, so that it is unknown
+	// whether the team is within its limit.
 	Unsure bool
 	// RetryAfter is the time after which the caller should try again, if the team is over
 	// its limit.
@@ -59,8 +59,8 @@
 }
 
 // prefetch returns how many tokens to request beyond those needed now: half of the
-// team's requests per askInterval. A busy team then rarely waits for a round trip, and
-// few tokens stay unused.
+// team's requests in the busier of the current and the previous askInterval. A busy team
+// then rarely waits for a round trip, and few tokens stay unused.
 func (a *account) prefetch() uint32 { return uint32(max(a.recent, a.previous) / 2) }
 
 // applyGrant adds granted tokens and answers waiting requests. fromCurrent is true if
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -15,7 +15,8 @@
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
-// The platform's settings, as in the users' deployments.
+// The platform's settings, as in the users' deployments. A team may exceed its limit by the
+// fraction overshoot and by slack requests.
 const (
 	windowSeconds = 5
 	overshoot     = 0.1
@@ -31,6 +32,7 @@
 
 // frame is an Ask or a Grant in flight.
 type frame struct {
+	// at is the earliest time of delivery.
 	at       int64
 	from, to int
 	// generation is that of the receiver when the frame was sent: a link connects two
@@ -43,8 +45,9 @@
 
 // daemonModel is a simulated daemon with its own clock.
 type daemonModel struct {
-	node       *Node
-	vm         string
+	node *Node
+	vm   string
+	// generation is the number of processes that were killed before the present one.
 	generation int
 	// startedAt, restartAt and frozenUntil are times of the world. restartAt is when the
 	// killed process starts again; 0: it is running.
--- a/pkg/quota/node.go
+++ b/pkg/quota/node.go
@@ -26,8 +26,8 @@
 
 // Peer is a daemon that can be a counter.
 type Peer struct {
-	// Process identifies the process among those of its VM and of others. Link identifies
-	// the link to it: messages in flight are lost when a link ends.
+	// Process identifies the daemon's process: a restarted daemon has a new one. Link
+	// identifies the link to it: messages in flight are lost when a link ends.
 	Process string
 	Link    any
 	// Send sends an Ask to the peer; nil for this daemon itself.
@@ -100,9 +100,9 @@
 
 // Stats counts the events of a node since its start.
 type Stats struct {
-	// Asked counts Asks with token requests, Granted requests that got a token, Refused
-	// requests over a limit, Unsure requests that no counter answered, Back tokens of
-	// requests that were not run.
+	// Asked counts Asks sent for tokens outside of lease renewals, Granted requests that got
+	// a token, Refused requests over a limit, Unsure requests that no counter answered, Back
+	// tokens of requests that were not run.
 	Asked, Granted, Refused, Unsure, Back uint64
 }
 
@@ -161,7 +161,8 @@
 	return n.pools[group].shareSum
 }
 
-// Take takes a token of a team that has a limit. It waits for one for at most maxWait.
+// Take takes a token of a team that has a limit. It waits for one until ctx is done, for at
+// most maxWait and maxTokenWait.
 func (n *Node) Take(ctx context.Context, now int64, team string, maxWait time.Duration) Verdict {
 	verdict := n.take(ctx, now, team, maxWait)
 	n.mu.Lock()
--- a/pkg/quota/node_test.go
+++ b/pkg/quota/node_test.go
@@ -73,7 +73,7 @@
 	}
 }
 
-// TestTakeCountsEachVerdict, also those that another daemon's counter gave.
+// TestTakeCountsEachVerdict: the verdicts here come from another daemon.
 func TestTakeCountsEachVerdict(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newRecordingNode()
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -40,8 +40,8 @@
 	answerTimeout = 300 * time.Millisecond
 	// probeInterval is the time between two probes of an unresponsive process.
 	probeInterval = 500 * time.Millisecond
-	// tokenTTL is how long a daemon may keep an unused token. Unused tokens at all daemons
-	// add to what a team may send in a window.
+	// tokenTTL is how long a daemon may use a token, from the time it was requested.
+	// Unused tokens at all daemons add to what a team may send in a window.
 	tokenTTL = 300 * time.Millisecond
 	// maxTokenWait bounds how long a request waits for a counter's answer. In a small
 	// fleet, most shares of a lost counter are leased to the next one by then.
--- a/pkg/quota/sharelease.go
+++ b/pkg/quota/sharelease.go
@@ -11,9 +11,9 @@
 	until  int64
 	// renewedAt is when the lease was last renewed.
 	renewedAt int64
-	// previousLost is true if the previous holder was lost while it held the share and
-	// this change of holder grants recovery tokens; recoveriesAt holds the times of the
-	// last such changes, oldest first.
+	// previousLost is true if the previous holder was unreachable when its lease had
+	// expired, and the share grants recovery tokens at the new one. recoveriesAt holds the
+	// times of the last such changes, oldest first.
 	previousLost bool
 	recoveriesAt [maxRecoveries]int64
 }
--- a/pkg/quota/sharelease_test.go
+++ b/pkg/quota/sharelease_test.go
@@ -7,7 +7,7 @@
 	"github.com/shoenig/test"
 )
 
-// TestLateReleaseIsIgnored: a release that was asked for before the latest renewal action not
+// TestLateReleaseIsIgnored: a release that was asked for before the latest renewal does not
 // end the lease.
 func TestLateReleaseIsIgnored(t *testing.T) {
 	reachable := func(string) bool { return true }
