--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -52,7 +52,7 @@
 	Evacuated evacuation.Set
 	// Rollout says which versions may run the requests of which lane; nil: there is no
 	// roll-out. Lane is the request's lane.
-	Rollout *rollout.Traffic
+	Rollout *rollout.TrafficPolicy
 	Lane    rollout.Lane
 	// Location is that of the entry. CrossingCost is the cost of crossing from there.
 	Location     proximity.Location
@@ -121,7 +121,7 @@
 	if r.Evacuated.Has(dataCentre) {
 		return false
 	}
-	if r.Rollout != nil && !r.Rollout.Takes(r.Lane, endpoint.Version(), endpoint.VM) {
+	if r.Rollout != nil && !r.Rollout.Permits(r.Lane, endpoint.Version(), endpoint.VM) {
 		return false
 	}
 	return routing.AllowsDataCentre(r.Allowed, dataCentre)
--- a/pkg/daemon/adapter.go
+++ b/pkg/daemon/adapter.go
@@ -28,7 +28,7 @@
 	// Announcements makes the handler of backend servers' announcements.
 	Announcements func(backend.AnnouncementHandler) http.Handler
 	// Rollouts keeps the plans of roll-outs that operators order.
-	Rollouts rollout.Register
+	Rollouts rollout.PlanStore
 	// Clock is the one that the deadlines of roll-outs stand on, where it is the VM's
 	// own; nil where it is the store's.
 	Clock func() time.Duration
@@ -81,7 +81,7 @@
 		return nil, errVersionTold
 	}
 	out := &Adapter{
-		Store: client, Rollouts: rollout.NewTableRegister(client, wall), Clock: wall,
+		Store: client, Rollouts: rollout.NewTablePlanStore(client, wall), Clock: wall,
 		Callers: ingress.DefaultHeaders(), Backend: backend.DefaultHeaders(),
 	}
 	if s.BackendServer.Version != "" {
--- a/pkg/daemon/bounds.go
+++ b/pkg/daemon/bounds.go
@@ -52,7 +52,7 @@
 
 // rollouts are the limits of roll-outs; the zero value: the platform has none.
 func (b Bounds) rollouts() rollout.Limits {
-	return rollout.Limits{Share: b.ExposeShare, StopWithin: b.StopWithin}
+	return rollout.Limits{MaxBadShare: b.ExposeShare, StopWithin: b.StopWithin}
 }
 
 const (
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -139,7 +139,7 @@
 	}
 	if adapter.Feed == nil {
 		d.env.Evacuation = evacuation.NewRegister(opts.Platform)
-		d.env.Orders = rollout.NewOrderRegister(opts.Platform)
+		d.env.Orders = rollout.NewOrderStore(opts.Platform)
 	}
 	if d.routed != nil {
 		d.env.Routed, d.env.Backend, d.env.Recorder = d.routed.runner, d.routed.lifecycle, d.routed.recorder
--- a/pkg/daemon/trial.go
+++ b/pkg/daemon/trial.go
@@ -4,8 +4,8 @@
 	"time"
 
 	"github.com/rushramp/rushramp/pkg/backend"
+	"github.com/rushramp/rushramp/pkg/enforcer"
 	"github.com/rushramp/rushramp/pkg/rollout"
-	"github.com/rushramp/rushramp/pkg/trial"
 )
 
 // beginTrial lets the backend server of the settings take part in roll-outs of its
@@ -17,6 +17,6 @@
 	lifecycle.RecordHeartbeat(d.Now(), backend.Heartbeat{InstanceID: s.VM.ID, Sequence: 1, Version: s.BackendServer.Version})
 	// The wall clock tells the processes of one VM's daemon apart.
 	recorder := rollout.NewRecorder(s.VM.ID, s.BackendServer.Service, uint64(time.Now().UnixNano()))
-	d.env.Backend, d.env.Recorder, d.env.Trial = lifecycle, recorder, trial.New(d.Common, lifecycle, recorder)
+	d.env.Backend, d.env.Recorder, d.env.Trial = lifecycle, recorder, enforcer.New(d.Common, lifecycle, recorder)
 	d.Executor.SetTrial(d.env.Trial)
 }
--- a/pkg/trial/trial.go
+++ b/pkg/enforcer/enforcer.go
@@ -1,7 +1,7 @@
-// Package trial is the part that one backend server has in its service's roll-out: the
+// Package enforcer is the part that one backend server has in its service's roll-out: the
 // executor beside it refuses what the roll-out lets it not run, and counts how its runs
 // end. Source: docs/design/rollout.md.
-package trial
+package enforcer
 
 import (
 	"sync/atomic"
@@ -12,8 +12,8 @@
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
-// Trial is safe for concurrent use.
-type Trial struct {
+// Enforcer is safe for concurrent use.
+type Enforcer struct {
 	common    *common.Common
 	lifecycle *backend.Lifecycle
 	// recorder is nil where nothing is counted.
@@ -24,14 +24,14 @@
 
 // New makes the trial of the backend server that a lifecycle follows. recorder may be
 // nil.
-func New(c *common.Common, lifecycle *backend.Lifecycle, recorder *rollout.Recorder) *Trial {
-	t := &Trial{common: c, lifecycle: lifecycle, recorder: recorder}
+func New(c *common.Common, lifecycle *backend.Lifecycle, recorder *rollout.Recorder) *Enforcer {
+	t := &Enforcer{common: c, lifecycle: lifecycle, recorder: recorder}
 	c.Metrics.GetOrCreateGauge("rushramp_rollout_barred", t.barredGauge)
 	return t
 }
 
-func (t *Trial) barredGauge() float64 {
-	if t.Barred() != "" {
+func (t *Enforcer) barredGauge() float64 {
+	if t.RefusalReason() != "" {
 		return 1
 	}
 	return 0
@@ -39,22 +39,22 @@
 
 // SetGuard puts a guard in force, at once for all that is not handed over yet: what
 // was handed over before counts as in flight from here on, until it has ended.
-func (t *Trial) SetGuard(g *rollout.Guard) { t.guard.Store(g) }
+func (t *Enforcer) SetGuard(g *rollout.Guard) { t.guard.Store(g) }
 
-// Barred says why a roll-out lets the backend server run nothing; empty: it lets it.
-func (t *Trial) Barred() string {
+// RefusalReason says why a roll-out lets the backend server run nothing; empty: it lets it.
+func (t *Enforcer) RefusalReason() string {
 	instance, _ := t.lifecycle.Current()
-	return t.Bars(instance.String())
+	return t.RefusalReasonFor(instance.String())
 }
 
-// Bars says why a roll-out lets an incarnation run nothing; empty: it lets it.
-func (t *Trial) Bars(instance string) string {
-	return t.guard.Load().Bars(instance, t.lifecycle.Version(), t.common.Settings.VM.ID)
+// RefusalReasonFor says why a roll-out lets an incarnation run nothing; empty: it lets it.
+func (t *Enforcer) RefusalReasonFor(instance string) string {
+	return t.guard.Load().RefusalReasonFor(instance, t.lifecycle.Version(), t.common.Settings.VM.ID)
 }
 
-// UnderWay is true while a roll-out of the service is known, and the revision is that of
+// PlanRevision is true while a roll-out of the service is known, and the revision is that of
 // its plan.
-func (t *Trial) UnderWay() (revision uint64, is bool) {
+func (t *Enforcer) PlanRevision() (revision uint64, is bool) {
 	g := t.guard.Load()
 	if g == nil || g.Traffic == nil {
 		return 0, false
@@ -64,19 +64,19 @@
 
 // Record counts how a run ended, as evidence on its version, until the roll-out has
 // ended: the counter's name alone takes an allocation and some 300 ns a run.
-func (t *Trial) Record(o rollout.Outcome) {
+func (t *Enforcer) Record(o rollout.Outcome) {
 	if t.recorder == nil || !t.recorder.Counting() {
 		return
 	}
-	if _, is := t.UnderWay(); !is {
+	if _, is := t.PlanRevision(); !is {
 		return
 	}
 	t.count(o.Failed)
-	t.recorder.Note(o)
+	t.recorder.Count(o)
 }
 
 // count counts a run of the backend server's version for the metrics.
-func (t *Trial) count(failed bool) {
+func (t *Enforcer) count(failed bool) {
 	outcome := "worked"
 	if failed {
 		outcome = "failed"
--- a/pkg/trial/trial_test.go
+++ b/pkg/enforcer/enforcer_test.go
@@ -1,4 +1,4 @@
-package trial
+package enforcer
 
 import (
 	"bytes"
@@ -22,10 +22,10 @@
 	c := common.NewCommon(events.Discard(), &s)
 	recorder := rollout.NewRecorder("vm", "s", 1)
 	trial := New(c, backend.NewLifecycle(true, nil), recorder)
-	book := rollout.NewBook()
-	book.Take(rollout.News{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Completed}}})
+	book := rollout.NewReplica()
+	book.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Completed}}})
 	trial.SetGuard(&rollout.Guard{Traffic: book.Traffic("s")})
-	run := func() { trial.Record(rollout.Outcome{Route: "r", Run: time.Millisecond}) }
+	run := func() { trial.Record(rollout.Outcome{Route: "r", Duration: time.Millisecond}) }
 	counted := func() bool {
 		var out bytes.Buffer
 		c.Metrics.WritePrometheus(&out)
--- a/pkg/entry/attempts.go
+++ b/pkg/entry/attempts.go
@@ -77,11 +77,11 @@
 func (a *attempts) pick() choose.Pick {
 	traffic := a.entry.view.RolloutTraffic(a.admitted.Request.Service)
 	if a.started > 0 {
-		a.lane = traffic.Again()
+		a.lane = traffic.RetryLane()
 	}
 	a.started++
 	pick := a.pickInLane(traffic)
-	if retryLane := traffic.Again(); pick.Index == choose.NoCandidate && retryLane != a.lane {
+	if retryLane := traffic.RetryLane(); pick.Index == choose.NoCandidate && retryLane != a.lane {
 		a.lane = retryLane
 		return a.pickInLane(traffic)
 	}
@@ -89,10 +89,10 @@
 }
 
 // pickInLane chooses among the candidates that may run calls of the lane.
-func (a *attempts) pickInLane(traffic *rollout.Traffic) choose.Pick {
+func (a *attempts) pickInLane(traffic *rollout.TrafficPolicy) choose.Pick {
 	a.choice.Excluded = a.excluded
 	for i := range a.choice.CandidateSet {
-		if endpoint := a.choice.CandidateSet[i].Endpoint; traffic != nil && !traffic.Takes(a.lane, endpoint.Version(), endpoint.VM) {
+		if endpoint := a.choice.CandidateSet[i].Endpoint; traffic != nil && !traffic.Permits(a.lane, endpoint.Version(), endpoint.VM) {
 			a.choice.Excluded = a.choice.Excluded.With(i)
 		}
 	}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -180,7 +180,7 @@
 		entry: e, ctx: ctx, admitted: admitted, body: body,
 		budget:    e.budgets.forService(admitted.Request.Service),
 		choice:    choose.Request{CandidateSet: candidates},
-		lane:      e.view.RolloutTraffic(admitted.Request.Service).Next(admitted.KindView.Kind.Name),
+		lane:      e.view.RolloutTraffic(admitted.Request.Service).AssignLane(admitted.KindView.Kind.Name),
 		claim:     wire.Claim{Generation: 1},
 		remaining: e.Settings.Retries.Attempts,
 		soft:      e.Settings.Choosing.SoftFirst && len(candidates) > 1,
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -14,12 +14,12 @@
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/common"
 	"github.com/rushramp/rushramp/pkg/crash"
+	"github.com/rushramp/rushramp/pkg/enforcer"
 	"github.com/rushramp/rushramp/pkg/errkind"
 	"github.com/rushramp/rushramp/pkg/events"
 	"github.com/rushramp/rushramp/pkg/gate"
 	"github.com/rushramp/rushramp/pkg/placement"
 	"github.com/rushramp/rushramp/pkg/quarantine"
-	"github.com/rushramp/rushramp/pkg/trial"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
@@ -50,7 +50,7 @@
 	leaving   atomic.Bool
 	evacuated atomic.Bool
 	// trial is nil where the backend server takes part in no roll-outs.
-	trial   *trial.Trial
+	trial   *enforcer.Enforcer
 	down    atomic.Bool
 	crashes *crash.Detector
 	// running counts the calls at the backend server.
--- a/pkg/executor/trial.go
+++ b/pkg/executor/trial.go
@@ -4,21 +4,21 @@
 	"time"
 
 	"github.com/rushramp/rushramp/pkg/call"
+	"github.com/rushramp/rushramp/pkg/enforcer"
 	"github.com/rushramp/rushramp/pkg/errkind"
 	"github.com/rushramp/rushramp/pkg/rollout"
-	"github.com/rushramp/rushramp/pkg/trial"
 )
 
 // SetTrial has the executor hold the backend server to its part in roll-outs. It is
 // called before the first call comes.
-func (e *Executor) SetTrial(t *trial.Trial) { e.trial = t }
+func (e *Executor) SetTrial(t *enforcer.Enforcer) { e.trial = t }
 
 // barred refuses what a roll-out lets the backend server not run; nil: it lets it.
 func (e *Executor) barred() *errkind.Error {
 	if e.trial == nil {
 		return nil
 	}
-	if why := e.trial.Barred(); why != "" {
+	if why := e.trial.RefusalReason(); why != "" {
 		return errkind.New(errkind.VersionHeld, "%s", why)
 	}
 	return nil
@@ -32,6 +32,6 @@
 	case refusal != nil && refusal.Kind != errkind.BackendFailed:
 	default:
 		failed := refusal != nil || answer.Status >= 500
-		r.owner.trial.Record(rollout.Outcome{Route: r.call.Kind, Failed: failed, Run: took})
+		r.owner.trial.Record(rollout.Outcome{Route: r.call.Kind, Failed: failed, Duration: took})
 	}
 }
--- a/pkg/executor/trial_test.go
+++ b/pkg/executor/trial_test.go
@@ -9,27 +9,27 @@
 
 	backendstate "github.com/rushramp/rushramp/pkg/backend"
 	"github.com/rushramp/rushramp/pkg/call"
+	"github.com/rushramp/rushramp/pkg/enforcer"
 	"github.com/rushramp/rushramp/pkg/errkind"
 	"github.com/rushramp/rushramp/pkg/rollout"
 	standin "github.com/rushramp/rushramp/pkg/standin/backend"
-	"github.com/rushramp/rushramp/pkg/trial"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
 // newTrial makes the trial of a backend server of a version.
-func newTrial(e *Executor, version string) (*trial.Trial, *rollout.Recorder) {
+func newTrial(e *Executor, version string) (*enforcer.Enforcer, *rollout.Recorder) {
 	lifecycle := backendstate.NewLifecycle(true, nil)
 	lifecycle.RecordHeartbeat(1, backendstate.Heartbeat{InstanceID: "vm", Sequence: 1, Version: version})
 	recorder := rollout.NewRecorder("vm", "glyphserve", 1)
-	out := trial.New(e.Common, lifecycle, recorder)
+	out := enforcer.New(e.Common, lifecycle, recorder)
 	e.SetTrial(out)
 	return out, recorder
 }
 
 // trafficIn is the traffic of a roll-out from v1 to v2 in a phase.
-func trafficIn(phase rollout.Phase) *rollout.Traffic {
-	book := rollout.NewBook()
-	book.Take(rollout.News{Plans: []rollout.Plan{{Service: "glyphserve", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: phase}}})
+func trafficIn(phase rollout.Phase) *rollout.TrafficPolicy {
+	book := rollout.NewReplica()
+	book.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "glyphserve", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: phase}}})
 	return book.Traffic("glyphserve")
 }
 
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -46,10 +46,10 @@
 		return false
 	}
 	traffic := a.forwarder.view.RolloutTraffic(a.service)
-	lane := traffic.Again()
+	lane := traffic.RetryLane()
 	for i := range a.candidates {
 		other := &a.candidates[i]
-		if other != from && !a.excluded.Has(i) && a.isAllowed(other) && traffic.Takes(lane, other.Endpoint.Version(), other.Endpoint.VM) && other.Endpoint.Runner() != nil {
+		if other != from && !a.excluded.Has(i) && a.isAllowed(other) && traffic.Permits(lane, other.Endpoint.Version(), other.Endpoint.VM) && other.Endpoint.Runner() != nil {
 			return true
 		}
 	}
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -170,10 +170,10 @@
 	a.updateRule()
 	traffic := a.forwarder.view.RolloutTraffic(a.service)
 	if a.tries > 0 {
-		a.lane = traffic.Again()
+		a.lane = traffic.RetryLane()
 	}
 	pick, soft = a.pickInLane(traffic)
-	retryLane := traffic.Again()
+	retryLane := traffic.RetryLane()
 	if retryLane == a.lane || pick.Index != choose.NoCandidate && (soft || a.softLeft == 0) {
 		return pick, soft
 	}
@@ -193,7 +193,7 @@
 // takes any candidate that is not excluded, and the request may queue there. A large
 // request takes a soft attempt in another region only where queueing nearer costs more or
 // would end too late.
-func (a *attempts) pickInLane(traffic *rollout.Traffic) (pick choose.RoutedPick, soft bool) {
+func (a *attempts) pickInLane(traffic *rollout.TrafficPolicy) (pick choose.RoutedPick, soft bool) {
 	choice := choose.RoutedRequest{
 		Now: a.forwarder.Now(), CandidateSet: a.candidates, Allowed: a.rule.allowed, Evacuated: a.forwarder.view.Evacuation(),
 		Rollout: traffic, Lane: a.lane,
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -228,7 +228,7 @@
 	return &attempts{
 		forwarder: f, ctx: ctx, req: req, route: route, version: version, service: service,
 		rule:      dataCentreRule{version, route.DataCentres},
-		lane:      f.view.RolloutTraffic(service).Next(route.Name),
+		lane:      f.view.RolloutTraffic(service).AssignLane(route.Name),
 		startedAt: startedAt, deadline: startedAt + int64(timeout), target: target,
 		softLeft: f.Settings.Routing.SoftAttempts,
 	}
--- a/pkg/operators/rollout.go
+++ b/pkg/operators/rollout.go
@@ -21,7 +21,7 @@
 
 // StartRollout implements the call of the schema.
 func (se *Server) StartRollout(ctx context.Context, in *api.StartRolloutRequest) (*api.RolloutsResponse, error) {
-	asked := rollout.Asked{
+	asked := rollout.OrderRequest{
 		ID: in.GetChangeId(), Service: in.GetService(), Version: in.GetVersion(),
 		Duration: time.Duration(in.GetDurationMs()) * time.Millisecond,
 	}
@@ -40,7 +40,7 @@
 
 // CancelRollout implements the call of the schema.
 func (se *Server) CancelRollout(ctx context.Context, in *api.CancelRolloutRequest) (*api.RolloutsResponse, error) {
-	asked := rollout.Asked{ID: in.GetChangeId(), Service: in.GetService()}
+	asked := rollout.OrderRequest{ID: in.GetChangeId(), Service: in.GetService()}
 	author, err := se.mayRollOut(ctx, in.GetAuthor(), asked)
 	if err != nil {
 		return nil, err
@@ -52,7 +52,7 @@
 func (se *Server) GetRollouts(ctx context.Context, in *api.GetRolloutsRequest) (*api.RolloutsResponse, error) {
 	out := &api.RolloutsResponse{}
 	asked := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
-		out.Revision = w.Rollouts.News().Orders.Revision
+		out.Revision = w.Rollouts.Snapshot().Orders.Revision
 		for _, r := range se.rollouts(w) {
 			if in.GetService() == "" || r.Service == in.GetService() {
 				out.Rollouts = append(out.Rollouts, r)
@@ -66,7 +66,7 @@
 }
 
 // mayRollOut checks an operator's change, and the right to change the service.
-func (se *Server) mayRollOut(ctx context.Context, claimed string, asked rollout.Asked) (author string, err error) {
+func (se *Server) mayRollOut(ctx context.Context, claimed string, asked rollout.OrderRequest) (author string, err error) {
 	if se.Orders == nil {
 		return "", status.Error(codes.Unimplemented, "operators of this platform order roll-outs in its store; see docs/operators/rollout.md")
 	}
@@ -117,8 +117,8 @@
 }
 
 // changeOrders makes the change and puts it in force here.
-func (se *Server) changeOrders(ctx context.Context, author string, asked rollout.Asked) (*api.RolloutsResponse, error) {
-	orders, err := se.Orders.Change(ctx, asked)
+func (se *Server) changeOrders(ctx context.Context, author string, asked rollout.OrderRequest) (*api.RolloutsResponse, error) {
+	orders, err := se.Orders.Apply(ctx, asked)
 	if err != nil {
 		return nil, explainOrder(asked, err)
 	}
@@ -133,7 +133,7 @@
 	return out, nil
 }
 
-func explainOrder(asked rollout.Asked, err error) error {
+func explainOrder(asked rollout.OrderRequest, err error) error {
 	var unknown *store.UnknownOutcomeError
 	switch {
 	case errors.Is(err, rollout.ErrNoOrder):
@@ -147,7 +147,7 @@
 // rollouts is what this daemon knows of roll-outs, by the services' names.
 func (se *Server) rollouts(w *tables.World) []*api.Rollout {
 	services := map[string]bool{}
-	news := w.Rollouts.News()
+	news := w.Rollouts.Snapshot()
 	for _, o := range news.Orders.List {
 		services[o.Service] = true
 	}
@@ -181,7 +181,7 @@
 		out.Plan = 0
 	default:
 		se.fillPlan(out, &plan)
-		if !ordered && !plan.Phase.Ended() && w.Rollouts.News().Orders.Revision >= plan.Order {
+		if !ordered && !plan.Phase.Ended() && w.Rollouts.Snapshot().Orders.Revision >= plan.Order {
 			out.Phase, out.Cause = phaseCancelled, "the order was taken away; the version gets nothing more"
 			out.Canaries, out.PerMille, out.DeadlineKnown, out.DeadlineLeftMs = nil, 0, false, 0
 		}
--- a/pkg/operators/rollout_test.go
+++ b/pkg/operators/rollout_test.go
@@ -40,7 +40,7 @@
 			}
 			mail := w.Inbox.Take()
 			if mail.RolloutOrders != nil {
-				w.Rollouts.Take(rollout.News{Orders: *mail.RolloutOrders})
+				w.Rollouts.Merge(rollout.Update{Orders: *mail.RolloutOrders})
 			}
 			for _, query := range mail.Queries {
 				query(w)
@@ -48,7 +48,7 @@
 		}
 	}()
 	return &Server{
-		Common: common.NewCommon(events.Discard(), &s), World: w, Orders: rollout.NewOrderRegister(platform),
+		Common: common.NewCommon(events.Discard(), &s), World: w, Orders: rollout.NewOrderStore(platform),
 		StoreClock: func() time.Duration { return time.Minute },
 	}, platform
 }
@@ -103,7 +103,7 @@
 		_, err := se.StartRollout(t.Context(), in)
 		test.Eq(t, c.code, status.Code(err), test.Sprint(name))
 		test.ErrorContains(t, err, c.says, test.Sprint(name))
-		test.SliceEmpty(t, se.World.Rollouts.News().Orders.List, test.Sprint(name))
+		test.SliceEmpty(t, se.World.Rollouts.Snapshot().Orders.List, test.Sprint(name))
 	}
 	silent, _ := newServer(t, "")
 	_, err := silent.StartRollout(t.Context(), start("1"))
@@ -139,23 +139,23 @@
 	ended := plan
 	ended.Phase, ended.Cause = rollout.Completed, "empty"
 	for name, c := range map[string]struct {
-		news     rollout.News
+		news     rollout.Update
 		phase    string
 		target   string
 		canaries int
 		leftMS   int64
 		stopped  bool
 	}{
-		"tried":          {rollout.News{Orders: orders(3, first), Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
-		"stopped":        {rollout.News{Orders: orders(3, first), Plans: []rollout.Plan{plan}, Stops: []rollout.Stop{{Service: "s", Order: 3, Cause: "bad"}}}, "canary", "v2", 0, 60_000, true},
-		"taken away":     {rollout.News{Orders: orders(8), Plans: []rollout.Plan{plan}}, "cancelled", "v2", 0, 0, false},
-		"ordered anew":   {rollout.News{Orders: orders(9, later), Plans: []rollout.Plan{plan}}, "ordered", "v3", 0, 0, false},
-		"completed":      {rollout.News{Orders: orders(3, first), Plans: []rollout.Plan{ended}}, "completed", "v2", 0, 0, false},
-		"orders unknown": {rollout.News{Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
+		"tried":          {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
+		"stopped":        {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{plan}, Stops: []rollout.Stop{{Service: "s", Order: 3, Cause: "bad"}}}, "canary", "v2", 0, 60_000, true},
+		"taken away":     {rollout.Update{Orders: orders(8), Plans: []rollout.Plan{plan}}, "cancelled", "v2", 0, 0, false},
+		"ordered anew":   {rollout.Update{Orders: orders(9, later), Plans: []rollout.Plan{plan}}, "ordered", "v3", 0, 0, false},
+		"completed":      {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{ended}}, "completed", "v2", 0, 0, false},
+		"orders unknown": {rollout.Update{Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
 	} {
 		se, _ := newServer(t, "v1", "v2")
-		book := rollout.NewBook()
-		book.Take(c.news)
+		book := rollout.NewReplica()
+		book.Merge(c.news)
 		w := tables.NewWorld("vm", "here")
 		w.Rollouts = book
 		got := se.rollout(w, "s")
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -44,7 +44,7 @@
 	// Orders is nil where operators write orders of roll-outs to the platform's store
 	// themselves. StoreClock is the clock that deadlines of roll-outs stand on; nil where
 	// this daemon has no reading of it at hand.
-	Orders     *rollout.OrderRegister
+	Orders     *rollout.OrderStore
 	StoreClock func() time.Duration
 	// Leave begins the drain; InFlight counts calls that have not ended.
 	Leave    func()
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -136,8 +136,8 @@
 
 func reason(w *tables.World, row int, kind *placement.CompiledKind, inSubset bool) string {
 	traffic, version := w.View.RolloutTraffic(kind.Service), w.Members.Record[row].Version
-	takes := traffic.Takes(rollout.LaneOld, version, w.Members.Record[row].VM)
-	tries := !takes && traffic.Takes(rollout.LaneTarget, version, w.Members.Record[row].VM)
+	takes := traffic.Permits(rollout.LaneOld, version, w.Members.Record[row].VM)
+	tries := !takes && traffic.Permits(rollout.LaneTarget, version, w.Members.Record[row].VM)
 	switch {
 	case w.View.Evacuation().Has(w.Members.Record[row].DataCentre):
 		return "its data centre is evacuated"
--- a/pkg/placement/feed.go
+++ b/pkg/placement/feed.go
@@ -31,7 +31,7 @@
 	// Rollouts are the orders of all services that have one, from Newest, and the
 	// changes since the cursor, in their order, from Next. Refused are orders that
 	// cannot be read, and are passed over.
-	Rollouts      []rollout.Change
+	Rollouts      []rollout.OrderChange
 	RolloutErrors []error
 	// Cursor is where Next goes on.
 	Cursor uint64
--- a/pkg/rollout/fleet.go
+++ b/pkg/rollout/canaries.go
@@ -54,8 +54,8 @@
 		s := &d.servers[i]
 		switch {
 		case !s.Ready || !d.isOld(s):
-		case s.Busy > 0:
-			sum += min(headroom*float64(s.Busy), float64(s.slots()))
+		case s.PeakBusySlots > 0:
+			sum += min(headroom*float64(s.PeakBusySlots), float64(s.slots()))
 		default:
 			sum += usedSlots * float64(s.slots())
 		}
@@ -68,8 +68,8 @@
 func (d *decision) others() (running, lost int) {
 	for i := range d.servers {
 		switch s := &d.servers[i]; {
-		case d.isTarget(s) || s.Version == "" || s.Empty:
-		case s.Lost:
+		case d.isTarget(s) || s.Version == "" || s.Drained:
+		case s.Unreachable:
 			lost++
 		default:
 			running++
--- a/pkg/rollout/decide.go
+++ b/pkg/rollout/decide.go
@@ -8,10 +8,10 @@
 
 // Limits are what the platform holds a roll-out to, and what settings say.
 type Limits struct {
-	// Share bounds what a bad version may get between order and deadline, as a share of
+	// MaxBadShare bounds what a bad version may get between order and deadline, as a share of
 	// the service's requests. Platforms allow a number of requests besides; nothing is
 	// planned with it (mostShare).
-	Share float64
+	MaxBadShare float64
 	// StopWithin is how soon a version must get nothing more after it has shown itself
 	// bad.
 	StopWithin time.Duration
@@ -26,11 +26,11 @@
 	// Ready is true for one that takes requests: it lives, has a link, and is not in an
 	// evacuated data centre.
 	Ready bool
-	// Empty is true for one whose executor obeys the plan in force and has nothing in
-	// flight; Lost for one that nobody has a link with.
-	Empty, Lost bool
-	// Busy is the most slots that it had in use of late; 0: not known.
-	Busy int
+	// Drained is true for one whose executor obeys the plan in force and has nothing in
+	// flight; Unreachable for one that nobody has a link with.
+	Drained, Unreachable bool
+	// PeakBusySlots is the most slots that it had in use of late; 0: not known.
+	PeakBusySlots int
 }
 
 // Decide returns the plan that should follow: the same one where nothing is due. now
@@ -152,7 +152,7 @@
 	old := slices.Clone(d.plan.Old)
 	for _, s := range d.servers {
 		known := d.isTarget(&s) || slices.Contains(old, s.Version) || slices.Contains(d.plan.Barred, s.Version)
-		if !known && !s.Lost && s.Version != "" && len(old) < mostVersions {
+		if !known && !s.Unreachable && s.Version != "" && len(old) < mostVersions {
 			old = append(old, s.Version)
 		}
 	}
@@ -180,11 +180,11 @@
 func (d *decision) canary() (Plan, bool) {
 	ready, needed := d.slots(d.isTarget), d.needed()
 	switch {
-	case d.now >= d.plan.Deadline-endBefore && !d.verdict.Enough:
+	case d.now >= d.plan.Deadline-endBefore && !d.verdict.EnoughRuns:
 		return d.to(RolledBack, "too few runs on a route to tell by the deadline"), true
 	case d.now >= d.plan.Deadline-endBefore:
 		return d.to(RolledBack, fmt.Sprintf("too few slots by the deadline: %d ready, %d needed", ready, needed)), true
-	case d.maySwitch() && d.verdict.Enough && ready > 0 && ready >= needed:
+	case d.maySwitch() && d.verdict.EnoughRuns && ready > 0 && ready >= needed:
 		return d.toSwitching(fmt.Sprintf("enough runs without a finding; %d slots ready, %d needed", ready, needed)), true
 	}
 	return d.refresh()
--- a/pkg/rollout/decide_property_test.go
+++ b/pkg/rollout/decide_property_test.go
@@ -66,17 +66,17 @@
 func (w *world) changeServer(t *rapid.T) {
 	s := &w.servers[rapid.IntRange(0, len(w.servers)-1).Draw(t, "server")]
 	s.Ready = rapid.Bool().Draw(t, "ready")
-	s.Empty = rapid.Bool().Draw(t, "empty")
-	s.Lost = !s.Ready && rapid.Bool().Draw(t, "lost")
+	s.Drained = rapid.Bool().Draw(t, "empty")
+	s.Unreachable = !s.Ready && rapid.Bool().Draw(t, "lost")
 }
 
 func (w *world) drain(*rapid.T) {
 	for i := range w.servers {
-		w.servers[i].Empty = true
+		w.servers[i].Drained = true
 	}
 }
 
-func (w *world) enough(*rapid.T) { w.verdict.Enough = true }
+func (w *world) enough(*rapid.T) { w.verdict.EnoughRuns = true }
 
 func (w *world) bad(*rapid.T) { w.verdict.Bad = true }
 
@@ -215,7 +215,7 @@
 			if at >= readyAfter {
 				servers = both(n)
 			}
-			verdict := Verdict{Enough: at >= enoughAfter, Bad: switched > 0 && at >= switched+switchWorst}
+			verdict := Verdict{EnoughRuns: at >= enoughAfter, Bad: switched > 0 && at >= switched+switchWorst}
 			next, changed := Decide(time.Hour+at, order, plan, verdict, servers, usualLimits)
 			if changed {
 				next.Revision++
@@ -229,7 +229,7 @@
 		}
 		test.Eq(t, RolledBack, plan.Phase)
 		test.Positive(t, switched)
-		test.LessEq(t, usualLimits.Share*float64(service.all)+float64(usualSlack), float64(service.target),
+		test.LessEq(t, usualLimits.MaxBadShare*float64(service.all)+float64(usualSlack), float64(service.target),
 			test.Sprintf("%d of %d requests", service.target, service.all))
 	})
 }
@@ -237,11 +237,11 @@
 // lanes counts the requests that entries send to the new version.
 type lanes struct {
 	rate, all, target int
-	entries           []*Traffic
+	entries           []*TrafficPolicy
 }
 
 func newLanes(rate, entries int) *lanes {
-	return &lanes{rate: rate, entries: make([]*Traffic, entries)}
+	return &lanes{rate: rate, entries: make([]*TrafficPolicy, entries)}
 }
 
 // obey gives each entry a traffic of its own, as each makes one.
@@ -255,7 +255,7 @@
 	for range int(float64(l.rate) * step.Seconds()) {
 		entry := l.entries[l.all%len(l.entries)]
 		l.all++
-		if entry.Next([]string{"a", "b"}[l.all/7%2]) == LaneTarget {
+		if entry.AssignLane([]string{"a", "b"}[l.all/7%2]) == LaneTarget {
 			l.target++
 		}
 	}
--- a/pkg/rollout/decide_test.go
+++ b/pkg/rollout/decide_test.go
@@ -13,7 +13,7 @@
 // usualSlack is the number of requests that a bad version may get besides the share.
 const usualSlack = 50
 
-var usualLimits = Limits{Share: 0.1, StopWithin: 5 * time.Second}
+var usualLimits = Limits{MaxBadShare: 0.1, StopWithin: 5 * time.Second}
 
 // fleet is n ready backend servers of a version with twelve slots each.
 func fleet(version string, n int) (out []Server) {
@@ -36,8 +36,8 @@
 
 func both(n int) []Server { return append(fleet("v1", n), fleet("v2", n)...) }
 
-func empty(s *Server)    { s.Empty = true }
-func lost(s *Server)     { s.Ready, s.Lost = false, true }
+func empty(s *Server)    { s.Drained = true }
+func lost(s *Server)     { s.Ready, s.Unreachable = false, true }
 func notReady(s *Server) { s.Ready = false }
 
 // at is a plan of the order in a phase: begun at 100 s, to end at 160 s.
@@ -51,7 +51,7 @@
 
 // TestTransitions: each phase with what moves it on, and what does not.
 func TestTransitions(t *testing.T) {
-	enough, bad := Verdict{Enough: true}, Verdict{Bad: true, Cause: "failures"}
+	enough, bad := Verdict{EnoughRuns: true}, Verdict{Bad: true, Cause: "failures"}
 	order := orderOf(5, "v2")
 	all := both(30)
 	drained := with(all, "v1", empty)
@@ -78,8 +78,8 @@
 		"canary, too few slots":            {now: 152, plan: at(Canary), verdict: enough, servers: append(fleet("v1", 30), fleet("v2", 23)...), want: Canary, same: true},
 		"canary, too few slots to the end": {now: 159, plan: at(Canary), verdict: enough, servers: append(fleet("v1", 30), fleet("v2", 23)...), want: RolledBack, cause: "276 ready, 288 needed"},
 		"canary, fewer slots do for little work": {now: 152, plan: at(Canary), verdict: enough, want: Switching, cause: "120 slots ready, 90 needed",
-			servers: append(with(fleet("v1", 30), "v1", func(s *Server) { s.Busy = 2 }), fleet("v2", 10)...)},
-		"canary, bad":                      {now: 120, plan: at(Canary), verdict: Verdict{Bad: true, Enough: true, Cause: "slow"}, servers: all, want: RolledBack, cause: "slow"},
+			servers: append(with(fleet("v1", 30), "v1", func(s *Server) { s.PeakBusySlots = 2 }), fleet("v2", 10)...)},
+		"canary, bad":                      {now: 120, plan: at(Canary), verdict: Verdict{Bad: true, EnoughRuns: true, Cause: "slow"}, servers: all, want: RolledBack, cause: "slow"},
 		"canary, order taken away":         {now: 120, order: Order{Service: "none"}, plan: at(Canary), servers: all, want: RolledBack, cause: "taken away"},
 		"canary, an older order":           {now: 120, order: orderOf(4, "v3"), plan: at(Canary), servers: all, want: Canary, same: true},
 		"canary, an older order's verdict": {now: 120, order: orderOf(4, "v3"), plan: at(Canary), verdict: bad, servers: all, want: Canary, same: true},
--- a/pkg/rollout/judge.go
+++ b/pkg/rollout/evaluator.go
@@ -30,8 +30,8 @@
 	knowAfter = int64(time.Second)
 )
 
-// Judge weighs the reports of one order. It is not safe for concurrent use.
-type Judge struct {
+// Evaluator weighs the reports of one order. It is not safe for concurrent use.
+type Evaluator struct {
 	order     Order
 	reporters map[reporter]*heard
 	routes    map[string]*trial
@@ -69,14 +69,14 @@
 	runs tally
 }
 
-// NewJudge makes the judge of an order.
-func NewJudge(order Order) *Judge {
-	return &Judge{order: order, reporters: map[reporter]*heard{}, routes: map[string]*trial{}}
+// NewEvaluator makes the judge of an order.
+func NewEvaluator(order Order) *Evaluator {
+	return &Evaluator{order: order, reporters: map[reporter]*heard{}, routes: map[string]*trial{}}
 }
 
-// Take takes a report over; old ones of a process are passed over, as are those of
+// AddReport takes a report over; old ones of a process are passed over, as are those of
 // other orders. now is in nanoseconds of a steady clock.
-func (j *Judge) Take(now int64, r Report) {
+func (j *Evaluator) AddReport(now int64, r Report) {
 	if r.Service != j.order.Service || r.Order != j.order.Revision || !isName(r.VM) || len(r.Version) > mostName || len(r.Routes) > mostRoutes {
 		return
 	}
@@ -93,7 +93,7 @@
 	}
 }
 
-func (j *Judge) heardFrom(who reporter) *heard {
+func (j *Evaluator) heardFrom(who reporter) *heard {
 	last, known := j.reporters[who]
 	if !known && len(j.reporters) < mostReporters {
 		last = &heard{routes: map[string]RouteCounts{}}
@@ -102,8 +102,8 @@
 	return last
 }
 
-func (j *Judge) takeRoute(now int64, version string, last *heard, counts RouteCounts) {
-	if len(counts.Route) > mostName || len(counts.Times) > timeSteps || counts.Failures > counts.Runs {
+func (j *Evaluator) takeRoute(now int64, version string, last *heard, counts RouteCounts) {
+	if len(counts.Route) > mostName || len(counts.DurationCounts) > timeSteps || counts.Failures > counts.Runs {
 		return
 	}
 	fresh := since(last.routes[counts.Route], counts)
@@ -120,7 +120,7 @@
 	of.waiting = append(of.waiting, batch{at: now, runs: fresh})
 }
 
-func (j *Judge) trialOf(route string) *trial {
+func (j *Evaluator) trialOf(route string) *trial {
 	of, known := j.routes[route]
 	if !known && len(j.routes) < mostRoutes {
 		of = &trial{}
@@ -135,9 +135,9 @@
 		before = RouteCounts{}
 	}
 	out.runs, out.failures = now.Runs-before.Runs, now.Failures-before.Failures
-	for i, n := range now.Times {
-		if i < len(before.Times) && before.Times[i] <= n {
-			n -= before.Times[i]
+	for i, n := range now.DurationCounts {
+		if i < len(before.DurationCounts) && before.DurationCounts[i] <= n {
+			n -= before.DurationCounts[i]
 		}
 		out.times[i] = n
 	}
@@ -146,13 +146,13 @@
 
 // Verdict weighs all that was taken. now is in nanoseconds of a steady clock. A bad
 // version stays bad.
-func (j *Judge) Verdict(now int64) Verdict {
+func (j *Evaluator) Verdict(now int64) Verdict {
 	for route, of := range j.routes {
 		if cause := of.weigh(now); cause != "" && !j.verdict.Bad {
 			j.verdict = Verdict{Bad: true, Cause: fmt.Sprintf("route %s: %s", route, cause)}
 		}
 	}
-	j.verdict.Enough = j.enough(now)
+	j.verdict.EnoughRuns = j.enough(now)
 	return j.verdict
 }
 
@@ -192,7 +192,7 @@
 
 // enough is true where each route that the old versions ran lately has shown runs of
 // the new one, half of them with a time that counts.
-func (j *Judge) enough(now int64) bool {
+func (j *Evaluator) enough(now int64) bool {
 	for _, of := range j.routes {
 		lately := of.old.between(now-historySlices*sliceTime+sliceTime, now)
 		need := min(enoughRuns, enoughShare*float64(lately.runs))
--- a/pkg/rollout/judge_test.go
+++ b/pkg/rollout/evaluator_test.go
@@ -34,7 +34,7 @@
 					t.Log(seed, at, verdict.Cause)
 				}
 				if !verdict.Bad {
-					test.True(t, verdict.Enough)
+					test.True(t, verdict.EnoughRuns)
 					continue
 				}
 				alarms++
@@ -71,7 +71,7 @@
 				p := newPlay(uint64(seed))
 				p.load = l
 				at := time.Duration(0)
-				for verdict := (Verdict{}); !verdict.Bad && !verdict.Enough || kind != "good" && !verdict.Bad; {
+				for verdict := (Verdict{}); !verdict.Bad && !verdict.EnoughRuns || kind != "good" && !verdict.Bad; {
 					must.Less(t, time.Minute, at)
 					verdict, at = p.tick(at, v)
 				}
@@ -95,28 +95,28 @@
 		"connections reset at one moment": func(p *play) {
 			p.each = func(p *play, at time.Duration) {
 				for i := 0; at == 20*time.Second && i < 12; i++ {
-					p.target.Note(Outcome{Route: "check", Failed: true})
+					p.target.Count(Outcome{Route: "check", Failed: true})
 				}
 			}
 		},
 		"runs that a slow spell overtakes": func(p *play) {
 			p.each = func(p *play, at time.Duration) {
 				for i := 0; at%(5*time.Second) == 0 && i < 9; i++ {
-					p.target.Note(Outcome{Route: "check", Run: 500 * time.Millisecond, Slowdown: 100, Worst: 500})
+					p.target.Count(Outcome{Route: "check", Duration: 500 * time.Millisecond, StartSlowdown: 100, PeakSlowdown: 500})
 				}
 			}
 		},
 		"slow spells": func(p *play) {
 			p.each = func(p *play, at time.Duration) {
 				for i := 0; i < 4; i++ {
-					p.target.Note(Outcome{Route: "check", Run: 500 * time.Millisecond, Slowdown: 500})
+					p.target.Count(Outcome{Route: "check", Duration: 500 * time.Millisecond, StartSlowdown: 500})
 				}
 			}
 		},
 		"a cold start": func(p *play) {
 			p.each = func(p *play, at time.Duration) {
 				for i := 0; at < 3*time.Second && i < 4; i++ {
-					p.target.Note(Outcome{Route: "check", Run: 300 * time.Millisecond, Cold: true})
+					p.target.Count(Outcome{Route: "check", Duration: 300 * time.Millisecond, Cold: true})
 				}
 			}
 		},
@@ -193,22 +193,22 @@
 	p := newPlay(4)
 	p.load.share = 0
 	verdict, _ := p.until(5*time.Second, version{})
-	test.False(t, verdict.Enough)
+	test.False(t, verdict.EnoughRuns)
 	note := func(route string, cold bool) {
 		for range enoughRuns {
-			p.target.Note(Outcome{Route: route, Run: 100 * time.Millisecond, Cold: cold})
+			p.target.Count(Outcome{Route: route, Duration: 100 * time.Millisecond, Cold: cold})
 		}
 	}
 	note("check", false)
 	note("submit", true)
-	test.False(t, p.report(6*time.Second).Enough)
+	test.False(t, p.report(6*time.Second).EnoughRuns)
 	note("submit", false)
-	test.True(t, p.report(7*time.Second).Enough)
+	test.True(t, p.report(7*time.Second).EnoughRuns)
 }
 
 func TestNothingIsEnoughBeforeAnOldVersionHasReported(t *testing.T) {
-	j := NewJudge(orderOf(5, "v2"))
-	test.False(t, j.Verdict(int64(time.Hour)).Enough)
+	j := NewEvaluator(orderOf(5, "v2"))
+	test.False(t, j.Verdict(int64(time.Hour)).EnoughRuns)
 }
 
 // TestReports: old ones, those of another order, and those of a process that began
@@ -217,25 +217,25 @@
 	report := func(process uint64, seq, runs uint32) Report {
 		return Report{Service: "desk", Order: 5, VM: "a", Version: "v2", Process: process, Seq: seq, Routes: []RouteCounts{{Route: "r", Runs: runs}}}
 	}
-	j := NewJudge(orderOf(5, "v2"))
-	j.Take(1, report(1, 2, 10))
-	j.Take(1, report(1, 2, 10))
-	j.Take(1, report(1, 1, 6))
-	j.Take(1, report(2, 1, 4))
-	j.Take(1, report(1, 3, 12))
+	j := NewEvaluator(orderOf(5, "v2"))
+	j.AddReport(1, report(1, 2, 10))
+	j.AddReport(1, report(1, 2, 10))
+	j.AddReport(1, report(1, 1, 6))
+	j.AddReport(1, report(2, 1, 4))
+	j.AddReport(1, report(1, 3, 12))
 	other := report(1, 9, 99)
 	other.Order = 4
-	j.Take(1, other)
+	j.AddReport(1, other)
 	broken := report(1, 10, 3)
 	broken.Routes[0].Failures = 7
-	j.Take(1, broken)
+	j.AddReport(1, broken)
 	must.MapContainsKey(t, j.routes, "r")
 	test.Eq(t, 16, j.routes["r"].total.runs)
 }
 
 func TestAStopNamesItsOrder(t *testing.T) {
 	order := orderOf(5, "v2")
-	_, ok := Verdict{Enough: true}.Stop(order)
+	_, ok := Verdict{EnoughRuns: true}.Stop(order)
 	test.False(t, ok)
 	stop, ok := Verdict{Bad: true, Cause: "failures"}.Stop(order)
 	test.True(t, ok)
--- a/pkg/rollout/guard.go
+++ b/pkg/rollout/guard.go
@@ -3,24 +3,24 @@
 // Guard is what a roll-out lets one backend server run. The zero value lets it run all.
 type Guard struct {
 	// Traffic says which versions may run requests; nil: all.
-	Traffic *Traffic
+	Traffic *TrafficPolicy
 	// Revision is that of the plan that Traffic follows.
 	Revision uint64
-	// Why is set where the backend server may run nothing, whatever Traffic says.
-	Why string
+	// BlockReason is set where the backend server may run nothing, whatever Traffic says.
+	BlockReason string
 	// Instance is the incarnation that the guard was made for; another one runs nothing
 	// until it was looked at. Empty: any may.
 	Instance string
 }
 
-// Bars says why the incarnation of a backend server on a VM, of a version, may run
+// RefusalReasonFor says why the incarnation of a backend server on a VM, of a version, may run
 // nothing; empty: it may.
-func (g *Guard) Bars(instance, version, vm string) string {
+func (g *Guard) RefusalReasonFor(instance, version, vm string) string {
 	switch {
 	case g == nil:
 		return ""
-	case g.Why != "":
-		return g.Why
+	case g.BlockReason != "":
+		return g.BlockReason
 	case g.Instance != "" && g.Instance != instance:
 		return "the backend server has just been replaced"
 	case g.Traffic == nil:
@@ -28,7 +28,7 @@
 	case version == "":
 		// It may be one that must run nothing; its next heartbeat tells.
 		return "a roll-out is known, and the backend server has not said its version yet"
-	case !g.Traffic.Admits(version, vm):
+	case !g.Traffic.PermitsAny(version, vm):
 		return "the roll-out lets version " + version + " run nothing here"
 	}
 	return ""
--- a/pkg/rollout/times.go
+++ b/pkg/rollout/histogram.go
@@ -26,9 +26,9 @@
 // usualTime is how long the run would have taken at the usual speed of its backend
 // server.
 func (o *Outcome) usualTime() time.Duration {
-	slowdown := min(max(o.Slowdown, o.Worst), slowestReported)
+	slowdown := min(max(o.StartSlowdown, o.PeakSlowdown), slowestReported)
 	if slowdown == 0 {
 		slowdown = usualSpeed
 	}
-	return max(o.Run, 0) * usualSpeed / time.Duration(slowdown)
+	return max(o.Duration, 0) * usualSpeed / time.Duration(slowdown)
 }
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -24,8 +24,8 @@
 	Duration time.Duration
 }
 
-// Change is an order that was written or taken away.
-type Change struct {
+// OrderChange is an order that was written or taken away.
+type OrderChange struct {
 	Service string
 	// Order is nil where the order was taken away.
 	Order *Order
@@ -43,7 +43,7 @@
 }
 
 // With returns the set after some changes, as it stood at a later revision.
-func (o Orders) With(revision uint64, changes []Change) Orders {
+func (o Orders) With(revision uint64, changes []OrderChange) Orders {
 	out := Orders{Revision: revision, List: slices.Clone(o.List)}
 	for _, c := range changes {
 		at, found := out.find(c.Service)
--- a/pkg/rollout/orders.go
+++ b/pkg/rollout/orderstore.go
@@ -17,13 +17,13 @@
 	// rowOrders is where the orders stand in the platform's table, where operators use
 	// rushramp's own calls.
 	rowOrders = "rollout-orders/set"
-	// LeastDuration is the shortest time that operators may give: the shortest one for
+	// MinDuration is the shortest time that operators may give: the shortest one for
 	// which it was measured that a bad version is told while it is a canary (2.5 s of 8),
 	// and below 8 s the switch alone may take more than the allowed share.
-	LeastDuration = 12 * time.Second
-	// MostDuration is the longest one: an order that stands for over a month is a
+	MinDuration = 12 * time.Second
+	// MaxDuration is the longest one: an order that stands for over a month is a
 	// forgotten one, and keeps the service's executors counting.
-	MostDuration = 30 * 24 * time.Hour
+	MaxDuration = 30 * 24 * time.Hour
 	// mostChanges is how many changes the row remembers, so that one that is sent again
 	// after a lost answer is known although others were made since: far more than
 	// operators make within the minutes in which they repeat one.
@@ -33,8 +33,8 @@
 // ErrNoOrder says that there is no order to take away.
 var ErrNoOrder = errors.New("no order stands")
 
-// Asked is an operator's change of the orders.
-type Asked struct {
+// OrderRequest is an operator's change of the orders.
+type OrderRequest struct {
 	// ID is chosen by the operator's tool. The same one again changes nothing.
 	ID      string
 	Service string
@@ -44,7 +44,7 @@
 }
 
 // Check says what the operator must correct; nil: nothing.
-func (a Asked) Check() error {
+func (a OrderRequest) Check() error {
 	switch {
 	case !isName(a.ID):
 		return errors.Errorf("a change needs a change id of at most %d bytes, so that a lost answer can be resolved", mostName)
@@ -54,10 +54,10 @@
 		return nil
 	case !isReadable(a.Version):
 		return errors.Errorf("%.40q is no version. Give the word that the backend servers say, of 1 to %d bytes without spaces and control characters.", a.Version, mostName)
-	case a.Duration < LeastDuration:
-		return errors.Errorf("a roll-out of %v is too short: a bad version would not be told in time. Give a duration of %v at least.", a.Duration, LeastDuration)
-	case a.Duration > MostDuration:
-		return errors.Errorf("a roll-out of %v is too long: it would be forgotten. Give a duration of %v at most.", a.Duration, MostDuration)
+	case a.Duration < MinDuration:
+		return errors.Errorf("a roll-out of %v is too short: a bad version would not be told in time. Give a duration of %v at least.", a.Duration, MinDuration)
+	case a.Duration > MaxDuration:
+		return errors.Errorf("a roll-out of %v is too long: it would be forgotten. Give a duration of %v at most.", a.Duration, MaxDuration)
 	}
 	return nil
 }
@@ -75,12 +75,12 @@
 	return true
 }
 
-// OrderRegister is the set of orders in the platform's table, in one row, so that the
+// OrderStore is the set of orders in the platform's table, in one row, so that the
 // row's version orders all sets. The row is never removed.
-type OrderRegister struct{ table store.Table }
+type OrderStore struct{ table store.Table }
 
-// NewOrderRegister makes the register of a platform's table.
-func NewOrderRegister(table store.Table) *OrderRegister { return &OrderRegister{table: table} }
+// NewOrderStore makes the register of a platform's table.
+func NewOrderStore(table store.Table) *OrderStore { return &OrderStore{table: table} }
 
 // orderRow is the row's value. It is JSON, so that daemons of another release read what
 // they know of it.
@@ -98,7 +98,7 @@
 }
 
 // Read returns the newest set; the zero value where nothing was ever ordered.
-func (r *OrderRegister) Read(ctx context.Context) (Orders, error) {
+func (r *OrderStore) Read(ctx context.Context) (Orders, error) {
 	found, err := r.table.Get(ctx, rowOrders)
 	if errors.Is(err, store.ErrNotFound) {
 		return Orders{}, nil
@@ -110,11 +110,11 @@
 	return orders, err
 }
 
-// Change makes one change and returns the set after it. Changes of operators who race
+// Apply makes one change and returns the set after it. Changes of operators who race
 // are all made, and one whose id was made already changes nothing. ErrNoOrder where
 // there is none to take away. A store.UnknownOutcomeError leaves open whether it was
 // made; after any other error it was not.
-func (r *OrderRegister) Change(ctx context.Context, a Asked) (Orders, error) {
+func (r *OrderStore) Apply(ctx context.Context, a OrderRequest) (Orders, error) {
 	if err := a.Check(); err != nil {
 		return Orders{}, err
 	}
@@ -127,13 +127,13 @@
 }
 
 // edit returns the row's value with the change; nil where it was made already.
-func (a Asked) edit(row store.Row) ([]byte, error) {
+func (a OrderRequest) edit(row store.Row) ([]byte, error) {
 	known, before, err := decodeOrders(row)
 	if err != nil || slices.Contains(known.Changes, a.ID) {
 		return nil, err
 	}
 	_, stands := before.Of(a.Service)
-	change := Change{Service: a.Service}
+	change := OrderChange{Service: a.Service}
 	switch {
 	case a.Version != "":
 		// Above the revision of each order before, as that was above an earlier version
@@ -142,7 +142,7 @@
 	case !stands:
 		return nil, ErrNoOrder
 	}
-	after := before.With(row.Version+1, []Change{change})
+	after := before.With(row.Version+1, []OrderChange{change})
 	if !after.valid() {
 		return nil, errors.Errorf("orders of %d services stand, which is the most. Cancel those of roll-outs that have ended.", len(before.List))
 	}
--- a/pkg/rollout/plan.go
+++ b/pkg/rollout/plan.go
@@ -85,8 +85,8 @@
 	Cause   string
 }
 
-// News is what daemons tell each other of roll-outs.
-type News struct {
+// Update is what daemons tell each other of roll-outs.
+type Update struct {
 	_      struct{} `cbor:",toarray"`
 	Orders Orders
 	Plans  []Plan
--- a/pkg/rollout/register.go
+++ b/pkg/rollout/planstore.go
@@ -8,11 +8,11 @@
 	"github.com/pkg/errors"
 )
 
-// Register keeps the plans' rows in the platform's store, one a service, and beside
+// PlanStore keeps the plans' rows in the platform's store, one a service, and beside
 // each the state that operators read.
-type Register interface {
+type PlanStore interface {
 	// Read reads the plan of a service.
-	Read(ctx context.Context, service string) (Stored, error)
+	Read(ctx context.Context, service string) (StoredPlan, error)
 	// Write writes the plan's row, and the state beside it, where the row still has the
 	// version that the plan names; else store.ErrConflict. Any other error leaves open
 	// whether the plan was written, or will be: the row must be read before anything
@@ -20,12 +20,12 @@
 	Write(ctx context.Context, plan Plan) error
 }
 
-// ErrUnreadable is of a row that no read makes sense of: it is damaged, or of a later
+// ErrUnreadablePlan is of a row that no read makes sense of: it is damaged, or of a later
 // release.
-var ErrUnreadable = errors.New("the plan's row cannot be read; it stays as it is until it is written by hand")
+var ErrUnreadablePlan = errors.New("the plan's row cannot be read; it stays as it is until it is written by hand")
 
-// Stored is what a Register read.
-type Stored struct {
+// StoredPlan is what a Register read.
+type StoredPlan struct {
 	// Plan is the zero value where none was written yet.
 	Plan Plan
 	// Now is the store's steady clock at some moment while it was read.
@@ -49,14 +49,14 @@
 func DecodePlan(service string, value []byte, version uint64) (Plan, error) {
 	var out Plan
 	if err := json.Unmarshal(value, &out); err != nil {
-		return Plan{}, errors.Wrapf(ErrUnreadable, "plan of service %q: %s", service, err)
+		return Plan{}, errors.Wrapf(ErrUnreadablePlan, "plan of service %q: %s", service, err)
 	}
 	out.Revision = version
 	if out.Service != service {
-		return Plan{}, errors.Wrapf(ErrUnreadable, "the plan of service %q is one of %q", service, out.Service)
+		return Plan{}, errors.Wrapf(ErrUnreadablePlan, "the plan of service %q is one of %q", service, out.Service)
 	}
 	if !out.valid() {
-		return Plan{}, errors.Wrapf(ErrUnreadable, "the plan of service %q has a value out of bounds, or is of a later release", service)
+		return Plan{}, errors.Wrapf(ErrUnreadablePlan, "the plan of service %q has a value out of bounds, or is of a later release", service)
 	}
 	return out, nil
 }
--- a/pkg/rollout/register_test.go
+++ b/pkg/rollout/planstore_test.go
@@ -31,10 +31,10 @@
 
 // TestPlansInAPlatformsTable: one of two writers wins, and reads what stands there.
 func TestPlansInAPlatformsTable(t *testing.T) {
-	register := NewTableRegister(fakestore.New(), func() time.Duration { return time.Hour })
+	register := NewTablePlanStore(fakestore.New(), func() time.Duration { return time.Hour })
 	none, err := register.Read(t.Context(), "desk")
 	must.NoError(t, err)
-	test.Eq(t, Stored{Now: time.Hour}, none)
+	test.Eq(t, StoredPlan{Now: time.Hour}, none)
 	plan := planOf(orderOf(5, "v2"), 0, Canary)
 	must.NoError(t, register.Write(t.Context(), plan))
 	must.ErrorIs(t, register.Write(t.Context(), plan), store.ErrConflict)
--- a/pkg/rollout/recorder.go
+++ b/pkg/rollout/recorder.go
@@ -45,8 +45,8 @@
 // Counting is true while there is an order to count for.
 func (r *Recorder) Counting() bool { return r.counting.Load() }
 
-// Note counts an outcome.
-func (r *Recorder) Note(o Outcome) {
+// Count counts an outcome.
+func (r *Recorder) Count(o Outcome) {
 	if !r.Counting() {
 		return
 	}
@@ -73,13 +73,13 @@
 	}
 	counts, found := r.routes[route]
 	if !found {
-		counts = &RouteCounts{Route: route, Times: make([]uint32, timeSteps)}
+		counts = &RouteCounts{Route: route, DurationCounts: make([]uint32, timeSteps)}
 		r.routes[route] = counts
 	}
 	return counts
 }
 
-func (c *RouteCounts) addTime(d time.Duration) { c.Times[timeStep(d)]++ }
+func (c *RouteCounts) addTime(d time.Duration) { c.DurationCounts[timeStep(d)]++ }
 
 // Report returns the counts; ok is false while there is no order.
 func (r *Recorder) Report(plan uint64, inFlight int64) (report Report, ok bool) {
@@ -95,7 +95,7 @@
 	}
 	for _, route := range slices.Sorted(maps.Keys(r.routes)) {
 		counts := *r.routes[route]
-		counts.Times = slices.Clone(counts.Times)
+		counts.DurationCounts = slices.Clone(counts.DurationCounts)
 		report.Routes = append(report.Routes, counts)
 	}
 	return report, true
--- a/pkg/rollout/recorder_test.go
+++ b/pkg/rollout/recorder_test.go
@@ -12,13 +12,13 @@
 
 func TestARecorderCountsFromTheOrderOn(t *testing.T) {
 	r := NewRecorder("vm-1", "desk", 7)
-	r.Note(Outcome{Route: "a"})
+	r.Count(Outcome{Route: "a"})
 	_, ok := r.Report(1, 0)
 	test.False(t, ok)
 	r.Begin(5, "v2")
-	r.Note(Outcome{Route: "b", Run: 80 * time.Millisecond, Slowdown: 200})
-	r.Note(Outcome{Route: "a", Failed: true})
-	r.Note(Outcome{Route: "a", Run: time.Hour, Cold: true})
+	r.Count(Outcome{Route: "b", Duration: 80 * time.Millisecond, StartSlowdown: 200})
+	r.Count(Outcome{Route: "a", Failed: true})
+	r.Count(Outcome{Route: "a", Duration: time.Hour, Cold: true})
 	r.Begin(5, "v2")
 	got, ok := r.Report(9, 3)
 	must.True(t, ok)
@@ -26,8 +26,8 @@
 	a, b := got.Routes[0], got.Routes[1]
 	test.Eq(t, []any{"vm-1", "v2", uint64(7), uint32(1), uint64(9), uint32(3)}, []any{got.VM, got.Version, got.Process, got.Seq, got.Plan, got.InFlight})
 	test.Eq(t, []any{"a", uint32(2), uint32(1)}, []any{a.Route, a.Runs, a.Failures})
-	test.Eq(t, make([]uint32, timeSteps), a.Times, test.Sprint("failed and cold runs tell no time"))
-	test.Eq(t, uint32(1), b.Times[timeStep(40*time.Millisecond)])
+	test.Eq(t, make([]uint32, timeSteps), a.DurationCounts, test.Sprint("failed and cold runs tell no time"))
+	test.Eq(t, uint32(1), b.DurationCounts[timeStep(40*time.Millisecond)])
 	r.Begin(6, "v2")
 	got, _ = r.Report(9, 0)
 	test.SliceEmpty(t, got.Routes)
@@ -40,7 +40,7 @@
 	r := NewRecorder("vm-1", "desk", 7)
 	r.Begin(5, "v2")
 	for i := range 5 * mostRoutes {
-		r.Note(Outcome{Route: strconv.Itoa(i)})
+		r.Count(Outcome{Route: strconv.Itoa(i)})
 	}
 	got, _ := r.Report(1, -1)
 	test.Len(t, mostRoutes, got.Routes)
@@ -54,7 +54,7 @@
 	for range 8 {
 		all.Go(func() {
 			for range 1000 {
-				r.Note(Outcome{Route: "a", Run: time.Millisecond})
+				r.Count(Outcome{Route: "a", Duration: time.Millisecond})
 				r.Report(1, 1)
 			}
 		})
--- a/pkg/rollout/book.go
+++ b/pkg/rollout/replica.go
@@ -7,34 +7,34 @@
 	"slices"
 )
 
-// Book is what one daemon knows of roll-outs. Only the goroutine that runs the systems
+// Replica is what one daemon knows of roll-outs. Only the goroutine that runs the systems
 // touches it. What it holds only ever moves on, by a total order for each part (orders
 // by the revision of their set, plans by Supersedes, stops by their order), so that
 // books that heard the same news in any order hold the same.
-type Book struct {
+type Replica struct {
 	orders  Orders
 	plans   map[string]Plan
 	stops   map[string]Stop
-	traffic map[string]*Traffic
+	traffic map[string]*TrafficPolicy
 	// lone is the only version that a service has, by service; none where it has more,
 	// or where that is not known.
 	lone map[string]string
 	// news and digest are made anew where something changed.
-	news   News
+	news   Update
 	digest uint64
 }
 
-// NewBook makes an empty book.
-func NewBook() *Book {
-	b := &Book{plans: map[string]Plan{}, stops: map[string]Stop{}, traffic: map[string]*Traffic{}, lone: map[string]string{}}
+// NewReplica makes an empty book.
+func NewReplica() *Replica {
+	b := &Replica{plans: map[string]Plan{}, stops: map[string]Stop{}, traffic: map[string]*TrafficPolicy{}, lone: map[string]string{}}
 	b.seal()
 	return b
 }
 
-// Take takes over what is newer than what the book holds. It returns the services
+// Merge takes over what is newer than what the book holds. It returns the services
 // of which something changed; none where everything was known. News beyond the bounds
 // is passed over.
-func (b *Book) Take(news News) (changed []string) {
+func (b *Replica) Merge(news Update) (changed []string) {
 	touched := map[string]bool{}
 	moved := b.takeOrders(news.Orders, touched)
 	for i := range news.Plans {
@@ -53,7 +53,7 @@
 	return slices.Sorted(maps.Keys(touched))
 }
 
-func (b *Book) takeOrders(orders Orders, touched map[string]bool) (moved bool) {
+func (b *Replica) takeOrders(orders Orders, touched map[string]bool) (moved bool) {
 	if orders.Revision <= b.orders.Revision || !orders.valid() {
 		return false
 	}
@@ -79,7 +79,7 @@
 	return true
 }
 
-func (b *Book) takePlan(p *Plan, touched map[string]bool) {
+func (b *Replica) takePlan(p *Plan, touched map[string]bool) {
 	have, known := b.plans[p.Service]
 	if !p.valid() || !known && len(b.plans) >= mostServices || known && !p.Supersedes(&have) {
 		return
@@ -88,7 +88,7 @@
 	touched[p.Service] = true
 }
 
-func (b *Book) takeStop(s *Stop, touched map[string]bool) {
+func (b *Replica) takeStop(s *Stop, touched map[string]bool) {
 	have, known := b.stops[s.Service]
 	if !s.valid() || !known && len(b.stops) >= mostServices || s.Order <= have.Order {
 		return
@@ -99,8 +99,8 @@
 
 // seal makes the news and its digest after a change. The digest leaves causes out:
 // two that stop the same order may give different ones.
-func (b *Book) seal() {
-	b.news = News{Orders: b.orders}
+func (b *Replica) seal() {
+	b.news = Update{Orders: b.orders}
 	h := fnv.New64a()
 	number := func(n uint64) { _, _ = h.Write(binary.BigEndian.AppendUint64(nil, n)) } // a hash's Write never fails
 	name := func(s string) {
@@ -130,41 +130,41 @@
 	b.digest = h.Sum64()
 }
 
-// News is all that the book holds, for peers: the same value until something changes.
-func (b *Book) News() News { return b.news }
+// Snapshot is all that the book holds, for peers: the same value until something changes.
+func (b *Replica) Snapshot() Update { return b.news }
 
 // Digest is one number for News: two books that hold the same have the same.
-func (b *Book) Digest() uint64 { return b.digest }
+func (b *Replica) Digest() uint64 { return b.digest }
 
 // Order is what is known of a service's order; ok is false for nothing.
-func (b *Book) Order(service string) (order Order, ok bool) { return b.orders.Of(service) }
+func (b *Replica) Order(service string) (order Order, ok bool) { return b.orders.Of(service) }
 
 // Plan returns the newest plan of a service.
-func (b *Book) Plan(service string) (plan Plan, ok bool) {
+func (b *Replica) Plan(service string) (plan Plan, ok bool) {
 	plan, ok = b.plans[service]
 	return plan, ok
 }
 
 // Stopped returns the stop of the order in force of a service.
-func (b *Book) Stopped(service string) (stop Stop, ok bool) {
+func (b *Replica) Stopped(service string) (stop Stop, ok bool) {
 	stop, ok = b.stops[service]
 	return stop, ok && stop.Order == b.inForce(service)
 }
 
 // inForce is the revision of the newest order of a service that is known of, from
 // the orders or from its plan; 0: none.
-func (b *Book) inForce(service string) uint64 {
+func (b *Replica) inForce(service string) uint64 {
 	order, _ := b.orders.Of(service)
 	return max(order.Revision, b.plans[service].Order)
 }
 
 // Traffic is what the hot path needs for a service; nil: no roll-out of it is known.
-func (b *Book) Traffic(service string) *Traffic { return b.traffic[service] }
+func (b *Replica) Traffic(service string) *TrafficPolicy { return b.traffic[service] }
 
-// SetLone says which version is the only one that a service has; empty: it has more,
+// SetSoleVersion says which version is the only one that a service has; empty: it has more,
 // or that is not known. It is what this daemon sees, no news for peers. changed is true
 // where it lets another version run.
-func (b *Book) SetLone(service, version string) (changed bool) {
+func (b *Replica) SetSoleVersion(service, version string) (changed bool) {
 	if b.lone[service] == version {
 		return false
 	}
@@ -181,7 +181,7 @@
 
 // makeTraffic puts together what is known of a service. No roll-out bars the only
 // version that there is: nobody else would run the requests.
-func (b *Book) makeTraffic(service string) *Traffic {
+func (b *Replica) makeTraffic(service string) *TrafficPolicy {
 	t := b.ordered(service)
 	if lone := b.lone[service]; t != nil && lone != "" && !t.carries(lone) {
 		return newTraffic(open, "", without(t.shut, lone), nil, 0)
@@ -190,7 +190,7 @@
 }
 
 // ordered is the traffic by the orders, plans and stops.
-func (b *Book) ordered(service string) *Traffic {
+func (b *Replica) ordered(service string) *TrafficPolicy {
 	order, ordered := b.orders.Of(service)
 	plan, planned := b.plans[service]
 	switch {
--- a/pkg/rollout/book_test.go
+++ b/pkg/rollout/replica_test.go
@@ -18,24 +18,24 @@
 
 // storeHistory is what the store held one after the other: orders and the plans that carry
 // them out, each plan's phases in order. Each part is news that may be told at any time.
-func storeHistory(t *rapid.T) (all []News) {
+func storeHistory(t *rapid.T) (all []Update) {
 	revision := uint64(0)
 	next := func() uint64 { revision += rapid.Uint64Range(1, 3).Draw(t, "gap"); return revision }
 	for range rapid.IntRange(1, 4).Draw(t, "orders") {
 		order := orderOf(next(), rapid.SampledFrom([]string{"v2", "v3", "v4"}).Draw(t, "version"))
-		all = append(all, News{Orders: ordersOf(order.Revision, order)})
+		all = append(all, Update{Orders: ordersOf(order.Revision, order)})
 		end := rapid.SampledFrom([]Phase{Canary, Switching, Completed, RolledBack}).Draw(t, "end")
 		for phase := Waiting; phase <= min(end, Switching); phase++ {
-			all = append(all, News{Plans: []Plan{planOf(order, next(), phase)}})
+			all = append(all, Update{Plans: []Plan{planOf(order, next(), phase)}})
 		}
 		if end.Ended() {
-			all = append(all, News{Plans: []Plan{planOf(order, next(), end)}})
+			all = append(all, Update{Plans: []Plan{planOf(order, next(), end)}})
 		}
 		if rapid.Bool().Draw(t, "stopped") {
-			all = append(all, News{Stops: []Stop{{Service: "desk", Order: order.Revision, Cause: "failures"}}})
+			all = append(all, Update{Stops: []Stop{{Service: "desk", Order: order.Revision, Cause: "failures"}}})
 		}
 		if rapid.Bool().Draw(t, "taken away") {
-			all = append(all, News{Orders: ordersOf(next())})
+			all = append(all, Update{Orders: ordersOf(next())})
 		}
 	}
 	return all
@@ -49,13 +49,13 @@
 }
 
 // sameTraffic compares what two traffics let through.
-func sameTraffic(t test.T, a, b *Traffic) {
+func sameTraffic(t test.T, a, b *TrafficPolicy) {
 	test.Eq(t, a == nil, b == nil)
 	for _, version := range []string{"v1", "v2", "v3", "v4", "v5"} {
 		for _, vm := range []string{"vm-1", "vm-2"} {
-			test.Eq(t, a.Admits(version, vm), b.Admits(version, vm))
-			test.Eq(t, a.Takes(LaneOld, version, vm), b.Takes(LaneOld, version, vm))
-			test.Eq(t, a.Takes(LaneTarget, version, vm), b.Takes(LaneTarget, version, vm))
+			test.Eq(t, a.PermitsAny(version, vm), b.PermitsAny(version, vm))
+			test.Eq(t, a.Permits(LaneOld, version, vm), b.Permits(LaneOld, version, vm))
+			test.Eq(t, a.Permits(LaneTarget, version, vm), b.Permits(LaneTarget, version, vm))
 		}
 	}
 }
@@ -65,34 +65,34 @@
 func TestBooksThatHeardTheSameHoldTheSame(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := storeHistory(t)
-		inOrder, mixed := NewBook(), NewBook()
+		inOrder, mixed := NewReplica(), NewReplica()
 		for _, news := range all {
-			inOrder.Take(news)
+			inOrder.Merge(news)
 		}
 		order := rapid.Permutation(append(all, all...)).Draw(t, "delivery")
 		restart := rapid.IntRange(0, len(order)).Draw(t, "restart")
 		ended := map[uint64]Phase{}
 		for i, news := range order {
 			if i == restart {
-				fresh := NewBook()
-				fresh.Take(mixed.News())
+				fresh := NewReplica()
+				fresh.Merge(mixed.Snapshot())
 				test.Eq(t, mixed.Digest(), fresh.Digest())
 				mixed = fresh
 			}
-			mixed.Take(news)
+			mixed.Merge(news)
 			neverBack(t, mixed, ended)
 		}
 		test.Eq(t, inOrder.Digest(), mixed.Digest())
 		sameTraffic(t, inOrder.Traffic("desk"), mixed.Traffic("desk"))
 		for _, news := range all {
-			test.SliceEmpty(t, mixed.Take(news), test.Sprint("known news is no news"))
+			test.SliceEmpty(t, mixed.Merge(news), test.Sprint("known news is no news"))
 		}
-		test.SliceEmpty(t, mixed.Take(inOrder.News()))
+		test.SliceEmpty(t, mixed.Merge(inOrder.Snapshot()))
 	})
 }
 
 // neverBack fails where an order's end was taken back.
-func neverBack(t *rapid.T, b *Book, ended map[uint64]Phase) {
+func neverBack(t *rapid.T, b *Replica, ended map[uint64]Phase) {
 	plan, ok := b.Plan("desk")
 	if !ok {
 		return
@@ -109,31 +109,31 @@
 // not struck by it.
 func TestAStopHoldsForItsOrder(t *testing.T) {
 	order := orderOf(5, "v2")
-	b := NewBook()
-	test.Eq(t, []string{"desk"}, b.Take(News{Orders: ordersOf(5, order), Plans: []Plan{planOf(order, 6, Canary)}}))
-	test.True(t, b.Traffic("desk").Admits("v2", "vm-1"))
-	b.Take(News{Stops: []Stop{{Service: "desk", Order: 5, Cause: "failures"}}})
-	b.Take(News{Plans: []Plan{planOf(order, 8, Switching)}})
-	test.False(t, b.Traffic("desk").Admits("v2", "vm-1"))
-	test.True(t, b.Traffic("desk").Admits("v1", "vm-9"))
+	b := NewReplica()
+	test.Eq(t, []string{"desk"}, b.Merge(Update{Orders: ordersOf(5, order), Plans: []Plan{planOf(order, 6, Canary)}}))
+	test.True(t, b.Traffic("desk").PermitsAny("v2", "vm-1"))
+	b.Merge(Update{Stops: []Stop{{Service: "desk", Order: 5, Cause: "failures"}}})
+	b.Merge(Update{Plans: []Plan{planOf(order, 8, Switching)}})
+	test.False(t, b.Traffic("desk").PermitsAny("v2", "vm-1"))
+	test.True(t, b.Traffic("desk").PermitsAny("v1", "vm-9"))
 	stop, stopped := b.Stopped("desk")
 	test.True(t, stopped)
 	test.Eq(t, "failures", stop.Cause)
 
 	again := orderOf(9, "v2")
-	b.Take(News{Orders: ordersOf(9, again), Plans: []Plan{planOf(again, 10, Canary)}})
+	b.Merge(Update{Orders: ordersOf(9, again), Plans: []Plan{planOf(again, 10, Canary)}})
 	_, stopped = b.Stopped("desk")
 	test.False(t, stopped)
-	test.True(t, b.Traffic("desk").Admits("v2", "vm-1"))
+	test.True(t, b.Traffic("desk").PermitsAny("v2", "vm-1"))
 }
 
 // TestAStopThatComesBeforeItsOrder holds once the order is heard of.
 func TestAStopThatComesBeforeItsOrder(t *testing.T) {
 	order := orderOf(5, "v2")
-	b := NewBook()
-	b.Take(News{Stops: []Stop{{Service: "desk", Order: 5}}})
-	b.Take(News{Plans: []Plan{planOf(order, 7, Canary)}})
-	test.False(t, b.Traffic("desk").Admits("v2", "vm-1"))
+	b := NewReplica()
+	b.Merge(Update{Stops: []Stop{{Service: "desk", Order: 5}}})
+	b.Merge(Update{Plans: []Plan{planOf(order, 7, Canary)}})
+	test.False(t, b.Traffic("desk").PermitsAny("v2", "vm-1"))
 }
 
 // TestAnEndIsNotTakenBackByARowMadeAnew: its version in the store is higher.
@@ -143,9 +143,9 @@
 		{planOf(order, 8, RolledBack), planOf(order, 12, Canary)},
 		{planOf(order, 12, Canary), planOf(order, 8, RolledBack)},
 	} {
-		b := NewBook()
-		b.Take(News{Plans: plans[:1]})
-		b.Take(News{Plans: plans[1:]})
+		b := NewReplica()
+		b.Merge(Update{Plans: plans[:1]})
+		b.Merge(Update{Plans: plans[1:]})
 		plan, _ := b.Plan("desk")
 		test.Eq(t, RolledBack, plan.Phase)
 	}
@@ -159,9 +159,9 @@
 	plan := planOf(order, 6, Canary)
 	unwritten, phase, share, name := plan, plan, plan, plan
 	unwritten.Revision, phase.Phase, share.PerMille, name.Target = 0, RolledBack+1, 1001, long
-	b := NewBook()
+	b := NewReplica()
 	empty := b.Digest()
-	b.Take(News{
+	b.Merge(Update{
 		Orders: unsorted, Plans: []Plan{unwritten, phase, share, name},
 		Stops: []Stop{{Service: long, Order: 1}, {Service: "a"}},
 	})
@@ -171,34 +171,34 @@
 		many[i] = planOf(order, 6, Canary)
 		many[i].Service = string(rune('a' + i))
 	}
-	b.Take(News{Plans: many})
-	test.Len(t, mostServices, b.News().Plans)
+	b.Merge(Update{Plans: many})
+	test.Len(t, mostServices, b.Snapshot().Plans)
 }
 
 // TestNewsOfAnOrderTakenAway: an empty set as new as the plan ends its canaries, an
 // older one says nothing of it.
 func TestNewsOfAnOrderTakenAway(t *testing.T) {
 	order := orderOf(5, "v2")
-	b := NewBook()
-	b.Take(News{Plans: []Plan{planOf(order, 7, Canary)}})
-	test.SliceEmpty(t, b.Take(News{Orders: ordersOf(4)}))
-	test.True(t, b.Traffic("desk").Admits("v2", "vm-1"))
-	test.Eq(t, []string{"desk"}, b.Take(News{Orders: ordersOf(9)}))
-	test.False(t, b.Traffic("desk").Admits("v2", "vm-1"))
+	b := NewReplica()
+	b.Merge(Update{Plans: []Plan{planOf(order, 7, Canary)}})
+	test.SliceEmpty(t, b.Merge(Update{Orders: ordersOf(4)}))
+	test.True(t, b.Traffic("desk").PermitsAny("v2", "vm-1"))
+	test.Eq(t, []string{"desk"}, b.Merge(Update{Orders: ordersOf(9)}))
+	test.False(t, b.Traffic("desk").PermitsAny("v2", "vm-1"))
 }
 
 func BenchmarkNext(b *testing.B) {
-	book := NewBook()
+	book := NewReplica()
 	order := orderOf(5, "v2")
-	book.Take(News{Orders: ordersOf(5, order), Plans: []Plan{planOf(order, 6, Canary)}})
+	book.Merge(Update{Orders: ordersOf(5, order), Plans: []Plan{planOf(order, 6, Canary)}})
 	traffic := book.Traffic("desk")
 	routes := []string{"form-load", "return-submit", "status-check"}
 	b.ReportAllocs()
 	b.RunParallel(func(p *testing.PB) {
 		for i := rand.IntN(3); p.Next(); i++ {
-			lane := traffic.Next(routes[i%3])
-			_ = traffic.Takes(lane, "v2", "vm-1")
-			_ = traffic.Admits("v1", "vm-2")
+			lane := traffic.AssignLane(routes[i%3])
+			_ = traffic.Permits(lane, "v2", "vm-1")
+			_ = traffic.PermitsAny("v1", "vm-2")
 		}
 	})
 }
--- a/pkg/rollout/evidence.go
+++ b/pkg/rollout/report.go
@@ -9,15 +9,15 @@
 	Route string
 	// Failed is true for an answer of 500 or above and for one that broke off.
 	Failed bool
-	// Run is how long it took.
-	Run time.Duration
-	// Slowdown is how long work took at the backend server when the run began, in
+	// Duration is how long it took.
+	Duration time.Duration
+	// StartSlowdown is how long work took at the backend server when the run began, in
 	// percent of what is usual there; 0: not known.
-	Slowdown uint32
-	// Worst is the highest slowdown that was told while it ran, in percent; 0: not
+	StartSlowdown uint32
+	// PeakSlowdown is the highest slowdown that was told while it ran, in percent; 0: not
 	// known. Runs that a slow spell of a neighbour overtook are weighed by it, so that
 	// a spell's first runs, all at one backend server, are no evidence.
-	Worst uint32
+	PeakSlowdown uint32
 	// Cold is true for a run that began while the backend server was cold.
 	Cold bool
 }
@@ -47,18 +47,18 @@
 	Route    string
 	Runs     uint32
 	Failures uint32
-	// Times counts the runs that did not fail and did not begin cold by their time at
+	// DurationCounts counts the runs that did not fail and did not begin cold by their time at
 	// usual speed, in the steps of timeStep. Part of the
 	// answers of a version may be slow, which a mean hides.
-	Times []uint32
+	DurationCounts []uint32
 }
 
 // Verdict is what the evidence says of the new version.
 type Verdict struct {
 	// Bad is true once it is told that the version is worse than the old ones.
 	Bad bool
-	// Enough is true once each route with requests has shown enough runs to move on.
-	Enough bool
+	// EnoughRuns is true once each route with requests has shown enough runs to move on.
+	EnoughRuns bool
 	// Cause names the route, the figures and the test, for the log and for operators.
 	Cause string
 }
--- a/pkg/rollout/schedule.go
+++ b/pkg/rollout/schedule.go
@@ -58,7 +58,7 @@
 // 1.2; 60 s: 0.09*58 + 0.6 = 5.8 of 6; 300 s: 0.09*298 + 0.6 = 27.4 of 30. Below 8 s the
 // switch alone may take more than the share; what is left is the slack.
 func mostShare(duration time.Duration, limits Limits) float64 {
-	allowed := limits.Share * budgetUsed
+	allowed := limits.MaxBadShare * budgetUsed
 	over := (duration - keepBack(duration)).Seconds()
 	if over <= 0 {
 		return leastShare
--- a/pkg/rollout/play_test.go
+++ b/pkg/rollout/simulation_test.go
@@ -37,7 +37,7 @@
 // play is one roll-out as its judge sees it: one canary and the old versions, whose
 // reports are one here.
 type play struct {
-	judge       *Judge
+	judge       *Evaluator
 	old, target *Recorder
 	rng         *rand.Rand
 	load        load
@@ -55,7 +55,7 @@
 func newPlay(seed uint64) *play {
 	order := orderOf(5, "v2")
 	p := &play{
-		judge: NewJudge(order), old: NewRecorder("vm-1", "desk", 1), target: NewRecorder("vm-2", "desk", 1),
+		judge: NewEvaluator(order), old: NewRecorder("vm-1", "desk", 1), target: NewRecorder("vm-2", "desk", 1),
 		rng: rand.New(rand.NewPCG(seed, 1)), load: returns(), usual: failureFloor,
 	}
 	p.old.Begin(order.Revision, "v1")
@@ -89,11 +89,11 @@
 	now := int64(time.Hour + at)
 	target, _ := p.target.Report(1, 0)
 	old, _ := p.old.Report(1, 0)
-	p.judge.Take(now, target)
+	p.judge.AddReport(now, target)
 	if p.late {
 		old, p.onWay = p.onWay, old
 	}
-	p.judge.Take(now, old)
+	p.judge.AddReport(now, old)
 	return p.judge.Verdict(now)
 }
 
@@ -118,6 +118,6 @@
 		if bad && p.rng.Float64() < v.tardy {
 			took *= v.times
 		}
-		r.Note(Outcome{Route: route, Failed: p.rng.Float64() < failing, Run: time.Duration(took), Slowdown: 100})
+		r.Count(Outcome{Route: route, Failed: p.rng.Float64() < failing, Duration: time.Duration(took), StartSlowdown: 100})
 	}
 }
--- a/pkg/rollout/table.go
+++ b/pkg/rollout/tableplanstore.go
@@ -19,22 +19,22 @@
 	now   func() time.Duration
 }
 
-// NewTableRegister makes the register of a platform's table. now is a clock that all
+// NewTablePlanStore makes the register of a platform's table. now is a clock that all
 // daemons share; where it is their VMs' own, a deadline is off by as much as two of
 // them differ.
-func NewTableRegister(table store.Table, now func() time.Duration) Register {
+func NewTablePlanStore(table store.Table, now func() time.Duration) PlanStore {
 	return &tableRegister{table: table, now: now}
 }
 
 // Read implements Register.
-func (r *tableRegister) Read(ctx context.Context, service string) (Stored, error) {
-	out := Stored{Now: r.now()}
+func (r *tableRegister) Read(ctx context.Context, service string) (StoredPlan, error) {
+	out := StoredPlan{Now: r.now()}
 	found, err := r.table.Get(ctx, prefixPlan+service)
 	if errors.Is(err, store.ErrNotFound) {
 		return out, nil
 	}
 	if err != nil {
-		return Stored{}, err
+		return StoredPlan{}, err
 	}
 	out.Plan, err = DecodePlan(service, found.Value, found.Version)
 	return out, err
--- a/pkg/rollout/traffic.go
+++ b/pkg/rollout/traffic.go
@@ -39,10 +39,10 @@
 // share one, and keep the share in sum. 2 kB a service under an order.
 const turns = 256
 
-// Traffic is what the hot path needs of a service's roll-out. It is safe for
+// TrafficPolicy is what the hot path needs of a service's roll-out. It is safe for
 // concurrent use; a change of the plan or a stop makes another one. The methods of a
-// nil Traffic are those of a service without a roll-out: all versions run all.
-type Traffic struct {
+// nil TrafficPolicy are those of a service without a roll-out: all versions run all.
+type TrafficPolicy struct {
 	mode     mode
 	target   string
 	shut     []string
@@ -52,8 +52,8 @@
 	turn     [turns]atomic.Uint64
 }
 
-func newTraffic(m mode, target string, shut, canaries []string, perMille uint32) *Traffic {
-	t := &Traffic{mode: m, target: target, shut: shut, canaries: canaries, perMille: uint64(perMille)}
+func newTraffic(m mode, target string, shut, canaries []string, perMille uint32) *TrafficPolicy {
+	t := &TrafficPolicy{mode: m, target: target, shut: shut, canaries: canaries, perMille: uint64(perMille)}
 	if m != divided {
 		return t
 	}
@@ -67,7 +67,7 @@
 }
 
 // trafficOf is the traffic of a plan that is carried out, or has ended.
-func trafficOf(p *Plan) *Traffic {
+func trafficOf(p *Plan) *TrafficPolicy {
 	switch p.Phase {
 	case Canary:
 		return newTraffic(divided, p.Target, p.Barred, p.Canaries, p.PerMille)
@@ -84,7 +84,7 @@
 }
 
 // carries is true where a version may run all requests.
-func (t *Traffic) carries(version string) bool {
+func (t *TrafficPolicy) carries(version string) bool {
 	switch {
 	case slices.Contains(t.shut, version):
 		return false
@@ -104,7 +104,7 @@
 // While switching the old versions run requests again before the row says rolled back:
 // waiting for it would refuse all requests for as long as the store is away. Only a
 // completion that was written within the same moment could then meet a run of theirs.
-func trafficLeft(p *Plan) *Traffic {
+func trafficLeft(p *Plan) *TrafficPolicy {
 	left := *p
 	if left.Phase != Completed {
 		left.Phase = RolledBack
@@ -114,7 +114,7 @@
 
 // trafficBetween is the traffic between a later order and its first plan: that of the
 // plan before, left or ended, and nothing for the new target, unless it is what serves.
-func trafficBetween(p *Plan, order *Order) *Traffic {
+func trafficBetween(p *Plan, order *Order) *TrafficPolicy {
 	t := trafficLeft(p)
 	if !p.serves(order.Version) {
 		t.shut = append(slices.Clone(t.shut), order.Version)
@@ -131,9 +131,9 @@
 	return slices.Contains(p.Old, version)
 }
 
-// Next is the lane of the next request of a route. A request that goes on elsewhere
+// AssignLane is the lane of the next request of a route. A request that goes on elsewhere
 // after an attempt in LaneTarget goes on in LaneOld, but while switching.
-func (t *Traffic) Next(route string) Lane {
+func (t *TrafficPolicy) AssignLane(route string) Lane {
 	switch {
 	case t == nil || t.mode == open:
 		return LaneOld
@@ -148,18 +148,18 @@
 	return LaneOld
 }
 
-// Again is the lane for a further attempt of a request, whichever lane it had.
-func (t *Traffic) Again() Lane {
+// RetryLane is the lane for a further attempt of a request, whichever lane it had.
+func (t *TrafficPolicy) RetryLane() Lane {
 	if t != nil && t.mode == moved {
 		return LaneTarget
 	}
 	return LaneOld
 }
 
-// Takes is true where a backend server on a VM, of a version, may run a request of the
+// Permits is true where a backend server on a VM, of a version, may run a request of the
 // lane. Entries leave out of their choice those that may not. Lanes count for canaries
 // only: a request keeps its way when a stop or a switch comes after its lane was drawn.
-func (t *Traffic) Takes(lane Lane, version, vm string) bool {
+func (t *TrafficPolicy) Permits(lane Lane, version, vm string) bool {
 	switch {
 	case t == nil:
 		return true
@@ -175,9 +175,9 @@
 	return true
 }
 
-// Admits is true where a backend server of a version on a VM may run any request: the
+// PermitsAny is true where a backend server of a version on a VM may run any request: the
 // executor's guard, whatever entries believe.
-func (t *Traffic) Admits(version, vm string) bool {
+func (t *TrafficPolicy) PermitsAny(version, vm string) bool {
 	switch {
 	case t == nil:
 		return true
--- a/pkg/rollout/traffic_test.go
+++ b/pkg/rollout/traffic_test.go
@@ -15,27 +15,27 @@
 	completed.Old = []string{"v0"}
 	canary3 := planOf(orderOf(3, "v1"), 4, Canary)
 	canary3.Old = []string{"v0"}
-	ordered := News{Orders: ordersOf(5, order)}
-	phase := func(p Phase) News { return News{Orders: ordersOf(5, order), Plans: []Plan{planOf(order, 6, p)}} }
-	stopped := func(p Phase) News {
+	ordered := Update{Orders: ordersOf(5, order)}
+	phase := func(p Phase) Update { return Update{Orders: ordersOf(5, order), Plans: []Plan{planOf(order, 6, p)}} }
+	stopped := func(p Phase) Update {
 		n := phase(p)
 		n.Stops = []Stop{{Service: "desk", Order: 5}}
 		return n
 	}
-	away := func(p Phase) News {
+	away := func(p Phase) Update {
 		n := phase(p)
 		n.Orders = ordersOf(8)
 		return n
 	}
-	after := func(p Plan, o Order) News { return News{Orders: ordersOf(o.Revision, o), Plans: []Plan{p}} }
+	after := func(p Plan, o Order) Update { return Update{Orders: ordersOf(o.Revision, o), Plans: []Plan{p}} }
 	// Each word lists who: target on a canary's VM, target elsewhere, old, and a
 	// version that neither names; "-" for nobody.
 	for name, c := range map[string]struct {
-		news                News
+		news                Update
 		old, target, admits string
 		next, again         Lane
 	}{
-		"no roll-out":               {news: News{}, old: "ctou", target: "ctou", admits: "ctou"},
+		"no roll-out":               {news: Update{}, old: "ctou", target: "ctou", admits: "ctou"},
 		"an order, no plan":         {news: ordered, old: "ou", target: "ou", admits: "ou"},
 		"waiting":                   {news: phase(Waiting), old: "ou", target: "ou", admits: "ou"},
 		"canary":                    {news: phase(Canary), old: "ou", target: "c", admits: "cou"},
@@ -52,8 +52,8 @@
 		"order after a left canary": {news: after(canary3, order), old: "u", target: "u", admits: "u"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			b := NewBook()
-			b.Take(c.news)
+			b := NewReplica()
+			b.Merge(c.news)
 			traffic := b.Traffic("desk")
 			who := func(may func(version, vm string) bool) (out string) {
 				for _, one := range [][3]string{{"c", "v2", "vm-1"}, {"t", "v2", "vm-2"}, {"o", "v1", "vm-3"}, {"u", "v7", "vm-4"}} {
@@ -63,12 +63,12 @@
 				}
 				return out
 			}
-			test.Eq(t, c.old, who(func(v, vm string) bool { return traffic.Takes(LaneOld, v, vm) }))
-			test.Eq(t, c.target, who(func(v, vm string) bool { return traffic.Takes(LaneTarget, v, vm) }))
-			test.Eq(t, c.admits, who(traffic.Admits))
-			test.Eq(t, c.again, traffic.Again())
+			test.Eq(t, c.old, who(func(v, vm string) bool { return traffic.Permits(LaneOld, v, vm) }))
+			test.Eq(t, c.target, who(func(v, vm string) bool { return traffic.Permits(LaneTarget, v, vm) }))
+			test.Eq(t, c.admits, who(traffic.PermitsAny))
+			test.Eq(t, c.again, traffic.RetryLane())
 			if traffic == nil || traffic.mode != divided {
-				test.Eq(t, c.next, traffic.Next("r"))
+				test.Eq(t, c.next, traffic.AssignLane("r"))
 			}
 		})
 	}
@@ -85,7 +85,7 @@
 		traffic := trafficOf(&plan)
 		for range 20 {
 			for _, route := range []string{"a", "b", "c"} {
-				sum += int(traffic.Next(route))
+				sum += int(traffic.AssignLane(route))
 			}
 		}
 	}
@@ -100,7 +100,7 @@
 		n := rapid.IntRange(1, 5000).Draw(t, "requests")
 		traffic, got := trafficOf(&plan), 0
 		for range n {
-			got += int(traffic.Next("a"))
+			got += int(traffic.AssignLane("a"))
 		}
 		want := float64(n) * float64(plan.PerMille) / 1000
 		must.Between(t, want-3, float64(got), want+3)
@@ -113,9 +113,9 @@
 		plan := planOf(orderOf(5, "v2"), 6, phase)
 		traffic := trafficOf(&plan)
 		test.Eq(t, 0, testing.AllocsPerRun(100, func() {
-			lane := traffic.Next("form-load")
-			_ = traffic.Takes(lane, "v2", "vm-1") && traffic.Admits("v1", "vm-2")
-			_ = traffic.Again()
+			lane := traffic.AssignLane("form-load")
+			_ = traffic.Permits(lane, "v2", "vm-1") && traffic.PermitsAny("v1", "vm-2")
+			_ = traffic.RetryLane()
 		}))
 	}
 }
--- a/pkg/runner/accepting.go
+++ b/pkg/runner/accepting.go
@@ -2,9 +2,9 @@
 
 import (
 	"github.com/rushramp/rushramp/pkg/backend"
+	"github.com/rushramp/rushramp/pkg/enforcer"
 	"github.com/rushramp/rushramp/pkg/errkind"
 	"github.com/rushramp/rushramp/pkg/quarantine"
-	"github.com/rushramp/rushramp/pkg/trial"
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
@@ -16,7 +16,7 @@
 func (r *Runner) SetEvacuated(evacuated bool) { r.evacuated.Store(evacuated) }
 
 // Trial is the backend server's part in a roll-out.
-func (r *Runner) Trial() *trial.Trial { return r.trial }
+func (r *Runner) Trial() *enforcer.Enforcer { return r.trial }
 
 // accepting returns the incarnation that requests may be handed to now, or why
 // there is none.
@@ -28,7 +28,7 @@
 	if !ok {
 		return backend.Incarnation{}, errkind.New(errkind.BackendAbsent, "the backend server takes no requests now")
 	}
-	if why := r.trial.Bars(instance.String()); why != "" {
+	if why := r.trial.RefusalReasonFor(instance.String()); why != "" {
 		return backend.Incarnation{}, errkind.New(errkind.VersionHeld, "%s", why)
 	}
 	return instance, nil
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -25,7 +25,7 @@
 		events.F("gate", strconv.Itoa(int(result.Stamp.Running))+"+"+strconv.Itoa(int(result.Stamp.Queued))+"/"+strconv.Itoa(int(result.Stamp.Limit))),
 		events.F("slowdown", result.Stamp.Slowdown), events.F("load_age", events.Milliseconds(run.owner.load.Age(run.owner.Now()))),
 	}
-	if revision, is := run.owner.trial.UnderWay(); is {
+	if revision, is := run.owner.trial.PlanRevision(); is {
 		fields = append(fields, events.F("backend_version", run.owner.lifecycle.Version()), events.F("plan", revision))
 	}
 	if refusal := result.Refusal; refusal != nil {
--- a/pkg/runner/rollout.go
+++ b/pkg/runner/rollout.go
@@ -16,8 +16,8 @@
 		return
 	}
 	run.owner.trial.Record(rollout.Outcome{
-		Route: run.call.Kind, Failed: failed, Run: took, Slowdown: uint32(max(slowdown, 0)),
-		Worst: uint32(max(slowdown, run.owner.slowdowns.worst(began))), Cold: run.owner.cold.Load(),
+		Route: run.call.Kind, Failed: failed, Duration: took, StartSlowdown: uint32(max(slowdown, 0)),
+		PeakSlowdown: uint32(max(slowdown, run.owner.slowdowns.worst(began))), Cold: run.owner.cold.Load(),
 	})
 }
 
--- a/pkg/runner/rollout_test.go
+++ b/pkg/runner/rollout_test.go
@@ -13,9 +13,9 @@
 )
 
 // switching is the traffic of a plan that moves all requests to version v2.
-func switching() *rollout.Traffic {
-	book := rollout.NewBook()
-	book.Take(rollout.News{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
+func switching() *rollout.TrafficPolicy {
+	book := rollout.NewReplica()
+	book.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
 	return book.Traffic("s")
 }
 
@@ -56,7 +56,7 @@
 		"the new version while switching":   {&rollout.Guard{Traffic: switching()}, "v2", true},
 		"the old version while switching":   {&rollout.Guard{Traffic: switching()}, "v1", false},
 		"a version that is not known yet":   {&rollout.Guard{Traffic: switching()}, "", false},
-		"one that must wait":                {&rollout.Guard{Why: "it is new"}, "v2", false},
+		"one that must wait":                {&rollout.Guard{BlockReason: "it is new"}, "v2", false},
 		"the incarnation that was admitted": {&rollout.Guard{Instance: "i-1"}, "v1", true},
 		"one that has just taken its place": {&rollout.Guard{Instance: "i-0"}, "v1", false},
 	} {
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -14,13 +14,13 @@
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/common"
 	"github.com/rushramp/rushramp/pkg/crash"
+	"github.com/rushramp/rushramp/pkg/enforcer"
 	"github.com/rushramp/rushramp/pkg/errkind"
 	"github.com/rushramp/rushramp/pkg/events"
 	"github.com/rushramp/rushramp/pkg/gate"
 	"github.com/rushramp/rushramp/pkg/rollout"
 	"github.com/rushramp/rushramp/pkg/routing"
 	"github.com/rushramp/rushramp/pkg/speed"
-	"github.com/rushramp/rushramp/pkg/trial"
 	"github.com/rushramp/rushramp/pkg/wire"
 	"github.com/rushramp/rushramp/pkg/worktime"
 )
@@ -52,7 +52,7 @@
 	// evacuated is true while the data centre of this VM is.
 	evacuated atomic.Bool
 	// trial is the backend server's part in a roll-out.
-	trial *trial.Trial
+	trial *enforcer.Enforcer
 	// slowdowns are kept while a roll-out is known.
 	slowdowns slowdowns
 	// cold is true while the backend server says that it is; coldTold once the gate
@@ -120,7 +120,7 @@
 		work:      worktime.NewTimes(),
 		origins:   newOrigins(deps.shareOf()),
 		checker:   deps.Checker,
-		trial:     trial.New(c, deps.Lifecycle, deps.Recorder),
+		trial:     enforcer.New(c, deps.Lifecycle, deps.Recorder),
 		transport: backend.NewTransport(backend.TransportOptions{
 			Address: s.BackendServer.Address, Headers: deps.Headers,
 			DialTimeout: s.BackendServer.DialTimeout, MaxBodyBytes: s.Limits.MaxBodyBytes, Now: c.Now,
@@ -205,7 +205,7 @@
 	r.load.Update(r.Now(), text)
 	r.UpdateSlots(r.load.Slots())
 	if slowdown := r.load.Slowdown(); slowdown > 0 {
-		if _, is := r.trial.UnderWay(); is {
+		if _, is := r.trial.PlanRevision(); is {
 			r.slowdowns.note(r.Now(), slowdown)
 		}
 		r.noteSpeed(slowdown)
--- a/pkg/systems/head_test.go
+++ b/pkg/systems/head_test.go
@@ -20,7 +20,7 @@
 func headOf(t *testing.T, platform *fakestore.Store) *headReader {
 	env := testEnv()
 	env.Background, env.Store = t.Context(), placement.NewStore(platform, platform)
-	env.Evacuation, env.Orders = evacuation.NewRegister(platform), rollout.NewOrderRegister(platform)
+	env.Evacuation, env.Orders = evacuation.NewRegister(platform), rollout.NewOrderStore(platform)
 	return &headReader{Env: env, outage: events.NewOutage(env.Log, "head"), ordersOutage: events.NewOutage(env.Log, "orders")}
 }
 
@@ -30,7 +30,7 @@
 	h.read(1, 0, nil)
 	mail := h.World.Inbox.Take()
 	test.Eq(t, &rollout.Orders{}, mail.RolloutOrders)
-	made, err := h.Orders.Change(t.Context(), rollout.Asked{ID: "1", Service: "s", Version: "v2", Duration: time.Minute})
+	made, err := h.Orders.Apply(t.Context(), rollout.OrderRequest{ID: "1", Service: "s", Version: "v2", Duration: time.Minute})
 	must.NoError(t, err)
 	h.read(1, 0, nil)
 	mail = h.World.Inbox.Take()
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -116,7 +116,7 @@
 
 // restMost is the longest rest after a call that failed.
 func (p *planRows) restMost(err error) time.Duration {
-	if errors.Is(err, rollout.ErrUnreadable) {
+	if errors.Is(err, rollout.ErrUnreadablePlan) {
 		return unreadableMost
 	}
 	return planRestMost
@@ -144,7 +144,7 @@
 	if p.Rollouts == nil {
 		return
 	}
-	for _, order := range p.World.Rollouts.News().Orders.List {
+	for _, order := range p.World.Rollouts.Snapshot().Orders.List {
 		plan, known := p.World.Rollouts.Plan(order.Service)
 		if known && plan.Order >= order.Revision {
 			delete(p.unplanned, order.Service)
@@ -184,17 +184,17 @@
 }
 
 func (p *planRows) read(service string) {
-	p.call(service, false, func(ctx context.Context) (rollout.Stored, error) { return p.Rollouts.Read(ctx, service) })
+	p.call(service, false, func(ctx context.Context) (rollout.StoredPlan, error) { return p.Rollouts.Read(ctx, service) })
 }
 
 // write writes a plan over the row of the version that it names.
 func (p *planRows) write(plan rollout.Plan) {
-	p.call(plan.Service, true, func(ctx context.Context) (rollout.Stored, error) {
-		return rollout.Stored{}, p.Rollouts.Write(ctx, plan)
+	p.call(plan.Service, true, func(ctx context.Context) (rollout.StoredPlan, error) {
+		return rollout.StoredPlan{}, p.Rollouts.Write(ctx, plan)
 	})
 }
 
-func (p *planRows) call(service string, write bool, do func(context.Context) (rollout.Stored, error)) {
+func (p *planRows) call(service string, write bool, do func(context.Context) (rollout.StoredPlan, error)) {
 	p.busy, p.fresh = true, false
 	began, purpose := p.Now(), "plan_read"
 	if write {
--- a/pkg/systems/planrows_test.go
+++ b/pkg/systems/planrows_test.go
@@ -56,9 +56,9 @@
 // unreadableRegister is a register whose row nobody can read.
 type unreadableRegister struct{ reads int }
 
-func (u *unreadableRegister) Read(context.Context, string) (rollout.Stored, error) {
+func (u *unreadableRegister) Read(context.Context, string) (rollout.StoredPlan, error) {
 	u.reads++
-	return rollout.Stored{}, errors.Wrap(rollout.ErrUnreadable, "of a later release")
+	return rollout.StoredPlan{}, errors.Wrap(rollout.ErrUnreadablePlan, "of a later release")
 }
 
 func (u *unreadableRegister) Write(context.Context, rollout.Plan) error { return nil }
@@ -84,7 +84,7 @@
 	began time.Time
 }
 
-func (c *clockedRegister) Read(ctx context.Context, s string) (rollout.Stored, error) {
+func (c *clockedRegister) Read(ctx context.Context, s string) (rollout.StoredPlan, error) {
 	out, err := c.fakeRegister.Read(ctx, s)
 	out.Now += time.Since(c.began)
 	return out, err
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -54,8 +54,8 @@
 func newRolloutGuard(env *Env, known *rollouts, watch *rolloutWatch) *rolloutGuard {
 	g := &rolloutGuard{Env: env, known: known, watch: watch, seen: map[string]int64{}}
 	if env.Trial != nil && env.RolloutLimits.StopWithin > 0 {
-		g.inForce.Why, g.barred = notLookedAt, notLookedAt
-		env.Trial.SetGuard(&rollout.Guard{Why: notLookedAt})
+		g.inForce.BlockReason, g.barred = notLookedAt, notLookedAt
+		env.Trial.SetGuard(&rollout.Guard{BlockReason: notLookedAt})
 	}
 	return g
 }
@@ -76,7 +76,7 @@
 	if why == "" {
 		why = g.unheard(now, service)
 	}
-	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, Why: why, Instance: g.passed.name})
+	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, BlockReason: why, Instance: g.passed.name})
 	if g.reportDue.at(now, reportEvery) {
 		g.report(now, service)
 	}
@@ -88,7 +88,7 @@
 		g.inForce = guard
 		g.Trial.SetGuard(&guard)
 	}
-	barred := g.Trial.Barred()
+	barred := g.Trial.RefusalReason()
 	if barred == g.barred {
 		return
 	}
@@ -231,7 +231,7 @@
 // bars is true where the guard in force lets the backend server run nothing.
 func (g *rolloutGuard) bars(version string) bool {
 	current, _ := g.Backend.Current()
-	return g.inForce.Bars(current.String(), version, g.World.VM) != ""
+	return g.inForce.RefusalReasonFor(current.String(), version, g.World.VM) != ""
 }
 
 // report tells those who judge the roll-out what was seen here. The guard in force
--- a/pkg/systems/rolloutguard_test.go
+++ b/pkg/systems/rolloutguard_test.go
@@ -16,10 +16,10 @@
 func TestWhoRunsAgainIsNotEmpty(t *testing.T) {
 	g := guardOf(false, "v1", "v2")
 	order := orderOf("s", 8)
-	g.known.take(rollout.News{Orders: *ordersOf(9, order), Plans: []rollout.Plan{planOf("s", 8, 10, rollout.Switching)}}, nil)
-	must.False(t, g.World.Rollouts.Traffic("s").Admits("v1", "vm"))
-	g.known.take(rollout.News{Stops: []rollout.Stop{{Service: "s", Order: 8, Cause: "bad"}}}, nil)
-	must.True(t, g.World.Rollouts.Traffic("s").Admits("v1", "vm"))
+	g.known.take(rollout.Update{Orders: *ordersOf(9, order), Plans: []rollout.Plan{planOf("s", 8, 10, rollout.Switching)}}, nil)
+	must.False(t, g.World.Rollouts.Traffic("s").PermitsAny("v1", "vm"))
+	g.known.take(rollout.Update{Stops: []rollout.Stop{{Service: "s", Order: 8, Cause: "bad"}}}, nil)
+	must.True(t, g.World.Rollouts.Traffic("s").PermitsAny("v1", "vm"))
 	g.inForce.Traffic = g.World.Rollouts.Traffic("s")
 	g.Recorder = rollout.NewRecorder("vm", "s", 1)
 	g.Routed = &runner.Runner{}
@@ -28,7 +28,7 @@
 	g.watch.begin(1, order, rollout.Plan{})
 	g.report(1, "s")
 	test.NotEq(t, 10, g.watch.reports["vm"].Plan, test.Sprintf("%+v", g.watch.reports["vm"]))
-	g.inForce.Why = "held"
+	g.inForce.BlockReason = "held"
 	g.report(2, "s")
 	test.Eq(t, 10, g.watch.reports["vm"].Plan, test.Sprint("one that runs nothing obeys the plan"))
 }
--- a/pkg/systems/rolloutlinks_test.go
+++ b/pkg/systems/rolloutlinks_test.go
@@ -20,7 +20,7 @@
 	env := testEnv()
 	env.Background = t.Context()
 	env.Rollouts = register
-	env.RolloutLimits = rollout.Limits{Share: 0.1, StopWithin: 5 * time.Second}
+	env.RolloutLimits = rollout.Limits{MaxBadShare: 0.1, StopWithin: 5 * time.Second}
 	env.Settings.BackendServer.Service = "s"
 	env.Backend = backend.NewLifecycle(true, nil)
 	env.Backend.RecordHeartbeat(1, backend.Heartbeat{InstanceID: "i", Sequence: 1, Version: "v1"})
@@ -64,7 +64,7 @@
 		plan.Since, plan.Began, plan.Deadline, plan.Slots = time.Hour-time.Second, time.Hour-50*time.Second, time.Hour+10*time.Second, 36
 		register := &fakeRegister{row: plan}
 		env, known, watch := watched(t, register)
-		known.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{plan}}, nil)
+		known.take(rollout.Update{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{plan}}, nil)
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 			env.World.Peers.GetOrAdd(&link.Peer{Hello: wire.Hello{VM: vm}})
--- a/pkg/systems/rolloutlone_test.go
+++ b/pkg/systems/rolloutlone_test.go
@@ -22,10 +22,10 @@
 		system.Tick(1, &tables.Mail{})
 		const late = 1 + int64(loneFor)
 		system.Tick(late, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
-		test.True(t, env.World.View.RolloutTraffic("s").Admits("v2", "a"), test.Sprint(own))
+		test.True(t, env.World.View.RolloutTraffic("s").PermitsAny("v2", "a"), test.Sprint(own))
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Version: "v1"})
 		system.Tick(late+1, &tables.Mail{})
-		test.False(t, env.World.View.RolloutTraffic("s").Admits("v2", "a"), test.Sprint(own))
+		test.False(t, env.World.View.RolloutTraffic("s").PermitsAny("v2", "a"), test.Sprint(own))
 	}
 }
 
@@ -35,10 +35,10 @@
 	env.Settings.BackendServer.Service = "s"
 	env.World.Members.Merge(1, nil, wire.Member{VM: "a", Service: "s", Version: "v2"})
 	system := newRollouts(env)
-	system.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, rollout.RolledBack)}}, nil)
+	system.take(rollout.Update{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, rollout.RolledBack)}}, nil)
 	system.Tick(1, &tables.Mail{})
-	must.False(t, env.World.View.RolloutTraffic("s").Admits("v2", "a"))
+	must.False(t, env.World.View.RolloutTraffic("s").PermitsAny("v2", "a"))
 	env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s"})
 	system.Tick(1+2*int64(loneFor), &tables.Mail{})
-	test.False(t, env.World.View.RolloutTraffic("s").Admits("v2", "a"), test.Sprint("one has not said its version"))
+	test.False(t, env.World.View.RolloutTraffic("s").PermitsAny("v2", "a"), test.Sprint("one has not said its version"))
 }
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -69,7 +69,7 @@
 	}
 	for _, row := range mail.RolloutPlanResults {
 		if row.Err == nil && row.Stored.Plan.Revision > 0 {
-			ro.take(rollout.News{Plans: []rollout.Plan{row.Stored.Plan}}, nil)
+			ro.take(rollout.Update{Plans: []rollout.Plan{row.Stored.Plan}}, nil)
 		}
 	}
 	for _, e := range mail.LinkEvents {
@@ -87,7 +87,7 @@
 func (ro *rollouts) noteLone(now int64) {
 	changed := false
 	for service := range ro.services() {
-		changed = ro.World.Rollouts.SetLone(service, ro.loneOf(now, service)) || changed
+		changed = ro.World.Rollouts.SetSoleVersion(service, ro.loneOf(now, service)) || changed
 	}
 	if changed {
 		ro.publish()
@@ -97,7 +97,7 @@
 // services are those that an order or a plan is known of, and this daemon's own.
 func (ro *rollouts) services() map[string]struct{} {
 	out := map[string]struct{}{ro.Settings.BackendServer.Service: {}}
-	news := ro.World.Rollouts.News()
+	news := ro.World.Rollouts.Snapshot()
 	for i := range news.Orders.List {
 		out[news.Orders.List[i].Service] = struct{}{}
 	}
@@ -150,8 +150,8 @@
 
 // takeOrders takes over what this daemon read in the store.
 func (ro *rollouts) takeOrders(orders rollout.Orders) {
-	ro.take(rollout.News{Orders: orders}, nil)
-	if ro.World.Rollouts.News().Orders.Revision < orders.Revision {
+	ro.take(rollout.Update{Orders: orders}, nil)
+	if ro.World.Rollouts.Snapshot().Orders.Revision < orders.Revision {
 		ro.Log.Event(events.RolloutRefused, events.F("orders", len(orders.List)), events.F("revision", orders.Revision),
 			events.F("cause", "more orders than a daemon keeps, or one with a value out of bounds"))
 	}
@@ -159,10 +159,10 @@
 
 // take takes news over and passes on what changed; from is the peer that told it, or
 // nil.
-func (ro *rollouts) take(news rollout.News, from *link.Peer) {
+func (ro *rollouts) take(news rollout.Update, from *link.Peer) {
 	book := ro.World.Rollouts
-	before, orders := book.Digest(), book.News().Orders
-	changed := book.Take(news)
+	before, orders := book.Digest(), book.Snapshot().Orders
+	changed := book.Merge(news)
 	if book.Digest() == before {
 		return
 	}
@@ -177,7 +177,7 @@
 		ro.logStop(service, from)
 		ro.logPlan(service, from)
 	}
-	say := &wire.RolloutNews{News: onlyOf(book.News(), changed)}
+	say := &wire.RolloutNews{News: onlyOf(book.Snapshot(), changed)}
 	ro.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		// Heartbeats that are on their way show the old digest, and need no answer.
 		row.RolloutsSentDigest, row.RolloutsSentAt = book.Digest(), ro.now
@@ -188,8 +188,8 @@
 }
 
 // onlyOf is the part of news that concerns some services. Orders are one set.
-func onlyOf(news rollout.News, services []string) rollout.News {
-	out := rollout.News{Orders: news.Orders}
+func onlyOf(news rollout.Update, services []string) rollout.Update {
+	out := rollout.Update{Orders: news.Orders}
 	for i := range news.Plans {
 		if slices.Contains(services, news.Plans[i].Service) {
 			out.Plans = append(out.Plans, news.Plans[i])
@@ -206,8 +206,8 @@
 // publish gives the hot path, and the heartbeats, what is known now.
 func (ro *rollouts) publish() {
 	book := ro.World.Rollouts
-	known := &tables.RolloutView{Traffic: map[string]*rollout.Traffic{}}
-	news := book.News()
+	known := &tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{}}
+	news := book.Snapshot()
 	if len(news.Orders.List)+len(news.Plans)+len(news.Stops) > 0 {
 		known.Digest = book.Digest()
 	}
@@ -237,7 +237,7 @@
 		return
 	}
 	row.RolloutsSentDigest, row.RolloutsSentAt = own, ro.now
-	_ = peer.Send(&wire.RolloutNews{News: ro.World.Rollouts.News()})
+	_ = peer.Send(&wire.RolloutNews{News: ro.World.Rollouts.Snapshot()})
 }
 
 func (ro *rollouts) logOrder(before rollout.Orders, service string, from *link.Peer) {
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -57,25 +57,25 @@
 		many.List = append(many.List, orderOf(fmt.Sprintf("s%04d", n), uint64(n+1)))
 	}
 	system.Tick(2, &tables.Mail{RolloutOrders: many})
-	test.Eq(t, []rollout.Order{orderOf("s", 8)}, env.World.Rollouts.News().Orders.List)
+	test.Eq(t, []rollout.Order{orderOf("s", 8)}, env.World.Rollouts.Snapshot().Orders.List)
 }
 
 // TestTheOrdersOutliveAFeedThatLostItsHistory: one that was taken away in the gap is
 // gone, one that was written in it is there.
 func TestTheOrdersOutliveAFeedThatLostItsHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		says := func(cursor uint64, changes ...rollout.Change) func(uint64) (placement.FeedUpdate, error) {
+		says := func(cursor uint64, changes ...rollout.OrderChange) func(uint64) (placement.FeedUpdate, error) {
 			return func(uint64) (placement.FeedUpdate, error) {
 				return placement.FeedUpdate{Cursor: cursor, Rollouts: changes}, nil
 			}
 		}
-		written := func(service string, revision uint64) rollout.Change {
+		written := func(service string, revision uint64) rollout.OrderChange {
 			order := orderOf(service, revision)
-			return rollout.Change{Service: service, Order: &order}
+			return rollout.OrderChange{Service: service, Order: &order}
 		}
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
 			says(4, written("a", 3)), says(6, written("b", 6)), fails(store.ErrHistoryGone),
-			says(9, written("b", 6), written("c", 8)), says(11, rollout.Change{Service: "b"}),
+			says(9, written("b", 6), written("c", 8)), says(11, rollout.OrderChange{Service: "b"}),
 		}}
 		env, _ := follow(t, feed)
 		follower, system := newFollower(env), newRollouts(env)
@@ -85,7 +85,7 @@
 			system.Tick(env.Now(), &mail)
 			synctest.Wait()
 		}
-		test.Eq(t, []rollout.Order{orderOf("c", 8)}, env.World.Rollouts.News().Orders.List)
+		test.Eq(t, []rollout.Order{orderOf("c", 8)}, env.World.Rollouts.Snapshot().Orders.List)
 	})
 }
 
@@ -100,11 +100,11 @@
 	reads int
 }
 
-func (f *fakeRegister) Read(context.Context, string) (rollout.Stored, error) {
+func (f *fakeRegister) Read(context.Context, string) (rollout.StoredPlan, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reads++
-	return rollout.Stored{Plan: f.row, Now: time.Hour}, nil
+	return rollout.StoredPlan{Plan: f.row, Now: time.Hour}, nil
 }
 
 func (f *fakeRegister) Write(_ context.Context, p rollout.Plan) error {
@@ -177,8 +177,8 @@
 			synctest.Wait()
 			mail = env.World.Inbox.Take()
 		}
-		test.True(t, env.World.View.RolloutTraffic("s").Admits("v2", "x"))
-		test.False(t, env.World.View.RolloutTraffic("s").Admits("v1", "x"))
+		test.True(t, env.World.View.RolloutTraffic("s").PermitsAny("v2", "x"))
+		test.False(t, env.World.View.RolloutTraffic("s").PermitsAny("v1", "x"))
 		test.Eq(t, 1, env.Rollouts.(*fakeRegister).reads)
 	})
 }
@@ -240,7 +240,7 @@
 	test.NotEq(t, "", g.newcomer(1, "s"))
 	g.known.Tick(2, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
 	test.Eq(t, "", g.newcomer(2, "s"))
-	test.False(t, g.World.View.RolloutTraffic("s").Admits("v2", "vm"))
+	test.False(t, g.World.View.RolloutTraffic("s").PermitsAny("v2", "vm"))
 }
 
 // TestWhatNobodyHearsMustNotRun while it is on trial; the old version goes on, and so
@@ -252,7 +252,7 @@
 		waits   bool
 	}{"on trial": {"v2", rollout.Canary, true}, "the old version": {"v1", rollout.Canary, false}, "all requests move": {"v2", rollout.Switching, false}} {
 		g := guardOf(false, c.version, "v1")
-		g.known.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, c.phase)}}, nil)
+		g.known.take(rollout.Update{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, c.phase)}}, nil)
 		must.Eq(t, "", g.unheard(1, "s"))
 		g.World.RolloutWatchers = []*tables.Endpoint{{VM: "far"}}
 		test.Eq(t, c.waits, g.unheard(1+int64(unheardFor), "s") != "", test.Sprint(name))
@@ -280,5 +280,5 @@
 func TestAServiceNameWithAQuote(t *testing.T) {
 	known := newRollouts(testEnv())
 	defer func() { test.Nil(t, recover()) }()
-	known.take(rollout.News{Plans: []rollout.Plan{planOf(`a"b`, 8, 10, rollout.Canary)}}, nil)
+	known.take(rollout.Update{Plans: []rollout.Plan{planOf(`a"b`, 8, 10, rollout.Canary)}}, nil)
 }
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -36,7 +36,7 @@
 	rank int
 	// order is the revision that judge and reports belong to.
 	order   uint64
-	judge   *rollout.Judge
+	judge   *rollout.Evaluator
 	reports map[string]rollout.Report
 	// linkedAt is when there last was a link to a VM of the service.
 	linkedAt map[string]int64
@@ -96,7 +96,7 @@
 // a plan whose order was taken away.
 func (w *rolloutWatch) isUnderWay(order rollout.Order, plan rollout.Plan) bool {
 	if order.Revision == 0 {
-		return plan.Order > 0 && !plan.Phase.Ended() && w.World.Rollouts.News().Orders.Revision >= plan.Order
+		return plan.Order > 0 && !plan.Phase.Ended() && w.World.Rollouts.Snapshot().Orders.Revision >= plan.Order
 	}
 	return order.Revision > plan.Order || order.Revision == plan.Order && !plan.Phase.Ended()
 }
@@ -137,7 +137,7 @@
 	if w.judge != nil && w.order == order.Revision {
 		return
 	}
-	w.order, w.judge = order.Revision, rollout.NewJudge(order)
+	w.order, w.judge = order.Revision, rollout.NewEvaluator(order)
 	w.dueSince, w.begunAt = 0, now
 	if plan.Order == order.Revision {
 		// It goes on from where others are: what it does not see yet may stand.
@@ -162,7 +162,7 @@
 	}
 	w.reports[r.VM] = r
 	w.busy[r.VM] = w.busy[r.VM].with(now, int(r.InFlight))
-	w.judge.Take(now, r)
+	w.judge.AddReport(now, r)
 }
 
 // verdict is what the evidence says, or the stop that another one has told. One of its
@@ -173,7 +173,7 @@
 	}
 	verdict := w.judge.Verdict(now)
 	if stop, bad := verdict.Stop(order); bad && order.Revision > 0 {
-		w.known.take(rollout.News{Stops: []rollout.Stop{stop}}, nil)
+		w.known.take(rollout.Update{Stops: []rollout.Stop{stop}}, nil)
 	}
 	return verdict
 }
@@ -216,10 +216,10 @@
 		report, reported := w.reports[m.VM]
 		out = append(out, rollout.Server{
 			VM: m.VM, Version: m.Version, Slots: int(m.Slots),
-			Ready: m.State == wire.MemberLive && m.Backend == wire.BackendLive && reached && !evacuated.Has(m.DataCentre),
-			Empty: reported && linked && plan.Revision > 0 && report.Plan == plan.Revision && report.InFlight == 0,
-			Lost:  !linked && now-at > int64(lostAfter),
-			Busy:  w.busy[m.VM].most(now),
+			Ready:         m.State == wire.MemberLive && m.Backend == wire.BackendLive && reached && !evacuated.Has(m.DataCentre),
+			Drained:       reported && linked && plan.Revision > 0 && report.Plan == plan.Revision && report.InFlight == 0,
+			Unreachable:   !linked && now-at > int64(lostAfter),
+			PeakBusySlots: w.busy[m.VM].most(now),
 		})
 	})
 	// Rows come in no order; two that decide on the same knowledge write the same.
@@ -231,14 +231,14 @@
 	ready, empty, lost, targets := 0, 0, 0, 0
 	for _, s := range servers {
 		ready += asInt(s.Ready)
-		empty += asInt(s.Empty)
-		lost += asInt(s.Lost)
+		empty += asInt(s.Drained)
+		lost += asInt(s.Unreachable)
 		targets += asInt(s.Version == next.Target)
 	}
 	w.Log.Event(events.RolloutDecided, events.F("service", next.Service), events.F("order", next.Order), events.F("after", next.Revision),
 		events.F("phase", next.Phase), events.F("rank", w.rank), events.F("servers", len(servers)), events.F("target_servers", targets),
 		events.F("ready", ready), events.F("empty", empty), events.F("lost", lost),
-		events.F("bad", verdict.Bad), events.F("enough", verdict.Enough), events.F("evidence", verdict.Cause), events.F("cause", next.Cause))
+		events.F("bad", verdict.Bad), events.F("enough", verdict.EnoughRuns), events.F("evidence", verdict.Cause), events.F("cause", next.Cause))
 }
 
 func asInt(is bool) int {
--- a/pkg/systems/subset.go
+++ b/pkg/systems/subset.go
@@ -45,10 +45,10 @@
 		switch {
 		case target != "" && version == target:
 			targets.add(w, route)
-			if !traffic.Takes(rollout.LaneOld, version, route.VM) && traffic.Takes(rollout.LaneTarget, version, route.VM) {
+			if !traffic.Permits(rollout.LaneOld, version, route.VM) && traffic.Permits(rollout.LaneTarget, version, route.VM) {
 				trying = append(trying, route)
 			}
-		case traffic.Takes(rollout.LaneOld, version, route.VM):
+		case traffic.Permits(rollout.LaneOld, version, route.VM):
 			others.add(w, route)
 		}
 	})
@@ -151,7 +151,7 @@
 		members   uint64
 		unreached uint64
 		evacuated uint64
-		rollout   *rollout.Traffic
+		rollout   *rollout.TrafficPolicy
 		routes    []*tables.Endpoint
 	}
 )
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -11,6 +11,7 @@
 	"github.com/rushramp/rushramp/pkg/backend"
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/common"
+	"github.com/rushramp/rushramp/pkg/enforcer"
 	"github.com/rushramp/rushramp/pkg/evacuation"
 	"github.com/rushramp/rushramp/pkg/events"
 	"github.com/rushramp/rushramp/pkg/executor"
@@ -20,7 +21,6 @@
 	"github.com/rushramp/rushramp/pkg/runner"
 	"github.com/rushramp/rushramp/pkg/store"
 	"github.com/rushramp/rushramp/pkg/tables"
-	"github.com/rushramp/rushramp/pkg/trial"
 )
 
 // System is one system. now is in nanoseconds of the daemon's steady clock.
@@ -41,7 +41,7 @@
 	// Routed runs routed requests; nil: none are taken.
 	Routed *runner.Runner
 	// Trial is the backend server's part in a roll-out; nil: it has none.
-	Trial *trial.Trial
+	Trial *enforcer.Enforcer
 	// Backend knows which backend server stands beside the daemon, its version, and
 	// whether it lives; nil: it is not watched.
 	Backend *backend.Lifecycle
@@ -49,11 +49,11 @@
 	Evacuation *evacuation.Register
 	// Orders are those of roll-outs, read beside rushramp's own head; nil where there is
 	// a feed.
-	Orders *rollout.OrderRegister
+	Orders *rollout.OrderStore
 	// Rollouts keeps the plans of roll-outs in the store; nil: none are carried out here.
 	// RolloutLimits are what the platform holds them to, the zero value where it has
 	// none. Recorder counts the outcomes of runs while one is under way.
-	Rollouts      rollout.Register
+	Rollouts      rollout.PlanStore
 	RolloutLimits rollout.Limits
 	Recorder      *rollout.Recorder
 	// Feed tells of documents in the store; nil: rushramp's own head is read.
--- a/pkg/tables/inbox.go
+++ b/pkg/tables/inbox.go
@@ -152,7 +152,7 @@
 // PeerRollouts is what a peer reported about roll-outs.
 type PeerRollouts struct {
 	Peer *link.Peer
-	News rollout.News
+	News rollout.Update
 }
 
 // RolloutPlanResult is the result of a read or write of a service's roll-out plan in the
@@ -161,7 +161,7 @@
 	Service string
 	// IsWrite is true for a write, false for a read.
 	IsWrite bool
-	Stored  rollout.Stored
+	Stored  rollout.StoredPlan
 	Err     error
 	// Began is when the call to the store began, in nanoseconds of the daemon's clock.
 	Began int64
--- a/pkg/tables/view.go
+++ b/pkg/tables/view.go
@@ -89,14 +89,14 @@
 // RolloutView is what this daemon knows of roll-outs. It is immutable.
 type RolloutView struct {
 	// Traffic is the division of requests between versions, by service.
-	Traffic map[string]*rollout.Traffic
+	Traffic map[string]*rollout.TrafficPolicy
 	// Digest is the digest that peers compare with their own; 0: no roll-out is known.
 	Digest uint64
 }
 
 // RolloutTraffic returns how a roll-out divides the requests of a service between
 // versions, or nil without a roll-out.
-func (v *View) RolloutTraffic(service string) *rollout.Traffic {
+func (v *View) RolloutTraffic(service string) *rollout.TrafficPolicy {
 	rollouts := v.rollouts.Load()
 	if rollouts == nil {
 		return nil
--- a/pkg/tables/world.go
+++ b/pkg/tables/world.go
@@ -44,7 +44,7 @@
 	// Rollouts is what this daemon knows of roll-outs. RolloutWatchers are the daemons
 	// that judge the roll-out of this VM's service, and the first of them writes its
 	// plan; empty without a roll-out.
-	Rollouts        *rollout.Book
+	Rollouts        *rollout.Replica
 	RolloutWatchers []*Endpoint
 	// QuotaCounters are the daemons that should count the requests of teams. This daemon
 	// keeps links to them.
@@ -66,7 +66,7 @@
 		DataCentreHeardAt: map[string]int64{},
 		Departures:        map[string]int64{},
 		Unreached:         map[*Endpoint]struct{}{},
-		Rollouts:          rollout.NewBook(),
+		Rollouts:          rollout.NewReplica(),
 		DirtyServices:     map[string]struct{}{},
 		View:              &View{},
 		Inbox:             NewInbox(),
--- a/pkg/wire/news.go
+++ b/pkg/wire/news.go
@@ -19,7 +19,7 @@
 // RolloutNews carries all that the sender knows of roll-outs.
 type RolloutNews struct {
 	_    struct{} `cbor:",toarray"`
-	News rollout.News
+	News rollout.Update
 }
 
 // RolloutReport carries what an executor has seen of its backend server to those
