--- a/pkg/placement/feed.go
+++ b/pkg/placement/feed.go
@@ -30,7 +30,7 @@
 	// Rollouts lists the orders of all services that have one if the update is from
 	// Newest, or the changes since the cursor, in order, if it is from Next.
 	// RolloutErrors describes the orders that were skipped because they cannot be read.
-	Rollouts      []rollout.Change
+	Rollouts      []rollout.OrderChange
 	RolloutErrors []error
 	// Cursor is the position from which Next continues.
 	Cursor uint64
