--- a/pkg/daemon/command.go
+++ b/pkg/daemon/command.go
@@ -54,7 +54,7 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, syscall.SIGINT)
 	defer stop()
-	go newReloader(d, path, *s).run(d.env.Background)
+	go newReloader(d, path, *s).run(d.env.DaemonContext)
 	select {
 	case <-ctx.Done():
 		d.Leave()
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -129,11 +129,11 @@
 	d.control = systems.NewControl(c, d.World, uint64(time.Now().UnixNano()))
 	d.env = &systems.Env{
 		Common: c, World: d.World, Platform: opts.Platform, Store: d.store,
-		Executor: d.Executor, Control: d.control, Background: background,
-		Dial:  link.DialOptions{Dial: opts.Dial, TLS: reloader.Client(), Pace: link.NewPace(s.Links.Heartbeat)},
-		Sweep: claims.Sweep,
-		Leave: d.Leave,
-		Feed:  adapter.Feed, Registrar: adapter.Registrar,
+		Executor: d.Executor, Control: d.control, DaemonContext: background,
+		DialOptions:   link.DialOptions{Dial: opts.Dial, TLS: reloader.Client(), Pace: link.NewPace(s.Links.Heartbeat)},
+		SweepOnceRows: claims.Sweep,
+		Leave:         d.Leave,
+		Feed:          adapter.Feed, Registrar: adapter.Registrar,
 		Runner:   d.runner(),
 		Rollouts: adapter.Rollouts, RolloutLimits: adapter.Bounds.rollouts(),
 	}
@@ -142,7 +142,7 @@
 		d.env.Orders = rollout.NewOrderRegister(opts.Platform)
 	}
 	if d.routed != nil {
-		d.env.Routed, d.env.Backend, d.env.Recorder = d.routed.runner, d.routed.lifecycle, d.routed.recorder
+		d.env.RoutedRunner, d.env.Backend, d.env.Recorder = d.routed.runner, d.routed.lifecycle, d.routed.recorder
 		d.env.Trial = d.routed.runner.Trial()
 	} else if d.Executor != nil && s.BackendServer.Version != "" {
 		d.beginTrial()
@@ -200,7 +200,7 @@
 		d.stopAll()
 		return err
 	}
-	go d.scheduler.Run(d.env.Background)
+	go d.scheduler.Run(d.env.DaemonContext)
 	routing := &d.Settings.Routing
 	d.Log.Event(events.DaemonStarted, events.F("data_centre", d.Settings.VM.DataCentre), events.F("service", d.Settings.BackendServer.Service),
 		events.F("first_start", d.Settings.Platform.FirstStart), events.F("retry_ratio", routing.RetryRatio),
@@ -213,7 +213,7 @@
 	if err != nil {
 		return errors.Errorf("cannot listen on %s: %v. Choose an address of this VM that no other process uses.", d.Settings.Listen.Links, err)
 	}
-	links := link.Listen(d.Common, d.control, d.runner(), listener, d.certs.Server(), d.env.Dial.Pace)
+	links := link.Listen(d.Common, d.control, d.runner(), listener, d.certs.Server(), d.env.DialOptions.Pace)
 	d.stops = append(d.stops, links.Close)
 	starts := []func() (func(), error){
 		func() (func(), error) { return startMetrics(d) },
--- a/pkg/daemon/observe.go
+++ b/pkg/daemon/observe.go
@@ -34,7 +34,7 @@
 func (d *Daemon) Members() int { return d.World.View.MemberCount() }
 
 func (d *Daemon) ask(query func(*tables.World)) {
-	d.World.Inbox.RunQuery(d.env.Background.Done(), query)
+	d.World.Inbox.RunQuery(d.env.DaemonContext.Done(), query)
 }
 
 // Apply makes changes on top of the placement in force here, as an operator's
--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -108,7 +108,7 @@
 		}
 		stops = append(stops, stop)
 	}
-	go r.watch(d.env.Background)
+	go r.watch(d.env.DaemonContext)
 	return stopAll, nil
 }
 
@@ -180,7 +180,7 @@
 func (r *routed) keep(ctx context.Context, of backend.Incarnation) {
 	ctx, cancel := context.WithTimeout(ctx, ackWithin)
 	defer cancel()
-	r.daemon.env.KeepDeparture(ctx, of)
+	r.daemon.env.SaveDeparture(ctx, of)
 }
 
 // drain is a planned stop: readiness falls at once, and requests go on being
--- a/pkg/systems/compare.go
+++ b/pkg/systems/antientropy.go
@@ -27,12 +27,12 @@
 	nearFirst = 300 * time.Millisecond
 )
 
-// compare asks a peer whose table of members differs for the rows in which it
+// antiEntropy asks a peer whose table of members differs for the rows in which it
 // does: what was lost on a link that broke, or missed in a parted network,
 // comes in this way.
-type compare struct {
+type antiEntropy struct {
 	*Env
-	due     due
+	due     intervalTimer
 	changes uint64
 	digest  uint64
 	// patience is the one drawn for the next question to another data centre.
@@ -40,7 +40,7 @@
 }
 
 // Tick implements System.
-func (c *compare) Tick(now int64, mail *tables.Mail) {
+func (c *antiEntropy) Tick(now int64, mail *tables.Mail) {
 	if changes := c.World.Members.ChangeCount(); changes != c.changes {
 		c.changes, c.digest = changes, c.World.Members.Digest()
 		c.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) { row.MembersDifferSince = 0 })
@@ -52,12 +52,12 @@
 	if c.knowsNobody() {
 		every = firstAskEvery
 	}
-	if c.due.at(now, every) {
+	if c.due.fires(now, every) {
 		c.ask(now)
 	}
 }
 
-func (c *compare) note(now int64, n tables.PeerState) {
+func (c *antiEntropy) note(now int64, n tables.PeerState) {
 	row := c.World.Peers.GetOrAdd(n.Peer)
 	switch {
 	case n.State.Members == c.digest:
@@ -72,7 +72,7 @@
 	}
 }
 
-func (c *compare) ask(now int64) {
+func (c *antiEntropy) ask(now int64) {
 	var longest *link.Peer
 	var longestOver int64
 	c.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
@@ -92,7 +92,7 @@
 }
 
 // wait is how long a peer's table must differ before the peer is asked.
-func (c *compare) wait(peer *link.Peer) time.Duration {
+func (c *antiEntropy) wait(peer *link.Peer) time.Duration {
 	near := peer.Hello.DataCentre == c.World.DataCentre
 	switch {
 	case near && c.knowsNobody():
@@ -107,4 +107,4 @@
 
 // knowsNobody is true for a daemon that has just started: the only members are
 // itself and, once a peer has greeted, that peer.
-func (c *compare) knowsNobody() bool { return c.World.Members.Len() <= 2 }
+func (c *antiEntropy) knowsNobody() bool { return c.World.Members.Len() <= 2 }
--- a/pkg/systems/backendwatch.go
+++ b/pkg/systems/backendreporter.go
@@ -5,12 +5,12 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// backendWatch keeps what this daemon tells others of its backend server up to
+// backendReporter keeps what this daemon tells others of its backend server up to
 // date in its own row of the table of members.
-type backendWatch struct{ *Env }
+type backendReporter struct{ *Env }
 
 // Tick implements System.
-func (b *backendWatch) Tick(now int64, _ *tables.Mail) {
+func (b *backendReporter) Tick(now int64, _ *tables.Mail) {
 	if b.Backend == nil {
 		return
 	}
@@ -31,7 +31,7 @@
 
 // backendState is what others need to know of the backend server.
 func (e *Env) backendState() wire.BackendState {
-	if _, ok := e.Backend.Accepting(); ok && !e.heldBack {
+	if _, ok := e.Backend.Accepting(); ok && !e.backendHeldBack {
 		return wire.BackendLive
 	}
 	return wire.BackendAbsent
--- a/pkg/systems/flood.go
+++ b/pkg/systems/broadcast.go
@@ -18,17 +18,17 @@
 	floodCrossings = 2
 )
 
-// flood passes news on that is new here and must reach all daemons soon: own news to
+// broadcast passes news on that is new here and must reach all daemons soon: own news to
 // all daemons of the region that this one has links with and to a few of others, what
 // it heard within the data centre, and a few of it to others. Who knows it already
 // passes nothing on, so news ends by itself. key tells one piece from others, frame
 // makes the frame that carries some.
-func flood[T any](e *Env, own, heard []T, key func(T) string, frame func([]T) wire.Frame) {
+func broadcast[T any](e *Env, own, heard []T, key func(T) string, frame func([]T) wire.Frame) {
 	if len(own)+len(heard) == 0 {
 		return
 	}
 	near, far := e.peersByGroup()
-	everywhere := slices.Concat(own, relayed(e, near, heard, key))
+	everywhere := slices.Concat(own, selectForRelay(e, near, heard, key))
 	// A link that has closed leaves the table with its next event.
 	all := frame(slices.Concat(own, heard))
 	for _, peer := range near {
@@ -40,7 +40,7 @@
 	abroad := frame(everywhere)
 	for to, peers := range far {
 		if to.at == proximity.OtherRegion {
-			peers = draw(peers, floodCrossings)
+			peers = pickRandom(peers, floodCrossings)
 		}
 		for _, peer := range peers {
 			_ = peer.Send(abroad)
@@ -48,10 +48,10 @@
 	}
 }
 
-// relayed is the news that this daemon passes on to other data centres: that for which
+// selectForRelay is the news that this daemon passes on to other data centres: that for which
 // it is among the first of its own by rendezvous hash. Only daemons with a link count,
 // so that where links are few there are more relays, never fewer.
-func relayed[T any](e *Env, near []*link.Peer, heard []T, key func(T) string) []T {
+func selectForRelay[T any](e *Env, near []*link.Peer, heard []T, key func(T) string) []T {
 	var out []T
 	for _, piece := range heard {
 		id := key(piece)
--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -18,14 +18,14 @@
 	// the systems change it; links read it for their greetings.
 	incarnation atomic.Uint64
 	// state is what State returns; the heartbeat system keeps it up to date.
-	state *latest
+	state *latestState
 }
 
 var _ link.Control = (*Control)(nil)
 
 // NewControl makes the control of one daemon.
 func NewControl(c *common.Common, w *tables.World, incarnation uint64) *Control {
-	out := &Control{Common: c, World: w, state: &latest{}}
+	out := &Control{Common: c, World: w, state: &latestState{}}
 	out.incarnation.Store(incarnation)
 	return out
 }
@@ -145,8 +145,8 @@
 	}
 }
 
-// routeControl is the control of a link that this daemon opened for a route.
-type routeControl struct {
+// endpointControl is the control of a link that this daemon opened for a route.
+type endpointControl struct {
 	link.Control
 	world  *tables.World
 	route  *tables.Endpoint
@@ -154,18 +154,18 @@
 }
 
 // Opened implements link.Opener: the client is known before the first frame.
-func (r *routeControl) Opened(client *link.Client) { r.client = client }
+func (r *endpointControl) Opened(client *link.Client) { r.client = client }
 
 // Up implements link.Control.
-func (r *routeControl) Up(peer *link.Peer) {
+func (r *endpointControl) Up(peer *link.Peer) {
 	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Endpoint: r.route, Up: true})
 }
 
 // Down implements link.Control.
-func (r *routeControl) Down(peer *link.Peer, cause error) {
+func (r *endpointControl) Down(peer *link.Peer, cause error) {
 	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Endpoint: r.route, Cause: cause})
 }
 
-func (r *routeControl) post(e tables.LinkEvent) {
+func (r *endpointControl) post(e tables.LinkEvent) {
 	r.world.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
 }
--- a/pkg/systems/converge_test.go
+++ b/pkg/systems/converge_test.go
@@ -15,42 +15,42 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// tableNode is a daemon of which only the table of members and the links count.
-type tableNode struct {
-	spread *spread
+// gossipNode is a daemon of which only the table of members and the links count.
+type gossipNode struct {
+	spread *memberGossip
 	env    *Env
 	// byPeer are the daemons at the other ends of its links.
-	byPeer map[*link.Peer]*tableNode
+	byPeer map[*link.Peer]*gossipNode
 }
 
-func newTableNode(vm, dataCentre, region string) *tableNode {
+func newGossipNode(vm, dataCentre, region string) *gossipNode {
 	s := settings.Default()
 	s.VM = settings.VM{ID: vm, DataCentre: dataCentre}
 	c := common.NewCommon(events.Discard(), &s)
 	env := &Env{Common: c, World: tables.NewWorld(vm, dataCentre)}
 	env.World.Region = region
-	return &tableNode{spread: &spread{Env: env}, env: env, byPeer: map[*link.Peer]*tableNode{}}
+	return &gossipNode{spread: &memberGossip{Env: env}, env: env, byPeer: map[*link.Peer]*gossipNode{}}
 }
 
-func (n *tableNode) members() *tables.Members { return n.env.World.Members }
+func (n *gossipNode) members() *tables.Members { return n.env.World.Members }
 
 // connect opens a link between two daemons, with a row of peers at each end.
-func connect(a, b *tableNode) {
+func connect(a, b *gossipNode) {
 	toB, toA := peerOf(b), peerOf(a)
 	a.byPeer[toB], b.byPeer[toA] = b, a
 	a.env.World.Peers.GetOrAdd(toB)
 	b.env.World.Peers.GetOrAdd(toA)
 }
 
-func peerOf(n *tableNode) *link.Peer {
+func peerOf(n *gossipNode) *link.Peer {
 	return &link.Peer{Hello: wire.Hello{VM: n.env.World.VM, DataCentre: n.env.World.DataCentre, Region: n.env.World.Region}}
 }
 
 // passOn hands on what is new at a daemon; some frames are lost. It returns
 // whether anything was sent.
-func (n *tableNode) passOn(lost func() bool) bool {
+func (n *gossipNode) passOn(lost func() bool) bool {
 	fresh := n.members().TakeChanges()
-	plan := n.spread.plan(n.spread.saidByDaemons(fresh))
+	plan := n.spread.plan(n.spread.changesFromDaemons(fresh))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
 		for _, row := range rows {
@@ -99,18 +99,18 @@
 
 // drawFleet makes daemons in some data centres: a chain inside each, one link
 // from each to the next, and further links at random.
-func drawFleet(t *rapid.T) []*tableNode {
-	var nodes []*tableNode
-	var first *tableNode
+func drawFleet(t *rapid.T) []*gossipNode {
+	var nodes []*gossipNode
+	var first *gossipNode
 	// One region of all, two of two each, one alone beside the rest, or each its own.
 	regions := rapid.SampledFrom([][]string{
 		{"r0", "r0", "r0", "r0"}, {"r0", "r0", "r1", "r1"}, {"r0", "r0", "r0", "r1"}, {"r0", "r1", "r1", "r1"},
 		{"r0", "r1", "r2", "r3"}, {"", "", "", ""},
 	}).Draw(t, "regions")
 	for d := range rapid.IntRange(1, 4).Draw(t, "data centres") {
-		var before *tableNode
+		var before *gossipNode
 		for v := range rapid.IntRange(1, 8).Draw(t, "daemons") {
-			n := newTableNode(fmt.Sprint("d", d, "v", v), fmt.Sprint("d", d), regions[d])
+			n := newGossipNode(fmt.Sprint("d", d, "v", v), fmt.Sprint("d", d), regions[d])
 			switch {
 			case before != nil:
 				connect(n, before)
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -34,7 +34,7 @@
 // docs/design/platform.md, "A backend server leaves".
 type departures struct {
 	*Env
-	due  due
+	due  intervalTimer
 	busy atomic.Bool
 	// own are the departures that this daemon has acknowledged, and when.
 	own map[string]int64
@@ -100,7 +100,7 @@
 			delete(d.own, id)
 			continue
 		}
-		go d.writeDeparture(d.Background, id)
+		go d.storeDeparture(d.DaemonContext, id)
 	}
 }
 
@@ -108,7 +108,7 @@
 // backend server; others keep it for when that one has forgotten, and it asks its own
 // data centre first.
 func (d *departures) tell(own, heard []string) {
-	flood(d.Env, own, heard, func(id string) string { return id }, func(ids []string) wire.Frame {
+	broadcast(d.Env, own, heard, func(id string) string { return id }, func(ids []string) wire.Frame {
 		return &wire.Departures{IDs: ids}
 	})
 }
@@ -139,14 +139,14 @@
 		d.Backend.RecordDeparturesKnown()
 		return
 	}
-	if !d.peersFirst(now) && d.due.at(now, departuresEvery) && d.busy.CompareAndSwap(false, true) {
+	if !d.shouldWaitForPeers(now) && d.due.fires(now, departuresEvery) && d.busy.CompareAndSwap(false, true) {
 		go d.read()
 	}
 }
 
 func (d *departures) read() {
 	defer d.busy.Store(false)
-	ctx, cancel := context.WithTimeout(d.Background, d.Settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(d.DaemonContext, d.Settings.Platform.Timeout)
 	defer cancel()
 	said := &wire.Departures{Informed: true}
 	err := scanAll(ctx, d.Platform, departurePrefix, func(row store.Row) {
@@ -160,17 +160,17 @@
 	})
 }
 
-// KeepDeparture notes that a process of the backend server beside this daemon
+// SaveDeparture notes that a process of the backend server beside this daemon
 // leaves: here and with the peers at once, and in the store, which it waits for
 // until ctx ends. Only then may the announcement be acknowledged.
-func (e *Env) KeepDeparture(ctx context.Context, of backend.Incarnation) {
+func (e *Env) SaveDeparture(ctx context.Context, of backend.Incarnation) {
 	instance := of.String()
 	e.World.Inbox.Post(true, func(m *tables.Mail) { m.LocalDepartures = append(m.LocalDepartures, instance) })
-	e.writeDeparture(ctx, instance)
+	e.storeDeparture(ctx, instance)
 }
 
-// writeDeparture writes the row of a departure; one that is there is as good.
-func (e *Env) writeDeparture(ctx context.Context, instance string) {
+// storeDeparture writes the row of a departure; one that is there is as good.
+func (e *Env) storeDeparture(ctx context.Context, instance string) {
 	ctx, cancel := context.WithTimeout(ctx, e.Settings.Platform.Timeout)
 	defer cancel()
 	err := e.Platform.Transact(ctx, []store.Write{{Key: departurePrefix + instance, Value: []byte(e.Settings.VM.ID)}})
--- a/pkg/systems/departures_test.go
+++ b/pkg/systems/departures_test.go
@@ -22,7 +22,7 @@
 	platform := fakestore.New()
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
-	env.Background, env.Platform, env.Backend = ctx, platform, backend.NewLifecycle(informed, nil)
+	env.DaemonContext, env.Platform, env.Backend = ctx, platform, backend.NewLifecycle(informed, nil)
 	system := &departures{Env: env}
 	return env, platform, func() {
 		mail := env.World.Inbox.Take()
@@ -33,7 +33,7 @@
 func TestARestartedDaemonLearnsADepartureFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		first, platform, tick := departuresEnv(t, true)
-		first.KeepDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
+		first.SaveDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
 		tick()
 		test.MapContainsKey(t, first.World.Departures, "i-1")
 
@@ -87,7 +87,7 @@
 func TestADepartureIsKeptAlthoughTheAnswerIsLost(t *testing.T) {
 	env, platform, tick := departuresEnv(t, true)
 	platform.SetFaults(fakestore.Faults{LoseAnswers: 1})
-	env.KeepDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
+	env.SaveDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
 	tick()
 	test.MapContainsKey(t, env.World.Departures, "i-1")
 	platform.SetFaults(fakestore.Faults{})
@@ -132,14 +132,14 @@
 	for n := range daemons {
 		s.World.VM = fmt.Sprint("here", n)
 		near, _ := s.peersByGroup()
-		for _, id := range relayed(s.Env, without(near, s.World.VM), ids, itself) {
+		for _, id := range selectForRelay(s.Env, without(near, s.World.VM), ids, itself) {
 			relays[id]++
 		}
 	}
 	for _, id := range ids {
 		test.Eq(t, floodRelays, relays[id])
 	}
-	test.Eq(t, ids, relayed(testEnv(), nil, ids, itself))
+	test.Eq(t, ids, selectForRelay(testEnv(), nil, ids, itself))
 }
 
 func itself(id string) string { return id }
--- a/pkg/systems/dialing.go
+++ b/pkg/systems/diallimiter.go
@@ -16,8 +16,8 @@
 	dialsWindow = 40 * time.Millisecond
 )
 
-// dialing keeps the routes that are being dialled.
-type dialing struct {
+// dialLimiter keeps the routes that are being dialled.
+type dialLimiter struct {
 	routes map[*tables.Endpoint]struct{}
 	// recent are the beginnings within the window, oldest first, in nanoseconds.
 	recent []int64
@@ -26,10 +26,10 @@
 	leftOver bool
 }
 
-func newDialing() *dialing { return &dialing{routes: map[*tables.Endpoint]struct{}{}} }
+func newDialLimiter() *dialLimiter { return &dialLimiter{routes: map[*tables.Endpoint]struct{}{}} }
 
 // begin is true when a route may be dialled now.
-func (d *dialing) begin(now int64, route *tables.Endpoint) bool {
+func (d *dialLimiter) begin(now int64, route *tables.Endpoint) bool {
 	if _, already := d.routes[route]; already {
 		return false
 	}
@@ -46,4 +46,4 @@
 }
 
 // ended notes that a dial has ended, well or not.
-func (d *dialing) ended(route *tables.Endpoint) { delete(d.routes, route) }
+func (d *dialLimiter) ended(route *tables.Endpoint) { delete(d.routes, route) }
--- a/pkg/systems/dialing_test.go
+++ b/pkg/systems/diallimiter_test.go
@@ -22,7 +22,7 @@
 func countDials(env *Env) map[string]int {
 	var mu sync.Mutex
 	dialled := map[string]int{}
-	env.Dial = link.DialOptions{Dial: func(_ context.Context, _, address string) (net.Conn, error) {
+	env.DialOptions = link.DialOptions{Dial: func(_ context.Context, _, address string) (net.Conn, error) {
 		mu.Lock()
 		defer mu.Unlock()
 		dialled[address]++
@@ -32,7 +32,7 @@
 }
 
 func TestDialsAreBoundedForATime(t *testing.T) {
-	d := newDialing()
+	d := newDialLimiter()
 	routes := make([]*tables.Endpoint, dialsAtOnce+1)
 	for i := range routes {
 		routes[i] = &tables.Endpoint{}
@@ -56,7 +56,7 @@
 func TestADaemonThatStartsDialsAFewOfEachServiceFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
-		env.Background = t.Context()
+		env.DaemonContext = t.Context()
 		dialled := countDials(env)
 		doc := &placement.Document{Version: 1}
 		for s := range 4 {
--- a/pkg/systems/evacuations.go
+++ b/pkg/systems/evacuations.go
@@ -51,8 +51,8 @@
 	if ev.Executor != nil {
 		ev.Executor.SetEvacuated(evacuated)
 	}
-	if ev.Routed != nil {
-		ev.Routed.SetEvacuated(evacuated)
+	if ev.RoutedRunner != nil {
+		ev.RoutedRunner.SetEvacuated(evacuated)
 	}
 }
 
--- a/pkg/systems/evacuations_test.go
+++ b/pkg/systems/evacuations_test.go
@@ -67,8 +67,8 @@
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
 			says(4, a), says(6, b), fails(store.ErrHistoryGone), says(9, b), says(11, evacuation.Change{DataCentre: "b"}),
 		}}
-		env, _ := follow(t, feed)
-		follower, system := newFollower(env), &evacuations{Env: env}
+		env, _ := startFollower(t, feed)
+		follower, system := newFeedFollower(env), &evacuations{Env: env}
 		var seen []evacuation.Set
 		for range 200 {
 			mail := env.World.Inbox.Take()
--- a/pkg/systems/follower.go
+++ b/pkg/systems/feedfollower.go
@@ -52,13 +52,13 @@
 	feedTrust = 300 * time.Millisecond
 )
 
-// follower follows the documents that operators write to the store themselves.
+// feedFollower follows the documents that operators write to the store themselves.
 // Source: docs/design/platform.md, "The way of a configuration".
-type follower struct {
+type feedFollower struct {
 	*Env
 	outage  *events.Outage
 	started sync.Once
-	lookDue due
+	lookDue intervalTimer
 	// resting is true while others of this data centre follow the feed.
 	resting atomic.Bool
 	// first is true for the first follower of this data centre.
@@ -74,9 +74,9 @@
 	cancel context.CancelFunc
 }
 
-// feedPlace is where the feed goes on; not known at first, and after the store
+// feedPosition is where the feed goes on; not known at first, and after the store
 // has forgotten its history.
-type feedPlace struct {
+type feedPosition struct {
 	known  bool
 	cursor uint64
 	// evacuated is the set of evacuated data centres as it stood at the cursor.
@@ -86,26 +86,26 @@
 }
 
 // after is the place after an update. The first one tells all of the set.
-func (at feedPlace) after(update placement.FeedUpdate) feedPlace {
-	return feedPlace{
+func (at feedPosition) after(update placement.FeedUpdate) feedPosition {
+	return feedPosition{
 		known: true, cursor: update.Cursor,
 		evacuated: at.evacuated.With(update.Cursor, update.Evacuations),
 		orders:    at.orders.With(update.Cursor, update.Rollouts),
 	}
 }
 
-func newFollower(env *Env) *follower {
-	return &follower{Env: env, outage: events.NewOutage(env.Log, "placement feed")}
+func newFeedFollower(env *Env) *feedFollower {
+	return &feedFollower{Env: env, outage: events.NewOutage(env.Log, "placement feed")}
 }
 
 // Tick implements System.
-func (f *follower) Tick(now int64, mail *tables.Mail) {
+func (f *feedFollower) Tick(now int64, mail *tables.Mail) {
 	if mail.StoreRestored {
 		// It hangs on a version that is void.
 		f.reopen()
 	}
-	waited := f.waitsForPeers.Swap(f.peersFirst(now))
-	if f.lookDue.at(now, feedLook) || waited && !f.waitsForPeers.Load() {
+	waited := f.waitsForPeers.Swap(f.shouldWaitForPeers(now))
+	if f.lookDue.fires(now, feedLook) || waited && !f.waitsForPeers.Load() {
 		f.resting.Store(!f.mustFollow(now))
 		f.first.Store(f.ahead() == 0)
 	}
@@ -126,7 +126,7 @@
 // mustFollow is true for the first few daemons of each data centre, for one
 // that has no version yet, and for one that has few links: it may be the only
 // one that hears the store. All others learn over their links.
-func (f *follower) mustFollow(now int64) bool {
+func (f *feedFollower) mustFollow(now int64) bool {
 	if f.Settings.Platform.FirstStart && now < int64(firstFollowAll) {
 		return f.mustFollowFirst(now)
 	}
@@ -136,21 +136,21 @@
 // mustFollowFirst is mustFollow while the whole system starts for the first
 // time. Few links are open by then, so daemons rank themselves among the members
 // that they know; all of them live.
-func (f *follower) mustFollowFirst(now int64) bool {
-	return now >= int64(firstFollowAfter) && f.aheadIn(f.readers()) < f.Settings.Placement.FeedReaders
+func (f *feedFollower) mustFollowFirst(now int64) bool {
+	return now >= int64(firstFollowAfter) && f.rankIn(f.feedReaderGroup()) < f.Settings.Placement.FeedReaders
 }
 
 // ahead counts the daemons with which this one shares the feed's readers that come
 // before it by rendezvous hash. Only those with a link count: a member that is gone
 // but not forgotten follows nothing. Where links are few, more daemons follow, which
 // costs calls and is never wrong.
-func (f *follower) ahead() int {
-	group := f.readers()
+func (f *feedFollower) ahead() int {
+	group := f.feedReaderGroup()
 	mine := utils.Rendezvous(group.name, f.World.VM)
 	before := map[string]struct{}{}
 	f.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		hello := &peer.Hello
-		if group.has(f.placeOf(peer)) && !row.Leaving && utils.Rendezvous(group.name, hello.VM) > mine {
+		if group.has(f.proximityOf(peer)) && !row.Leaving && utils.Rendezvous(group.name, hello.VM) > mine {
 			before[hello.VM] = struct{}{}
 		}
 	})
@@ -158,7 +158,7 @@
 }
 
 // reopen gives up the request that hangs: it may hang behind a cut.
-func (f *follower) reopen() {
+func (f *feedFollower) reopen() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cancel != nil {
@@ -166,13 +166,13 @@
 	}
 }
 
-func (f *follower) run() {
+func (f *feedFollower) run() {
 	f.awaitPeers()
-	at, rest := feedPlace{}, feedRest
-	for f.Background.Err() == nil {
+	at, rest := feedPosition{}, feedRest
+	for f.DaemonContext.Err() == nil {
 		if f.resting.Load() {
 			// Where the feed went on is of no use later: others followed it.
-			at = feedPlace{}
+			at = feedPosition{}
 			f.sleep(feedLook)
 			continue
 		}
@@ -190,7 +190,7 @@
 		}
 		if errors.Is(err, store.ErrHistoryGone) {
 			f.Log.Event(events.FeedBehind, events.F("cursor", at.cursor))
-			at = feedPlace{}
+			at = feedPosition{}
 		}
 		// A request that hung has rested already.
 		f.sleep(max(rest-time.Since(began), feedRest))
@@ -199,15 +199,15 @@
 }
 
 // awaitPeers returns once peers have been asked first.
-func (f *follower) awaitPeers() {
+func (f *feedFollower) awaitPeers() {
 	const look = 10 * time.Millisecond
-	for f.waitsForPeers.Load() && f.Background.Err() == nil {
+	for f.waitsForPeers.Load() && f.DaemonContext.Err() == nil {
 		time.Sleep(look)
 	}
 }
 
 // restMost is how long this follower rests at most.
-func (f *follower) restMost() time.Duration {
+func (f *feedFollower) restMost() time.Duration {
 	if f.first.Load() {
 		return firstRestMost
 	}
@@ -215,22 +215,22 @@
 }
 
 // sleep rests for around a time, so that daemons do not come back as one.
-func (f *follower) sleep(rest time.Duration) {
+func (f *feedFollower) sleep(rest time.Duration) {
 	timer := time.NewTimer(rest/2 + rand.N(rest))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-	case <-f.Background.Done():
+	case <-f.DaemonContext.Done():
 	}
 }
 
 // step makes one request to the feed and hands on what it told.
-func (f *follower) step(at feedPlace) (next feedPlace, err error) {
+func (f *feedFollower) step(at feedPosition) (next feedPosition, err error) {
 	wait, bound := f.waits()
 	if !at.known {
 		bound = f.Settings.Platform.Timeout
 	}
-	ctx, cancel := context.WithTimeout(f.Background, bound)
+	ctx, cancel := context.WithTimeout(f.DaemonContext, bound)
 	defer cancel()
 	f.mu.Lock()
 	f.cancel = cancel
@@ -266,18 +266,18 @@
 
 // noteRead notes that the store has told all that it knew when the request began. What it
 // told is in force first: it was posted before.
-func (f *follower) noteRead(began int64) {
+func (f *feedFollower) noteRead(began int64) {
 	f.World.Inbox.Post(false, func(m *tables.Mail) { m.StoreReadAt = max(m.StoreReadAt, began) })
 }
 
 // takeEvacuation hands the set of evacuated data centres to the systems, before
 // any document that came with it: both are then in force at once.
-func (f *follower) takeEvacuation(set evacuation.Set) {
+func (f *feedFollower) takeEvacuation(set evacuation.Set) {
 	f.World.Inbox.Post(true, func(m *tables.Mail) { m.Evacuation = &set })
 }
 
 // waits is how long the next request to the feed may hang, and when it is given up.
-func (f *follower) waits() (wait, bound time.Duration) {
+func (f *feedFollower) waits() (wait, bound time.Duration) {
 	if f.first.Load() {
 		wait = firstWaitLeast + rand.N(firstWaitMost-firstWaitLeast)
 		if proof := f.proofWait(); proof > 0 {
@@ -292,7 +292,7 @@
 	return wait, wait + feedSlack
 }
 
-func (f *follower) ask(ctx context.Context, at feedPlace, wait time.Duration) (placement.FeedUpdate, error) {
+func (f *feedFollower) ask(ctx context.Context, at feedPosition, wait time.Duration) (placement.FeedUpdate, error) {
 	began := time.Now()
 	if !at.known {
 		update, err := f.Feed.Newest(ctx)
@@ -305,7 +305,7 @@
 }
 
 // take hands a document to the systems, which never lower the version.
-func (f *follower) take(doc *placement.Document) error {
+func (f *feedFollower) take(doc *placement.Document) error {
 	hash, err := doc.Hash()
 	if err != nil {
 		return err
--- a/pkg/systems/follower_test.go
+++ b/pkg/systems/feedfollower_test.go
@@ -67,13 +67,13 @@
 	return len(s.asked)
 }
 
-// follow runs a follower and the placements system over a feed.
-func follow(t *testing.T, feed *scriptedFeed) (env *Env, tick func(time.Duration)) {
+// startFollower runs a follower and the placements system over a feed.
+func startFollower(t *testing.T, feed *scriptedFeed) (env *Env, tick func(time.Duration)) {
 	env = testEnv()
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
-	env.Background, env.Feed = ctx, feed
-	follower, versions := newFollower(env), &placements{Env: env}
+	env.DaemonContext, env.Feed = ctx, feed
+	follower, versions := newFeedFollower(env), &placements{Env: env}
 	return env, func(d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			mail := env.World.Inbox.Take()
@@ -89,7 +89,7 @@
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
 			tells(4, 10), tells(3, 11), fails(store.ErrHistoryGone), tells(2, 9), tells(6, 13),
 		}}
-		env, tick := follow(t, feed)
+		env, tick := startFollower(t, feed)
 		for range 40 {
 			before := env.World.PlacementVersion()
 			tick(50 * time.Millisecond)
@@ -105,7 +105,7 @@
 func TestAHungFeedIsGivenUpWhenAPeerKnowsMore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){tells(4, 10)}}
-		env, tick := follow(t, feed)
+		env, tick := startFollower(t, feed)
 		tick(4 * feedLook)
 		must.Eq(t, []uint64{0, 10}, feed.asked)
 		env.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, update(t, "there", 7)) })
@@ -121,7 +121,7 @@
 func TestTheFirstFollowerAsksAgainWithinThreeSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){tells(4, 10)}}
-		env, tick := follow(t, feed)
+		env, tick := startFollower(t, feed)
 		tick(4 * feedLook)
 		must.Eq(t, []uint64{0, 10}, feed.asked)
 		feed.mu.Lock()
@@ -142,7 +142,7 @@
 		for range refusals {
 			feed.steps = append(feed.steps, fails(errors.New("down")))
 		}
-		env, tick := follow(t, feed)
+		env, tick := startFollower(t, feed)
 		for feed.count() < 2+refusals {
 			tick(feedLook)
 		}
@@ -160,7 +160,7 @@
 		for range 1000 {
 			feed.steps = append(feed.steps, fails(errors.New("down")))
 		}
-		_, tick := follow(t, feed)
+		_, tick := startFollower(t, feed)
 		tick(20 * time.Second)
 		test.Between(t, 8, len(feed.asked), 30)
 	})
@@ -171,7 +171,7 @@
 func TestOnlyAFewDaemonsOfADataCentreFollowTheFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){tells(4, 10)}}
-		env, tick := follow(t, feed)
+		env, tick := startFollower(t, feed)
 		env.Settings.Placement.FeedReaders = 1
 		tick(feedLook)
 		must.Eq(t, 4, env.World.PlacementVersion(), must.Sprint("a daemon without a version reads it"))
--- a/pkg/systems/firststart_test.go
+++ b/pkg/systems/firststart_test.go
@@ -18,8 +18,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// countedList is a list of VMs that counts its reads and the entries written.
-type countedList struct {
+// countingVMList is a list of VMs that counts its reads and the entries written.
+type countingVMList struct {
 	store.Platform
 	mu     sync.Mutex
 	vms    []store.VM
@@ -27,14 +27,14 @@
 	writes int
 }
 
-func (c *countedList) VMs(context.Context, string) ([]store.VM, error) {
+func (c *countingVMList) VMs(context.Context, string) ([]store.VM, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.reads++
 	return c.vms, nil
 }
 
-func (c *countedList) Register(_ context.Context, vm store.VM) error {
+func (c *countingVMList) Register(_ context.Context, vm store.VM) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.writes++
@@ -42,15 +42,15 @@
 	return nil
 }
 
-// startEnv makes a daemon with a list of VMs, and what lets it run for a time.
-func startEnv(t *testing.T, first bool, list *countedList) (env *Env, run func(time.Duration)) {
+// newStartEnv makes a daemon with a list of VMs, and what lets it run for a time.
+func newStartEnv(t *testing.T, first bool, list *countingVMList) (env *Env, run func(time.Duration)) {
 	env = testEnv()
 	env.Settings.Platform.FirstStart = first
 	env.Settings.Platform.VMListEvery = 20 * time.Second
-	env.Background, env.Platform, env.Registrar = t.Context(), list, list
+	env.DaemonContext, env.Platform, env.Registrar = t.Context(), list, list
 	systems := []System{
 		&vmListReader{Env: env, outage: events.NewOutage(env.Log, "list")},
-		&register{Env: env, outage: events.NewOutage(env.Log, "entry")},
+		&registration{Env: env, outage: events.NewOutage(env.Log, "entry")},
 	}
 	return env, func(d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(20 * time.Millisecond) {
@@ -71,8 +71,8 @@
 
 func TestAtTheFirstStartTheListIsReadAfterOthersHaveWrittenTheirEntries(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := &countedList{}
-		_, run := startEnv(t, true, list)
+		list := &countingVMList{}
+		_, run := newStartEnv(t, true, list)
 		run(firstListAfter - time.Millisecond)
 		test.Eq(t, 0, list.reads)
 		test.Eq(t, 1, list.writes, test.Sprint("its own entry it writes at once"))
@@ -96,8 +96,8 @@
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				list := &countedList{}
-				env, run := startEnv(t, tc.first, list)
+				list := &countingVMList{}
+				env, run := newStartEnv(t, tc.first, list)
 				tellMembers(env, toldEnough+1)
 				run(tc.after)
 				test.Eq(t, tc.reads, list.reads)
@@ -108,9 +108,9 @@
 
 func TestAnEntryThatStandsInTheListIsNotWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := &countedList{}
-		env, run := startEnv(t, false, list)
-		list.vms = []store.VM{{ID: "other"}, (&register{Env: env}).entry()}
+		list := &countingVMList{}
+		env, run := newStartEnv(t, false, list)
+		list.vms = []store.VM{{ID: "other"}, (&registration{Env: env}).entry()}
 		run(10 * time.Second)
 		test.Eq(t, 0, list.writes)
 	})
@@ -118,9 +118,9 @@
 
 func TestAnEntryThatDiffersFromTheListIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := &countedList{}
-		env, run := startEnv(t, false, list)
-		old := (&register{Env: env}).entry()
+		list := &countingVMList{}
+		env, run := newStartEnv(t, false, list)
+		old := (&registration{Env: env}).entry()
 		old.Links = "10.0.0.9:1"
 		list.vms = []store.VM{old}
 		run(10 * time.Second)
@@ -133,11 +133,11 @@
 func TestSeedsAreAskedOneAfterTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
-		env.Background = t.Context()
+		env.DaemonContext = t.Context()
 		env.Settings.Listen.Links = "10.0.0.1:7000"
 		env.Settings.Links.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}
 		dialled := countDials(env)
-		s := &seeds{Env: env}
+		s := &seedDialer{Env: env}
 		s.Tick(env.Now(), &tables.Mail{})
 		synctest.Wait()
 		test.MapLen(t, 1, dialled)
@@ -154,7 +154,7 @@
 	env := testEnv()
 	env.Settings.Platform.FirstStart = true
 	env.Settings.Links.Seeds = []string{"10.0.0.2:1"}
-	s := &seeds{Env: env}
+	s := &seedDialer{Env: env}
 	s.Tick(int64(seedsAtFirstStart)-1, &tables.Mail{})
 	test.SliceEmpty(t, s.order)
 }
@@ -163,12 +163,12 @@
 	env := testEnv()
 	env.Settings.Platform.FirstStart = true
 	env.Settings.Placement.FeedReaders = 1
-	f := newFollower(env)
+	f := newFeedFollower(env)
 	test.False(t, f.mustFollow(1), test.Sprint("nobody knows the others yet"))
 	test.True(t, f.mustFollow(int64(firstFollowAfter)), test.Sprint("alone"))
 	// Some of these members come first; links to them there are none yet.
 	tellMembers(env, 20)
-	must.Positive(t, f.aheadInDataCentre())
+	must.Positive(t, f.rankInDataCentre())
 	test.False(t, f.mustFollow(int64(firstFollowAfter)))
 	test.True(t, f.mustFollow(int64(firstFollowAll)), test.Sprint("nobody has told a version"))
 	env.Settings.Platform.FirstStart = false
@@ -188,7 +188,7 @@
 // lacks a row, one daemon fetches it from another data centre, not all.
 func TestPeersOfTheOwnDataCentreAreComparedWithFirst(t *testing.T) {
 	env := testEnv()
-	c := &compare{Env: env, patience: time.Second}
+	c := &antiEntropy{Env: env, patience: time.Second}
 	near := &link.Peer{Hello: wire.Hello{DataCentre: "here"}}
 	far := &link.Peer{Hello: wire.Hello{DataCentre: "there"}}
 	test.Eq(t, 0, c.wait(near), test.Sprint("a daemon that knows nobody asks at once"))
@@ -203,10 +203,10 @@
 func TestADaemonDoesNotSweepAtItsStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
-		env.Background = t.Context()
+		env.DaemonContext = t.Context()
 		sweeps := 0
-		env.Sweep = func(context.Context) (int, error) { sweeps++; return 0, nil }
-		s := &sweeper{Env: env}
+		env.SweepOnceRows = func(context.Context) (int, error) { sweeps++; return 0, nil }
+		s := &onceSweeper{Env: env}
 		s.Tick(1, &tables.Mail{})
 		s.Tick(int64(sweepEvery), &tables.Mail{})
 		synctest.Wait()
--- a/pkg/systems/head.go
+++ b/pkg/systems/head.go
@@ -14,7 +14,7 @@
 // without a placement does so until it has one. Source: docs/design/placement.md.
 type headReader struct {
 	*Env
-	due  due
+	due  intervalTimer
 	busy atomic.Bool
 	// outage logs when the head cannot be read, ordersOutage when the orders cannot.
 	outage, ordersOutage *events.Outage
@@ -22,10 +22,10 @@
 
 // Tick implements System.
 func (h *headReader) Tick(now int64, _ *tables.Mail) {
-	if !h.due.at(now, h.Settings.Placement.HeadEvery) {
+	if !h.due.fires(now, h.Settings.Placement.HeadEvery) {
 		return
 	}
-	if h.World.Placement != nil && !h.isReader() {
+	if h.World.Placement != nil && !h.isPlatformReader() {
 		return
 	}
 	if h.busy.CompareAndSwap(false, true) {
@@ -35,7 +35,7 @@
 
 func (h *headReader) read(began int64, have uint64, base *placement.Document) {
 	defer h.busy.Store(false)
-	ctx, cancel := context.WithTimeout(h.Background, h.Settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(h.DaemonContext, h.Settings.Platform.Timeout)
 	defer cancel()
 	head, err := h.Store.Head(ctx)
 	h.outage.Note(err)
--- a/pkg/systems/head_test.go
+++ b/pkg/systems/head_test.go
@@ -19,7 +19,7 @@
 // headOf makes a reader of rushramp's own head over a platform.
 func headOf(t *testing.T, platform *fakestore.Store) *headReader {
 	env := testEnv()
-	env.Background, env.Store = t.Context(), placement.NewStore(platform, platform)
+	env.DaemonContext, env.Store = t.Context(), placement.NewStore(platform, platform)
 	env.Evacuation, env.Orders = evacuation.NewRegister(platform), rollout.NewOrderRegister(platform)
 	return &headReader{Env: env, outage: events.NewOutage(env.Log, "head"), ordersOutage: events.NewOutage(env.Log, "orders")}
 }
--- a/pkg/systems/pace.go
+++ b/pkg/systems/heartbeatpace.go
@@ -20,15 +20,15 @@
 	paceStart = 6 * time.Second
 )
 
-// pace works out how rarely idle links carry heartbeats: as links.heartbeat says
+// heartbeatPace works out how rarely idle links carry heartbeats: as links.heartbeat says
 // in a fleet of up to paceUnit members, more rarely in proportion above that. Peers
 // are told, so that they may know of another size of the fleet.
-type pace struct{}
+type heartbeatPace struct{}
 
 // of returns the time between two heartbeats and the longest silence of a peer that
 // does not say its own, both in parts of links.heartbeat. first is true where the
 // whole system starts for the first time.
-func (pace) of(now int64, members int, first bool) (every, bound time.Duration) {
+func (heartbeatPace) of(now int64, members int, first bool) (every, bound time.Duration) {
 	if first && now < int64(paceStart) {
 		return paceMost, link.MissedHeartbeats * paceMost
 	}
--- a/pkg/systems/pace_test.go
+++ b/pkg/systems/heartbeatpace_test.go
@@ -13,7 +13,7 @@
 // and none waits longer than paceMost.
 func TestHeartbeatsGetRarerWithTheFleet(t *testing.T) {
 	for members, want := range map[int]time.Duration{1: paceUnit, 13: paceUnit, 61: 61, 295: paceMost, 21_000: paceMost} {
-		every, bound := pace{}.of(1, members, false)
+		every, bound := heartbeatPace{}.of(1, members, false)
 		test.Eq(t, want, every)
 		test.Eq(t, link.MissedHeartbeats*want, bound)
 	}
@@ -21,9 +21,9 @@
 
 // TestTheFirstStartCountsAsThatOfALargeFleet: nobody knows its size yet.
 func TestTheFirstStartCountsAsThatOfALargeFleet(t *testing.T) {
-	every, bound := pace{}.of(1, 1, true)
+	every, bound := heartbeatPace{}.of(1, 1, true)
 	test.Eq(t, paceMost, every)
 	test.Eq(t, link.MissedHeartbeats*paceMost, bound)
-	every, _ = pace{}.of(int64(paceStart), 13, true)
+	every, _ = heartbeatPace{}.of(int64(paceStart), 13, true)
 	test.Eq(t, paceUnit, every)
 }
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -17,29 +17,29 @@
 // links without traffic. Links in use watch each other through their calls.
 type heartbeats struct {
 	*Env
-	due     due
+	due     intervalTimer
 	leaving bool
-	pace    pace
+	pace    heartbeatPace
 	// proofDue is when all peers are told again how old the proof of the version is.
-	proofDue due
+	proofDue intervalTimer
 }
 
 // keepPace sets how often idle links carry a heartbeat. The number of links
 // grows with that of the members; links in use do not wait for heartbeats, but
 // ask for a sign of life (closeSilent).
 func (h *heartbeats) keepPace(now int64) {
-	if h.Dial.Pace == nil {
+	if h.DialOptions.Pace == nil {
 		return
 	}
 	every, bound := h.pace.of(now, h.World.Members.Len(), h.Settings.Platform.FirstStart)
-	h.Dial.Pace.Set(every*h.Settings.Links.Heartbeat/paceUnit, bound*h.Settings.Links.Heartbeat/paceUnit)
+	h.DialOptions.Pace.Set(every*h.Settings.Links.Heartbeat/paceUnit, bound*h.Settings.Links.Heartbeat/paceUnit)
 }
 
 // Tick implements System.
 func (h *heartbeats) Tick(now int64, _ *tables.Mail) {
 	leftNow := h.World.View.Leaving() && !h.leaving
-	proves := h.Settings.Teams.RevokeWithin > 0 && h.proofDue.at(now, h.Settings.Teams.RevokeWithin/proofStates)
-	if !leftNow && !proves && !h.due.at(now, h.Settings.Links.Heartbeat/4) {
+	proves := h.Settings.Teams.RevokeWithin > 0 && h.proofDue.fires(now, h.Settings.Teams.RevokeWithin/proofStates)
+	if !leftNow && !proves && !h.due.fires(now, h.Settings.Links.Heartbeat/4) {
 		return
 	}
 	h.leaving = h.World.View.Leaving()
@@ -63,7 +63,7 @@
 		if !all && !peer.HeartbeatDue(at) {
 			return
 		}
-		to := h.placeOf(peer)
+		to := h.proximityOf(peer)
 		state := &brief[to]
 		if row.HeartbeatsSent%heardEvery == 0 {
 			state = &full[to]
@@ -77,10 +77,10 @@
 // idleTenths is for how long this daemon may say nothing on an idle link to a place;
 // 0: it does not say.
 func (h *heartbeats) idleTenths(to proximity.Level) uint32 {
-	if h.Dial.Pace == nil {
+	if h.DialOptions.Pace == nil {
 		return 0
 	}
-	return uint32(h.Dial.Pace.Idle(to) / wire.IdleTenth)
+	return uint32(h.DialOptions.Pace.Idle(to) / wire.IdleTenth)
 }
 
 func (h *heartbeats) refresh(now int64) {
@@ -106,14 +106,14 @@
 	return out
 }
 
-// latest is the state for peers. The parts that may not lag, the version in
+// latestState is the state for peers. The parts that may not lag, the version in
 // force, the evacuated data centres and leaving, are read from the view each
 // time.
-type latest struct{ value atomic.Pointer[wire.State] }
+type latestState struct{ value atomic.Pointer[wire.State] }
 
-func (l *latest) set(s wire.State) { l.value.Store(&s) }
+func (l *latestState) set(s wire.State) { l.value.Store(&s) }
 
-func (l *latest) get(view *tables.View) *wire.State {
+func (l *latestState) get(view *tables.View) *wire.State {
 	out := wire.State{StoreAgeMS: wire.StoreNever}
 	if s := l.value.Load(); s != nil {
 		out = *s
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -67,7 +67,7 @@
 			q.rows[content].since = now
 		}
 	}
-	if len(q.rows) == 0 || q.writing || now < q.writeDue.next {
+	if len(q.rows) == 0 || q.writing || now < q.writeDue.nextAt {
 		return
 	}
 	for content, row := range q.rows {
@@ -89,9 +89,9 @@
 // write writes one row, or deletes it where no crash counts any more.
 func (q *quarantines) write(now int64, content quarantine.Fingerprint, crashes []quarantine.Crash) {
 	q.writing = true
-	q.writeDue.at(now, heldKeepRest)
+	q.writeDue.fires(now, heldKeepRest)
 	go func() {
-		ctx, cancel := context.WithTimeout(q.Background, q.Settings.Platform.Timeout)
+		ctx, cancel := context.WithTimeout(q.DaemonContext, q.Settings.Platform.Timeout)
 		defer cancel()
 		err := q.change(ctx, content, crashes)
 		if err != nil {
@@ -107,7 +107,7 @@
 	q.writing = false
 	if row := q.rows[content]; row != nil && err == nil {
 		row.saved = crashes
-		q.writeDue.next = 0
+		q.writeDue.nextAt = 0
 	}
 }
 
@@ -170,10 +170,10 @@
 
 // inform reads the rows while neither the store nor a peer has told them.
 func (q *quarantines) inform(now int64) {
-	if now < int64(heldReadFirst) || q.peersFirst(now) || now < int64(heldReadAnyway) && q.aheadInDataCentre() >= heldReaders {
+	if now < int64(heldReadFirst) || q.shouldWaitForPeers(now) || now < int64(heldReadAnyway) && q.rankInDataCentre() >= heldReaders {
 		return
 	}
-	if !q.readDue.at(now, q.readRest/2+rand.N(q.readRest)) || !q.reading.CompareAndSwap(false, true) {
+	if !q.readDue.fires(now, q.readRest/2+rand.N(q.readRest)) || !q.reading.CompareAndSwap(false, true) {
 		return
 	}
 	q.readRest = min(2*q.readRest, heldReadRestMost)
@@ -182,7 +182,7 @@
 
 func (q *quarantines) read() {
 	defer q.reading.Store(false)
-	ctx, cancel := context.WithTimeout(q.Background, q.Settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(q.DaemonContext, q.Settings.Platform.Timeout)
 	defer cancel()
 	said := &wire.Quarantine{Informed: true}
 	err := scanAll(ctx, q.Platform, heldPrefix, func(row store.Row) {
--- a/pkg/systems/linkevents.go
+++ b/pkg/systems/linkevents.go
@@ -34,7 +34,7 @@
 // peer that was restarted be dialled again without a rest.
 func (l *links) greet(now int64, peer *link.Peer) {
 	if row, ok := l.World.Members.Find(l.World.VM); ok {
-		send(peer, []wire.Member{l.World.Members.Record[row]})
+		sendMembers(peer, []wire.Member{l.World.Members.Record[row]})
 	}
 	l.tellEvacuation(peer)
 	row, ok := l.World.Members.Find(peer.Hello.VM)
@@ -44,12 +44,12 @@
 	said := l.World.Members.Record[row]
 	if said.Incarnation > peer.Hello.Incarnation {
 		// The peer's process is a new one with a lower number: it must count on.
-		send(peer, []wire.Member{said})
+		sendMembers(peer, []wire.Member{said})
 	}
 	route := l.World.Members.Endpoint[row]
 	l.restUntil[route] = now
 	delete(l.failures, route)
-	l.unreached.forget(route)
+	l.unreached.remove(route)
 }
 
 func (l *links) up(e tables.LinkEvent) {
@@ -69,10 +69,10 @@
 		return
 	}
 	delete(l.failures, e.Endpoint)
-	l.unreached.forget(e.Endpoint)
+	l.unreached.remove(e.Endpoint)
 	// The members may have told of the new process before this link came up.
 	e.Endpoint.Load.BeginIncarnation(e.Peer.Hello.Incarnation, int(l.World.Members.Record[row].Slots))
-	l.open[e.Endpoint] = e.Client
+	l.clients[e.Endpoint] = e.Client
 	e.Endpoint.SetRunner(e.Client)
 	l.Log.Event(events.LinkUp, events.F("peer", e.Endpoint.VM))
 }
@@ -82,11 +82,11 @@
 // a price, so those of its own tell it.
 func (l *links) tellFormer(peer *link.Peer) {
 	row, ok := l.World.Members.Find(peer.Hello.VM)
-	if !ok || peer.Outgoing || l.placeOf(peer) != proximity.SameDataCentre {
+	if !ok || peer.Outgoing || l.proximityOf(peer) != proximity.SameDataCentre {
 		return
 	}
 	if former := l.World.Members.Record[row]; former.Incarnation > 0 && former.Incarnation < peer.Hello.Incarnation {
-		send(peer, []wire.Member{former})
+		sendMembers(peer, []wire.Member{former})
 	}
 }
 
@@ -111,8 +111,8 @@
 }
 
 func (l *links) down(now int64, e tables.LinkEvent) {
-	if l.surplus.takeClosed(e.Endpoint) && l.open[e.Endpoint] == e.Client {
-		delete(l.open, e.Endpoint)
+	if l.surplus.takeClosed(e.Endpoint) && l.clients[e.Endpoint] == e.Client {
+		delete(l.clients, e.Endpoint)
 		e.Endpoint.SetRunner(nil)
 		return
 	}
@@ -120,10 +120,10 @@
 	rest := redialAfter << min(l.failures[e.Endpoint]-1, redialDoublings)
 	l.restUntil[e.Endpoint] = now + int64(rest)
 	if l.failures[e.Endpoint] >= unreachedAfter {
-		l.unreached.note(e.Endpoint, l.restUntil[e.Endpoint])
+		l.unreached.add(e.Endpoint, l.restUntil[e.Endpoint])
 	}
-	if l.open[e.Endpoint] == e.Client && e.Client != nil {
-		delete(l.open, e.Endpoint)
+	if l.clients[e.Endpoint] == e.Client && e.Client != nil {
+		delete(l.clients, e.Endpoint)
 		e.Endpoint.SetRunner(nil)
 		l.Log.Event(events.LinkDown, events.F("peer", e.Endpoint.VM), events.F("cause", e.Cause))
 		return
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -22,29 +22,29 @@
 // for, and to a small sample of other daemons. Source: docs/design/members.md.
 type links struct {
 	*Env
-	open      map[*tables.Endpoint]*link.Client
-	dialing   *dialing
+	clients   map[*tables.Endpoint]*link.Client
+	dialing   *dialLimiter
 	restUntil map[*tables.Endpoint]int64
 	// failures counts a route's failed dials and ended links in a row.
 	failures  map[*tables.Endpoint]int
 	surplus   *surplus
-	unreached *unreached
-	sampleDue due
+	unreached *unreachedEndpoints
+	sampleDue intervalTimer
 	sample    []*tables.Endpoint
 	// drawnAt is the state of the members that the sample was drawn from.
 	drawnAt  uint64
-	retryDue due
+	retryDue intervalTimer
 }
 
 // Tick implements System.
 func (l *links) Tick(now int64, mail *tables.Mail) {
-	if l.open == nil {
-		l.open = map[*tables.Endpoint]*link.Client{}
-		l.dialing = newDialing()
+	if l.clients == nil {
+		l.clients = map[*tables.Endpoint]*link.Client{}
+		l.dialing = newDialLimiter()
 		l.restUntil = map[*tables.Endpoint]int64{}
 		l.failures = map[*tables.Endpoint]int{}
 		l.surplus = newSurplus()
-		l.unreached = newUnreached(l.World)
+		l.unreached = newUnreachedEndpoints(l.World)
 	}
 	for _, e := range mail.LinkEvents {
 		l.take(now, e)
@@ -53,7 +53,7 @@
 		l.World.RequestedServices[service] = struct{}{}
 		l.World.MarkDirty(service)
 	}
-	retry := l.retryDue.at(now, redialAfter)
+	retry := l.retryDue.fires(now, redialAfter)
 	if retry {
 		l.noteDistances()
 		l.unreached.expire(now)
@@ -69,7 +69,7 @@
 	if again {
 		l.openAll(now, l.sample)
 	}
-	if l.sampleDue.at(now, sampleEvery) {
+	if l.sampleDue.fires(now, sampleEvery) {
 		if changes := l.World.Members.ChangeCount(); changes != l.drawnAt {
 			l.drawnAt = changes
 			l.drawSample()
@@ -81,8 +81,8 @@
 }
 
 func (l *links) noteDistances() {
-	var distances distances
-	for route, client := range l.open {
+	var distances leastRoundTrips
+	for route, client := range l.clients {
 		distances.note(l.World.Here().To(route.DataCentre, route.Region), client.RoundTrip())
 		route.Load.SetRoundTrip(client.RoundTrip())
 		client.MeasureAgain()
@@ -96,7 +96,7 @@
 // life as long as ends an idle link of a small fleet: a VM without power, or behind
 // a cut, ends no connection.
 func (l *links) closeSilent() {
-	for route, client := range l.open {
+	for route, client := range l.clients {
 		if route.Load.Outstanding() > 0 && client.Unanswered() > link.MissedHeartbeats*l.Settings.Links.Heartbeat {
 			client.Close()
 		}
@@ -150,7 +150,7 @@
 }
 
 func (l *links) openOne(now int64, route *tables.Endpoint) {
-	if _, open := l.open[route]; open || route.VM == l.World.VM || now < l.restUntil[route] {
+	if _, open := l.clients[route]; open || route.VM == l.World.VM || now < l.restUntil[route] {
 		return
 	}
 	if l.dialing.begin(now, route) {
@@ -159,9 +159,9 @@
 }
 
 func (l *links) dial(route *tables.Endpoint) {
-	ctx, cancel := context.WithTimeout(l.Background, dialTime)
+	ctx, cancel := context.WithTimeout(l.DaemonContext, dialTime)
 	defer cancel()
-	client, err := link.DialClient(ctx, l.Common, &routeControl{Control: l.Control, world: l.World, route: route}, route.LinkAddress, l.Dial)
+	client, err := link.DialClient(ctx, l.Common, &endpointControl{Control: l.Control, world: l.World, route: route}, route.LinkAddress, l.DialOptions)
 	if err != nil {
 		l.World.Inbox.Post(false, func(m *tables.Mail) {
 			m.LinkEvents = append(m.LinkEvents, tables.LinkEvent{Endpoint: route, Cause: err})
@@ -173,7 +173,7 @@
 
 // closeGone closes links to VMs that are gone or that another VM replaced.
 func (l *links) closeGone() {
-	for route, client := range l.open {
+	for route, client := range l.clients {
 		row, ok := l.World.Members.Find(route.VM)
 		if !ok || l.World.Members.Endpoint[row] != route {
 			client.Close()
--- a/pkg/systems/links_test.go
+++ b/pkg/systems/links_test.go
@@ -25,8 +25,8 @@
 // process's last one must not keep them out.
 func TestStampsOfARestartedDaemonAreTakenOver(t *testing.T) {
 	env := testEnv()
-	env.Background = t.Context()
-	env.Dial = link.DialOptions{Dial: func(context.Context, string, string) (net.Conn, error) { return nil, io.ErrClosedPipe }}
+	env.DaemonContext = t.Context()
+	env.DialOptions = link.DialOptions{Dial: func(context.Context, string, string) (net.Conn, error) { return nil, io.ErrClosedPipe }}
 	const old, restarted = 7, 8
 	row := wire.Member{VM: "b", Started: 1, Incarnation: old, Service: "s", DataCentre: "dc", Slots: 12}
 	env.World.Members.Merge(1, nil, row)
@@ -71,7 +71,7 @@
 	client, err := link.DialClient(t.Context(), env.Common, env.Control, strings.TrimPrefix(server.URL, "http://"), link.DialOptions{Pace: link.NewPace(time.Minute)})
 	must.NoError(t, err)
 	route := &tables.Endpoint{Load: tables.NewLoad(1)}
-	l := &links{Env: env, open: map[*tables.Endpoint]*link.Client{route: client}}
+	l := &links{Env: env, clients: map[*tables.Endpoint]*link.Client{route: client}}
 	client.Probe()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return client.Unanswered() > link.MissedHeartbeats*env.Settings.Links.Heartbeat }), wait.Timeout(10*time.Second)))
 	l.closeSilent()
--- a/pkg/systems/spread.go
+++ b/pkg/systems/membergossip.go
@@ -32,20 +32,20 @@
 // one frame a daemon: 295 daemons sent 700,000 frames of one row each.
 const spreadEvery = 100 * time.Millisecond
 
-// spread passes on rows of members that changed, the own row too: to a few
+// memberGossip passes on rows of members that changed, the own row too: to a few
 // daemons of the own data centre, and now and then to another data centre. A row
 // that a daemon knows already changes nothing there and goes no further.
-type spread struct {
+type memberGossip struct {
 	*Env
-	due due
+	due intervalTimer
 	// waiting are the rows to pass on, the newest of each VM.
 	waiting map[string]tables.MemberChange
 }
 
 // Tick implements System.
-func (s *spread) Tick(now int64, _ *tables.Mail) {
+func (s *memberGossip) Tick(now int64, _ *tables.Mail) {
 	s.collect(s.World.Members.TakeChanges())
-	if len(s.waiting) == 0 || !s.due.at(now, spreadEvery) {
+	if len(s.waiting) == 0 || !s.due.fires(now, spreadEvery) {
 		return
 	}
 	said := make([]tables.MemberChange, 0, len(s.waiting))
@@ -54,12 +54,12 @@
 	}
 	clear(s.waiting)
 	for peer, rows := range s.plan(said) {
-		send(peer, rows)
+		sendMembers(peer, rows)
 	}
 }
 
 // collect notes the rows to pass on that changed since the last tick.
-func (s *spread) collect(fresh []tables.MemberChange) {
+func (s *memberGossip) collect(fresh []tables.MemberChange) {
 	if len(fresh) == 0 || len(fresh) > spreadMost {
 		return
 	}
@@ -69,24 +69,24 @@
 	if s.waiting == nil {
 		s.waiting = map[string]tables.MemberChange{}
 	}
-	for _, f := range s.saidByDaemons(fresh) {
+	for _, f := range s.changesFromDaemons(fresh) {
 		s.waiting[f.Record.VM] = f
 	}
 }
 
 // plan says which rows go over which links.
-func (s *spread) plan(said []tables.MemberChange) map[*link.Peer][]wire.Member {
+func (s *memberGossip) plan(said []tables.MemberChange) map[*link.Peer][]wire.Member {
 	out := map[*link.Peer][]wire.Member{}
 	if len(said) == 0 {
 		return out
 	}
 	near, far := s.peersByGroup()
-	for _, peer := range draw(near, spreadFanout) {
-		out[peer] = except(peer, said)
+	for _, peer := range pickRandom(near, spreadFanout) {
+		out[peer] = rowsNotFrom(peer, said)
 	}
 	for to, peers := range far {
-		for _, peer := range draw(peers, 1) {
-			out[peer] = except(peer, s.relayed(to, said))
+		for _, peer := range pickRandom(peers, 1) {
+			out[peer] = rowsNotFrom(peer, s.relayed(to, said))
 		}
 	}
 	return out
@@ -94,18 +94,18 @@
 
 // spreadList passes a reader's news of the platform's list on over all links.
 // Where daemons write the list themselves, each reads it at its start.
-func (s *spread) spreadList(fresh []tables.MemberChange) {
+func (s *memberGossip) spreadList(fresh []tables.MemberChange) {
 	var listed []tables.MemberChange
 	for _, f := range fresh {
 		if f.From == nil && f.Record.VM != s.World.VM {
 			listed = append(listed, f)
 		}
 	}
-	s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { send(peer, except(peer, listed)) })
+	s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { sendMembers(peer, rowsNotFrom(peer, listed)) })
 }
 
-// saidByDaemons are the rows that a daemon said, this one or another.
-func (s *spread) saidByDaemons(fresh []tables.MemberChange) []tables.MemberChange {
+// changesFromDaemons are the rows that a daemon said, this one or another.
+func (s *memberGossip) changesFromDaemons(fresh []tables.MemberChange) []tables.MemberChange {
 	var out []tables.MemberChange
 	for _, f := range fresh {
 		if f.From != nil || f.Record.VM == s.World.VM {
@@ -120,7 +120,7 @@
 // all groups, those of other regions to the data centres of the own one, where a row
 // that crossed into one must reach the others. Rows of the own region's other data
 // centres are relayed by these.
-func (s *spread) relayed(to group, said []tables.MemberChange) []tables.MemberChange {
+func (s *memberGossip) relayed(to peerGroup, said []tables.MemberChange) []tables.MemberChange {
 	chance := spreadRelays / float64(max(s.World.Members.CountInDataCentre(s.World.DataCentre), 1))
 	var out []tables.MemberChange
 	for _, f := range said {
@@ -133,14 +133,14 @@
 	return out
 }
 
-// draw picks up to most of some links.
-func draw(peers []*link.Peer, most int) []*link.Peer {
+// pickRandom picks up to most of some links.
+func pickRandom(peers []*link.Peer, most int) []*link.Peer {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
 	return peers[:min(most, len(peers))]
 }
 
-// except are the rows that did not come from a peer.
-func except(peer *link.Peer, fresh []tables.MemberChange) []wire.Member {
+// rowsNotFrom are the rows that did not come from a peer.
+func rowsNotFrom(peer *link.Peer, fresh []tables.MemberChange) []wire.Member {
 	var rows []wire.Member
 	for _, f := range fresh {
 		if f.From == nil || f.From.Hello.VM != peer.Hello.VM {
--- a/pkg/systems/spread_test.go
+++ b/pkg/systems/membergossip_test.go
@@ -14,7 +14,7 @@
 
 // spreadFleet makes a daemon with two links to each of some others in its own
 // data centre and in another one, all of them members.
-func spreadFleet(each int) *spread {
+func spreadFleet(each int) *memberGossip {
 	env := testEnv()
 	for _, dataCentre := range []string{"here", "there"} {
 		for n := range each {
@@ -25,7 +25,7 @@
 			}
 		}
 	}
-	return &spread{Env: env}
+	return &memberGossip{Env: env}
 }
 
 // TestNewsGoesToAFewDaemonsOfTheOwnDataCentre: with two links to each of 60
@@ -75,7 +75,7 @@
 
 // regionFleet makes a daemon of a1, in the region a of two data centres, that has
 // links with some daemons of each data centre of the regions a and b.
-func regionFleet(each int) *spread {
+func regionFleet(each int) *memberGossip {
 	env := testEnv()
 	env.World.DataCentre, env.World.Region = "a1", "a"
 	for _, dataCentre := range []string{"a1", "a2", "b1", "b2"} {
@@ -85,7 +85,7 @@
 			env.World.Peers.GetOrAdd(&link.Peer{Hello: wire.Hello{VM: vm, DataCentre: dataCentre, Region: region}})
 		}
 	}
-	return &spread{Env: env}
+	return &memberGossip{Env: env}
 }
 
 // TestARowCrossesIntoAnotherRegionAFewTimes, however many data centres that has; there
@@ -103,7 +103,7 @@
 		})
 		for peer, rows := range plan {
 			for _, row := range rows {
-				crossed[row.VM+" to "+s.placeOf(peer).String()]++
+				crossed[row.VM+" to "+s.proximityOf(peer).String()]++
 			}
 		}
 	}
@@ -137,15 +137,15 @@
 	from := &link.Peer{Hello: wire.Hello{VM: "a"}}
 	otherWay := &link.Peer{Hello: wire.Hello{VM: "a"}}
 	fresh := []tables.MemberChange{{Record: wire.Member{VM: "x"}, From: from}, {Record: wire.Member{VM: "y"}}}
-	test.Len(t, 1, except(otherWay, fresh))
-	test.Len(t, 2, except(&link.Peer{Hello: wire.Hello{VM: "b"}}, fresh))
+	test.Len(t, 1, rowsNotFrom(otherWay, fresh))
+	test.Len(t, 2, rowsNotFrom(&link.Peer{Hello: wire.Hello{VM: "b"}}, fresh))
 }
 
 // TestChangesThatComeTogetherGoTogether: a single change is passed on at once,
 // those that follow it wait for each other, the newest of each VM.
 func TestChangesThatComeTogetherGoTogether(t *testing.T) {
 	env := testEnv()
-	s := &spread{Env: env}
+	s := &memberGossip{Env: env}
 	from := &link.Peer{Hello: wire.Hello{VM: "from"}}
 	change := func(vm string, revision uint64) {
 		env.World.Members.Merge(1, from, wire.Member{VM: vm, Revision: revision, DataCentre: "here", Service: "s"})
--- a/pkg/systems/members.go
+++ b/pkg/systems/membership.go
@@ -23,18 +23,18 @@
 	refuteEvery = 30 * time.Second
 )
 
-// members keeps the table of members: from the platform's list, which a few
+// membership keeps the table of membership: from the platform's list, which a few
 // daemons a data centre read, and from what daemons pass on. Source:
-// docs/design/members.md.
-type members struct {
+// docs/design/membership.md.
+type membership struct {
 	*Env
-	refute due
+	refute intervalTimer
 	// introduced is true once the own row stands in the table.
 	introduced bool
 }
 
 // Tick implements System.
-func (me *members) Tick(now int64, mail *tables.Mail) {
+func (me *membership) Tick(now int64, mail *tables.Mail) {
 	if mail.Leave {
 		me.Leave()
 	}
@@ -49,13 +49,13 @@
 	}
 	me.refuteGone(now)
 	for _, ask := range mail.MembersAsks {
-		send(ask.Peer, me.World.Members.DifferingRows(ask.Buckets))
+		sendMembers(ask.Peer, me.World.Members.DifferingRows(ask.Buckets))
 	}
 }
 
 // introduce puts this daemon's own row into the table at its first tick, where
 // daemons write the list themselves.
-func (me *members) introduce(now int64) {
+func (me *membership) introduce(now int64) {
 	if me.Registrar == nil || me.introduced {
 		return
 	}
@@ -68,7 +68,7 @@
 	}))
 }
 
-func (me *members) takeList(now int64, list *tables.VMList) {
+func (me *membership) takeList(now int64, list *tables.VMList) {
 	listed := make(map[string]struct{}, len(list.VMs))
 	for _, vm := range list.VMs {
 		listed[vm.ID] = struct{}{}
@@ -86,7 +86,7 @@
 
 // rowOf turns a VM of the list into a row. The list knows VMs, not processes:
 // what it says holds for the newest process that is known.
-func (me *members) rowOf(vm store.VM) wire.Member {
+func (me *membership) rowOf(vm store.VM) wire.Member {
 	out := wire.Member{
 		VM: vm.ID, Started: vm.Started, Region: vm.Region, DataCentre: vm.DataCentre,
 		Service: vm.Service, Links: vm.Links, Callers: vm.Callers, Slots: uint32(max(vm.Slots, 0)),
@@ -104,7 +104,7 @@
 }
 
 // buryUnlisted takes out what the list has shown before and shows no more.
-func (me *members) buryUnlisted(now int64, dataCentre string, listed map[string]struct{}) {
+func (me *membership) buryUnlisted(now int64, dataCentre string, listed map[string]struct{}) {
 	var gone []wire.Member
 	m := me.World.Members
 	m.EachRow(func(row int) {
@@ -127,7 +127,7 @@
 	}
 }
 
-func (me *members) merge(now int64, from *link.Peer, said wire.Member) {
+func (me *membership) merge(now int64, from *link.Peer, said wire.Member) {
 	ended, changed := me.World.Members.Merge(now, from, said)
 	if !changed {
 		return
@@ -142,7 +142,7 @@
 	}
 }
 
-func (me *members) note(said wire.Member) {
+func (me *membership) note(said wire.Member) {
 	vm := events.F("vm", said.VM)
 	switch said.State {
 	case wire.MemberLive:
@@ -158,7 +158,7 @@
 // runner, answers what is said of an older process with its own incarnation,
 // and leaves when the platform marks this VM as leaving. Only the platform's
 // list says so without an incarnation.
-func (me *members) aboutSelf(now int64, said wire.Member) {
+func (me *membership) aboutSelf(now int64, said wire.Member) {
 	if row, ok := me.World.Members.Find(me.World.VM); ok && me.Runner != nil {
 		me.World.Members.Endpoint[row].SetRunner(me.Runner)
 	}
@@ -186,7 +186,7 @@
 }
 
 // ownRow is a row of this daemon with what only it knows.
-func (me *members) ownRow(said wire.Member) wire.Member {
+func (me *membership) ownRow(said wire.Member) wire.Member {
 	if me.Backend == nil {
 		return said
 	}
@@ -197,9 +197,9 @@
 // refuteGone answers the news that this daemon is gone while it lives, with a
 // newer incarnation, as in the SWIM paper. A list that flaps must not bury a
 // VM for as long as its tombstone stands.
-func (me *members) refuteGone(now int64) {
+func (me *membership) refuteGone(now int64) {
 	stone, buried := me.World.Members.Tombstone(me.World.VM)
-	if !buried || me.World.View.Leaving() || !me.refute.at(now, refuteEvery) {
+	if !buried || me.World.View.Leaving() || !me.refute.fires(now, refuteEvery) {
 		return
 	}
 	me.Metrics.GetOrCreateCounter("rushramp_members_refuted_total").Inc()
@@ -209,7 +209,7 @@
 	me.merge(now, nil, stone)
 }
 
-func send(peer *link.Peer, rows []wire.Member) {
+func sendMembers(peer *link.Peer, rows []wire.Member) {
 	for len(rows) > 0 {
 		n := min(len(rows), rowsPerFrame)
 		// A peer that is gone asks again over another link.
--- a/pkg/systems/selfrow_test.go
+++ b/pkg/systems/membership_test.go
@@ -25,7 +25,7 @@
 	env.Backend = backend.NewLifecycle(true, nil)
 	env.Registrar = noRegistrar{}
 	env.Settings.Listen.Links = "127.0.0.1:7401"
-	system, watch := &members{Env: env}, &backendWatch{Env: env}
+	system, watch := &membership{Env: env}, &backendReporter{Env: env}
 	return env, func(said ...wire.Member) wire.Member {
 		mail := &tables.Mail{}
 		if len(said) > 0 {
--- a/pkg/systems/sweeper.go
+++ b/pkg/systems/oncesweeper.go
@@ -12,21 +12,21 @@
 // centre and 18 data centres, 120 rows a second are looked at in all.
 const sweepEvery = 30 * time.Second
 
-// sweeper lets the data centre's readers delete rows of never-repeat calls that
+// onceSweeper lets the data centre's readers delete rows of never-repeat calls that
 // are long past their time, so that the table does not grow without bound.
-type sweeper struct {
+type onceSweeper struct {
 	*Env
-	due  due
+	due  intervalTimer
 	busy atomic.Bool
 }
 
 // Tick implements System.
-func (s *sweeper) Tick(now int64, _ *tables.Mail) {
-	if s.due.next == 0 {
+func (s *onceSweeper) Tick(now int64, _ *tables.Mail) {
+	if s.due.nextAt == 0 {
 		// Not at the start: all daemons would sweep that know nobody yet.
-		s.due.next = now + int64(sweepEvery)
+		s.due.nextAt = now + int64(sweepEvery)
 	}
-	if s.Sweep == nil || !s.due.at(now, sweepEvery) || !s.isReader() {
+	if s.SweepOnceRows == nil || !s.due.fires(now, sweepEvery) || !s.isPlatformReader() {
 		return
 	}
 	if s.busy.CompareAndSwap(false, true) {
@@ -34,11 +34,11 @@
 	}
 }
 
-func (s *sweeper) sweep() {
+func (s *onceSweeper) sweep() {
 	defer s.busy.Store(false)
-	ctx, cancel := context.WithTimeout(s.Background, s.Settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(s.DaemonContext, s.Settings.Platform.Timeout)
 	defer cancel()
 	// A sweep that fails is made up for by the next ones.
-	deleted, _ := s.Sweep(ctx)
+	deleted, _ := s.SweepOnceRows(ctx)
 	s.Metrics.GetOrCreateCounter("rushramp_once_swept_total").Add(deleted)
 }
--- a/pkg/systems/placeof.go
+++ b/pkg/systems/peergroups.go
@@ -6,34 +6,34 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// placeOf is how far a peer is, as it said itself.
-func (e *Env) placeOf(peer *link.Peer) proximity.Level {
+// proximityOf is how far a peer is, as it said itself.
+func (e *Env) proximityOf(peer *link.Peer) proximity.Level {
 	return e.World.Here().To(peer.Hello.DataCentre, peer.Hello.Region)
 }
 
-// group is a set of peers that news is sent to as one: a data centre of the own
+// peerGroup is a set of peers that news is sent to as one: a data centre of the own
 // region, or another region whole, since bytes between regions have the higher price.
 // Whoever hears news there passes it on.
-type group struct {
+type peerGroup struct {
 	at   proximity.Level
 	name string
 }
 
-// groupOf is the group of a VM. One whose region is not known stands for its data
+// peerGroupOf is the group of a VM. One whose region is not known stands for its data
 // centre.
-func (e *Env) groupOf(dataCentre, region string) group {
+func (e *Env) peerGroupOf(dataCentre, region string) peerGroup {
 	at := e.World.Here().To(dataCentre, region)
 	if at == proximity.OtherRegion && region != "" {
-		return group{at, region}
+		return peerGroup{at, region}
 	}
-	return group{at, dataCentre}
+	return peerGroup{at, dataCentre}
 }
 
 // peersByGroup returns one link to each daemon: those of the own data centre, and
 // the others by their groups.
-func (e *Env) peersByGroup() (near []*link.Peer, far map[group][]*link.Peer) {
+func (e *Env) peersByGroup() (near []*link.Peer, far map[peerGroup][]*link.Peer) {
 	seen := map[string]struct{}{}
-	far = map[group][]*link.Peer{}
+	far = map[peerGroup][]*link.Peer{}
 	e.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if _, known := seen[peer.Hello.VM]; known || row.Leaving {
 			return
@@ -43,7 +43,7 @@
 			near = append(near, peer)
 			return
 		}
-		to := e.groupOf(peer.Hello.DataCentre, peer.Hello.Region)
+		to := e.peerGroupOf(peer.Hello.DataCentre, peer.Hello.Region)
 		far[to] = append(far[to], peer)
 	})
 	return near, far
--- a/pkg/systems/news.go
+++ b/pkg/systems/peerstates.go
@@ -9,12 +9,12 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// news takes over what peers say of themselves: first-hand knowledge, which
+// peerStates takes over what peers say of themselves: first-hand knowledge, which
 // goes before the platform's list.
-type news struct{ *Env }
+type peerStates struct{ *Env }
 
 // Tick implements System.
-func (ne *news) Tick(now int64, mail *tables.Mail) {
+func (ne *peerStates) Tick(now int64, mail *tables.Mail) {
 	if mail.StoreReadAt > ne.World.NewestStoreReadAt {
 		ne.World.NewestStoreReadAt = mail.StoreReadAt
 	}
@@ -23,7 +23,7 @@
 	}
 }
 
-func (ne *news) take(n tables.PeerState) {
+func (ne *peerStates) take(n tables.PeerState) {
 	row := ne.World.Peers.GetOrAdd(n.Peer)
 	row.PlacementVersion = max(row.PlacementVersion, n.State.Placement)
 	ne.hear(n)
@@ -35,7 +35,7 @@
 
 // hear takes over how fresh the peer's knowledge of the store and of the data
 // centres is. Ages, not times, travel: clocks of VMs differ.
-func (ne *news) hear(n tables.PeerState) {
+func (ne *peerStates) hear(n tables.PeerState) {
 	ne.World.DataCentreHeardAt[n.Peer.Hello.DataCentre] = n.At
 	for _, h := range n.State.Heard {
 		at := n.At - int64(time.Duration(h.AgeMS)*time.Millisecond)
@@ -49,7 +49,7 @@
 
 // markLeaving takes a peer's own word that it is leaving. The platform may say
 // so seconds later; members passes it on.
-func (ne *news) markLeaving(now int64, peer *link.Peer) {
+func (ne *peerStates) markLeaving(now int64, peer *link.Peer) {
 	row, ok := ne.World.Members.Find(peer.Hello.VM)
 	if !ok || ne.World.Members.Record[row].Incarnation > peer.Hello.Incarnation {
 		return
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -20,7 +20,7 @@
 // passes it on. A version is never lowered.
 type placements struct {
 	*Env
-	pullDue due
+	pullDue intervalTimer
 	// offers are versions that peers gave while this daemon had none, by the
 	// peer's data centre.
 	offers map[string]tables.ReceivedPlacement
@@ -53,7 +53,7 @@
 		pl.Log.Event(events.PlacementRejected, events.F("version", u.Update.Version), events.F("peer", u.Peer.Hello.VM), events.F("cause", err))
 		return
 	}
-	pl.pullDue.next = 0
+	pl.pullDue.nextAt = 0
 	pl.take(v)
 }
 
@@ -166,17 +166,17 @@
 			best, bestRow = peer, row
 		}
 	})
-	if best == nil || (now < pl.pullDue.next && bestRow.PlacementPulledAt != 0) {
+	if best == nil || (now < pl.pullDue.nextAt && bestRow.PlacementPulledAt != 0) {
 		return
 	}
-	pl.pullDue.next = now + int64(pullAgain)
+	pl.pullDue.nextAt = now + int64(pullAgain)
 	bestRow.PlacementPulledAt = now
 	_ = best.Send(&wire.Pull{Have: have})
 }
 
 // isNearer is true when the first of two peers is the nearer one: bytes between data
 // centres have a price, and those between regions a higher one.
-func (pl *placements) isNearer(a, b *link.Peer) bool { return pl.placeOf(a) < pl.placeOf(b) }
+func (pl *placements) isNearer(a, b *link.Peer) bool { return pl.proximityOf(a) < pl.proximityOf(b) }
 
 func (pl *placements) offered(peer *link.Peer) bool {
 	_, ok := pl.offers[peer.Hello.DataCentre]
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -201,7 +201,7 @@
 		purpose = "plan_write"
 	}
 	go func() {
-		ctx, cancel := context.WithTimeout(p.Background, p.Settings.Platform.Timeout)
+		ctx, cancel := context.WithTimeout(p.DaemonContext, p.Settings.Platform.Timeout)
 		defer cancel()
 		at := time.Now()
 		stored, err := do(ctx)
--- a/pkg/systems/planrows_test.go
+++ b/pkg/systems/planrows_test.go
@@ -19,7 +19,7 @@
 func TestFewReadsForAServiceNobodyRuns(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
-		env.Background = t.Context()
+		env.DaemonContext = t.Context()
 		env.Rollouts = &fakeRegister{}
 		system := newRollouts(env)
 		watch := newRolloutWatch(env, system)
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -28,14 +28,14 @@
 	rows map[quarantine.Fingerprint]*heldRow
 	// writing is true while a row is, writeDue when the next may be.
 	writing  bool
-	writeDue due
+	writeDue intervalTimer
 	// reading is true while the rows are read, readDue when they may be again, and
 	// readRest the rest after that.
 	reading  atomic.Bool
-	readDue  due
+	readDue  intervalTimer
 	readRest time.Duration
 	// noteDue is when the contents held are looked at again.
-	noteDue due
+	noteDue intervalTimer
 }
 
 // heldEvery is how often it is looked whether contents may run again.
@@ -98,7 +98,7 @@
 
 // tell passes on what is new here.
 func (q *quarantines) tell(own, heard quarantine.Update) {
-	flood(q.Env, pieces(&own), pieces(&heard), piece.key, func(some []piece) wire.Frame {
+	broadcast(q.Env, pieces(&own), pieces(&heard), piece.key, func(some []piece) wire.Frame {
 		frame := &wire.Quarantine{}
 		for _, p := range some {
 			if p.crash != nil {
@@ -138,7 +138,7 @@
 			}
 		}
 	}
-	if len(own.Completions)+len(heard.Completions) == 0 && !q.noteDue.at(now, heldEvery) {
+	if len(own.Completions)+len(heard.Completions) == 0 && !q.noteDue.fires(now, heldEvery) {
 		return
 	}
 	for content := range q.held {
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -27,7 +27,7 @@
 func newHolding(t *testing.T, platform *fakestore.Store, first bool) *holding {
 	env := testEnv()
 	env.Settings.Platform.FirstStart = first
-	env.Background, env.Platform, env.Routed = t.Context(), platform, &runner.Runner{}
+	env.DaemonContext, env.Platform, env.RoutedRunner = t.Context(), platform, &runner.Runner{}
 	return &holding{env, newQuarantines(env)}
 }
 
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -101,7 +101,7 @@
 	})
 	q.World.QuotaCounters = q.World.QuotaCounters[:0]
 	for g := range quota.Groups {
-		for _, route := range highest(groupNames[g], routes, countersLinked) {
+		for _, route := range highestByRendezvous(groupNames[g], routes, countersLinked) {
 			if !slices.Contains(q.World.QuotaCounters, route) {
 				q.World.QuotaCounters = append(q.World.QuotaCounters, route)
 			}
--- a/pkg/systems/regions_test.go
+++ b/pkg/systems/regions_test.go
@@ -26,12 +26,12 @@
 	l := &links{Env: regionFleet(10).Env}
 	l.World.Members.Merge(1, nil, wire.Member{VM: "old", DataCentre: "c1", Service: "s"})
 	l.drawSample()
-	counts := map[group]int{}
+	counts := map[peerGroup]int{}
 	for _, route := range l.sample {
-		counts[l.groupOf(route.DataCentre, route.Region)]++
+		counts[l.peerGroupOf(route.DataCentre, route.Region)]++
 	}
-	test.Eq(t, map[group]int{
-		{proximity.SameDataCentre, "a1"}: sampleNear, {proximity.Region, "a2"}: 1, {proximity.OtherRegion, "b"}: 1, {proximity.OtherRegion, "c1"}: 1,
+	test.Eq(t, map[peerGroup]int{
+		{proximity.SameDataCentre, "a1"}: sampleSameDataCentre, {proximity.Region, "a2"}: 1, {proximity.OtherRegion, "b"}: 1, {proximity.OtherRegion, "c1"}: 1,
 	}, counts, test.Sprint("a VM that does not say its region stands for its data centre"))
 }
 
@@ -52,13 +52,13 @@
 // within the region, and not back.
 func TestARegionThatWasCutOffJoinsWithoutAStorm(t *testing.T) {
 	const each = 6
-	var nodes []*tableNode
+	var nodes []*gossipNode
 	for _, dataCentre := range []string{"d0", "d1", "d2", "d3"} {
 		for n := range each {
-			nodes = append(nodes, newTableNode(fmt.Sprint(dataCentre, "v", n), dataCentre, regionOf(dataCentre)))
+			nodes = append(nodes, newGossipNode(fmt.Sprint(dataCentre, "v", n), dataCentre, regionOf(dataCentre)))
 		}
 	}
-	apart := func(a, b *tableNode) bool { return a.env.World.Region != b.env.World.Region }
+	apart := func(a, b *gossipNode) bool { return a.env.World.Region != b.env.World.Region }
 	for i, a := range nodes {
 		for _, b := range nodes[:i] {
 			if !apart(a, b) {
@@ -123,13 +123,13 @@
 }
 
 // rowOf is a daemon's own row at a revision.
-func rowOf(n *tableNode, revision uint64) wire.Member {
+func rowOf(n *gossipNode, revision uint64) wire.Member {
 	w := n.env.World
 	return wire.Member{VM: w.VM, DataCentre: w.DataCentre, Region: w.Region, Service: "s", Incarnation: 1, Revision: revision}
 }
 
 // ask has a daemon ask a peer for the rows in which their tables differ.
-func ask(n, from *tableNode) {
+func ask(n, from *gossipNode) {
 	for _, row := range from.members().DifferingRows(n.members().BucketDigests()) {
 		n.members().Merge(1, peerOf(from), row)
 	}
@@ -137,8 +137,8 @@
 
 // passOnCounted is passOn without losses. It counts the rows that went to daemons for
 // which apart is true.
-func (n *tableNode) passOnCounted(apart func(a, b *tableNode) bool) (sent bool, crossed int) {
-	plan := n.spread.plan(n.spread.saidByDaemons(n.members().TakeChanges()))
+func (n *gossipNode) passOnCounted(apart func(a, b *gossipNode) bool) (sent bool, crossed int) {
+	plan := n.spread.plan(n.spread.changesFromDaemons(n.members().TakeChanges()))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
 		if apart(n, to) {
@@ -170,7 +170,7 @@
 					}
 				}
 				env.World.Placement = &placement.Document{Version: 1}
-				if newFollower(env).mustFollow(1) {
+				if newFeedFollower(env).mustFollow(1) {
 					n++
 				}
 			}
--- a/pkg/systems/register.go
+++ b/pkg/systems/registration.go
@@ -15,11 +15,11 @@
 // registerEvery is the time between two tries to write the own entry.
 const registerEvery = 2 * time.Second
 
-// register writes this daemon's entry into the list of VMs once, where daemons
+// registration writes this daemon's entry into the list of VMs once, where daemons
 // write that list themselves. Links say all the rest.
-type register struct {
+type registration struct {
 	*Env
-	due  due
+	due  intervalTimer
 	busy atomic.Bool
 	done atomic.Bool
 	// wroteAt is when the entry was written, in nanoseconds; 0: it was not, by this process.
@@ -33,7 +33,7 @@
 const listFirst = 500 * time.Millisecond
 
 // Tick implements System.
-func (r *register) Tick(now int64, mail *tables.Mail) {
+func (r *registration) Tick(now int64, mail *tables.Mail) {
 	if mail.StoreRestored {
 		r.writeAgain(now)
 	}
@@ -44,8 +44,8 @@
 		r.done.Store(true)
 		return
 	}
-	waits := !r.Settings.Platform.FirstStart && mail.VMList == nil && (now < int64(listFirst) || r.peersFirst(now))
-	if waits || !r.due.at(now, registerEvery) {
+	waits := !r.Settings.Platform.FirstStart && mail.VMList == nil && (now < int64(listFirst) || r.shouldWaitForPeers(now))
+	if waits || !r.due.fires(now, registerEvery) {
 		return
 	}
 	if r.busy.CompareAndSwap(false, true) {
@@ -53,9 +53,9 @@
 	}
 }
 
-func (r *register) write() {
+func (r *registration) write() {
 	defer r.busy.Store(false)
-	ctx, cancel := context.WithTimeout(r.Background, r.Settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(r.DaemonContext, r.Settings.Platform.Timeout)
 	defer cancel()
 	began := time.Now()
 	err := r.Registrar.Register(ctx, r.entry())
@@ -77,16 +77,16 @@
 )
 
 // writeAgain has the entry written once more that a copy of the store may lack.
-func (r *register) writeAgain(now int64) {
+func (r *registration) writeAgain(now int64) {
 	if at := r.wroteAt.Load(); at == 0 || now-at > int64(copyMost) {
 		return
 	}
 	r.done.Store(false)
-	r.due.next = now + rand.Int64N(int64(againWithin))
+	r.due.nextAt = now + rand.Int64N(int64(againWithin))
 }
 
 // entry is this daemon's own.
-func (r *register) entry() store.VM {
+func (r *registration) entry() store.VM {
 	s := r.Settings
 	return store.VM{
 		ID: s.VM.ID, Region: s.VM.Region, DataCentre: s.VM.DataCentre, Service: s.BackendServer.Service,
@@ -96,7 +96,7 @@
 
 // isKnownFromBefore is true when a peer tells of a former process of this VM with the same
 // entry: that process has written it.
-func (r *register) isKnownFromBefore(mail *tables.Mail) bool {
+func (r *registration) isKnownFromBefore(mail *tables.Mail) bool {
 	own := r.entry()
 	for _, told := range mail.Members {
 		for i := range told.Rows {
@@ -117,7 +117,7 @@
 }
 
 // isListed is true when a list holds this daemon's entry as it would write it.
-func (r *register) isListed(list *tables.VMList) bool {
+func (r *registration) isListed(list *tables.VMList) bool {
 	for _, vm := range list.VMs {
 		if vm == r.entry() {
 			return true
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -45,7 +45,7 @@
 	heardAt   int64
 	inForce   rollout.Guard
 	barred    string
-	reportDue due
+	reportDue intervalTimer
 }
 
 // instance is an incarnation of the backend server with its version.
@@ -71,13 +71,13 @@
 	service := g.Settings.BackendServer.Service
 	plan, _ := g.World.Rollouts.Plan(service)
 	newcomer := g.newcomer(now, service)
-	g.heldBack = newcomer != ""
+	g.backendHeldBack = newcomer != ""
 	why := newcomer
 	if why == "" {
 		why = g.unheard(now, service)
 	}
 	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, Why: why, Instance: g.passed.name})
-	if g.reportDue.at(now, reportEvery) {
+	if g.reportDue.fires(now, reportEvery) {
 		g.report(now, service)
 	}
 }
@@ -94,7 +94,7 @@
 	}
 	g.barred = barred
 	g.Log.Event(events.RolloutGuard, events.F("refuses", barred != ""), events.F("why", barred),
-		events.F("version", g.Backend.Version()), events.F("revision", guard.Revision), events.F("in_flight", g.runsInFlight()))
+		events.F("version", g.Backend.Version()), events.F("revision", guard.Revision), events.F("in_flight", g.requestsInFlight()))
 }
 
 // newcomer says why the backend server must wait, as its version is new to the service
@@ -254,7 +254,7 @@
 		obeyed = plan.Revision
 	}
 	g.Recorder.Begin(order.Revision, version)
-	report, ok := g.Recorder.Report(obeyed, g.runsInFlight())
+	report, ok := g.Recorder.Report(obeyed, g.requestsInFlight())
 	if !ok {
 		return
 	}
--- a/pkg/systems/rolloutguard_test.go
+++ b/pkg/systems/rolloutguard_test.go
@@ -22,7 +22,7 @@
 	must.True(t, g.World.Rollouts.Traffic("s").Admits("v1", "vm"))
 	g.inForce.Traffic = g.World.Rollouts.Traffic("s")
 	g.Recorder = rollout.NewRecorder("vm", "s", 1)
-	g.Routed = &runner.Runner{}
+	g.RoutedRunner = &runner.Runner{}
 	g.World.Members.Merge(1, nil, wire.Member{VM: "vm", Service: "s", Version: "v1"})
 	g.watch.rank = 0
 	g.watch.begin(1, order, rollout.Plan{})
--- a/pkg/systems/rolloutlinks_test.go
+++ b/pkg/systems/rolloutlinks_test.go
@@ -18,7 +18,7 @@
 // watched is a watcher (the only one) of service "s" beside a v1 backend server.
 func watched(t *testing.T, register *fakeRegister) (*Env, *rollouts, *rolloutWatch) {
 	env := testEnv()
-	env.Background = t.Context()
+	env.DaemonContext = t.Context()
 	env.Rollouts = register
 	env.RolloutLimits = rollout.Limits{Share: 0.1, StopWithin: 5 * time.Second}
 	env.Settings.BackendServer.Service = "s"
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -77,8 +77,8 @@
 			says(4, written("a", 3)), says(6, written("b", 6)), fails(store.ErrHistoryGone),
 			says(9, written("b", 6), written("c", 8)), says(11, rollout.Change{Service: "b"}),
 		}}
-		env, _ := follow(t, feed)
-		follower, system := newFollower(env), newRollouts(env)
+		env, _ := startFollower(t, feed)
+		follower, system := newFeedFollower(env), newRollouts(env)
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			mail := env.World.Inbox.Take()
 			follower.Tick(env.Now(), &mail)
@@ -133,7 +133,7 @@
 	}{"it went well": {}, "its answer was lost": {[]error{context.DeadlineExceeded}, true}, "it failed": {[]error{context.DeadlineExceeded}, false}} {
 		synctest.Test(t, func(t *testing.T) {
 			env := testEnv()
-			env.Background = t.Context()
+			env.DaemonContext = t.Context()
 			env.Settings.BackendServer.Service = "s"
 			register := &fakeRegister{fails: c.fails, done: c.done}
 			env.Rollouts = register
@@ -166,7 +166,7 @@
 func TestAnOrderWithoutAPlanIsLookedUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
-		env.Background = t.Context()
+		env.DaemonContext = t.Context()
 		env.Rollouts = &fakeRegister{row: planOf("s", 8, 12, rollout.Completed)}
 		system := newRollouts(env)
 		watch := newRolloutWatch(env, system)
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -49,7 +49,7 @@
 	begunAt int64
 	// busy is how many requests were in flight at each VM of late.
 	busy     map[string]busy
-	judgeDue due
+	judgeDue intervalTimer
 	// dueSince is since when another plan is due after the one of revision dueAfter.
 	dueSince int64
 	dueAfter uint64
@@ -80,7 +80,7 @@
 	for _, r := range mail.RolloutReports {
 		w.note(now, r)
 	}
-	if !w.judgeDue.at(now, judgeEvery) {
+	if !w.judgeDue.fires(now, judgeEvery) {
 		return
 	}
 	w.choose(service, order)
--- a/pkg/systems/distances.go
+++ b/pkg/systems/roundtrips.go
@@ -6,12 +6,12 @@
 	"github.com/rushramp/rushramp/pkg/proximity"
 )
 
-// distances are the least round trips to each place: what the lines take, without
+// leastRoundTrips are the least round trips to each place: what the lines take, without
 // what busy daemons add.
-type distances [proximity.Count]time.Duration
+type leastRoundTrips [proximity.Count]time.Duration
 
 // note takes a link's round trip; 0: it is not known.
-func (d *distances) note(at proximity.Level, roundTrip time.Duration) {
+func (d *leastRoundTrips) note(at proximity.Level, roundTrip time.Duration) {
 	if roundTrip > 0 && (d[at] == 0 || roundTrip < d[at]) {
 		d[at] = roundTrip
 	}
@@ -20,7 +20,7 @@
 // regionShare is the round trip within the region as a share of that to others, 1
 // at most; ok is false while one of them is not known. What was measured before
 // then holds: while a region is cut off, lines cost what they did.
-func (d *distances) regionShare() (share float64, ok bool) {
+func (d *leastRoundTrips) regionShare() (share float64, ok bool) {
 	within, across := d[proximity.Region], d[proximity.OtherRegion]
 	if within == 0 || across == 0 {
 		return 0, false
--- a/pkg/systems/distances_test.go
+++ b/pkg/systems/roundtrips_test.go
@@ -12,7 +12,7 @@
 
 func TestTheRegionShareIsThatOfTheLeastRoundTrips(t *testing.T) {
 	const ms = time.Millisecond
-	var d distances
+	var d leastRoundTrips
 	d.note(proximity.Region, 3*ms)
 	d.note(proximity.Region, 9*ms)
 	_, ok := d.regionShare()
--- a/pkg/systems/rowsweep.go
+++ b/pkg/systems/rowsweeper.go
@@ -25,37 +25,37 @@
 	rowsSwept = 50
 )
 
-// rowSweep deletes the store's rows under a prefix that nobody needs any more: those
+// rowSweeper deletes the store's rows under a prefix that nobody needs any more: those
 // that a sweep before has seen. A row tells no time, and clocks of VMs differ. One
 // daemon a data centre sweeps; where two do, one of them finds nothing left.
-type rowSweep struct {
+type rowSweeper struct {
 	*Env
 	prefix string
 	// every is the time between two sweeps: rows are needed for that long at most.
 	every time.Duration
 	// swept is the name of the counter of rows that were deleted.
 	swept string
-	due   due
+	due   intervalTimer
 	busy  atomic.Bool
 	// seen are the rows of the sweep before, by key. Only the sweep that is under way
 	// touches it.
 	seen map[string]uint64
 }
 
-func newDepartureSweep(env *Env) *rowSweep {
-	return &rowSweep{Env: env, prefix: departurePrefix, every: departureSweepEvery, swept: "rushramp_departures_swept_total"}
+func newDepartureSweep(env *Env) *rowSweeper {
+	return &rowSweeper{Env: env, prefix: departurePrefix, every: departureSweepEvery, swept: "rushramp_departures_swept_total"}
 }
 
-func newQuarantineSweep(env *Env) *rowSweep {
-	return &rowSweep{Env: env, prefix: heldPrefix, every: quarantine.CrashRetention, swept: "rushramp_held_requests_swept_total"}
+func newQuarantineSweep(env *Env) *rowSweeper {
+	return &rowSweeper{Env: env, prefix: heldPrefix, every: quarantine.CrashRetention, swept: "rushramp_held_requests_swept_total"}
 }
 
 // Tick implements System.
-func (s *rowSweep) Tick(now int64, _ *tables.Mail) {
-	if s.due.next == 0 {
-		s.due.next = now + int64(s.every)
+func (s *rowSweeper) Tick(now int64, _ *tables.Mail) {
+	if s.due.nextAt == 0 {
+		s.due.nextAt = now + int64(s.every)
 	}
-	if !s.due.at(now, s.every) || s.aheadInDataCentre() > 0 {
+	if !s.due.fires(now, s.every) || s.rankInDataCentre() > 0 {
 		return
 	}
 	if s.busy.CompareAndSwap(false, true) {
@@ -63,9 +63,9 @@
 	}
 }
 
-func (s *rowSweep) run() {
+func (s *rowSweeper) run() {
 	defer s.busy.Store(false)
-	ctx, cancel := context.WithTimeout(s.Background, s.Settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(s.DaemonContext, s.Settings.Platform.Timeout)
 	defer cancel()
 	deleted, err := s.sweep(ctx)
 	s.Metrics.GetOrCreateCounter(s.swept).Add(deleted)
@@ -75,7 +75,7 @@
 }
 
 // sweep deletes the rows that the sweep before has seen, and remembers the others.
-func (s *rowSweep) sweep(ctx context.Context) (deleted int, err error) {
+func (s *rowSweeper) sweep(ctx context.Context) (deleted int, err error) {
 	found := map[string]uint64{}
 	var old []store.Write
 	err = scanAll(ctx, s.Platform, s.prefix, func(row store.Row) {
@@ -111,7 +111,7 @@
 
 // delete deletes rows, some at a time. Those that it does not come to are new to the
 // next sweep.
-func (s *rowSweep) delete(ctx context.Context, old []store.Write) (deleted int, err error) {
+func (s *rowSweeper) delete(ctx context.Context, old []store.Write) (deleted int, err error) {
 	for len(old) > 0 {
 		batch := old[:min(len(old), rowsSwept)]
 		old = old[len(batch):]
--- a/pkg/systems/rowsweep_test.go
+++ b/pkg/systems/rowsweeper_test.go
@@ -14,9 +14,9 @@
 )
 
 // sweptEnv is a daemon that sweeps a stand-in of the store.
-func sweptEnv(t *testing.T) (*rowSweep, *fakestore.Store) {
+func sweptEnv(t *testing.T) (*rowSweeper, *fakestore.Store) {
 	env, platform := testEnv(), fakestore.New()
-	env.Background, env.Platform, env.Backend = t.Context(), platform, backend.NewLifecycle(true, nil)
+	env.DaemonContext, env.Platform, env.Backend = t.Context(), platform, backend.NewLifecycle(true, nil)
 	return newDepartureSweep(env), platform
 }
 
@@ -35,7 +35,7 @@
 		pause := 24 * time.Hour / replacements
 		most := 0
 		for n := range replacements {
-			s.KeepDeparture(t.Context(), backend.Incarnation{ID: fmt.Sprint("i-", n)})
+			s.SaveDeparture(t.Context(), backend.Incarnation{ID: fmt.Sprint("i-", n)})
 			mail := s.World.Inbox.Take()
 			s.Tick(s.Now(), &mail)
 			synctest.Wait()
@@ -50,11 +50,11 @@
 // TestASweepTakesNoRowThatIsNew: nor one that was written again meanwhile.
 func TestASweepTakesNoRowThatIsNew(t *testing.T) {
 	s, platform := sweptEnv(t)
-	s.KeepDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
+	s.SaveDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
 	deleted, err := s.sweep(t.Context())
 	must.NoError(t, err)
 	test.Eq(t, 0, deleted)
-	s.KeepDeparture(t.Context(), backend.Incarnation{ID: "i-2"})
+	s.SaveDeparture(t.Context(), backend.Incarnation{ID: "i-2"})
 	deleted, err = s.sweep(t.Context())
 	must.NoError(t, err)
 	test.Eq(t, 1, deleted)
@@ -67,7 +67,7 @@
 	s, platform := sweptEnv(t)
 	const rows = 3 * rowsSwept
 	for n := range rows {
-		s.KeepDeparture(t.Context(), backend.Incarnation{ID: fmt.Sprint("i-", n)})
+		s.SaveDeparture(t.Context(), backend.Incarnation{ID: fmt.Sprint("i-", n)})
 	}
 	_, err := s.sweep(t.Context())
 	must.NoError(t, err)
@@ -94,7 +94,7 @@
 	sweepers := 0
 	for n := range daemons {
 		fleet.World.VM, fleet.World.DataCentre = fmt.Sprint("here", n), "here"
-		if fleet.aheadInDataCentre() == 0 {
+		if fleet.rankInDataCentre() == 0 {
 			sweepers++
 		}
 	}
--- a/pkg/systems/sample.go
+++ b/pkg/systems/sample.go
@@ -5,9 +5,9 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// sampleNear is how many daemons of the own data centre the sample holds: links
+// sampleSameDataCentre is how many daemons of the own data centre the sample holds: links
 // drawn at random, three a daemon, connect a data centre of any size.
-const sampleNear = 3
+const sampleSameDataCentre = 3
 
 // drawSample picks the daemons that this one keeps a link with besides those
 // that calls need: the highest by rendezvous hash, some in the own data centre,
@@ -17,22 +17,22 @@
 // It keeps links to those besides that should follow the store's feed for it: each daemon
 // that has no link to them takes itself for one of them, and asks the store too.
 func (l *links) drawSample() {
-	byGroup := map[group][]*tables.Endpoint{}
+	byGroup := map[peerGroup][]*tables.Endpoint{}
 	l.World.Members.EachRow(func(row int) {
 		route := l.World.Members.Endpoint[row]
 		if route.VM == l.World.VM || l.World.Members.Leaving(row) {
 			return
 		}
-		in := l.groupOf(route.DataCentre, route.Region)
+		in := l.peerGroupOf(route.DataCentre, route.Region)
 		byGroup[in] = append(byGroup[in], route)
 	})
 	l.sample = append(l.sample[:0], l.firstFollowers()...)
 	for in, routes := range byGroup {
 		most := 1
 		if in.at == proximity.SameDataCentre {
-			most = sampleNear
+			most = sampleSameDataCentre
 		}
-		l.sample = append(l.sample, highest(l.World.VM, routes, most)...)
+		l.sample = append(l.sample, highestByRendezvous(l.World.VM, routes, most)...)
 	}
 }
 
@@ -40,7 +40,7 @@
 // data centre. Where they follow for a region, a link more to each would cross between data
 // centres, which costs more than a call.
 func (l *links) firstFollowers() []*tables.Endpoint {
-	group := l.readers()
+	group := l.feedReaderGroup()
 	if l.Feed == nil || group.upTo != proximity.SameDataCentre {
 		return nil
 	}
@@ -53,5 +53,5 @@
 		}
 	})
 	// This daemon may be one of them, which openOne passes over.
-	return highest(group.name, routes, l.Settings.Placement.FeedReaders)
+	return highestByRendezvous(group.name, routes, l.Settings.Placement.FeedReaders)
 }
--- a/pkg/systems/sample_test.go
+++ b/pkg/systems/sample_test.go
@@ -34,7 +34,7 @@
 				env.World.Peers.GetOrAdd(peer)
 			}
 		}
-		f := &follower{Env: env}
+		f := &feedFollower{Env: env}
 		if f.ahead() < env.Settings.Placement.FeedReaders {
 			count++
 		}
--- a/pkg/systems/seeds.go
+++ b/pkg/systems/seeddialer.go
@@ -29,12 +29,12 @@
 	seedsAtFirstStart = 2 * time.Second
 )
 
-// seeds dials the addresses in the settings while this daemon has few links: a
+// seedDialer dials the addresses in the settings while this daemon has few links: a
 // daemon that was just started learns the members and the placement there, also
 // while the store is away. Seeds may be stale or down.
-type seeds struct {
+type seedDialer struct {
 	*Env
-	due due
+	due intervalTimer
 	// order is the seeds' link addresses in an order of this daemon's own, so
 	// that the fleet's first dials are spread over them; next is whose turn it is.
 	order []string
@@ -46,9 +46,9 @@
 }
 
 // Tick implements System.
-func (s *seeds) Tick(now int64, _ *tables.Mail) {
+func (s *seedDialer) Tick(now int64, _ *tables.Mail) {
 	early := s.Settings.Platform.FirstStart && now < int64(seedsAtFirstStart)
-	if len(s.Settings.Links.Seeds) == 0 || early || !s.due.at(now, seedEvery) {
+	if len(s.Settings.Links.Seeds) == 0 || early || !s.due.fires(now, seedEvery) {
 		return
 	}
 	s.prepare()
@@ -60,7 +60,7 @@
 	}
 }
 
-func (s *seeds) prepare() {
+func (s *seedDialer) prepare() {
 	if s.order != nil {
 		return
 	}
@@ -74,7 +74,7 @@
 }
 
 // dialNext dials the next seed that is neither open nor resting.
-func (s *seeds) dialNext(now int64) {
+func (s *seedDialer) dialNext(now int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for range s.order {
@@ -89,7 +89,7 @@
 	}
 }
 
-func (s *seeds) closeAll() {
+func (s *seedDialer) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, client := range s.open {
@@ -101,7 +101,7 @@
 
 // linkAddress is where a seed takes links: its IP number with this daemon's own
 // port, since ports are alike on all VMs.
-func (s *seeds) linkAddress(seed string) string {
+func (s *seedDialer) linkAddress(seed string) string {
 	host, _, seedErr := net.SplitHostPort(seed)
 	_, port, ownErr := net.SplitHostPort(s.Settings.Listen.Links)
 	if seedErr != nil || ownErr != nil {
@@ -110,10 +110,10 @@
 	return net.JoinHostPort(host, port)
 }
 
-func (s *seeds) dial(address string) {
-	ctx, cancel := context.WithTimeout(s.Background, dialTime)
+func (s *seedDialer) dial(address string) {
+	ctx, cancel := context.WithTimeout(s.DaemonContext, dialTime)
 	defer cancel()
-	client, err := link.DialClient(ctx, s.Common, s.Control, address, s.Dial)
+	client, err := link.DialClient(ctx, s.Common, s.Control, address, s.DialOptions)
 	if err != nil {
 		s.Log.Event(events.LinkRefused, events.F("seed", address), events.F("cause", err))
 	} else {
@@ -126,7 +126,7 @@
 	s.rest[address] = s.Now() + int64(seedRest)
 }
 
-func (s *seeds) opened(address string, client *link.Client) {
+func (s *seedDialer) opened(address string, client *link.Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.open[address] = client
--- a/pkg/systems/doubt.go
+++ b/pkg/systems/stalenesscheck.go
@@ -7,21 +7,21 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// doubt works out whether this daemon can tell that its placement is in force.
+// stalenessCheck works out whether this daemon can tell that its placement is in force.
 // It can while the store was read lately, by itself or by someone it hears of.
 // When the store is silent for all, it can as long as it hears of each other
 // data centre: then no daemon out of its hearing can have seen a change
 // accepted. Source: docs/design/placement.md, "Cut off".
-type doubt struct {
+type stalenessCheck struct {
 	*Env
-	due due
+	due intervalTimer
 }
 
 const doubtEvery = 100 * time.Millisecond
 
 // Tick implements System.
-func (d *doubt) Tick(now int64, _ *tables.Mail) {
-	if !d.due.at(now, doubtEvery) {
+func (d *stalenessCheck) Tick(now int64, _ *tables.Mail) {
+	if !d.due.fires(now, doubtEvery) {
 		return
 	}
 	age, ok := d.World.StoreReadAge(now)
@@ -38,7 +38,7 @@
 }
 
 // someoneSilent is true when another data centre was not heard of lately.
-func (d *doubt) someoneSilent(now int64) bool {
+func (d *stalenessCheck) someoneSilent(now int64) bool {
 	bound := d.Settings.Placement.UnsureAfter
 	silent := false
 	d.World.Members.EachRow(func(row int) {
--- a/pkg/systems/subset.go
+++ b/pkg/systems/subset.go
@@ -85,12 +85,12 @@
 
 func (s *side) choose(w *tables.World, choosing settings.Choosing, kind *placement.CompiledKind) []*tables.Endpoint {
 	if len(s.all) <= choosing.Subset {
-		return highest(w.VM, s.all, choosing.Subset)
+		return highestByRendezvous(w.VM, s.all, choosing.Subset)
 	}
 	least := choosing.Subset / 2
-	chosen := highest(w.VM, s.at[proximity.SameDataCentre], nearMost(choosing, len(kind.RouteDataCentres)))
-	chosen = append(chosen, highest(w.VM, s.at[proximity.Region], max(choosing.Far, least-len(chosen)))...)
-	chosen = append(chosen, highest(w.VM, s.at[proximity.OtherRegion], max(otherRegions, least-len(chosen)))...)
+	chosen := highestByRendezvous(w.VM, s.at[proximity.SameDataCentre], nearMost(choosing, len(kind.RouteDataCentres)))
+	chosen = append(chosen, highestByRendezvous(w.VM, s.at[proximity.Region], max(choosing.Far, least-len(chosen)))...)
+	chosen = append(chosen, highestByRendezvous(w.VM, s.at[proximity.OtherRegion], max(otherRegions, least-len(chosen)))...)
 	return fillUp(w.VM, chosen, s.all, kind.RouteDataCentres, choosing.Subset)
 }
 
@@ -134,7 +134,7 @@
 				others = append(others, route)
 			}
 		}
-		for _, route := range highest(vm, others, min(max(enough-held, 0), max(subsetMost-len(chosen), 0))) {
+		for _, route := range highestByRendezvous(vm, others, min(max(enough-held, 0), max(subsetMost-len(chosen), 0))) {
 			has[route] = struct{}{}
 			chosen = append(chosen, route)
 		}
@@ -159,18 +159,18 @@
 // subset is Subset, worked out again only after something that it hangs on has
 // changed: several systems ask for it at each tick. The result is not changed.
 func (e *Env) subset(kind *placement.CompiledKind) []*tables.Endpoint {
-	if e.subsets == nil {
-		e.subsets = map[subsetKey]subsetRow{}
+	if e.subsetCache == nil {
+		e.subsetCache = map[subsetKey]subsetRow{}
 	}
 	key := subsetKey{kind.Service, kind.Name}
-	row, changes := e.subsets[key], e.World.Members.ServiceChangeCount(kind.Service)
+	row, changes := e.subsetCache[key], e.World.Members.ServiceChangeCount(kind.Service)
 	evacuated, traffic := e.World.View.Evacuation().Revision, e.World.View.RolloutTraffic(kind.Service)
 	if row.kind != kind || row.members != changes || row.unreached != e.World.UnreachedChanges || row.evacuated != evacuated || row.rollout != traffic {
 		row = subsetRow{
 			kind: kind, members: changes, unreached: e.World.UnreachedChanges, evacuated: evacuated, rollout: traffic,
 			routes: Subset(e.World, e.Settings.Choosing, kind),
 		}
-		e.subsets[key] = row
+		e.subsetCache[key] = row
 	}
 	return row.routes
 }
--- a/pkg/systems/subset_test.go
+++ b/pkg/systems/subset_test.go
@@ -164,8 +164,8 @@
 			dead = route
 		}
 	}
-	u := newUnreached(w)
-	u.note(dead, 100)
+	u := newUnreachedEndpoints(w)
+	u.add(dead, 100)
 	after := env.subset(kind)
 	must.Len(t, len(before), after)
 	test.False(t, contains(after, dead))
--- a/pkg/systems/surplus.go
+++ b/pkg/systems/surplus.go
@@ -62,14 +62,14 @@
 
 // closeSurplus closes links that neither calls nor the sample need.
 func (l *links) closeSurplus(now int64) {
-	open := make(map[*tables.Endpoint]struct{}, len(l.open))
-	for route := range l.open {
+	open := make(map[*tables.Endpoint]struct{}, len(l.clients))
+	for route := range l.clients {
 		open[route] = struct{}{}
 	}
 	for _, route := range l.surplus.due(now, open, l.needed()) {
 		l.surplus.closed[route] = struct{}{}
 		l.Log.Event(events.LinkSurplus, events.F("peer", route.VM))
-		l.open[route].Close()
+		l.clients[route].Close()
 	}
 }
 
--- a/pkg/systems/suspension.go
+++ b/pkg/systems/suspensionwatch.go
@@ -8,18 +8,18 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// suspension closes the links of a VM that was suspended for longer than a link may be
+// suspensionWatch closes the links of a VM that was suspended for longer than a link may be
 // silent: its peers have given them up, and their watches here count the steady time
 // only, so that a request could wait on one for as long again. Source:
 // docs/design/clocks.md.
-type suspension struct {
+type suspensionWatch struct {
 	*Env
 	// seen is what was suspended in all when that was last looked at.
 	seen time.Duration
 }
 
 // Tick implements System.
-func (s *suspension) Tick(int64, *tables.Mail) {
+func (s *suspensionWatch) Tick(int64, *tables.Mail) {
 	total := s.Suspended()
 	grown := total - s.seen
 	if grown <= 0 {
@@ -33,4 +33,6 @@
 }
 
 // outlastsLinks is true for a suspension after which peers have given their links up.
-func (s *suspension) outlastsLinks(took time.Duration) bool { return took > s.Dial.Pace.Silence() }
+func (s *suspensionWatch) outlastsLinks(took time.Duration) bool {
+	return took > s.DialOptions.Pace.Silence()
+}
--- a/pkg/systems/suspension_test.go
+++ b/pkg/systems/suspensionwatch_test.go
@@ -21,8 +21,8 @@
 	env.Log = events.NewLog(&out, events.Info)
 	var vm *clock.Manual
 	env.Clock, vm = clock.NewManual()
-	env.Dial.Pace = link.NewPace(time.Second)
-	system := &suspension{Env: env}
+	env.DialOptions.Pace = link.NewPace(time.Second)
+	system := &suspensionWatch{Env: env}
 	tick := func() { system.Tick(env.Now(), &tables.Mail{}) }
 	vm.Pass(time.Minute)
 	tick()
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -38,8 +38,8 @@
 	Executor *executor.Executor
 	// Runner runs calls of this daemon's own backend server; nil: there is none.
 	Runner call.Runner
-	// Routed runs routed requests; nil: none are taken.
-	Routed *runner.Runner
+	// RoutedRunner runs routed requests; nil: none are taken.
+	RoutedRunner *runner.Runner
 	// Trial is the backend server's part in a roll-out; nil: it has none.
 	Trial *trial.Trial
 	// Backend knows which backend server stands beside the daemon, its version, and
@@ -59,76 +59,76 @@
 	// Feed tells of documents in the store; nil: rushramp's own head is read.
 	Feed placement.Feed
 	// Registrar is set where daemons write the list of VMs themselves.
-	Registrar store.Registrar
-	Control   *Control
-	Dial      link.DialOptions
-	// Background ends when the daemon does.
-	Background context.Context
-	// Sweep deletes old rows of never-repeat calls; nil: it is not done.
-	Sweep func(ctx context.Context) (deleted int, err error)
+	Registrar   store.Registrar
+	Control     *Control
+	DialOptions link.DialOptions
+	// DaemonContext ends when the daemon does.
+	DaemonContext context.Context
+	// SweepOnceRows deletes old rows of never-repeat calls; nil: it is not done.
+	SweepOnceRows func(ctx context.Context) (deleted int, err error)
 	// Leave begins the drain; it returns at once.
 	Leave func()
 
-	// heldBack is true while the backend server must not run anything yet, as its
+	// backendHeldBack is true while the backend server must not run anything yet, as its
 	// version is new to the service.
-	heldBack bool
-	// subsets are those worked out last, by service and kind.
-	subsets map[subsetKey]subsetRow
+	backendHeldBack bool
+	// subsetCache are those worked out last, by service and kind.
+	subsetCache map[subsetKey]subsetRow
 }
 
-// runsInFlight counts the requests at the backend server and its gates.
-func (e *Env) runsInFlight() (out int64) {
+// requestsInFlight counts the requests at the backend server and its gates.
+func (e *Env) requestsInFlight() (out int64) {
 	if e.Executor != nil {
 		out += e.Executor.InFlight()
 	}
-	if e.Routed != nil {
-		out += e.Routed.InFlight()
+	if e.RoutedRunner != nil {
+		out += e.RoutedRunner.InFlight()
 	}
 	return out
 }
 
-// order is the one list of systems, in the order in which they run: what came
+// newSystems is the one list of systems, in the newSystems in which they run: what came
 // from outside first, what is published last.
-func order(env *Env) []System {
+func newSystems(env *Env) []System {
 	known := newRollouts(env)
 	watch := newRolloutWatch(env, known)
 	return []System{
-		&suspension{Env: env},
+		&suspensionWatch{Env: env},
 		&vmListReader{Env: env, outage: events.NewOutage(env.Log, "list of VMs")},
 		versionReader(env),
-		&seeds{Env: env},
-		&register{Env: env, outage: events.NewOutage(env.Log, "own entry in the list of VMs")},
+		&seedDialer{Env: env},
+		&registration{Env: env, outage: events.NewOutage(env.Log, "own entry in the list of VMs")},
 		&departures{Env: env},
 		newDepartureSweep(env),
 		newQuarantines(env),
 		newQuarantineSweep(env),
-		&members{Env: env},
-		&news{Env: env},
+		&membership{Env: env},
+		&peerStates{Env: env},
 		&evacuations{Env: env},
 		known,
 		watch,
 		newRolloutGuard(env, known, watch),
 		newQuotas(env),
-		&backendWatch{Env: env},
-		&compare{Env: env},
+		&backendReporter{Env: env},
+		&antiEntropy{Env: env},
 		&placements{Env: env},
 		&proof{Env: env},
 		&links{Env: env},
-		&spread{Env: env},
-		&doubt{Env: env},
+		&memberGossip{Env: env},
+		&stalenessCheck{Env: env},
 		&heartbeats{Env: env},
-		&gateTick{Env: env},
-		&sweeper{Env: env},
-		&publish{Env: env},
+		&gateTicker{Env: env},
+		&onceSweeper{Env: env},
+		&viewPublisher{Env: env},
 		&queries{Env: env},
-		&account{Env: env},
+		&trafficLog{Env: env},
 	}
 }
 
 // versionReader is the system that reads new versions from the store.
 func versionReader(env *Env) System {
 	if env.Feed != nil {
-		return newFollower(env)
+		return newFeedFollower(env)
 	}
 	return &headReader{Env: env, outage: events.NewOutage(env.Log, "placement head"), ordersOutage: events.NewOutage(env.Log, "orders of roll-outs")}
 }
@@ -141,7 +141,7 @@
 
 // NewScheduler makes the scheduler of one daemon.
 func NewScheduler(env *Env) *Scheduler {
-	return &Scheduler{env: env, systems: order(env)}
+	return &Scheduler{env: env, systems: newSystems(env)}
 }
 
 // Run ticks until ctx ends.
@@ -168,14 +168,14 @@
 	}
 }
 
-// due is a small timer for systems that act less often than each tick.
-type due struct{ next int64 }
+// intervalTimer is a small timer for systems that act less often than each tick.
+type intervalTimer struct{ nextAt int64 }
 
-// at is true once per interval.
-func (d *due) at(now int64, every time.Duration) bool {
-	if now < d.next {
+// fires is true once per interval.
+func (d *intervalTimer) fires(now int64, every time.Duration) bool {
+	if now < d.nextAt {
 		return false
 	}
-	d.next = now + int64(every)
+	d.nextAt = now + int64(every)
 	return true
 }
--- a/pkg/systems/tick_bench_test.go
+++ b/pkg/systems/tick_bench_test.go
@@ -25,10 +25,10 @@
 func benchTick(b *testing.B, members int, change bool) {
 	const links, services = 150, 30
 	env := testEnv()
-	list := &countedList{}
-	env.Background, env.Platform, env.Registrar, env.Feed = b.Context(), list, list, &scriptedFeed{}
+	list := &countingVMList{}
+	env.DaemonContext, env.Platform, env.Registrar, env.Feed = b.Context(), list, list, &scriptedFeed{}
 	env.Backend = backend.NewLifecycle(true, nil)
-	env.Dial = link.DialOptions{Pace: link.NewPace(env.Settings.Links.Heartbeat)}
+	env.DialOptions = link.DialOptions{Pace: link.NewPace(env.Settings.Links.Heartbeat)}
 	doc := &placement.Document{Version: 1}
 	for s := range services {
 		name := fmt.Sprint("s", s)
--- a/pkg/systems/account.go
+++ b/pkg/systems/trafficlog.go
@@ -17,25 +17,25 @@
 // each ten seconds are under a tenth of a percent of log.bytes_per_second.
 const accountEvery = 10 * time.Second
 
-// account logs what this daemon has sent to others and asked of the store. The
+// trafficLog logs what this daemon has sent to others and asked of the store. The
 // same figures stand in the metrics.
-type account struct {
+type trafficLog struct {
 	*Env
-	due   due
+	due   intervalTimer
 	sent  map[traffic.Total]traffic.Total
 	calls map[string]uint64
 }
 
 // Tick implements System.
-func (a *account) Tick(now int64, _ *tables.Mail) {
-	if !a.due.at(now, accountEvery) {
+func (a *trafficLog) Tick(now int64, _ *tables.Mail) {
+	if !a.due.fires(now, accountEvery) {
 		return
 	}
 	a.logTraffic()
 	a.logStore()
 }
 
-func (a *account) logTraffic() {
+func (a *trafficLog) logTraffic() {
 	if a.sent == nil {
 		a.sent = map[traffic.Total]traffic.Total{}
 	}
@@ -53,13 +53,13 @@
 		if peer.Outgoing {
 			opened++
 		}
-		at[a.placeOf(peer)]++
+		at[a.proximityOf(peer)]++
 	})
 	a.Log.Event(events.LinkTraffic, events.F("links", a.World.Peers.Len()), events.F("opened", opened), events.F("near", at[proximity.SameDataCentre]), events.F("region", at[proximity.Region]), events.F("other", at[proximity.OtherRegion]),
 		events.F("members", a.World.Members.Len()), events.F("frames_and_bytes", strings.Join(frames, " ")))
 }
 
-func (a *account) logStore() {
+func (a *trafficLog) logStore() {
 	if a.calls == nil {
 		a.calls = map[string]uint64{}
 	}
--- a/pkg/systems/unreached.go
+++ b/pkg/systems/unreachedendpoints.go
@@ -6,28 +6,28 @@
 // those that cannot be reached: one may be a restart.
 const unreachedAfter = 2
 
-// unreached keeps the routes whose daemons cannot be reached. A VM that lost its
+// unreachedEndpoints keeps the routes whose daemons cannot be reached. A VM that lost its
 // power says nothing of it, and no list tells: without this its place in the
 // subset would stay empty. A route comes back when its rest is over, and is then
 // dialled again.
-type unreached struct {
+type unreachedEndpoints struct {
 	world *tables.World
 	until map[*tables.Endpoint]int64
 }
 
-func newUnreached(w *tables.World) *unreached {
-	return &unreached{world: w, until: map[*tables.Endpoint]int64{}}
+func newUnreachedEndpoints(w *tables.World) *unreachedEndpoints {
+	return &unreachedEndpoints{world: w, until: map[*tables.Endpoint]int64{}}
 }
 
-// note puts a route among them until a time in nanoseconds.
-func (u *unreached) note(route *tables.Endpoint, until int64) {
+// add puts a route among them until a time in nanoseconds.
+func (u *unreachedEndpoints) add(route *tables.Endpoint, until int64) {
 	u.until[route] = until
 	u.world.Unreached[route] = struct{}{}
 	u.changed(route)
 }
 
-// forget takes a route out: its daemon was heard.
-func (u *unreached) forget(route *tables.Endpoint) {
+// remove takes a route out: its daemon was heard.
+func (u *unreachedEndpoints) remove(route *tables.Endpoint) {
 	if _, known := u.until[route]; !known {
 		return
 	}
@@ -37,15 +37,15 @@
 }
 
 // expire takes out the routes whose rest is over.
-func (u *unreached) expire(now int64) {
+func (u *unreachedEndpoints) expire(now int64) {
 	for route, until := range u.until {
 		if now >= until {
-			u.forget(route)
+			u.remove(route)
 		}
 	}
 }
 
-func (u *unreached) changed(route *tables.Endpoint) {
+func (u *unreachedEndpoints) changed(route *tables.Endpoint) {
 	u.world.UnreachedChanges++
 	u.world.MarkDirty(route.Service)
 }
--- a/pkg/systems/publish.go
+++ b/pkg/systems/viewpublisher.go
@@ -10,15 +10,15 @@
 // maxRedirects is how many addresses a redirect or refusal names at most.
 const maxRedirects = 3
 
-// publish gives the hot path a new view of each service that changed.
-type publish struct {
+// viewPublisher gives the hot path a new view of each service that changed.
+type viewPublisher struct {
 	*Env
 	// members are the changes of the table of members that were published.
 	members uint64
 }
 
 // Tick implements System.
-func (p *publish) Tick(_ int64, _ *tables.Mail) {
+func (p *viewPublisher) Tick(_ int64, _ *tables.Mail) {
 	p.World.View.SetMemberCount(p.World.Members.Len())
 	if changes := p.World.Members.ChangeCount(); changes != p.members {
 		p.members = changes
@@ -39,7 +39,7 @@
 	clear(p.World.DirtyServices)
 }
 
-func (p *publish) becomeReady() {
+func (p *viewPublisher) becomeReady() {
 	if p.World.View.Ready() || p.World.Placement == nil || p.World.Members.Len() == 0 {
 		return
 	}
@@ -47,7 +47,7 @@
 	p.Log.Event(events.DaemonReady, events.F("placement", p.World.PlacementVersion()), events.F("members", p.World.Members.Len()))
 }
 
-func (p *publish) serviceView(current *placement.Compiled, name string) *tables.ServiceView {
+func (p *viewPublisher) serviceView(current *placement.Compiled, name string) *tables.ServiceView {
 	service := current.Service(name)
 	if service == nil {
 		return nil
@@ -59,7 +59,7 @@
 	return tables.NewServiceView(service, kinds)
 }
 
-func (p *publish) kindView(kind *placement.CompiledKind) *tables.KindView {
+func (p *viewPublisher) kindView(kind *placement.CompiledKind) *tables.KindView {
 	out := &tables.KindView{Kind: kind}
 	for _, route := range p.subset(kind) {
 		if route.Runner() == nil {
@@ -76,7 +76,7 @@
 
 // redirects returns daemons in allowed data centres where callers from outside
 // may enter, a few of them, in an order of this daemon's own.
-func (p *publish) redirects(kind *placement.CompiledKind) []string {
+func (p *viewPublisher) redirects(kind *placement.CompiledKind) []string {
 	type weighed struct {
 		address string
 		weight  uint64
--- a/pkg/systems/publish_vms_test.go
+++ b/pkg/systems/viewpublisher_test.go
@@ -12,7 +12,7 @@
 // TestVMsOfServicesArePublished, and again when they have changed.
 func TestVMsOfServicesArePublished(t *testing.T) {
 	env := testEnv()
-	p := &publish{Env: env}
+	p := &viewPublisher{Env: env}
 	for _, s := range []struct {
 		vm, service string
 		want        float64
--- a/pkg/systems/vmlist.go
+++ b/pkg/systems/vmlist.go
@@ -14,8 +14,8 @@
 // centre that data centre's part, and a daemon that knows nobody yet all of it.
 type vmListReader struct {
 	*Env
-	firstDue due
-	due      due
+	firstDue intervalTimer
+	due      intervalTimer
 	busy     atomic.Bool
 	// outage logs when the list does not come.
 	outage *events.Outage
@@ -53,7 +53,7 @@
 		v.readFirst(now)
 		return
 	}
-	if v.due.at(now, v.Settings.Platform.VMListEvery) && v.isReader() {
+	if v.due.fires(now, v.Settings.Platform.VMListEvery) && v.isPlatformReader() {
 		v.start(v.nextPart())
 	}
 }
@@ -61,12 +61,12 @@
 // readFirst reads the whole list until that has worked once.
 func (v *vmListReader) readFirst(now int64) {
 	every := v.Settings.Platform.VMListEvery
-	if !v.firstDue.at(now, min(every, firstListEvery)) {
+	if !v.firstDue.fires(now, min(every, firstListEvery)) {
 		return
 	}
 	// While members become known, more daemons than in the end take themselves
 	// for readers: the first part is read a whole interval later.
-	v.due.next = now + int64(every)
+	v.due.nextAt = now + int64(every)
 	v.start("")
 }
 
@@ -84,7 +84,7 @@
 	}
 	if !v.Settings.Platform.FirstStart {
 		v.toldByPeers(now)
-		return v.peersFirst(now)
+		return v.shouldWaitForPeers(now)
 	}
 	if v.firstAt == 0 {
 		v.firstAt = int64(firstListAfter + rand.N(firstListWithin))
@@ -98,8 +98,8 @@
 // toldByPeers spares a daemon that was started again its first read, where peers have told
 // it of the members while it waited for them.
 func (v *vmListReader) toldByPeers(now int64) {
-	if v.hasKnowingPeer() && v.World.Members.Len() > toldEnough {
-		v.due.next = now + int64(v.Settings.Platform.VMListEvery)
+	if v.hasPeerWithPlacement() && v.World.Members.Len() > toldEnough {
+		v.due.nextAt = now + int64(v.Settings.Platform.VMListEvery)
 		v.began.Store(true)
 	}
 }
@@ -129,7 +129,7 @@
 
 func (v *vmListReader) read(part string) {
 	defer v.busy.Store(false)
-	ctx, cancel := context.WithTimeout(v.Background, v.Settings.Platform.Timeout)
+	ctx, cancel := context.WithTimeout(v.DaemonContext, v.Settings.Platform.Timeout)
 	defer cancel()
 	vms, err := v.Platform.VMs(ctx, part)
 	v.outage.Note(err)
--- a/pkg/systems/peersfirst_test.go
+++ b/pkg/systems/waitforpeers_test.go
@@ -23,15 +23,15 @@
 // peers tell both within the time that is given to them.
 func TestARestartWithPeersCostsNoCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		list := &countedList{}
-		env, run := startEnv(t, false, list)
+		list := &countingVMList{}
+		env, run := newStartEnv(t, false, list)
 		env.Settings.Links.Seeds = []string{"127.0.0.9:7401"}
 		env.Control = NewControl(env.Common, env.World, 7)
 		run(50 * time.Millisecond)
 		knowingPeer(env, 3)
 		run(100 * time.Millisecond)
 		tellMembers(env, toldEnough+1)
-		own := (&register{Env: env}).entry()
+		own := (&registration{Env: env}).entry()
 		before := wire.Member{
 			VM: own.ID, Incarnation: 6, DataCentre: own.DataCentre, Region: own.Region, Service: own.Service,
 			Links: own.Links, Callers: own.Callers, Slots: uint32(own.Slots),
@@ -49,8 +49,8 @@
 func TestARestartOfAllAsksTheStoreSoon(t *testing.T) {
 	for _, linked := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			list := &countedList{vms: []store.VM{{ID: "other", DataCentre: "here", Service: "s", Links: "127.0.0.8:1", State: store.VMLive}}}
-			env, run := startEnv(t, false, list)
+			list := &countingVMList{vms: []store.VM{{ID: "other", DataCentre: "here", Service: "s", Links: "127.0.0.8:1", State: store.VMLive}}}
+			env, run := newStartEnv(t, false, list)
 			env.Settings.Links.Seeds = []string{"127.0.0.9:7401"}
 			env.Control = NewControl(env.Common, env.World, 7)
 			if linked {
