--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -141,7 +141,7 @@
 // QuotaGrant implements link.Control.
 func (c *Control) QuotaGrant(peer *link.Peer, grant *wire.QuotaGrant) {
 	if c.Quota != nil {
-		c.Quota.HandleGrant(c.Now(), processOf(peer), &grant.Grant)
+		c.Quota.HandleGrant(c.Now(), processID(peer), &grant.Grant)
 	}
 }
 
--- a/pkg/systems/evacuations.go
+++ b/pkg/systems/evacuations.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// tellEvacuation tells a peer whose greeting shows another set than this daemon's.
+// sendEvacuation tells a peer whose greeting shows another set than this daemon's.
 // The set may have changed between this daemon's greeting and now.
-func (l *links) tellEvacuation(peer *link.Peer) {
+func (l *links) sendEvacuation(peer *link.Peer) {
 	if !peer.Hello.State.Evacuation.SameDataCentres(l.World.View.Evacuation()) {
 		_ = peer.Send(l.Control.State())
 	}
--- a/pkg/systems/follower.go
+++ b/pkg/systems/follower.go
@@ -280,13 +280,13 @@
 func (f *follower) waits() (wait, bound time.Duration) {
 	if f.first.Load() {
 		wait = firstWaitLeast + rand.N(firstWaitMost-firstWaitLeast)
-		if proof := f.proofWait(); proof > 0 {
+		if proof := f.proofReadInterval(); proof > 0 {
 			wait = min(wait, proof)
 		}
 		return wait, wait + firstSlack
 	}
 	wait = feedWaitLeast + rand.N(feedWaitMost-feedWaitLeast)
-	if proof := f.proofWait(); proof > 0 {
+	if proof := f.proofReadInterval(); proof > 0 {
 		wait = min(wait, proof)
 	}
 	return wait, wait + feedSlack
--- a/pkg/systems/follower_test.go
+++ b/pkg/systems/follower_test.go
@@ -108,7 +108,7 @@
 		env, tick := follow(t, feed)
 		tick(4 * feedLook)
 		must.Eq(t, []uint64{0, 10}, feed.asked)
-		env.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, update(t, "there", 7)) })
+		env.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, updateFrom(t, "there", 7)) })
 		tick(2 * feedTrust)
 		test.Eq(t, 7, env.World.PlacementVersion())
 		must.SliceLen(t, 3, feed.asked)
--- a/pkg/systems/head.go
+++ b/pkg/systems/head.go
@@ -16,8 +16,8 @@
 	*Env
 	due  due
 	busy atomic.Bool
-	// outage logs when the head cannot be read, ordersOutage when the orders cannot.
-	outage, ordersOutage *events.Outage
+	// headOutage logs when the head cannot be read, ordersOutage when the orders cannot.
+	headOutage, ordersOutage *events.Outage
 }
 
 // Tick implements System.
@@ -38,12 +38,12 @@
 	ctx, cancel := context.WithTimeout(h.Background, h.Settings.Platform.Timeout)
 	defer cancel()
 	head, err := h.Store.Head(ctx)
-	h.outage.Note(err)
+	h.headOutage.Note(err)
 	if err != nil {
 		return
 	}
 	evacuated, err := h.Evacuation.Read(ctx)
-	h.outage.Note(err)
+	h.headOutage.Note(err)
 	if err != nil {
 		return
 	}
--- a/pkg/systems/head_test.go
+++ b/pkg/systems/head_test.go
@@ -21,7 +21,7 @@
 	env := testEnv()
 	env.Background, env.Store = t.Context(), placement.NewStore(platform, platform)
 	env.Evacuation, env.Orders = evacuation.NewRegister(platform), rollout.NewOrderRegister(platform)
-	return &headReader{Env: env, outage: events.NewOutage(env.Log, "head"), ordersOutage: events.NewOutage(env.Log, "orders")}
+	return &headReader{Env: env, headOutage: events.NewOutage(env.Log, "head"), ordersOutage: events.NewOutage(env.Log, "orders")}
 }
 
 func TestOrdersAreReadBesideTheHead(t *testing.T) {
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -38,7 +38,7 @@
 // Tick implements System.
 func (h *heartbeats) Tick(now int64, _ *tables.Mail) {
 	leftNow := h.World.View.Leaving() && !h.leaving
-	proves := h.Settings.Teams.RevokeWithin > 0 && h.proofDue.at(now, h.Settings.Teams.RevokeWithin/proofStates)
+	proves := h.Settings.Teams.RevokeWithin > 0 && h.proofDue.at(now, h.Settings.Teams.RevokeWithin/proofStatesPerPeriod)
 	if !leftNow && !proves && !h.due.at(now, h.Settings.Links.Heartbeat/4) {
 		return
 	}
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -18,8 +18,8 @@
 )
 
 const (
-	// heldPrefix begins the keys of contents that are held back in the store.
-	heldPrefix = "held/"
+	// heldKeyPrefix begins the keys of contents that are held back in the store.
+	heldKeyPrefix = "held/"
 	// heldReadRest and heldReadRestMost are the first and the longest time between two
 	// tries to read them. The rest doubles, with a random part: 21,000 daemons that start
 	// at once share two thousand reads a second.
@@ -112,7 +112,7 @@
 }
 
 func (q *quarantines) change(ctx context.Context, content quarantine.Fingerprint, crashes []quarantine.Crash) error {
-	key := heldPrefix + content.String()
+	key := heldKeyPrefix + content.String()
 	if len(crashes) == 0 {
 		row, err := q.Platform.Get(ctx, key)
 		if errors.Is(err, store.ErrNotFound) {
@@ -145,7 +145,7 @@
 
 // fromRow reads a row; one that cannot be read holds nothing back.
 func fromRow(wall time.Time, row store.Row) (out []quarantine.Crash, err error) {
-	content, err := strconv.ParseUint(strings.TrimPrefix(row.Key, heldPrefix), 16, 64)
+	content, err := strconv.ParseUint(strings.TrimPrefix(row.Key, heldKeyPrefix), 16, 64)
 	if err != nil {
 		return nil, errors.Wrap(err, "key")
 	}
@@ -185,7 +185,7 @@
 	ctx, cancel := context.WithTimeout(q.Background, q.Settings.Platform.Timeout)
 	defer cancel()
 	said := &wire.Quarantine{Informed: true}
-	err := scanAll(ctx, q.Platform, heldPrefix, func(row store.Row) {
+	err := scanAll(ctx, q.Platform, heldKeyPrefix, func(row store.Row) {
 		crashes, err := fromRow(time.Now(), row)
 		if err != nil {
 			q.Log.Event(events.HeldNotKept, events.F("row", row.Key), events.F("cause", err))
--- a/pkg/systems/linkevents.go
+++ b/pkg/systems/linkevents.go
@@ -36,7 +36,7 @@
 	if row, ok := l.World.Members.Find(l.World.VM); ok {
 		send(peer, []wire.Member{l.World.Members.Record[row]})
 	}
-	l.tellEvacuation(peer)
+	l.sendEvacuation(peer)
 	row, ok := l.World.Members.Find(peer.Hello.VM)
 	if !ok {
 		return
@@ -111,7 +111,7 @@
 }
 
 func (l *links) down(now int64, e tables.LinkEvent) {
-	if l.surplus.takeClosed(e.Endpoint) && l.open[e.Endpoint] == e.Client {
+	if l.surplus.forgetClosed(e.Endpoint) && l.open[e.Endpoint] == e.Client {
 		delete(l.open, e.Endpoint)
 		e.Endpoint.SetRunner(nil)
 		return
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -27,7 +27,7 @@
 	restUntil map[*tables.Endpoint]int64
 	// failures counts a route's failed dials and ended links in a row.
 	failures  map[*tables.Endpoint]int
-	surplus   *surplus
+	surplus   *surplusLinks
 	unreached *unreached
 	sampleDue due
 	sample    []*tables.Endpoint
@@ -43,7 +43,7 @@
 		l.dialing = newDialing()
 		l.restUntil = map[*tables.Endpoint]int64{}
 		l.failures = map[*tables.Endpoint]int{}
-		l.surplus = newSurplus()
+		l.surplus = newSurplusLinks()
 		l.unreached = newUnreached(l.World)
 	}
 	for _, e := range mail.LinkEvents {
@@ -64,7 +64,7 @@
 	l.openServices(now, retry || again)
 	if retry {
 		l.openAll(now, l.World.RolloutWatchers)
-		l.openAll(now, l.World.QuotaCounters)
+		l.openAll(now, l.World.QuotaCounterDaemons)
 	}
 	if again {
 		l.openAll(now, l.sample)
--- a/pkg/systems/placements_test.go
+++ b/pkg/systems/placements_test.go
@@ -30,8 +30,8 @@
 	}}}
 }
 
-// update is what a peer in a data centre sends.
-func update(t must.T, dataCentre string, n uint64) tables.PeerUpdate {
+// updateFrom is what a peer in a data centre sends.
+func updateFrom(t must.T, dataCentre string, n uint64) tables.PeerUpdate {
 	doc := version(n)
 	data, err := doc.Pack()
 	must.NoError(t, err)
@@ -56,7 +56,7 @@
 			if rapid.Bool().Draw(t, "from the store") {
 				mail.Placements = []tables.ReceivedPlacement{{Document: version(n), FromStore: true}}
 			} else {
-				mail.Updates = []tables.PeerUpdate{update(t, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer's data centre"), n)}
+				mail.Updates = []tables.PeerUpdate{updateFrom(t, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer's data centre"), n)}
 			}
 			system.Tick(1, mail)
 			must.GreaterEq(t, highest, env.World.PlacementVersion())
@@ -72,7 +72,7 @@
 	env := testEnv()
 	system := &placements{Env: env}
 	system.Tick(1, &tables.Mail{Placements: []tables.ReceivedPlacement{{Document: version(1), FromStore: true}}})
-	bad := update(t, "a", 2)
+	bad := updateFrom(t, "a", 2)
 	bad.Update.Hash = "0000"
 	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{bad}})
 	test.Eq(t, 1, env.World.PlacementVersion())
@@ -84,11 +84,11 @@
 		env.World.Members.Merge(1, nil, wire.Member{VM: "vm-" + dc, Started: 1, DataCentre: dc})
 	}
 	system := &placements{Env: env}
-	system.Tick(1, &tables.Mail{Updates: []tables.PeerUpdate{update(t, "a", 4)}})
+	system.Tick(1, &tables.Mail{Updates: []tables.PeerUpdate{updateFrom(t, "a", 4)}})
 	test.Nil(t, env.World.Placement)
-	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{update(t, "a", 5)}})
+	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{updateFrom(t, "a", 5)}})
 	test.Nil(t, env.World.Placement)
-	system.Tick(3, &tables.Mail{Updates: []tables.PeerUpdate{update(t, "b", 4)}})
+	system.Tick(3, &tables.Mail{Updates: []tables.PeerUpdate{updateFrom(t, "b", 4)}})
 	test.Eq(t, 5, env.World.PlacementVersion())
 }
 
--- a/pkg/systems/planrows_test.go
+++ b/pkg/systems/planrows_test.go
@@ -21,8 +21,8 @@
 		env := testEnv()
 		env.Background = t.Context()
 		env.Rollouts = &fakeRegister{}
-		system := newRollouts(env)
-		watch := newRolloutWatch(env, system)
+		system := newRolloutTracker(env)
+		watch := newRolloutWatcher(env, system)
 		mail := tables.Mail{RolloutOrders: ordersOf(9, orderOf("nobody", 8))}
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			system.Tick(env.Now(), &mail)
--- a/pkg/systems/proof.go
+++ b/pkg/systems/proof.go
@@ -6,14 +6,14 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// proof follows how old the newest proof is that the version in force is the operators'
+// placementProof follows how old the newest placementProof is that the version in force is the operators'
 // newest: a read of the store, by this daemon or by a peer that holds no newer version.
 // A key that was taken away lets nothing in once that is too old. It runs after the
 // versions of the same mail are in force. Source: docs/design/teams.md, "Keys".
-type proof struct{ *Env }
+type placementProof struct{ *Env }
 
 // Tick implements System.
-func (p *proof) Tick(_ int64, mail *tables.Mail) {
+func (p *placementProof) Tick(_ int64, mail *tables.Mail) {
 	at := p.World.View.PlacementProvenAt()
 	// A head that is newer than the version in force is read before that version is.
 	if behind := mail.HeadKnown && mail.Head.Version > p.World.PlacementVersion(); p.World.Placement != nil && !behind {
@@ -28,12 +28,14 @@
 }
 
 const (
-	// proofReads is how many times within teams.revoke_within a follower of the feed reads
+	// proofReadsPerPeriod is how many times within teams.revoke_within a follower of the feed reads
 	// the store, and proofStates how often each daemon tells all peers how old its proof is:
 	// with two such hops a proof is under half of that time old.
-	proofReads  = 6
-	proofStates = 8
+	proofReadsPerPeriod  = 6
+	proofStatesPerPeriod = 8
 )
 
-// proofWait is how long a request to the feed may hang; 0: proofs are not needed.
-func (e *Env) proofWait() time.Duration { return e.Settings.Teams.RevokeWithin / proofReads }
+// proofReadInterval is how long a request to the feed may hang; 0: proofs are not needed.
+func (e *Env) proofReadInterval() time.Duration {
+	return e.Settings.Teams.RevokeWithin / proofReadsPerPeriod
+}
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -57,7 +57,7 @@
 }
 
 func rowsHeld(t *testing.T, platform *fakestore.Store) []store.Row {
-	rows, err := platform.Scan(t.Context(), heldPrefix, heldPrefix, 1000)
+	rows, err := platform.Scan(t.Context(), heldKeyPrefix, heldKeyPrefix, 1000)
 	must.NoError(t, err)
 	return rows
 }
@@ -154,9 +154,9 @@
 		}
 		one.tick()
 		for key, value := range map[string]string{
-			heldPrefix + "0000000000000001": "\x00\xff", heldPrefix + "0000000000000002": `{"crashes":[{"id":7,"at_ms":"x"}]}`,
-			heldPrefix + "0000000000000004": `{"crashes":[{"id":"1","at_ms":-9223372036854775808},{"id":"2","at_ms":-1}]}`,
-			heldPrefix + "not a content":    `{"crashes":[]}`, heldPrefix + "0000000000000003": `{"crashes":[{"id":"zz","at_ms":1}]}`,
+			heldKeyPrefix + "0000000000000001": "\x00\xff", heldKeyPrefix + "0000000000000002": `{"crashes":[{"id":7,"at_ms":"x"}]}`,
+			heldKeyPrefix + "0000000000000004": `{"crashes":[{"id":"1","at_ms":-9223372036854775808},{"id":"2","at_ms":-1}]}`,
+			heldKeyPrefix + "not a content":    `{"crashes":[]}`, heldKeyPrefix + "0000000000000003": `{"crashes":[{"id":"zz","at_ms":1}]}`,
 		} {
 			must.NoError(t, platform.Transact(t.Context(), []store.Write{{Key: key, Value: []byte(value)}}))
 		}
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -99,18 +99,18 @@
 			routes = append(routes, route)
 		}
 	})
-	q.World.QuotaCounters = q.World.QuotaCounters[:0]
+	q.World.QuotaCounterDaemons = q.World.QuotaCounterDaemons[:0]
 	for g := range quota.Groups {
 		for _, route := range highest(groupNames[g], routes, countersLinked) {
-			if !slices.Contains(q.World.QuotaCounters, route) {
-				q.World.QuotaCounters = append(q.World.QuotaCounters, route)
+			if !slices.Contains(q.World.QuotaCounterDaemons, route) {
+				q.World.QuotaCounterDaemons = append(q.World.QuotaCounterDaemons, route)
 			}
 		}
 	}
 }
 
-// processOf tells the processes of one VM's daemon apart.
-func processOf(peer *link.Peer) string {
+// processID tells the processes of one VM's daemon apart.
+func processID(peer *link.Peer) string {
 	return peer.Hello.VM + "/" + strconv.FormatUint(peer.Hello.Incarnation, 16)
 }
 
@@ -166,7 +166,7 @@
 			return
 		}
 		byVM[vm] = candidate{vm: vm, leaving: row.Leaving, incarnation: incarnation, peer: quota.Peer{
-			Process: processOf(peer), Link: peer,
+			Process: processID(peer), Link: peer,
 			Send: func(ask *quota.Ask) {
 				// A link that has closed leaves the table with its next event.
 				_ = peer.Send(&wire.QuotaAsk{Ask: *ask})
--- a/pkg/systems/quotas_test.go
+++ b/pkg/systems/quotas_test.go
@@ -43,7 +43,7 @@
 func TestAStartedDaemonCountsMembersOnceItKnowsThem(t *testing.T) {
 	q, peer := quotasEnv(3)
 	test.Eq(t, 0, counts(q, 1))
-	q.Quota.HandleGrant(2, processOf(peer), &quota.Grant{Members: 4, CounterTime: 1})
+	q.Quota.HandleGrant(2, processID(peer), &quota.Grant{Members: 4, CounterTime: 1})
 	test.Eq(t, 0, counts(q, 3), test.Sprint("one member is not known yet"))
 	q.World.Members.Merge(4, nil, wire.Member{VM: "m3", DataCentre: "here", Service: "s", Incarnation: 1})
 	test.Eq(t, 4, counts(q, 5))
@@ -61,8 +61,8 @@
 	q.Tick(1, &tables.Mail{VMList: &tables.VMList{}})
 	q.World.Members.Merge(2, nil, wire.Member{VM: "m2", DataCentre: "here", Service: "s", Incarnation: 1, State: wire.MemberLeaving})
 	test.Eq(t, 2, counts(q, 3))
-	must.SliceNotEmpty(t, q.World.QuotaCounters)
-	for _, route := range q.World.QuotaCounters {
+	must.SliceNotEmpty(t, q.World.QuotaCounterDaemons)
+	for _, route := range q.World.QuotaCounterDaemons {
 		test.NotEq(t, "m2", route.VM)
 	}
 }
--- a/pkg/systems/rolloutguard_test.go
+++ b/pkg/systems/rolloutguard_test.go
@@ -16,29 +16,29 @@
 func TestWhoRunsAgainIsNotEmpty(t *testing.T) {
 	g := guardOf(false, "v1", "v2")
 	order := orderOf("s", 8)
-	g.known.take(rollout.News{Orders: *ordersOf(9, order), Plans: []rollout.Plan{planOf("s", 8, 10, rollout.Switching)}}, nil)
+	g.tracker.take(rollout.News{Orders: *ordersOf(9, order), Plans: []rollout.Plan{planOf("s", 8, 10, rollout.Switching)}}, nil)
 	must.False(t, g.World.Rollouts.Traffic("s").Admits("v1", "vm"))
-	g.known.take(rollout.News{Stops: []rollout.Stop{{Service: "s", Order: 8, Cause: "bad"}}}, nil)
+	g.tracker.take(rollout.News{Stops: []rollout.Stop{{Service: "s", Order: 8, Cause: "bad"}}}, nil)
 	must.True(t, g.World.Rollouts.Traffic("s").Admits("v1", "vm"))
 	g.inForce.Traffic = g.World.Rollouts.Traffic("s")
 	g.Recorder = rollout.NewRecorder("vm", "s", 1)
 	g.Routed = &runner.Runner{}
 	g.World.Members.Merge(1, nil, wire.Member{VM: "vm", Service: "s", Version: "v1"})
-	g.watch.rank = 0
-	g.watch.begin(1, order, rollout.Plan{})
-	g.report(1, "s")
-	test.NotEq(t, 10, g.watch.reports["vm"].Plan, test.Sprintf("%+v", g.watch.reports["vm"]))
+	g.watcher.rank = 0
+	g.watcher.begin(1, order, rollout.Plan{})
+	g.sendReport(1, "s")
+	test.NotEq(t, 10, g.watcher.reports["vm"].Plan, test.Sprintf("%+v", g.watcher.reports["vm"]))
 	g.inForce.Why = "held"
-	g.report(2, "s")
-	test.Eq(t, 10, g.watch.reports["vm"].Plan, test.Sprint("one that runs nothing obeys the plan"))
+	g.sendReport(2, "s")
+	test.Eq(t, 10, g.watcher.reports["vm"].Plan, test.Sprint("one that runs nothing obeys the plan"))
 }
 
 // A first start whose backend server speaks before the members are known.
 func TestANewcomerBeforeTheMembersAreKnown(t *testing.T) {
 	g := guardOf(true, "v2")
-	first := g.newcomer(1, "s")
+	first := g.newVersionReason(1, "s")
 	g.World.Members.Merge(2, nil, wire.Member{VM: "a", Service: "s", Version: "v1"})
-	g.known.synced = true
-	test.NotEq(t, "", g.newcomer(3, "s"), test.Sprintf("first look: %q", first))
-	test.Eq(t, "", g.newcomer(1+int64(newcomerFor), "s"), test.Sprint("but for no longer than a newcomer"))
+	g.tracker.synced = true
+	test.NotEq(t, "", g.newVersionReason(3, "s"), test.Sprintf("first look: %q", first))
+	test.Eq(t, "", g.newVersionReason(1+int64(newVersionHold), "s"), test.Sprint("but for no longer than a newcomer"))
 }
--- a/pkg/systems/rolloutlinks.go
+++ b/pkg/systems/rolloutlinks.go
@@ -8,13 +8,13 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// linksStood is how long a watcher must have had links with others of the service
+// linkSettleTime is how long a watcher must have had links with others of the service
 // before it decides: greetings with versions come over all of them within a tenth of
 // that, and links that were reset stand again.
-const linksStood = time.Second
+const linkSettleTime = time.Second
 
-// noteLinks notes which daemons have a link with this one.
-func (w *rolloutWatch) noteLinks(now int64) {
+// recordLinks notes which daemons have a link with this one.
+func (w *rolloutWatcher) recordLinks(now int64) {
 	w.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
 		w.linkedAt[peer.Hello.VM], w.wasLinked[peer.Hello.VM] = now, true
 	})
@@ -33,12 +33,12 @@
 	}
 }
 
-// mustWait is true for a decision that only tells that this watcher's own links do not
+// mustWaitForLinks is true for a decision that only tells that this watcher's own links do not
 // stand, as after a restart or a cut: another watcher sees more, and decides. A finding
 // and an order taken away need no links, nor does the deadline, at which a roll-out must
 // end whoever is left; the first plan of an order and the first canaries do no harm, but
 // where versions are still to come.
-func (w *rolloutWatch) mustWait(now int64, order rollout.Order, plan, next *rollout.Plan, verdict rollout.Verdict) bool {
+func (w *rolloutWatcher) mustWaitForLinks(now int64, order rollout.Order, plan, next *rollout.Plan, verdict rollout.Verdict) bool {
 	switch {
 	case order.Revision == 0 || verdict.Bad:
 		return false
@@ -48,13 +48,13 @@
 		// Its time is over, whatever stands where.
 		return false
 	case order.Revision > plan.Order:
-		return len(next.Old) == 0 && w.areVersionsUnknown() && now-w.begunAt < int64(linksStood)
+		return len(next.Old) == 0 && w.hasUnknownVersion() && now-w.begunAt < int64(linkSettleTime)
 	}
-	return now-w.blindAt < int64(linksStood) && w.rows.storeNow(now) < plan.Deadline
+	return now-w.blindAt < int64(linkSettleTime) && w.rows.storeNow(now) < plan.Deadline
 }
 
-// areVersionsUnknown is true where a member of the service has not said its version.
-func (w *rolloutWatch) areVersionsUnknown() (unknown bool) {
+// hasUnknownVersion is true where a member of the service has not said its version.
+func (w *rolloutWatcher) hasUnknownVersion() (unknown bool) {
 	w.World.Members.EachRowOfService(w.Settings.BackendServer.Service, func(row int) {
 		unknown = unknown || w.World.Members.Record[row].Version == ""
 	})
--- a/pkg/systems/rolloutlinks_test.go
+++ b/pkg/systems/rolloutlinks_test.go
@@ -16,7 +16,7 @@
 )
 
 // watched is a watcher (the only one) of service "s" beside a v1 backend server.
-func watched(t *testing.T, register *fakeRegister) (*Env, *rollouts, *rolloutWatch) {
+func watched(t *testing.T, register *fakeRegister) (*Env, *rolloutTracker, *rolloutWatcher) {
 	env := testEnv()
 	env.Background = t.Context()
 	env.Rollouts = register
@@ -25,11 +25,11 @@
 	env.Backend = backend.NewLifecycle(true, nil)
 	env.Backend.RecordHeartbeat(1, backend.Heartbeat{InstanceID: "i", Sequence: 1, Version: "v1"})
 	env.World.Members.Merge(1, nil, wire.Member{VM: env.World.VM, Service: "s", Version: "v1", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
-	known := newRollouts(env)
-	return env, known, newRolloutWatch(env, known)
+	known := newRolloutTracker(env)
+	return env, known, newRolloutWatcher(env, known)
 }
 
-func play(env *Env, known *rollouts, watch *rolloutWatch, mail tables.Mail, d time.Duration) {
+func play(env *Env, known *rolloutTracker, watch *rolloutWatcher, mail tables.Mail, d time.Duration) {
 	for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		known.Tick(env.Now(), &mail)
 		watch.Tick(env.Now(), &mail)
@@ -105,9 +105,9 @@
 		env, known, watch := watched(t, register)
 		env.World.Members.Merge(1, nil, wire.Member{VM: env.World.VM, Service: "s", Version: "v2", Revision: 1, Slots: 12})
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Slots: 12})
-		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, linksStood/2)
+		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, linkSettleTime/2)
 		test.Eq(t, 0, register.writes)
-		play(env, known, watch, tables.Mail{}, 2*linksStood)
+		play(env, known, watch, tables.Mail{}, 2*linkSettleTime)
 		test.Eq(t, 1, register.writes)
 		test.Eq(t, rollout.Waiting, register.row.Phase)
 	})
--- a/pkg/systems/rolloutlone_test.go
+++ b/pkg/systems/rolloutlone_test.go
@@ -18,9 +18,9 @@
 		env := testEnv()
 		env.Settings.BackendServer.Service = own
 		env.World.Members.Merge(1, nil, wire.Member{VM: "a", Service: "s", Version: "v2"})
-		system := newRollouts(env)
+		system := newRolloutTracker(env)
 		system.Tick(1, &tables.Mail{})
-		const late = 1 + int64(loneFor)
+		const late = 1 + int64(loneVersionDelay)
 		system.Tick(late, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
 		test.True(t, env.World.View.RolloutTraffic("s").Admits("v2", "a"), test.Sprint(own))
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Version: "v1"})
@@ -34,11 +34,11 @@
 	env := testEnv()
 	env.Settings.BackendServer.Service = "s"
 	env.World.Members.Merge(1, nil, wire.Member{VM: "a", Service: "s", Version: "v2"})
-	system := newRollouts(env)
+	system := newRolloutTracker(env)
 	system.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, rollout.RolledBack)}}, nil)
 	system.Tick(1, &tables.Mail{})
 	must.False(t, env.World.View.RolloutTraffic("s").Admits("v2", "a"))
 	env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s"})
-	system.Tick(1+2*int64(loneFor), &tables.Mail{})
+	system.Tick(1+2*int64(loneVersionDelay), &tables.Mail{})
 	test.False(t, env.World.View.RolloutTraffic("s").Admits("v2", "a"), test.Sprint("one has not said its version"))
 }
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -13,26 +13,26 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// tellAgain is how long a peer whose digest stays another one is not sent the same
+// newsResendAfter is how long a peer whose digest stays another one is not sent the same
 // news again: it may be of a release that knows no roll-outs.
-const tellAgain = 2 * time.Second
+const newsResendAfter = 2 * time.Second
 
-// rollouts keeps what is known of roll-outs, from the store and from peers, publishes
+// rolloutTracker keeps what is known of roll-outs, from the store and from peers, publishes
 // it, and passes each change on over all links. Source: docs/design/rollout.md.
-type rollouts struct {
+type rolloutTracker struct {
 	*Env
-	// logged are the phases that stand in the log already, by service, and stopped the
+	// loggedPhases are the phases that stand in the log already, by service, and stopped the
 	// orders whose stops do.
-	logged  map[string]loggedPhase
-	stopped map[string]uint64
+	loggedPhases map[string]loggedPhase
+	loggedStops  map[string]uint64
 	// now is the time of the tick.
 	now int64
 	// synced is true once a peer knew the same as this daemon.
 	synced bool
-	// lone is which version is the only one of a service, by service.
-	lone map[string]loneVersion
-	// began is the time of the first tick.
-	began int64
+	// loneVersions is which version is the only one of a service, by service.
+	loneVersions map[string]loneVersion
+	// startedAt is the time of the first tick.
+	startedAt int64
 }
 
 // loneVersion is the only version of a service's members, since when.
@@ -42,24 +42,24 @@
 	since   int64
 }
 
-// loneFor is how long a version must have been the only one before a roll-out bars it
+// loneVersionDelay is how long a version must have been the only one before a roll-out bars it
 // no more: a daemon that was started anew learns the other ones within that time.
-const loneFor = newcomerFor
+const loneVersionDelay = newVersionHold
 
 type loggedPhase struct {
 	order uint64
 	phase rollout.Phase
 }
 
-func newRollouts(env *Env) *rollouts {
-	return &rollouts{Env: env, logged: map[string]loggedPhase{}, stopped: map[string]uint64{}, lone: map[string]loneVersion{}}
+func newRolloutTracker(env *Env) *rolloutTracker {
+	return &rolloutTracker{Env: env, loggedPhases: map[string]loggedPhase{}, loggedStops: map[string]uint64{}, loneVersions: map[string]loneVersion{}}
 }
 
 // Tick implements System.
-func (ro *rollouts) Tick(now int64, mail *tables.Mail) {
+func (ro *rolloutTracker) Tick(now int64, mail *tables.Mail) {
 	ro.now = now
-	if ro.began == 0 {
-		ro.began = now
+	if ro.startedAt == 0 {
+		ro.startedAt = now
 	}
 	if mail.RolloutOrders != nil {
 		ro.takeOrders(*mail.RolloutOrders)
@@ -80,22 +80,22 @@
 	for _, n := range mail.PeerStates {
 		ro.compare(n.Peer, n.State.Rollouts)
 	}
-	ro.noteLone(now)
+	ro.updateLoneVersions(now)
 }
 
-// noteLone tells the book which versions are the only ones of their services.
-func (ro *rollouts) noteLone(now int64) {
+// updateLoneVersions tells the book which versions are the only ones of their services.
+func (ro *rolloutTracker) updateLoneVersions(now int64) {
 	changed := false
-	for service := range ro.services() {
-		changed = ro.World.Rollouts.SetLone(service, ro.loneOf(now, service)) || changed
+	for service := range ro.knownServices() {
+		changed = ro.World.Rollouts.SetLone(service, ro.loneVersionOf(now, service)) || changed
 	}
 	if changed {
 		ro.publish()
 	}
 }
 
-// services are those that an order or a plan is known of, and this daemon's own.
-func (ro *rollouts) services() map[string]struct{} {
+// knownServices are those that an order or a plan is known of, and this daemon's own.
+func (ro *rolloutTracker) knownServices() map[string]struct{} {
 	out := map[string]struct{}{ro.Settings.BackendServer.Service: {}}
 	news := ro.World.Rollouts.News()
 	for i := range news.Orders.List {
@@ -107,35 +107,35 @@
 	return out
 }
 
-// loneOf is the only version of a service, where it has been for loneFor. Members that
+// loneVersionOf is the only version of a service, where it has been for loneFor. Members that
 // do not answer count as long as the platform lists them: who is cut off from them must
 // not take its own version for the only one.
-func (ro *rollouts) loneOf(now int64, service string) string {
-	had, known := ro.lone[service]
+func (ro *rolloutTracker) loneVersionOf(now int64, service string) string {
+	had, known := ro.loneVersions[service]
 	changes := ro.World.Members.ServiceChangeCount(service)
 	if !known || had.changes != changes {
-		version := ro.onlyVersion(service)
+		version := ro.commonVersion(service)
 		if !known || version != had.version {
 			had.version, had.since = version, now
 		}
 		had.changes = changes
-		ro.lone[service] = had
+		ro.loneVersions[service] = had
 	}
 	since := had.since
 	if service != ro.Settings.BackendServer.Service {
 		// Executors hold their own to it; an entry that looks only since the order was
 		// written must not refuse requests meanwhile.
-		since = ro.began
+		since = ro.startedAt
 	}
-	if now-since < int64(loneFor) {
+	if now-since < int64(loneVersionDelay) {
 		return ""
 	}
 	return had.version
 }
 
-// onlyVersion is the version of all members of a service; empty where they have more
+// commonVersion is the version of all members of a service; empty where they have more
 // than one, or one of them has not said it.
-func (ro *rollouts) onlyVersion(service string) (version string) {
+func (ro *rolloutTracker) commonVersion(service string) (version string) {
 	first, same := true, true
 	ro.World.Members.EachRowOfService(service, func(row int) {
 		said := ro.World.Members.Record[row].Version
@@ -149,7 +149,7 @@
 }
 
 // takeOrders takes over what this daemon read in the store.
-func (ro *rollouts) takeOrders(orders rollout.Orders) {
+func (ro *rolloutTracker) takeOrders(orders rollout.Orders) {
 	ro.take(rollout.News{Orders: orders}, nil)
 	if ro.World.Rollouts.News().Orders.Revision < orders.Revision {
 		ro.Log.Event(events.RolloutRefused, events.F("orders", len(orders.List)), events.F("revision", orders.Revision),
@@ -159,7 +159,7 @@
 
 // take takes news over and passes on what changed; from is the peer that told it, or
 // nil.
-func (ro *rollouts) take(news rollout.News, from *link.Peer) {
+func (ro *rolloutTracker) take(news rollout.News, from *link.Peer) {
 	book := ro.World.Rollouts
 	before, orders := book.Digest(), book.News().Orders
 	changed := book.Take(news)
@@ -204,7 +204,7 @@
 }
 
 // publish gives the hot path, and the heartbeats, what is known now.
-func (ro *rollouts) publish() {
+func (ro *rolloutTracker) publish() {
 	book := ro.World.Rollouts
 	known := &tables.RolloutView{Traffic: map[string]*rollout.Traffic{}}
 	news := book.News()
@@ -223,7 +223,7 @@
 
 // compare sends a peer that knows something else all that is known here. One that
 // knows more does the same.
-func (ro *rollouts) compare(peer *link.Peer, theirs uint64) {
+func (ro *rolloutTracker) compare(peer *link.Peer, theirs uint64) {
 	own := ro.World.View.RolloutDigest()
 	if theirs == own {
 		ro.synced = true
@@ -233,14 +233,14 @@
 		return
 	}
 	row := ro.World.Peers.GetOrAdd(peer)
-	if row.RolloutsSentDigest == own && ro.now-row.RolloutsSentAt < int64(tellAgain) {
+	if row.RolloutsSentDigest == own && ro.now-row.RolloutsSentAt < int64(newsResendAfter) {
 		return
 	}
 	row.RolloutsSentDigest, row.RolloutsSentAt = own, ro.now
 	_ = peer.Send(&wire.RolloutNews{News: ro.World.Rollouts.News()})
 }
 
-func (ro *rollouts) logOrder(before rollout.Orders, service string, from *link.Peer) {
+func (ro *rolloutTracker) logOrder(before rollout.Orders, service string, from *link.Peer) {
 	old, _ := before.Of(service)
 	order, _ := ro.World.Rollouts.Order(service)
 	if old == order {
@@ -251,26 +251,26 @@
 }
 
 // logStop writes one line a stop.
-func (ro *rollouts) logStop(service string, from *link.Peer) {
+func (ro *rolloutTracker) logStop(service string, from *link.Peer) {
 	stop, ok := ro.World.Rollouts.Stopped(service)
-	if !ok || ro.stopped[service] == stop.Order {
+	if !ok || ro.loggedStops[service] == stop.Order {
 		return
 	}
-	ro.stopped[service] = stop.Order
+	ro.loggedStops[service] = stop.Order
 	ro.Log.Event(events.RolloutStopped, events.F("service", service), events.F("order", stop.Order), events.F("cause", stop.Cause), events.F("from", nameOf(from)))
 }
 
 // logPlan writes one line a phase.
-func (ro *rollouts) logPlan(service string, from *link.Peer) {
+func (ro *rolloutTracker) logPlan(service string, from *link.Peer) {
 	plan, ok := ro.World.Rollouts.Plan(service)
 	if !ok {
 		return
 	}
 	now := loggedPhase{order: plan.Order, phase: plan.Phase}
-	if had, known := ro.logged[service]; known && had == now {
+	if had, known := ro.loggedPhases[service]; known && had == now {
 		return
 	}
-	ro.logged[service] = now
+	ro.loggedPhases[service] = now
 	ro.Metrics.GetOrCreateGauge(`rushramp_rollout_phase{service="`+utils.Label(service)+`"}`, nil).Set(float64(plan.Phase))
 	ro.Log.Event(events.RolloutPhase, events.F("service", service), events.F("phase", plan.Phase), events.F("version", plan.Target),
 		events.F("old", strings.Join(plan.Old, ",")), events.F("order", plan.Order), events.F("revision", plan.Revision),
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -35,7 +35,7 @@
 // orders, at whatever revision.
 func TestHeartbeatsTellNothingWithoutARollOut(t *testing.T) {
 	env := testEnv()
-	system := newRollouts(env)
+	system := newRolloutTracker(env)
 	system.Tick(1, &tables.Mail{RolloutOrders: ordersOf(7)})
 	test.Eq(t, 0, env.Control.State().Rollouts)
 	system.Tick(2, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
@@ -50,7 +50,7 @@
 // TestMoreOrdersThanADaemonKeeps leave those in force that were there.
 func TestMoreOrdersThanADaemonKeeps(t *testing.T) {
 	env := testEnv()
-	system := newRollouts(env)
+	system := newRolloutTracker(env)
 	system.Tick(1, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
 	many := ordersOf(5000)
 	for n := range 1000 {
@@ -78,7 +78,7 @@
 			says(9, written("b", 6), written("c", 8)), says(11, rollout.Change{Service: "b"}),
 		}}
 		env, _ := follow(t, feed)
-		follower, system := newFollower(env), newRollouts(env)
+		follower, system := newFollower(env), newRolloutTracker(env)
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			mail := env.World.Inbox.Take()
 			follower.Tick(env.Now(), &mail)
@@ -168,8 +168,8 @@
 		env := testEnv()
 		env.Background = t.Context()
 		env.Rollouts = &fakeRegister{row: planOf("s", 8, 12, rollout.Completed)}
-		system := newRollouts(env)
-		watch := newRolloutWatch(env, system)
+		system := newRolloutTracker(env)
+		watch := newRolloutWatcher(env, system)
 		mail := tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}
 		for end := time.Now().Add(3 * unplannedFor); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			system.Tick(env.Now(), &mail)
@@ -194,14 +194,14 @@
 	for i, other := range others {
 		env.World.Members.Merge(1, nil, wire.Member{VM: string(rune('a' + i)), Service: "s", Version: other})
 	}
-	known := newRollouts(env)
-	return newRolloutGuard(env, known, newRolloutWatch(env, known))
+	known := newRolloutTracker(env)
+	return newRolloutGuard(env, known, newRolloutWatcher(env, known))
 }
 
 // TestANewcomerWaits for its order, but never where the service would be without a
 // backend server.
 func TestANewcomerWaits(t *testing.T) {
-	const late = int64(newcomerFor) + 2
+	const late = int64(newVersionHold) + 2
 	for name, c := range map[string]struct {
 		guard       *rolloutGuard
 		synced      bool
@@ -216,30 +216,30 @@
 		"others do not say which they are":  {guardOf(false, "v2", ""), true, false, false},
 		"others of the same and of another": {guardOf(false, "v2", "v1", "v2"), true, true, false},
 	} {
-		c.guard.known.synced = c.synced
-		test.Eq(t, c.first, c.guard.newcomer(1, "s") != "", test.Sprint(name))
-		test.Eq(t, c.last, c.guard.newcomer(late, "s") != "", test.Sprint(name))
+		c.guard.tracker.synced = c.synced
+		test.Eq(t, c.first, c.guard.newVersionReason(1, "s") != "", test.Sprint(name))
+		test.Eq(t, c.last, c.guard.newVersionReason(late, "s") != "", test.Sprint(name))
 	}
 }
 
 // TestAVersionThatWasThereIsNoNewcomer: a backend server of it joins later.
 func TestAVersionThatWasThereIsNoNewcomer(t *testing.T) {
 	g := guardOf(false, "v1", "v1", "v2")
-	g.known.synced = true
-	test.NotEq(t, "", g.newcomer(1, "s"))
-	test.Eq(t, "", g.newcomer(int64(newcomerFor)+2, "s"))
+	g.tracker.synced = true
+	test.NotEq(t, "", g.newVersionReason(1, "s"))
+	test.Eq(t, "", g.newVersionReason(int64(newVersionHold)+2, "s"))
 	g.Backend.RecordInstanceID(2, "j")
 	g.Backend.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "j", Sequence: 1, Version: "v2"})
-	test.Eq(t, "", g.newcomer(int64(newcomerFor)+3, "s"))
+	test.Eq(t, "", g.newVersionReason(int64(newVersionHold)+3, "s"))
 }
 
 // TestANewcomersOrderDecides: the traffic of the roll-out holds it from then on.
 func TestANewcomersOrderDecides(t *testing.T) {
 	g := guardOf(false, "v2", "v1")
-	g.known.synced = true
-	test.NotEq(t, "", g.newcomer(1, "s"))
-	g.known.Tick(2, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
-	test.Eq(t, "", g.newcomer(2, "s"))
+	g.tracker.synced = true
+	test.NotEq(t, "", g.newVersionReason(1, "s"))
+	g.tracker.Tick(2, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
+	test.Eq(t, "", g.newVersionReason(2, "s"))
 	test.False(t, g.World.View.RolloutTraffic("s").Admits("v2", "vm"))
 }
 
@@ -252,10 +252,10 @@
 		waits   bool
 	}{"on trial": {"v2", rollout.Canary, true}, "the old version": {"v1", rollout.Canary, false}, "all requests move": {"v2", rollout.Switching, false}} {
 		g := guardOf(false, c.version, "v1")
-		g.known.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, c.phase)}}, nil)
-		must.Eq(t, "", g.unheard(1, "s"))
+		g.tracker.take(rollout.News{Orders: *ordersOf(9, orderOf("s", 8)), Plans: []rollout.Plan{planOf("s", 8, 10, c.phase)}}, nil)
+		must.Eq(t, "", g.unwatchedReason(1, "s"))
 		g.World.RolloutWatchers = []*tables.Endpoint{{VM: "far"}}
-		test.Eq(t, c.waits, g.unheard(1+int64(unheardFor), "s") != "", test.Sprint(name))
+		test.Eq(t, c.waits, g.unwatchedReason(1+int64(unwatchedGrace), "s") != "", test.Sprint(name))
 	}
 }
 
@@ -263,7 +263,7 @@
 // for all daemons.
 func TestTheWatchersOfAService(t *testing.T) {
 	g := guardOf(false, "v1", "v1", "v1", "v2", "v2", "v1")
-	w := g.watch
+	w := g.watcher
 	w.choose("s", orderOf("s", 8))
 	must.Len(t, watchersMost, w.World.RolloutWatchers)
 	first := w.World.RolloutWatchers[0]
@@ -278,7 +278,7 @@
 
 // TestAServiceNameWithAQuote from the store or a peer ends no process.
 func TestAServiceNameWithAQuote(t *testing.T) {
-	known := newRollouts(testEnv())
+	known := newRolloutTracker(testEnv())
 	defer func() { test.Nil(t, recover()) }()
 	known.take(rollout.News{Plans: []rollout.Plan{planOf(`a"b`, 8, 10, rollout.Canary)}}, nil)
 }
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -26,11 +26,11 @@
 	lostAfter = 1500 * time.Millisecond
 )
 
-// rolloutWatch judges the roll-out of this VM's service where this daemon is one of
+// rolloutWatcher judges the roll-out of this VM's service where this daemon is one of
 // those that do, and writes its plan. Source: docs/design/rollout.md, "Who decides".
-type rolloutWatch struct {
+type rolloutWatcher struct {
 	*Env
-	known *rollouts
+	known *rolloutTracker
 	rows  *planRows
 	// rank is this daemon's place among the watchers; -1: it is none.
 	rank int
@@ -55,15 +55,15 @@
 	dueAfter uint64
 }
 
-func newRolloutWatch(env *Env, known *rollouts) *rolloutWatch {
-	return &rolloutWatch{
+func newRolloutWatcher(env *Env, known *rolloutTracker) *rolloutWatcher {
+	return &rolloutWatcher{
 		Env: env, known: known, rows: newPlanRows(env), rank: -1,
 		reports: map[string]rollout.Report{}, linkedAt: map[string]int64{}, wasLinked: map[string]bool{}, busy: map[string]busy{},
 	}
 }
 
 // Tick implements System.
-func (w *rolloutWatch) Tick(now int64, mail *tables.Mail) {
+func (w *rolloutWatcher) Tick(now int64, mail *tables.Mail) {
 	w.rows.take(now, mail.RolloutPlanResults)
 	w.rows.readUnplanned(now)
 	if w.Rollouts == nil || w.Backend == nil {
@@ -88,13 +88,13 @@
 		return
 	}
 	w.begin(now, order, plan)
-	w.noteLinks(now)
+	w.recordLinks(now)
 	w.decide(now, service, order, plan, w.verdict(now, service, order))
 }
 
 // isUnderWay is true while something is left to decide: an order that has not ended, or
 // a plan whose order was taken away.
-func (w *rolloutWatch) isUnderWay(order rollout.Order, plan rollout.Plan) bool {
+func (w *rolloutWatcher) isUnderWay(order rollout.Order, plan rollout.Plan) bool {
 	if order.Revision == 0 {
 		return plan.Order > 0 && !plan.Phase.Ended() && w.World.Rollouts.News().Orders.Revision >= plan.Order
 	}
@@ -102,7 +102,7 @@
 }
 
 // choose works out who judges, in their order.
-func (w *rolloutWatch) choose(service string, order rollout.Order) {
+func (w *rolloutWatcher) choose(service string, order rollout.Order) {
 	var all []*tables.Endpoint
 	w.World.Members.EachRowOfService(service, func(row int) {
 		route := w.World.Members.Endpoint[row]
@@ -123,7 +123,7 @@
 	w.World.RolloutWatchers = all
 }
 
-func (w *rolloutWatch) setRank(rank int, order rollout.Order) {
+func (w *rolloutWatcher) setRank(rank int, order rollout.Order) {
 	if rank == w.rank {
 		return
 	}
@@ -133,7 +133,7 @@
 
 // begin begins anew for another order. What was reported of it before this daemon was
 // a watcher is lost, but counts are sums since the order.
-func (w *rolloutWatch) begin(now int64, order rollout.Order, plan rollout.Plan) {
+func (w *rolloutWatcher) begin(now int64, order rollout.Order, plan rollout.Plan) {
 	if w.judge != nil && w.order == order.Revision {
 		return
 	}
@@ -149,7 +149,7 @@
 }
 
 // note takes a report over.
-func (w *rolloutWatch) note(now int64, r rollout.Report) {
+func (w *rolloutWatcher) note(now int64, r rollout.Report) {
 	if w.judge == nil || r.Order != w.order || r.Service != w.Settings.BackendServer.Service {
 		return
 	}
@@ -167,7 +167,7 @@
 
 // verdict is what the evidence says, or the stop that another one has told. One of its
 // own goes to all daemons at once: it needs no store.
-func (w *rolloutWatch) verdict(now int64, service string, order rollout.Order) rollout.Verdict {
+func (w *rolloutWatcher) verdict(now int64, service string, order rollout.Order) rollout.Verdict {
 	if stop, stopped := w.World.Rollouts.Stopped(service); stopped {
 		return stop.Verdict()
 	}
@@ -179,13 +179,13 @@
 }
 
 // decide has the next plan written where one is due and it is this daemon's turn.
-func (w *rolloutWatch) decide(now int64, service string, order rollout.Order, plan rollout.Plan, verdict rollout.Verdict) {
+func (w *rolloutWatcher) decide(now int64, service string, order rollout.Order, plan rollout.Plan, verdict rollout.Verdict) {
 	if !w.rows.ready(now, service) {
 		return
 	}
 	servers := w.servers(now, service, plan)
 	next, changed := rollout.Decide(w.rows.storeNow(now), order, plan, verdict, servers, w.RolloutLimits)
-	if !changed || w.mustWait(now, order, &plan, &next, verdict) {
+	if !changed || w.mustWaitForLinks(now, order, &plan, &next, verdict) {
 		w.dueSince = 0
 		return
 	}
@@ -201,7 +201,7 @@
 }
 
 // servers is what is known of the service's backend servers.
-func (w *rolloutWatch) servers(now int64, service string, plan rollout.Plan) []rollout.Server {
+func (w *rolloutWatcher) servers(now int64, service string, plan rollout.Plan) []rollout.Server {
 	evacuated := w.World.View.Evacuation()
 	var out []rollout.Server
 	w.World.Members.EachRowOfService(service, func(row int) {
@@ -227,7 +227,7 @@
 	return out
 }
 
-func (w *rolloutWatch) logDecision(next rollout.Plan, verdict rollout.Verdict, servers []rollout.Server) {
+func (w *rolloutWatcher) logDecision(next rollout.Plan, verdict rollout.Verdict, servers []rollout.Server) {
 	ready, empty, lost, targets := 0, 0, 0, 0
 	for _, s := range servers {
 		ready += asInt(s.Ready)
--- a/pkg/systems/rowsweep.go
+++ b/pkg/systems/rowsweep.go
@@ -47,7 +47,7 @@
 }
 
 func newQuarantineSweep(env *Env) *rowSweep {
-	return &rowSweep{Env: env, prefix: heldPrefix, every: quarantine.CrashRetention, swept: "rushramp_held_requests_swept_total"}
+	return &rowSweep{Env: env, prefix: heldKeyPrefix, every: quarantine.CrashRetention, swept: "rushramp_held_requests_swept_total"}
 }
 
 // Tick implements System.
--- a/pkg/systems/subset.go
+++ b/pkg/systems/subset.go
@@ -142,11 +142,11 @@
 	return chosen
 }
 
-// subsetKey names a kind of a service, subsetRow is its subset and what it was
+// subsetKey names a kind of a service, cachedSubset is its subset and what it was
 // worked out from.
 type (
-	subsetKey struct{ service, kind string }
-	subsetRow struct {
+	subsetKey    struct{ service, kind string }
+	cachedSubset struct {
 		kind      *placement.CompiledKind
 		members   uint64
 		unreached uint64
@@ -160,13 +160,13 @@
 // changed: several systems ask for it at each tick. The result is not changed.
 func (e *Env) subset(kind *placement.CompiledKind) []*tables.Endpoint {
 	if e.subsets == nil {
-		e.subsets = map[subsetKey]subsetRow{}
+		e.subsets = map[subsetKey]cachedSubset{}
 	}
 	key := subsetKey{kind.Service, kind.Name}
 	row, changes := e.subsets[key], e.World.Members.ServiceChangeCount(kind.Service)
 	evacuated, traffic := e.World.View.Evacuation().Revision, e.World.View.RolloutTraffic(kind.Service)
 	if row.kind != kind || row.members != changes || row.unreached != e.World.UnreachedChanges || row.evacuated != evacuated || row.rollout != traffic {
-		row = subsetRow{
+		row = cachedSubset{
 			kind: kind, members: changes, unreached: e.World.UnreachedChanges, evacuated: evacuated, rollout: traffic,
 			routes: Subset(e.World, e.Settings.Choosing, kind),
 		}
--- a/pkg/systems/surplus.go
+++ b/pkg/systems/surplus.go
@@ -13,23 +13,23 @@
 // changes them back.
 const surplusFor = 5 * time.Second
 
-// surplus follows which links no subset needs any more. Subsets shift while a
+// surplusLinks follows which links no subset needs any more. Subsets shift while a
 // fleet starts and members become known one by one; a daemon that kept all links
 // it ever needed would in the end have one to most others.
-type surplus struct {
+type surplusLinks struct {
 	// since is when a route was first not needed.
 	since map[*tables.Endpoint]int64
 	// closed are the routes whose links were closed here, until they are down.
 	closed map[*tables.Endpoint]struct{}
 }
 
-func newSurplus() *surplus {
-	return &surplus{since: map[*tables.Endpoint]int64{}, closed: map[*tables.Endpoint]struct{}{}}
+func newSurplusLinks() *surplusLinks {
+	return &surplusLinks{since: map[*tables.Endpoint]int64{}, closed: map[*tables.Endpoint]struct{}{}}
 }
 
 // due returns the open routes that have not been needed for long. Routes with
 // calls on their way are left.
-func (s *surplus) due(now int64, open, needed map[*tables.Endpoint]struct{}) []*tables.Endpoint {
+func (s *surplusLinks) due(now int64, open, needed map[*tables.Endpoint]struct{}) []*tables.Endpoint {
 	var out []*tables.Endpoint
 	for route := range s.since {
 		if _, still := open[route]; !still {
@@ -53,8 +53,8 @@
 	return out
 }
 
-// takeClosed is true once for a link that was closed as surplus.
-func (s *surplus) takeClosed(route *tables.Endpoint) bool {
+// forgetClosed is true once for a link that was closed as surplus.
+func (s *surplusLinks) forgetClosed(route *tables.Endpoint) bool {
 	_, was := s.closed[route]
 	delete(s.closed, route)
 	return was
@@ -76,7 +76,7 @@
 // needed are the routes that this daemon keeps links to.
 func (l *links) needed() map[*tables.Endpoint]struct{} {
 	out := map[*tables.Endpoint]struct{}{}
-	for _, route := range slices.Concat(l.sample, l.World.RolloutWatchers, l.World.QuotaCounters) {
+	for _, route := range slices.Concat(l.sample, l.World.RolloutWatchers, l.World.QuotaCounterDaemons) {
 		out[route] = struct{}{}
 	}
 	for service := range l.World.RequestedServices {
--- a/pkg/systems/surplus_test.go
+++ b/pkg/systems/surplus_test.go
@@ -23,7 +23,7 @@
 	used, shifted, back, busy := newRoute(), newRoute(), newRoute(), newRoute()
 	busy.Load.RecordSent(1)
 	open := routeSet(used, shifted, back, busy)
-	s := newSurplus()
+	s := newSurplusLinks()
 	const long = int64(surplusFor)
 	test.SliceEmpty(t, s.due(1, open, routeSet(used)))
 	test.SliceEmpty(t, s.due(long, open, routeSet(used, back)), test.Sprint("not for long"))
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -73,7 +73,7 @@
 	// version is new to the service.
 	heldBack bool
 	// subsets are those worked out last, by service and kind.
-	subsets map[subsetKey]subsetRow
+	subsets map[subsetKey]cachedSubset
 }
 
 // runsInFlight counts the requests at the backend server and its gates.
@@ -90,8 +90,8 @@
 // order is the one list of systems, in the order in which they run: what came
 // from outside first, what is published last.
 func order(env *Env) []System {
-	known := newRollouts(env)
-	watch := newRolloutWatch(env, known)
+	known := newRolloutTracker(env)
+	watch := newRolloutWatcher(env, known)
 	return []System{
 		&suspension{Env: env},
 		&vmListReader{Env: env, outage: events.NewOutage(env.Log, "list of VMs")},
@@ -112,7 +112,7 @@
 		&backendWatch{Env: env},
 		&compare{Env: env},
 		&placements{Env: env},
-		&proof{Env: env},
+		&placementProof{Env: env},
 		&links{Env: env},
 		&spread{Env: env},
 		&doubt{Env: env},
@@ -130,7 +130,7 @@
 	if env.Feed != nil {
 		return newFollower(env)
 	}
-	return &headReader{Env: env, outage: events.NewOutage(env.Log, "placement head"), ordersOutage: events.NewOutage(env.Log, "orders of roll-outs")}
+	return &headReader{Env: env, headOutage: events.NewOutage(env.Log, "placement head"), ordersOutage: events.NewOutage(env.Log, "orders of roll-outs")}
 }
 
 // Scheduler runs the systems.
--- a/pkg/tables/world.go
+++ b/pkg/tables/world.go
@@ -46,9 +46,9 @@
 	// plan; empty without a roll-out.
 	Rollouts        *rollout.Book
 	RolloutWatchers []*Endpoint
-	// QuotaCounters are the daemons that should count the requests of teams. This daemon
+	// QuotaCounterDaemons are the daemons that should count the requests of teams. This daemon
 	// keeps links to them.
-	QuotaCounters []*Endpoint
+	QuotaCounterDaemons []*Endpoint
 	// DirtyServices are the services whose view must be published again.
 	DirtyServices map[string]struct{}
 	View          *View
