--- a/pkg/systems/rowsweeper.go
+++ b/pkg/systems/rowsweeper.go
@@ -47,7 +47,7 @@
 }
 
 func newQuarantineSweep(env *Env) *rowSweeper {
-	return &rowSweeper{Env: env, prefix: heldPrefix, every: quarantine.CrashRetention, swept: "rushramp_held_requests_swept_total"}
+	return &rowSweeper{Env: env, prefix: heldKeyPrefix, every: quarantine.CrashRetention, swept: "rushramp_held_requests_swept_total"}
 }
 
 // Tick implements System.
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -73,7 +73,7 @@
 	// version is new to the service.
 	backendHeldBack bool
 	// subsetCache are those worked out last, by service and kind.
-	subsetCache map[subsetKey]subsetRow
+	subsetCache map[subsetKey]cachedSubset
 }
 
 // requestsInFlight counts the requests at the backend server and its gates.
@@ -90,8 +90,8 @@
 // newSystems is the one list of systems, in the newSystems in which they run: what came
 // from outside first, what is published last.
 func newSystems(env *Env) []System {
-	known := newRollouts(env)
-	watch := newRolloutWatch(env, known)
+	known := newRolloutTracker(env)
+	watch := newRolloutWatcher(env, known)
 	return []System{
 		&suspensionWatch{Env: env},
 		&vmListReader{Env: env, outage: events.NewOutage(env.Log, "list of VMs")},
@@ -112,7 +112,7 @@
 		&backendReporter{Env: env},
 		&antiEntropy{Env: env},
 		&placements{Env: env},
-		&proof{Env: env},
+		&placementProof{Env: env},
 		&links{Env: env},
 		&memberGossip{Env: env},
 		&stalenessCheck{Env: env},
@@ -130,7 +130,7 @@
 	if env.Feed != nil {
 		return newFeedFollower(env)
 	}
-	return &headReader{Env: env, outage: events.NewOutage(env.Log, "placement head"), ordersOutage: events.NewOutage(env.Log, "orders of roll-outs")}
+	return &headReader{Env: env, headOutage: events.NewOutage(env.Log, "placement head"), ordersOutage: events.NewOutage(env.Log, "orders of roll-outs")}
 }
 
 // Scheduler runs the systems.
