--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -187,7 +187,7 @@
 // taken until callers have seen that. None is cut.
 func (r *routed) drain(began time.Time) {
 	r.draining.Store(true)
-	r.ingress.Leave()
+	r.ingress.StopKeepAlives()
 	time.Sleep(time.Until(began.Add(r.daemon.Settings.Routing.Linger)))
 	r.runner.StopAccepting()
 	// Callers may go on coming, as when too few daemons of their data centre
--- a/pkg/ingress/acceptor.go
+++ b/pkg/ingress/acceptor.go
@@ -12,7 +12,7 @@
 
 // hooks are what connections need of the listener that they came by.
 type hooks struct {
-	pipelining Pipelining
+	pipelining PipelineLimits
 	// leaving is true when answers should end their connections.
 	leaving func() bool
 	// closed is told how many requests a connection leaves unanswered, and how
--- a/pkg/ingress/turns.go
+++ b/pkg/ingress/answer_queue.go
@@ -21,7 +21,7 @@
 // by side, and the order in which their answers go out.
 type turns struct {
 	conn   net.Conn
-	bounds Pipelining
+	bounds PipelineLimits
 	// closing is true when answers should end the connection.
 	closing func() bool
 
@@ -41,7 +41,7 @@
 	last time.Time
 }
 
-func newTurns(c net.Conn, bounds Pipelining, closing func() bool) *turns {
+func newTurns(c net.Conn, bounds PipelineLimits, closing func() bool) *turns {
 	out := &turns{conn: c, bounds: bounds, closing: closing}
 	out.changed = sync.NewCond(&out.mu)
 	return out
@@ -73,7 +73,7 @@
 	if len(t.queue) == 0 && !t.writing {
 		return true
 	}
-	return beside && len(t.queue) < t.bounds.Requests && t.held+size <= t.bounds.Bytes
+	return beside && len(t.queue) < t.bounds.MaxRequests && t.held+size <= t.bounds.MaxBytes
 }
 
 // add gives a request its place; nil when the connection has ended.
--- a/pkg/ingress/conn.go
+++ b/pkg/ingress/conn.go
@@ -13,19 +13,19 @@
 // not destroy answers on their way. It is the standard server's own time.
 const lingerTime = 500 * time.Millisecond
 
-// Pipelining bounds the requests of one connection that run side by side.
-type Pipelining struct {
-	// Requests is how many may be unanswered; below 2 none runs beside another.
-	Requests int
-	// Bytes bounds the requests and answers that are held, and what is read
+// PipelineLimits bounds the requests of one connection that run side by side.
+type PipelineLimits struct {
+	// MaxRequests is how many may be unanswered; below 2 none runs beside another.
+	MaxRequests int
+	// MaxBytes bounds the requests and answers that are held, and what is read
 	// ahead, each.
-	Bytes int
+	MaxBytes int
 }
 
 // connDeps are what a connection needs of its server.
 type connDeps struct {
 	idleTime time.Duration
-	bounds   Pipelining
+	bounds   PipelineLimits
 	// closing is true when answers should end their connections.
 	closing func() bool
 	// closed is told once that the connection has ended, with how many requests
@@ -60,7 +60,7 @@
 func newConn(c net.Conn, deps connDeps) *conn {
 	out := &conn{Conn: c, deps: deps}
 	out.ctx, out.cancel = context.WithCancel(context.Background())
-	out.in = newInbound(c, max(deps.bounds.Bytes, readSize), out.left)
+	out.in = newInbound(c, max(deps.bounds.MaxBytes, readSize), out.left)
 	out.turns = newTurns(c, deps.bounds, deps.closing)
 	return out
 }
--- a/pkg/ingress/leaving_test.go
+++ b/pkg/ingress/disconnect_and_stop_test.go
@@ -42,7 +42,7 @@
 
 // TestACallerThatLeavesBehindAFullBoundIsNoticedOnceThereIsRoom.
 func TestACallerThatLeavesBehindAFullBoundIsNoticedOnceThereIsRoom(t *testing.T) {
-	withPipeline(t, Pipelining{Requests: 2, Bytes: 4096}, func(t *testing.T, w *pipelineWorld) {
+	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 4096}, func(t *testing.T, w *pipelineWorld) {
 		c := w.caller()
 		var all strings.Builder
 		for i := range 60 {
@@ -68,7 +68,7 @@
 	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
 		c := w.caller()
 		c.send(get("a") + get("b") + get("c"))
-		w.server.Leave()
+		w.server.StopKeepAlives()
 		w.backend.answer(t, "b", "")
 		w.backend.answer(t, "a", "")
 		test.Eq(t, "a b", c.answers())
@@ -82,7 +82,7 @@
 	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
 		c := w.caller()
 		c.send(get("a") + get("b"))
-		w.server.Leave()
+		w.server.StopKeepAlives()
 		c.send(post("p", "x") + get("c"))
 		w.backend.answer(t, "a", "")
 		w.backend.answer(t, "b", "")
@@ -95,7 +95,7 @@
 
 // TestAStopWithFullPipelinesWaitsForThem, and cuts what is left in the end.
 func TestAStopWithFullPipelinesWaitsForThem(t *testing.T) {
-	withPipeline(t, Pipelining{Requests: 3, Bytes: 64 << 10}, func(t *testing.T, w *pipelineWorld) {
+	withPipeline(t, PipelineLimits{MaxRequests: 3, MaxBytes: 64 << 10}, func(t *testing.T, w *pipelineWorld) {
 		full, stuck, resting := w.caller(), w.caller(), w.caller()
 		resting.send(get("r"))
 		w.backend.answer(t, "r", "")
@@ -105,7 +105,7 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
-			w.server.Leave()
+			w.server.StopKeepAlives()
 			w.server.Close(ctx)
 			closed.Store(true)
 		}()
--- a/pkg/ingress/ending_test.go
+++ b/pkg/ingress/disconnect_tcp_test.go
@@ -19,7 +19,7 @@
 
 // onNetwork starts a server on a loopback socket, where resets and half-closes
 // are those of TCP.
-func onNetwork(t *testing.T, bounds Pipelining) (w *pipelineWorld, dial func() *net.TCPConn) {
+func onNetwork(t *testing.T, bounds PipelineLimits) (w *pipelineWorld, dial func() *net.TCPConn) {
 	w = newWorld(t, bounds)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
@@ -88,7 +88,7 @@
 // TestALeavingBehindUnreadBytesIsNoticed: with more unread bytes than are read
 // ahead, the kernel is asked; nothing that waits starts any more.
 func TestALeavingBehindUnreadBytesIsNoticed(t *testing.T) {
-	w, dial := onNetwork(t, Pipelining{Requests: 8, Bytes: 4096})
+	w, dial := onNetwork(t, PipelineLimits{MaxRequests: 8, MaxBytes: 4096})
 	c := dial()
 	_, err := io.WriteString(c, post("p", "x")+strings.Repeat(post("q", strings.Repeat("x", 900)), 30))
 	must.NoError(t, err)
@@ -106,7 +106,7 @@
 	_, err := io.WriteString(c, get("a")+get("b"))
 	must.NoError(t, err)
 	until(t, "both run", func() bool { return w.backend.starts() == "a b" })
-	w.server.Leave()
+	w.server.StopKeepAlives()
 	long := strings.Repeat("x", 300<<10)
 	stop := w.backend.answerAll(long)
 	defer stop()
--- a/pkg/ingress/pipeline_world_test.go
+++ b/pkg/ingress/pipeline_helpers_test.go
@@ -100,10 +100,10 @@
 }
 
 // newWorld makes a server without a listener of its own.
-func newWorld(t *testing.T, bounds Pipelining) *pipelineWorld {
+func newWorld(t *testing.T, bounds PipelineLimits) *pipelineWorld {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
-	s.Limits.PipelinedRequests, s.Limits.PipelinedBytes = bounds.Requests, bounds.Bytes
+	s.Limits.PipelinedRequests, s.Limits.PipelinedBytes = bounds.MaxRequests, bounds.MaxBytes
 	out := &pipelineWorld{t: t, view: &tables.View{}, backend: &backends{running: map[string]*fakeRun{}}}
 	out.limits.Store(&routing.Limits{MaxBodyBytes: 1000})
 	compiled := routesOf(*out.limits.Load(), true)
@@ -120,10 +120,10 @@
 	return out
 }
 
-var manyBeside = Pipelining{Requests: 8, Bytes: 64 << 10}
+var manyBeside = PipelineLimits{MaxRequests: 8, MaxBytes: 64 << 10}
 
 // withPipeline runs a test against a server on pipes in memory.
-func withPipeline(t *testing.T, bounds Pipelining, run func(t *testing.T, w *pipelineWorld)) {
+func withPipeline(t *testing.T, bounds PipelineLimits, run func(t *testing.T, w *pipelineWorld)) {
 	synctest.Test(t, func(t *testing.T) {
 		w := newWorld(t, bounds)
 		w.listen = &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
--- a/pkg/ingress/pipelined.go
+++ b/pkg/ingress/pipelining.go
@@ -54,7 +54,7 @@
 func (s *Server) admit(c *conn, r *http.Request, req *forward.Request, size int) (to forward.RouteMatch, beside, ok bool) {
 	to = s.forwarder.Match(req)
 	for {
-		beside = to.Repeatable() && r.ProtoAtLeast(1, 1) && c.deps.bounds.Requests > 1
+		beside = to.Repeatable() && r.ProtoAtLeast(1, 1) && c.deps.bounds.MaxRequests > 1
 		waited, ok := c.turns.enter(c.ctx, beside, size)
 		if !ok || !waited {
 			return to, beside, ok
--- a/pkg/ingress/pipelined_test.go
+++ b/pkg/ingress/pipelining_test.go
@@ -91,13 +91,13 @@
 
 func TestRequestsBesideOthersAreBounded(t *testing.T) {
 	scenarios := map[string]struct {
-		bounds Pipelining
+		bounds PipelineLimits
 		texts  []string
 		starts string
 	}{
-		"by number": {Pipelining{Requests: 2, Bytes: 64 << 10}, []string{get("a"), get("b"), get("c")}, "a b"},
-		"one":       {Pipelining{Requests: 1, Bytes: 64 << 10}, []string{get("a"), get("b")}, "a"},
-		"by bytes":  {Pipelining{Requests: 8, Bytes: 1000}, []string{big("a"), big("b"), big("c")}, "a b"},
+		"by number": {PipelineLimits{MaxRequests: 2, MaxBytes: 64 << 10}, []string{get("a"), get("b"), get("c")}, "a b"},
+		"one":       {PipelineLimits{MaxRequests: 1, MaxBytes: 64 << 10}, []string{get("a"), get("b")}, "a"},
+		"by bytes":  {PipelineLimits{MaxRequests: 8, MaxBytes: 1000}, []string{big("a"), big("b"), big("c")}, "a b"},
 	}
 	for name, s := range scenarios {
 		t.Run(name, func(t *testing.T) {
@@ -157,7 +157,7 @@
 // TestASlowReaderHoldsItsOwnRequestsOnly: answers wait, their bytes count, and
 // no further request starts.
 func TestASlowReaderHoldsItsOwnRequestsOnly(t *testing.T) {
-	withPipeline(t, Pipelining{Requests: 8, Bytes: 5000}, func(t *testing.T, w *pipelineWorld) {
+	withPipeline(t, PipelineLimits{MaxRequests: 8, MaxBytes: 5000}, func(t *testing.T, w *pipelineWorld) {
 		slow := w.listen.dial()
 		go func() { _, _ = io.WriteString(slow.conn, get("a")+get("b")) }()
 		synctest.Wait()
@@ -243,7 +243,7 @@
 
 // TestARouteThatChangesWhileARequestWaits: it runs as the newer route says.
 func TestARouteThatChangesWhileARequestWaits(t *testing.T) {
-	withPipeline(t, Pipelining{Requests: 2, Bytes: 64 << 10}, func(t *testing.T, w *pipelineWorld) {
+	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 64 << 10}, func(t *testing.T, w *pipelineWorld) {
 		c := w.caller()
 		c.send(get("a") + get("b") + get("c"))
 		test.Eq(t, "a b", w.backend.starts())
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -29,8 +29,8 @@
 
 // Headers names the headers that callers and daemon exchange.
 type Headers struct {
-	RequestID  string
-	DeadlineMS string
+	RequestID string
+	TimeoutMS string
 	// Caller names the service on whose VM a request began; what callers send
 	// in it goes no further.
 	Caller string
@@ -41,7 +41,7 @@
 
 // DefaultHeaders are the names that the product itself uses.
 func DefaultHeaders() Headers {
-	return Headers{RequestID: "Rushramp-Request-Id", DeadlineMS: "Rushramp-Timeout", Caller: "Rushramp-Caller", Team: "Rushramp-Team"}
+	return Headers{RequestID: "Rushramp-Request-Id", TimeoutMS: "Rushramp-Timeout", Caller: "Rushramp-Caller", Team: "Rushramp-Team"}
 }
 
 // Server is the listener for routed requests.
@@ -75,7 +75,7 @@
 	bounds := s.Settings.Limits
 	s.acceptor = newAcceptor(l, s, s.limits)
 	s.acceptor.hooks = hooks{
-		pipelining: Pipelining{Requests: bounds.PipelinedRequests, Bytes: bounds.PipelinedBytes},
+		pipelining: PipelineLimits{MaxRequests: bounds.PipelinedRequests, MaxBytes: bounds.PipelinedBytes},
 		leaving:    s.leaving.Load, closed: s.noteCut,
 	}
 	go s.acceptor.run()
@@ -86,8 +86,8 @@
 // that had to wait for a worker would lose the time that it has.
 const unboundedPool = -1
 
-// Leave lets callers know on each answer that the connection ends.
-func (s *Server) Leave() { s.leaving.Store(true) }
+// StopKeepAlives lets callers know on each answer that the connection ends.
+func (s *Server) StopKeepAlives() { s.leaving.Store(true) }
 
 // Close ends resting connections, waits for requests until ctx ends, and then
 // ends those, too.
@@ -142,7 +142,7 @@
 		return nil, errkind.New(errkind.BadRequest, "the request has no %s header", s.headers.RequestID)
 	}
 	var refusal *errkind.Error
-	if out.Timeout, refusal = timeoutOf(r.Header.Get(s.headers.DeadlineMS)); refusal != nil {
+	if out.Timeout, refusal = timeoutOf(r.Header.Get(s.headers.TimeoutMS)); refusal != nil {
 		return nil, refusal
 	}
 	out.TeamKey = keyOf(r.Header)
@@ -228,7 +228,7 @@
 func (s *Server) ownHeader(name string) bool {
 	// Backend servers may read an underscore as a hyphen, as CGI does the other way.
 	switch http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-")) {
-	case http.CanonicalHeaderKey(s.headers.Caller), http.CanonicalHeaderKey(s.headers.Team), http.CanonicalHeaderKey(s.headers.RequestID), http.CanonicalHeaderKey(s.headers.DeadlineMS):
+	case http.CanonicalHeaderKey(s.headers.Caller), http.CanonicalHeaderKey(s.headers.Team), http.CanonicalHeaderKey(s.headers.RequestID), http.CanonicalHeaderKey(s.headers.TimeoutMS):
 		return true
 	}
 	return false
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -126,7 +126,7 @@
 	text := "GET /p/ HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\n\r\n"
 	resp, _ := raw(t, address, text)
 	test.False(t, resp.Close)
-	s.Leave()
+	s.StopKeepAlives()
 	resp, _ = raw(t, address, text)
 	test.Eq(t, 200, resp.StatusCode)
 	test.True(t, resp.Close)
--- a/pkg/ingress/stopping_test.go
+++ b/pkg/ingress/stop_keep_alives_test.go
@@ -18,7 +18,7 @@
 			withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
 				c := w.caller()
 				c.send(s.text)
-				w.server.Leave()
+				w.server.StopKeepAlives()
 				if name == "repeatable, behind" {
 					w.backend.answer(t, "x", "")
 				}
