--- a/pkg/systems/antientropy.go
+++ b/pkg/systems/antientropy.go
@@ -10,101 +10,103 @@
 )
 
 const (
-	// compareEvery is the time between two questions of this daemon, at least.
-	compareEvery = 500 * time.Millisecond
-	// firstAskEvery is the same for a daemon that knows nobody yet.
-	firstAskEvery = 60 * time.Millisecond
-	// differFor is how long a peer's table must differ, with neither changing,
-	// before it is asked: news on the way makes tables differ for a moment.
-	differFor = 1500 * time.Millisecond
-	// farPatience bounds how much longer a peer in another data centre is waited
-	// with, each time drawn anew: where a whole data centre lacks the same row, the
-	// first daemon that asks passes it on to the others, and saves bytes between
-	// data centres.
-	farPatience = 4 * time.Second
-	// nearFirst is how long a daemon that knows nobody yet waits for a peer of its
-	// own data centre.
-	nearFirst = 300 * time.Millisecond
+	// compareInterval is the least time between two requests for rows.
+	compareInterval = 500 * time.Millisecond
+	// initialCompareInterval replaces compareInterval while the table is initial
+	// (hasInitialTable).
+	initialCompareInterval = 60 * time.Millisecond
+	// settleTime is how long a peer's table must differ while neither table changes: a
+	// change that is still being passed on makes tables differ for a moment.
+	settleTime = 1500 * time.Millisecond
+	// maxExtraWait bounds the random time by which settleTime is longer for a peer in
+	// another data centre. If all daemons of a data centre lack the same row, the first
+	// one that requests it passes it on to the others, which saves traffic between data
+	// centres.
+	maxExtraWait = 4 * time.Second
+	// sameDataCentreHeadStart is how long a daemon with an initial table waits for a peer
+	// in its own data centre before it asks one in another.
+	sameDataCentreHeadStart = 300 * time.Millisecond
 )
 
-// antiEntropy asks a peer whose table of members differs for the rows in which it
-// does: what was lost on a link that broke, or missed in a parted network,
-// comes in this way.
+// antiEntropy compares digests of the table of members with those of the peers and
+// requests the rows that differ. This recovers changes that were lost with a broken link
+// or during a network partition.
 type antiEntropy struct {
 	*Env
-	due     intervalTimer
-	changes uint64
-	digest  uint64
-	// patience is the one drawn for the next question to another data centre.
-	patience time.Duration
+	timer       intervalTimer
+	changeCount uint64
+	digest      uint64
+	// extraWait is the current random wait for peers in other data centres, below
+	// maxExtraWait.
+	extraWait time.Duration
 }
 
 // Tick implements System.
 func (c *antiEntropy) Tick(now int64, mail *tables.Mail) {
-	if changes := c.World.Members.ChangeCount(); changes != c.changes {
-		c.changes, c.digest = changes, c.World.Members.Digest()
+	if changeCount := c.World.Members.ChangeCount(); changeCount != c.changeCount {
+		c.changeCount, c.digest = changeCount, c.World.Members.Digest()
 		c.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) { row.MembersDifferSince = 0 })
 	}
-	for _, n := range mail.PeerStates {
-		c.note(now, n)
+	for _, received := range mail.PeerStates {
+		c.recordDigest(now, received)
 	}
-	every := compareEvery
-	if c.knowsNobody() {
-		every = firstAskEvery
+	every := compareInterval
+	if c.hasInitialTable() {
+		every = initialCompareInterval
 	}
-	if c.due.fires(now, every) {
-		c.ask(now)
+	if c.timer.fires(now, every) {
+		c.requestRows(now)
 	}
 }
 
-func (c *antiEntropy) note(now int64, n tables.PeerState) {
-	row := c.World.Peers.GetOrAdd(n.Peer)
+func (c *antiEntropy) recordDigest(now int64, received tables.PeerState) {
+	row := c.World.Peers.GetOrAdd(received.Peer)
 	switch {
-	case n.State.Members == c.digest:
+	case received.State.Members == c.digest:
 		row.MembersDifferSince = 0
-	case row.MembersDifferSince == 0 || n.State.Members != row.MembersDigest:
+	case row.MembersDifferSince == 0 || received.State.Members != row.MembersDigest:
 		row.MembersDifferSince = now
 	}
-	row.MembersDigest = n.State.Members
-	if _, known := c.World.Members.Find(n.Peer.Hello.VM); !known && row.MembersDifferSince != 0 {
-		// A daemon that this one has not heard of: its list is the newer one.
-		row.MembersDifferSince = min(row.MembersDifferSince, now-int64(differFor))
+	row.MembersDigest = received.State.Members
+	if _, known := c.World.Members.Find(received.Peer.Hello.VM); !known && row.MembersDifferSince != 0 {
+		// This daemon does not know the peer itself, so the peer's table is newer.
+		row.MembersDifferSince = min(row.MembersDifferSince, now-int64(settleTime))
 	}
 }
 
-func (c *antiEntropy) ask(now int64) {
-	var longest *link.Peer
-	var longestOver int64
+func (c *antiEntropy) requestRows(now int64) {
+	var chosen *link.Peer
+	var longestOverdue int64
 	c.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if row.MembersDifferSince == 0 {
 			return
 		}
-		if over := now - row.MembersDifferSince - int64(c.wait(peer)); over >= 0 && (longest == nil || over > longestOver) {
-			longest, longestOver = peer, over
+		if overdue := now - row.MembersDifferSince - int64(c.settleTimeFor(peer)); overdue >= 0 && (chosen == nil || overdue > longestOverdue) {
+			chosen, longestOverdue = peer, overdue
 		}
 	})
-	if longest == nil {
+	if chosen == nil {
 		return
 	}
-	c.patience = rand.N(farPatience)
-	c.World.Peers.GetOrAdd(longest).MembersDifferSince = now
-	_ = longest.Send(&wire.MembersAsk{Buckets: c.World.Members.BucketDigests()})
+	c.extraWait = rand.N(maxExtraWait)
+	c.World.Peers.GetOrAdd(chosen).MembersDifferSince = now
+	_ = chosen.Send(&wire.MembersAsk{Buckets: c.World.Members.BucketDigests()})
 }
 
-// wait is how long a peer's table must differ before the peer is asked.
-func (c *antiEntropy) wait(peer *link.Peer) time.Duration {
-	near := peer.Hello.DataCentre == c.World.DataCentre
+// settleTimeFor returns how long a peer's table must differ before rows are requested.
+func (c *antiEntropy) settleTimeFor(peer *link.Peer) time.Duration {
+	sameDataCentre := peer.Hello.DataCentre == c.World.DataCentre
 	switch {
-	case near && c.knowsNobody():
+	case sameDataCentre && c.hasInitialTable():
 		return 0
-	case c.knowsNobody():
-		return nearFirst
-	case near:
-		return differFor
+	case c.hasInitialTable():
+		return sameDataCentreHeadStart
+	case sameDataCentre:
+		return settleTime
 	}
-	return differFor + c.patience
+	return settleTime + c.extraWait
 }
 
-// knowsNobody is true for a daemon that has just started: the only members are
-// itself and, once a peer has greeted, that peer.
-func (c *antiEntropy) knowsNobody() bool { return c.World.Members.Len() <= 2 }
+// hasInitialTable reports whether this daemon has just started: its table contains at
+// most itself and the first peer that sent a hello frame.
+func (c *antiEntropy) hasInitialTable() bool { return c.World.Members.Len() <= 2 }
--- a/pkg/systems/backendreporter.go
+++ b/pkg/systems/backendreporter.go
@@ -5,8 +5,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// backendReporter keeps what this daemon tells others of its backend server up to
-// date in its own row of the table of members.
+// backendReporter keeps the state and version of the backend server up to date in this
+// daemon's own row of the table of members, which is sent to the other daemons.
 type backendReporter struct{ *Env }
 
 // Tick implements System.
@@ -18,18 +18,18 @@
 	if !ok {
 		return
 	}
-	said := b.World.Members.Record[row]
-	if said.Backend == b.backendState() && said.Version == b.Backend.Version() || said.Incarnation != b.Control.Incarnation() {
+	record := b.World.Members.Record[row]
+	if record.Backend == b.backendState() && record.Version == b.Backend.Version() || record.Incarnation != b.Control.Incarnation() {
 		return
 	}
-	said.Backend, said.Version = b.backendState(), b.Backend.Version()
-	said.Revision++
-	if _, changed := b.World.Members.Merge(now, nil, said); changed {
-		b.World.MarkDirty(said.Service)
+	record.Backend, record.Version = b.backendState(), b.Backend.Version()
+	record.Revision++
+	if _, changed := b.World.Members.Merge(now, nil, record); changed {
+		b.World.MarkDirty(record.Service)
 	}
 }
 
-// backendState is what others need to know of the backend server.
+// backendState returns the state of the backend server as reported to other daemons.
 func (e *Env) backendState() wire.BackendState {
 	if _, ok := e.Backend.Accepting(); ok && !e.backendHeldBack {
 		return wire.BackendLive
--- a/pkg/systems/broadcast.go
+++ b/pkg/systems/broadcast.go
@@ -10,59 +10,62 @@
 )
 
 const (
-	// floodRelays is how many daemons of a data centre pass news on to other data
-	// centres, beside the one that it was said to. With each daemon doing so, 82 of them
-	// sent 54,829 frames there for some forty departures.
-	floodRelays = 3
-	// floodCrossings is how many daemons of another region each of them tells.
-	floodCrossings = 2
+	// broadcastRelays is how many daemons of a data centre relay an item to other data
+	// centres, beside the one that announced it. If each daemon did so, the traffic
+	// between data centres would grow with the square of the fleet.
+	broadcastRelays = 3
+	// otherRegionFanout is how many daemons of another region each relay sends the item
+	// to.
+	otherRegionFanout = 2
 )
 
-// broadcast passes news on that is new here and must reach all daemons soon: own news to
-// all daemons of the region that this one has links with and to a few of others, what
-// it heard within the data centre, and a few of it to others. Who knows it already
-// passes nothing on, so news ends by itself. key tells one piece from others, frame
-// makes the frame that carries some.
-func broadcast[T any](e *Env, own, heard []T, key func(T) string, frame func([]T) wire.Frame) {
-	if len(own)+len(heard) == 0 {
+// broadcast sends items that are new to this daemon and must reach all daemons soon. own
+// are items that originate here, received are items that peers sent. Both go to all peers
+// in the data centre; the own items and those that selectForRelay selects also go to
+// peers in other data centres of the region and to a few in other regions. A daemon that
+// already knows an item does not send it again, so the broadcast ends by itself. key
+// returns the identity of an item, newFrame builds the frame that carries some.
+func broadcast[T any](e *Env, own, received []T, key func(T) string, newFrame func([]T) wire.Frame) {
+	if len(own)+len(received) == 0 {
 		return
 	}
-	near, far := e.peersByGroup()
-	everywhere := slices.Concat(own, selectForRelay(e, near, heard, key))
-	// A link that has closed leaves the table with its next event.
-	all := frame(slices.Concat(own, heard))
-	for _, peer := range near {
-		_ = peer.Send(all)
+	localPeers, groups := e.peersByGroup()
+	crossing := slices.Concat(own, selectForRelay(e, localPeers, received, key))
+	// A closed link is removed from the table by its LinkEvent.
+	localFrame := newFrame(slices.Concat(own, received))
+	for _, peer := range localPeers {
+		_ = peer.Send(localFrame)
 	}
-	if len(everywhere) == 0 {
+	if len(crossing) == 0 {
 		return
 	}
-	abroad := frame(everywhere)
-	for to, peers := range far {
-		if to.at == proximity.OtherRegion {
-			peers = pickRandom(peers, floodCrossings)
+	crossingFrame := newFrame(crossing)
+	for group, peers := range groups {
+		if group.level == proximity.OtherRegion {
+			peers = pickRandom(peers, otherRegionFanout)
 		}
 		for _, peer := range peers {
-			_ = peer.Send(abroad)
+			_ = peer.Send(crossingFrame)
 		}
 	}
 }
 
-// selectForRelay is the news that this daemon passes on to other data centres: that for which
-// it is among the first of its own by rendezvous hash. Only daemons with a link count,
-// so that where links are few there are more relays, never fewer.
-func selectForRelay[T any](e *Env, near []*link.Peer, heard []T, key func(T) string) []T {
+// selectForRelay returns the items that this daemon relays to other data centres: those
+// for which it is among the first broadcastRelays daemons of its data centre by
+// rendezvous hash. Only linked daemons count, so with few links there are more relays,
+// never fewer.
+func selectForRelay[T any](e *Env, localPeers []*link.Peer, received []T, key func(T) string) []T {
 	var out []T
-	for _, piece := range heard {
-		id := key(piece)
-		mine, ahead := utils.Rendezvous(id, e.World.VM), 0
-		for _, peer := range near {
-			if utils.Rendezvous(id, peer.Hello.VM) > mine {
-				ahead++
+	for _, item := range received {
+		id := key(item)
+		ownWeight, rank := utils.Rendezvous(id, e.World.VM), 0
+		for _, peer := range localPeers {
+			if utils.Rendezvous(id, peer.Hello.VM) > ownWeight {
+				rank++
 			}
 		}
-		if ahead < floodRelays {
-			out = append(out, piece)
+		if rank < broadcastRelays {
+			out = append(out, item)
 		}
 	}
 	return out
--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -9,28 +9,30 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Control puts what links carry into the inbox. It implements link.Control for
-// accepted links.
+// Control posts the frames and events of links to the inbox. It implements link.Control
+// for accepted links.
 type Control struct {
 	*common.Common
 	World *tables.World
-	// incarnation tells the processes that one VM's name stood for apart. Only
-	// the systems change it; links read it for their greetings.
+	// incarnation distinguishes the processes that have run under this VM's name. Only
+	// the systems change it; links read it for their hello frames.
 	incarnation atomic.Uint64
-	// state is what State returns; the heartbeat system keeps it up to date.
+	// state is the state frame that State returns; the heartbeats system updates it.
 	state *latestState
 }
 
 var _ link.Control = (*Control)(nil)
 
-// NewControl makes the control of one daemon.
+// NewControl returns the control of a daemon. incarnation must be higher than that of
+// earlier processes on this VM.
 func NewControl(c *common.Common, w *tables.World, incarnation uint64) *Control {
 	out := &Control{Common: c, World: w, state: &latestState{}}
 	out.incarnation.Store(incarnation)
 	return out
 }
 
-// Incarnation returns the number of this process among those of its VM.
+// Incarnation returns the incarnation of this process: higher than that of earlier
+// processes on this VM.
 func (c *Control) Incarnation() uint64 { return c.incarnation.Load() }
 
 // Hello implements link.Control.
@@ -59,21 +61,22 @@
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
 }
 
-// News implements link.Control. Only what cannot wait wakes the systems.
+// News implements link.Control. The systems run at once if the peer is leaving or knows a
+// newer placement or evacuation.
 func (c *Control) News(peer *link.Peer, state *wire.State) {
-	urgent := state.Leaving || state.Placement > c.version() || c.isEvacuationNews(state)
+	urgent := state.Leaving || state.Placement > c.placementVersion() || c.hasNewerEvacuation(state)
 	n := tables.PeerState{Peer: peer, State: state, At: c.Now()}
 	c.World.Inbox.Post(urgent, func(m *tables.Mail) { m.PeerStates = append(m.PeerStates, n) })
 }
 
-// isEvacuationNews is true where a peer knows of a change of the evacuated data
-// centres that this daemon has not taken over.
-func (c *Control) isEvacuationNews(state *wire.State) bool {
-	known := c.World.View.Evacuation()
-	return state.Evacuation.Revision > known.Revision && !state.Evacuation.SameDataCentres(known)
+// hasNewerEvacuation reports whether a peer's state contains a newer set of evacuated
+// data centres that differs from the own one.
+func (c *Control) hasNewerEvacuation(state *wire.State) bool {
+	own := c.World.View.Evacuation()
+	return state.Evacuation.Revision > own.Revision && !state.Evacuation.SameDataCentres(own)
 }
 
-func (c *Control) version() uint64 {
+func (c *Control) placementVersion() uint64 {
 	if p := c.World.View.Placement(); p != nil {
 		return p.Version
 	}
@@ -105,12 +108,13 @@
 }
 
 // Departures implements link.Control.
-func (c *Control) Departures(peer *link.Peer, said *wire.Departures) {
-	d := tables.PeerDepartures{Peer: peer, Frame: said}
+func (c *Control) Departures(peer *link.Peer, frame *wire.Departures) {
+	d := tables.PeerDepartures{Peer: peer, Frame: frame}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PeerDepartures = append(m.PeerDepartures, d) })
 }
 
-// RolloutNews implements link.Control. It wakes the systems: a stop may be in it.
+// RolloutNews implements link.Control. The systems run at once because the news may
+// contain the stop of a roll-out.
 func (c *Control) RolloutNews(peer *link.Peer, news *wire.RolloutNews) {
 	n := tables.PeerRollouts{Peer: peer, News: news.News}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutNews = append(m.RolloutNews, n) })
@@ -121,20 +125,21 @@
 	c.World.Inbox.Post(false, func(m *tables.Mail) { m.RolloutReports = append(m.RolloutReports, report.Report) })
 }
 
-// Quarantine implements link.Control. It wakes the systems: each run of a content that is
-// to be held back may cost a backend server.
-func (c *Control) Quarantine(peer *link.Peer, said *wire.Quarantine) {
-	q := tables.PeerQuarantine{Peer: peer, Frame: said}
+// Quarantine implements link.Control. The systems run at once because each further run of
+// a quarantined request may crash a backend server.
+func (c *Control) Quarantine(peer *link.Peer, frame *wire.Quarantine) {
+	q := tables.PeerQuarantine{Peer: peer, Frame: frame}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PeerQuarantines = append(m.PeerQuarantines, q) })
 }
 
-// QuotaAsk implements link.Control. It is answered at once: requests wait for it.
+// QuotaAsk implements link.Control. It answers at once, without waiting for a tick,
+// because requests wait for the grant.
 func (c *Control) QuotaAsk(peer *link.Peer, ask *wire.QuotaAsk) {
 	if c.Quota == nil {
 		return
 	}
 	grant := c.Quota.HandleAsk(c.Now(), peer.Hello.VM, &ask.Ask)
-	// A link that has closed leaves the table with its next event.
+	// A closed link is removed from the table by its LinkEvent.
 	_ = peer.Send(&wire.QuotaGrant{Grant: grant})
 }
 
@@ -145,27 +150,27 @@
 	}
 }
 
-// endpointControl is the control of a link that this daemon opened for a route.
+// endpointControl is the control of a link that this daemon opened to an endpoint.
 type endpointControl struct {
 	link.Control
-	world  *tables.World
-	route  *tables.Endpoint
-	client *link.Client
+	world    *tables.World
+	endpoint *tables.Endpoint
+	client   *link.Client
 }
 
-// Opened implements link.Opener: the client is known before the first frame.
-func (r *endpointControl) Opened(client *link.Client) { r.client = client }
+// Opened implements link.Opener. It is called before the first frame is received.
+func (c *endpointControl) Opened(client *link.Client) { c.client = client }
 
 // Up implements link.Control.
-func (r *endpointControl) Up(peer *link.Peer) {
-	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Endpoint: r.route, Up: true})
+func (c *endpointControl) Up(peer *link.Peer) {
+	c.post(tables.LinkEvent{Peer: peer, Client: c.client, Endpoint: c.endpoint, Up: true})
 }
 
 // Down implements link.Control.
-func (r *endpointControl) Down(peer *link.Peer, cause error) {
-	r.post(tables.LinkEvent{Peer: peer, Client: r.client, Endpoint: r.route, Cause: cause})
+func (c *endpointControl) Down(peer *link.Peer, cause error) {
+	c.post(tables.LinkEvent{Peer: peer, Client: c.client, Endpoint: c.endpoint, Cause: cause})
 }
 
-func (r *endpointControl) post(e tables.LinkEvent) {
-	r.world.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
+func (c *endpointControl) post(e tables.LinkEvent) {
+	c.world.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
 }
--- a/pkg/systems/converge_test.go
+++ b/pkg/systems/converge_test.go
@@ -15,11 +15,11 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// gossipNode is a daemon of which only the table of members and the links count.
+// gossipNode is a daemon that has only a table of members and links.
 type gossipNode struct {
 	spread *memberGossip
 	env    *Env
-	// byPeer are the daemons at the other ends of its links.
+	// byPeer holds the daemons at the other ends of its links.
 	byPeer map[*link.Peer]*gossipNode
 }
 
@@ -34,7 +34,7 @@
 
 func (n *gossipNode) members() *tables.Members { return n.env.World.Members }
 
-// connect opens a link between two daemons, with a row of peers at each end.
+// connect opens a link between two daemons and adds it to the table of peers of both.
 func connect(a, b *gossipNode) {
 	toB, toA := peerOf(b), peerOf(a)
 	a.byPeer[toB], b.byPeer[toA] = b, a
@@ -46,11 +46,11 @@
 	return &link.Peer{Hello: wire.Hello{VM: n.env.World.VM, DataCentre: n.env.World.DataCentre, Region: n.env.World.Region}}
 }
 
-// passOn hands on what is new at a daemon; some frames are lost. It returns
-// whether anything was sent.
-func (n *gossipNode) passOn(lost func() bool) bool {
-	fresh := n.members().TakeChanges()
-	plan := n.spread.plan(n.spread.changesFromDaemons(fresh))
+// gossipChanges passes the pending changes of a daemon on, some of which are lost. It
+// returns whether anything was sent.
+func (n *gossipNode) gossipChanges(lost func() bool) bool {
+	changes := n.members().TakeChanges()
+	plan := n.spread.plan(n.spread.changesFromDaemons(changes))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
 		for _, row := range rows {
@@ -62,8 +62,8 @@
 	return len(plan) > 0
 }
 
-// TestTablesOfAFleetConverge: rows that chance or a lost frame kept from a daemon
-// come in by the comparing of tables, whichever links there are.
+// TestTablesOfAFleetConverge checks that antiEntropy recovers the records that gossip did
+// not send or that were lost, on any connected graph of links.
 func TestTablesOfAFleetConverge(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := drawFleet(t)
@@ -74,10 +74,11 @@
 		for again := true; again; {
 			again = false
 			for _, n := range nodes {
-				again = n.passOn(lost) || again
+				again = n.gossipChanges(lost) || again
 			}
 		}
-		// Each daemon asks its peers in turn, as often as the fleet is wide.
+		// Each daemon requests rows from its peers, in as many rounds as there are
+		// daemons.
 		for range nodes {
 			for _, n := range nodes {
 				for peer, from := range n.byPeer {
@@ -97,12 +98,13 @@
 	})
 }
 
-// drawFleet makes daemons in some data centres: a chain inside each, one link
-// from each to the next, and further links at random.
+// drawFleet makes daemons in some data centres: a chain inside each, a link from the
+// first daemon of each to that of the next, and further random links.
 func drawFleet(t *rapid.T) []*gossipNode {
 	var nodes []*gossipNode
 	var first *gossipNode
-	// One region of all, two of two each, one alone beside the rest, or each its own.
+	// One region for all, two regions of two data centres, one apart from the other
+	// three, each its own, or no regions.
 	regions := rapid.SampledFrom([][]string{
 		{"r0", "r0", "r0", "r0"}, {"r0", "r0", "r1", "r1"}, {"r0", "r0", "r0", "r1"}, {"r0", "r1", "r1", "r1"},
 		{"r0", "r1", "r2", "r3"}, {"", "", "", ""},
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -17,29 +17,32 @@
 )
 
 const (
-	// departurePrefix begins the keys of departures in the store.
+	// departurePrefix is the prefix of the store keys of departures.
 	departurePrefix = "departure/"
-	// departuresFor is how long a departure is remembered, in nanoseconds.
-	departuresFor = 5 * 60 * int64(time.Second)
-	// informedAfter is how long a daemon that was started again waits for the
-	// store's or a peer's word before it trusts its backend server alone.
-	informedAfter = 4 * time.Second
-	// departuresEvery is the time between two tries to read them.
-	departuresEvery = 500 * time.Millisecond
+	// departureRetention is how long a departure is remembered, in nanoseconds.
+	departureRetention = 5 * 60 * int64(time.Second)
+	// departuresTimeout is how long after its start a restarted daemon waits for the
+	// departures that the store or a peer knows. After that it trusts its backend server
+	// alone.
+	departuresTimeout = 4 * time.Second
+	// departuresReadInterval is the time between two attempts to read the departures.
+	departuresReadInterval = 500 * time.Millisecond
 )
 
-// departures keeps and passes on which processes of backend servers have said
-// that they leave. A daemon that acknowledged that may be killed at once and
-// started anew; peers and the store then know what it has forgotten. Source:
-// docs/design/platform.md, "A backend server leaves".
+// departures records which processes of backend servers have announced that they leave,
+// and passes this on to peers. A daemon may be killed and restarted as soon as it has
+// acknowledged a departure; the peers and the store then tell it what it has forgotten.
+// Source: docs/design/platform.md, "A backend server leaves".
 type departures struct {
 	*Env
-	due  intervalTimer
-	busy atomic.Bool
-	// own are the departures that this daemon has acknowledged, and when.
-	own map[string]int64
-	// greeted is how many links had ever come up when all were told.
-	greeted uint64
+	timer   intervalTimer
+	reading atomic.Bool
+	// acknowledged are the departures that this daemon has acknowledged, with the time in
+	// nanoseconds.
+	acknowledged map[string]int64
+	// sentAtAddedCount is the value of Peers.AddedCount when all departures were last
+	// sent over the new links.
+	sentAtAddedCount uint64
 }
 
 // Tick implements System.
@@ -47,78 +50,78 @@
 	if d.Backend == nil {
 		return
 	}
-	if d.own == nil {
-		d.own = map[string]int64{}
+	if d.acknowledged == nil {
+		d.acknowledged = map[string]int64{}
 	}
-	var own, heard []string
+	var own, received []string
 	for _, id := range mail.LocalDepartures {
 		own = d.add(now, own, id)
-		d.own[id] = now
+		d.acknowledged[id] = now
 	}
 	if mail.StoreRestored {
-		d.keepAgain(now)
+		d.storeAgain(now)
 	}
 	for _, p := range mail.PeerDepartures {
-		heard = d.takeOver(now, heard, p.Frame)
+		received = d.merge(now, received, p.Frame)
 	}
-	d.tell(own, heard)
-	d.greet()
+	d.broadcastNew(own, received)
+	d.sendToNewLinks()
 	if !d.Backend.DeparturesKnown() {
-		d.inform(now)
+		d.learn(now)
 	}
 }
 
-func (d *departures) add(now int64, fresh []string, id string) []string {
+func (d *departures) add(now int64, added []string, id string) []string {
 	if _, known := d.World.Departures[id]; known {
-		return fresh
+		return added
 	}
 	d.World.Departures[id] = now
 	for old, at := range d.World.Departures {
-		if now-at > departuresFor {
+		if now-at > departureRetention {
 			delete(d.World.Departures, old)
 		}
 	}
-	return append(fresh, id)
+	return append(added, id)
 }
 
-func (d *departures) takeOver(now int64, fresh []string, said *wire.Departures) []string {
-	for _, id := range said.IDs {
+func (d *departures) merge(now int64, added []string, frame *wire.Departures) []string {
+	for _, id := range frame.IDs {
 		d.Backend.RecordDeparture(now, backend.ParseIncarnation(id))
-		fresh = d.add(now, fresh, id)
+		added = d.add(now, added, id)
 	}
-	if said.Informed {
+	if frame.Informed {
 		d.Backend.RecordDeparturesKnown()
 	}
-	return fresh
+	return added
 }
 
-// keepAgain writes the departures that were acknowledged here once more: the copy that the
-// store came back from may lack them, and this daemon may be killed at any time.
-func (d *departures) keepAgain(now int64) {
-	for id, at := range d.own {
-		if now-at > departuresFor {
-			delete(d.own, id)
+// storeAgain writes the departures that were acknowledged here again: the backup that the
+// store was restored from may lack them, and this daemon may be killed at any time.
+func (d *departures) storeAgain(now int64) {
+	for id, at := range d.acknowledged {
+		if now-at > departureRetention {
+			delete(d.acknowledged, id)
 			continue
 		}
 		go d.storeDeparture(d.DaemonContext, id)
 	}
 }
 
-// tell passes departures on that are new here. A departure binds the daemon beside the
-// backend server; others keep it for when that one has forgotten, and it asks its own
-// data centre first.
-func (d *departures) tell(own, heard []string) {
-	broadcast(d.Env, own, heard, func(id string) string { return id }, func(ids []string) wire.Frame {
+// broadcastNew passes on departures that are new here. Only the daemon on the departed
+// process's VM acts on a departure; other daemons remember it in case that daemon
+// restarts and asks its data centre.
+func (d *departures) broadcastNew(own, received []string) {
+	broadcast(d.Env, own, received, func(id string) string { return id }, func(ids []string) wire.Frame {
 		return &wire.Departures{IDs: ids}
 	})
 }
 
-// greet sends the whole set over each new link, once this daemon is informed.
-func (d *departures) greet() {
-	if !d.Backend.DeparturesKnown() || d.greeted == d.World.Peers.AddedCount() {
+// sendToNewLinks sends all departures over each new link, once this daemon knows them.
+func (d *departures) sendToNewLinks() {
+	if !d.Backend.DeparturesKnown() || d.sentAtAddedCount == d.World.Peers.AddedCount() {
 		return
 	}
-	d.greeted = d.World.Peers.AddedCount()
+	d.sentAtAddedCount = d.World.Peers.AddedCount()
 	frame := &wire.Departures{Informed: true}
 	for id := range d.World.Departures {
 		frame.IDs = append(frame.IDs, id)
@@ -128,53 +131,54 @@
 			return
 		}
 		row.DeparturesSent = true
-		// A link that has closed leaves the table with its next event.
+		// A closed link is removed from the table by its LinkEvent.
 		_ = peer.Send(frame)
 	})
 }
 
-// inform reads the departures from the store while no peer has told them.
-func (d *departures) inform(now int64) {
-	if time.Duration(now) > informedAfter {
+// learn reads the departures from the store until the store or a peer has reported them.
+func (d *departures) learn(now int64) {
+	if time.Duration(now) > departuresTimeout {
 		d.Backend.RecordDeparturesKnown()
 		return
 	}
-	if !d.shouldWaitForPeers(now) && d.due.fires(now, departuresEvery) && d.busy.CompareAndSwap(false, true) {
-		go d.read()
+	if !d.shouldWaitForPeers(now) && d.timer.fires(now, departuresReadInterval) && d.reading.CompareAndSwap(false, true) {
+		go d.readFromStore()
 	}
 }
 
-func (d *departures) read() {
-	defer d.busy.Store(false)
+func (d *departures) readFromStore() {
+	defer d.reading.Store(false)
 	ctx, cancel := context.WithTimeout(d.DaemonContext, d.Settings.Platform.Timeout)
 	defer cancel()
-	said := &wire.Departures{Informed: true}
+	frame := &wire.Departures{Informed: true}
 	err := scanAll(ctx, d.Platform, departurePrefix, func(row store.Row) {
-		said.IDs = append(said.IDs, strings.TrimPrefix(row.Key, departurePrefix))
+		frame.IDs = append(frame.IDs, strings.TrimPrefix(row.Key, departurePrefix))
 	})
 	if err != nil {
 		return
 	}
 	d.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Frame: said})
+		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Frame: frame})
 	})
 }
 
-// SaveDeparture notes that a process of the backend server beside this daemon
-// leaves: here and with the peers at once, and in the store, which it waits for
-// until ctx ends. Only then may the announcement be acknowledged.
-func (e *Env) SaveDeparture(ctx context.Context, of backend.Incarnation) {
-	instance := of.String()
-	e.World.Inbox.Post(true, func(m *tables.Mail) { m.LocalDepartures = append(m.LocalDepartures, instance) })
-	e.storeDeparture(ctx, instance)
+// SaveDeparture records that a process of this VM's backend server leaves. It tells the
+// systems at once and returns when the departure is written to the store or ctx ends. The
+// announcement may be acknowledged only after that.
+func (e *Env) SaveDeparture(ctx context.Context, incarnation backend.Incarnation) {
+	id := incarnation.String()
+	e.World.Inbox.Post(true, func(m *tables.Mail) { m.LocalDepartures = append(m.LocalDepartures, id) })
+	e.storeDeparture(ctx, id)
 }
 
-// storeDeparture writes the row of a departure; one that is there is as good.
-func (e *Env) storeDeparture(ctx context.Context, instance string) {
+// storeDeparture writes the row of a departure. A conflict means that the row exists
+// already.
+func (e *Env) storeDeparture(ctx context.Context, id string) {
 	ctx, cancel := context.WithTimeout(ctx, e.Settings.Platform.Timeout)
 	defer cancel()
-	err := e.Platform.Transact(ctx, []store.Write{{Key: departurePrefix + instance, Value: []byte(e.Settings.VM.ID)}})
+	err := e.Platform.Transact(ctx, []store.Write{{Key: departurePrefix + id, Value: []byte(e.Settings.VM.ID)}})
 	if err != nil && !errors.Is(err, store.ErrConflict) {
-		e.Log.Event(events.DepartureNotKept, events.F("instance", instance), events.F("cause", err))
+		e.Log.Event(events.DepartureNotKept, events.F("instance", id), events.F("cause", err))
 	}
 }
--- a/pkg/systems/departures_test.go
+++ b/pkg/systems/departures_test.go
@@ -17,7 +17,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-func departuresEnv(t *testing.T, informed bool) (*Env, *fakestore.Store, func()) {
+func newDeparturesEnv(t *testing.T, informed bool) (*Env, *fakestore.Store, func()) {
 	env := testEnv()
 	platform := fakestore.New()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -30,14 +30,14 @@
 	}
 }
 
-func TestARestartedDaemonLearnsADepartureFromTheStore(t *testing.T) {
+func TestRestartedDaemonLearnsADepartureFromTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		first, platform, tick := departuresEnv(t, true)
+		first, platform, tick := newDeparturesEnv(t, true)
 		first.SaveDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
 		tick()
 		test.MapContainsKey(t, first.World.Departures, "i-1")
 
-		second, _, tick := departuresEnv(t, false)
+		second, _, tick := newDeparturesEnv(t, false)
 		second.Platform = platform
 		second.Backend.RecordInstanceID(1, "i-1")
 		_, ok := second.Backend.Accepting()
@@ -47,15 +47,15 @@
 		tick()
 		must.True(t, second.Backend.DeparturesKnown())
 		_, ok = second.Backend.Accepting()
-		test.False(t, ok, test.Sprint("the departed incarnation gets nothing"))
+		test.False(t, ok, test.Sprint("a departed incarnation gets no requests"))
 		second.Backend.RecordInstanceID(2, "i-2")
 		_, ok = second.Backend.Accepting()
 		test.True(t, ok)
 	})
 }
 
-func TestAPeerThatIsNotInformedDoesNotInform(t *testing.T) {
-	env, platform, tick := departuresEnv(t, false)
+func TestUninformedPeerDoesNotMakeTheDaemonInformed(t *testing.T) {
+	env, platform, tick := newDeparturesEnv(t, false)
 	platform.SetFaults(fakestore.Faults{Down: true})
 	env.World.Inbox.Post(true, func(m *tables.Mail) {
 		m.PeerDepartures = append(m.PeerDepartures, tables.PeerDepartures{Frame: &wire.Departures{IDs: []string{"i-1"}}})
@@ -72,20 +72,20 @@
 	test.False(t, ok)
 }
 
-func TestADaemonThatNobodyInformsTrustsItsBackendServerInTheEnd(t *testing.T) {
+func TestDaemonTrustsItsBackendServerAfterTheDeparturesTimeout(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		env, platform, tick := departuresEnv(t, false)
+		env, platform, tick := newDeparturesEnv(t, false)
 		platform.SetFaults(fakestore.Faults{Down: true})
 		for range 100 {
 			tick()
-			time.Sleep(informedAfter / 50)
+			time.Sleep(departuresTimeout / 50)
 		}
 		test.True(t, env.Backend.DeparturesKnown())
 	})
 }
 
-func TestADepartureIsKeptAlthoughTheAnswerIsLost(t *testing.T) {
-	env, platform, tick := departuresEnv(t, true)
+func TestDepartureIsStoredAlthoughTheAnswerIsLost(t *testing.T) {
+	env, platform, tick := newDeparturesEnv(t, true)
 	platform.SetFaults(fakestore.Faults{LoseAnswers: 1})
 	env.SaveDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
 	tick()
@@ -96,22 +96,23 @@
 	test.Len(t, 1, rows)
 }
 
-func TestDeparturesOfLongAgoAreForgotten(t *testing.T) {
-	env, _, _ := departuresEnv(t, true)
+func TestOldDeparturesAreForgotten(t *testing.T) {
+	env, _, _ := newDeparturesEnv(t, true)
 	system := &departures{Env: env}
 	system.add(1, nil, "old")
-	system.add(2+departuresFor, nil, "new")
+	system.add(2+departureRetention, nil, "new")
 	test.MapNotContainsKey(t, env.World.Departures, "old")
 }
 
-// TestEachNewLinkIsToldOfTheDeparturesOnce: going through all links at each tick
-// costs a daemon with hundreds of them more than what it has to say.
-func TestEachNewLinkIsToldOfTheDeparturesOnce(t *testing.T) {
-	env, _, tick := departuresEnv(t, false)
+// TestDeparturesAreSentOnceOverEachNewLink guards against sending them over all links at
+// each tick, which would cost a daemon with hundreds of links more than the rest of its
+// work.
+func TestDeparturesAreSentOnceOverEachNewLink(t *testing.T) {
+	env, _, tick := newDeparturesEnv(t, false)
 	first := &link.Peer{Conn: link.NewClosedConn()}
 	env.World.Peers.GetOrAdd(first)
 	tick()
-	test.False(t, env.World.Peers.GetOrAdd(first).DeparturesSent, test.Sprint("a daemon that is not informed tells nothing"))
+	test.False(t, env.World.Peers.GetOrAdd(first).DeparturesSent, test.Sprint("nothing is sent until the departures are known"))
 	env.Backend.RecordDeparturesKnown()
 	tick()
 	test.True(t, env.World.Peers.GetOrAdd(first).DeparturesSent)
@@ -121,30 +122,30 @@
 	test.True(t, env.World.Peers.GetOrAdd(second).DeparturesSent)
 }
 
-// TestADepartureCrossesIntoOtherDataCentresAFewTimes: of sixty daemons that hear of
-// it, floodRelays pass it on, whichever departure it is; with no link inside the
-// data centre each does.
-func TestADepartureCrossesIntoOtherDataCentresAFewTimes(t *testing.T) {
+// TestFewDaemonsRelayADepartureToOtherDataCentres checks that broadcastRelays of sixty
+// daemons that receive a departure relay it, and that a daemon without links in its data
+// centre does.
+func TestFewDaemonsRelayADepartureToOtherDataCentres(t *testing.T) {
 	const daemons = 60
-	s := spreadFleet(daemons)
+	s := gossipFleet(daemons)
 	relays := map[string]int{}
 	ids := []string{"i-1", "i-2", "i-3", "i-4"}
 	for n := range daemons {
 		s.World.VM = fmt.Sprint("here", n)
-		near, _ := s.peersByGroup()
-		for _, id := range selectForRelay(s.Env, without(near, s.World.VM), ids, itself) {
+		localPeers, _ := s.peersByGroup()
+		for _, id := range selectForRelay(s.Env, withoutVM(localPeers, s.World.VM), ids, identity) {
 			relays[id]++
 		}
 	}
 	for _, id := range ids {
-		test.Eq(t, floodRelays, relays[id])
+		test.Eq(t, broadcastRelays, relays[id])
 	}
-	test.Eq(t, ids, selectForRelay(testEnv(), nil, ids, itself))
+	test.Eq(t, ids, selectForRelay(testEnv(), nil, ids, identity))
 }
 
-func itself(id string) string { return id }
+func identity(id string) string { return id }
 
-func without(peers []*link.Peer, vm string) (out []*link.Peer) {
+func withoutVM(peers []*link.Peer, vm string) (out []*link.Peer) {
 	for _, peer := range peers {
 		if peer.Hello.VM != vm {
 			out = append(out, peer)
--- a/pkg/systems/diallimiter.go
+++ b/pkg/systems/diallimiter.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// dialsAtOnce bounds the dials that have begun within dialsWindow. A dial
-	// takes some 0.2 ms of a processor at each end, and a daemon may have a sixth
-	// of one: a hundred at once, as after a power-off of all VMs, would all be done
-	// after some 100 ms, where the first few are needed sooner. Dials that hang do
-	// not count: they cost nothing.
-	dialsAtOnce = 16
-	dialsWindow = 40 * time.Millisecond
+	// maxDialsPerWindow bounds the dials that start within dialWindow. A dial takes about
+	// 0.2 ms of processor time at each end, of which a daemon may have only a sixth of
+	// one processor: after a power failure of all VMs, a hundred dials at once would all
+	// finish late, although a few links are needed soon. Dials that hang do not count,
+	// since they cost nothing.
+	maxDialsPerWindow = 16
+	dialWindow        = 40 * time.Millisecond
 )
 
-// dialLimiter keeps the routes that are being dialled.
+// dialLimiter bounds how many dials start at the same time.
 type dialLimiter struct {
-	routes map[*tables.Endpoint]struct{}
-	// recent are the beginnings within the window, oldest first, in nanoseconds.
-	recent []int64
-	// leftOver is true when a route was not dialled for the bound's sake, so that
-	// the next tick tries again.
-	leftOver bool
+	inProgress map[*tables.Endpoint]struct{}
+	// startTimes are when dials started within the window, oldest first, in nanoseconds.
+	startTimes []int64
+	// deferred is true if the limit prevented a dial, which the next tick then tries
+	// again.
+	deferred bool
 }
 
-func newDialLimiter() *dialLimiter { return &dialLimiter{routes: map[*tables.Endpoint]struct{}{}} }
+func newDialLimiter() *dialLimiter { return &dialLimiter{inProgress: map[*tables.Endpoint]struct{}{}} }
 
-// begin is true when a route may be dialled now.
-func (d *dialLimiter) begin(now int64, route *tables.Endpoint) bool {
-	if _, already := d.routes[route]; already {
+// tryBegin reports whether an endpoint may be dialled now, and if so records the dial.
+// now is in nanoseconds.
+func (d *dialLimiter) tryBegin(now int64, endpoint *tables.Endpoint) bool {
+	if _, dialling := d.inProgress[endpoint]; dialling {
 		return false
 	}
-	for len(d.recent) > 0 && now-d.recent[0] >= int64(dialsWindow) {
-		d.recent = d.recent[1:]
+	for len(d.startTimes) > 0 && now-d.startTimes[0] >= int64(dialWindow) {
+		d.startTimes = d.startTimes[1:]
 	}
-	if len(d.recent) >= dialsAtOnce {
-		d.leftOver = true
+	if len(d.startTimes) >= maxDialsPerWindow {
+		d.deferred = true
 		return false
 	}
-	d.recent = append(d.recent, now)
-	d.routes[route] = struct{}{}
+	d.startTimes = append(d.startTimes, now)
+	d.inProgress[endpoint] = struct{}{}
 	return true
 }
 
-// ended notes that a dial has ended, well or not.
-func (d *dialLimiter) ended(route *tables.Endpoint) { delete(d.routes, route) }
+// end records that a dial has ended, successfully or not.
+func (d *dialLimiter) end(endpoint *tables.Endpoint) { delete(d.inProgress, endpoint) }
--- a/pkg/systems/diallimiter_test.go
+++ b/pkg/systems/diallimiter_test.go
@@ -18,8 +18,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// countDials lets all dials of a daemon fail, and counts them by address.
-func countDials(env *Env) map[string]int {
+// failAndCountDials makes all dials of a daemon fail, and counts them by address.
+func failAndCountDials(env *Env) map[string]int {
 	var mu sync.Mutex
 	dialled := map[string]int{}
 	env.DialOptions = link.DialOptions{Dial: func(_ context.Context, _, address string) (net.Conn, error) {
@@ -31,33 +31,33 @@
 	return dialled
 }
 
-func TestDialsAreBoundedForATime(t *testing.T) {
+func TestDialLimiterBoundsDialsPerWindow(t *testing.T) {
 	d := newDialLimiter()
-	routes := make([]*tables.Endpoint, dialsAtOnce+1)
-	for i := range routes {
-		routes[i] = &tables.Endpoint{}
+	endpoints := make([]*tables.Endpoint, maxDialsPerWindow+1)
+	for i := range endpoints {
+		endpoints[i] = &tables.Endpoint{}
 	}
-	for _, route := range routes[:dialsAtOnce] {
-		test.True(t, d.begin(1, route))
+	for _, endpoint := range endpoints[:maxDialsPerWindow] {
+		test.True(t, d.tryBegin(1, endpoint))
 	}
-	last := routes[dialsAtOnce]
-	test.False(t, d.begin(2, last))
-	test.True(t, d.leftOver)
-	test.False(t, d.begin(int64(dialsWindow), last))
-	test.True(t, d.begin(1+int64(dialsWindow), last), test.Sprint("dials that hang do not count"))
-	test.False(t, d.begin(2+int64(dialsWindow), routes[0]), test.Sprint("it is being dialled"))
-	d.ended(routes[0])
-	test.True(t, d.begin(2+int64(dialsWindow), routes[0]))
+	last := endpoints[maxDialsPerWindow]
+	test.False(t, d.tryBegin(2, last))
+	test.True(t, d.deferred)
+	test.False(t, d.tryBegin(int64(dialWindow), last))
+	test.True(t, d.tryBegin(1+int64(dialWindow), last), test.Sprint("dials that hang do not count"))
+	test.False(t, d.tryBegin(2+int64(dialWindow), endpoints[0]), test.Sprint("it is being dialled"))
+	d.end(endpoints[0])
+	test.True(t, d.tryBegin(2+int64(dialWindow), endpoints[0]))
 }
 
-// TestADaemonThatStartsDialsAFewOfEachServiceFirst: four services of thirty
-// backend servers each; the first sixteen dials are four of each, and all 120
-// are dialled in the end.
-func TestADaemonThatStartsDialsAFewOfEachServiceFirst(t *testing.T) {
+// TestStartingDaemonDialsAFewOfEachServiceFirst uses four services of thirty backend
+// servers each: about four of each must be among the first sixteen dials, and all 120
+// must be dialled in the end.
+func TestStartingDaemonDialsAFewOfEachServiceFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
 		env.DaemonContext = t.Context()
-		dialled := countDials(env)
+		dialled := failAndCountDials(env)
 		doc := &placement.Document{Version: 1}
 		for s := range 4 {
 			service := fmt.Sprint("s", s)
@@ -76,11 +76,11 @@
 		l.Tick(env.Now(), &tables.Mail{})
 		synctest.Wait()
 		for s := range 4 {
-			// The sample, which knows no service, may hold one of the sixteen.
+			// The sample, which ignores services, may use some of the sixteen dials.
 			test.Between(t, 3, dialled[fmt.Sprint("s", s, ":80")], 5)
 		}
 		for range 20 {
-			time.Sleep(dialsWindow)
+			time.Sleep(dialWindow)
 			l.Tick(env.Now(), &tables.Mail{})
 			synctest.Wait()
 		}
--- a/pkg/systems/feedfollower.go
+++ b/pkg/systems/feedfollower.go
@@ -20,77 +20,79 @@
 )
 
 const (
-	// feedWaitLeast and feedWaitMost bound how long one request to the feed may
-	// hang. They differ between requests, so that somewhere in the fleet a new
-	// one begins often; the others learn over their links.
-	feedWaitLeast = 8 * time.Second
-	feedWaitMost  = 12 * time.Second
-	// feedSlack is how much longer than asked for an answer may take.
-	feedSlack = 1500 * time.Millisecond
-	// firstWaitLeast, firstWaitMost and firstSlack are those of the first follower of
-	// a data centre. All followers may hang on requests that a store which was silent
-	// for a while will never answer; the first ones ask again within three seconds of
-	// its return, which is what platforms give a VM to be in touch again.
-	firstWaitLeast = 1800 * time.Millisecond
-	firstWaitMost  = 2300 * time.Millisecond
-	firstSlack     = 700 * time.Millisecond
-	// feedRest and feedRestMost bound the rest after a failure, firstRestMost that of
-	// the first follower: with the spread of rests it asks 1.5 s after the store's
-	// return at the latest, for one call a second and data centre while it is away.
-	feedRest      = 100 * time.Millisecond
-	feedRestMost  = 2 * time.Second
-	firstRestMost = time.Second
-	// feedLook is the time between two looks whether this daemon must follow.
-	feedLook = 300 * time.Millisecond
-	// firstFollowAfter is when the first daemons begin to follow at the first
-	// start of the whole system: they know each other by then, so that only the
-	// first few do. firstFollowAll is when all that have no version yet do.
-	firstFollowAfter = 2500 * time.Millisecond
-	firstFollowAll   = 5 * time.Second
-	// feedTrust is how long a request to the feed may know less than a peer
-	// before it is given up and opened again.
-	feedTrust = 300 * time.Millisecond
+	// minFeedWait and maxFeedWait bound how long the store may hold one request to the
+	// feed until there is something new. The time is random, so that somewhere in the
+	// fleet a request starts often; the other daemons get the update over their links.
+	minFeedWait = 8 * time.Second
+	maxFeedWait = 12 * time.Second
+	// feedTimeoutMargin is how much longer than the requested wait a response may take.
+	feedTimeoutMargin = 1500 * time.Millisecond
+	// minLeadWait, maxLeadWait and leadTimeoutMargin are the same for the lead follower.
+	// All requests that were open when the store stopped responding may hang; with these
+	// times the lead followers ask again within three seconds of the store's return,
+	// which is what platforms allow a VM to be back in contact.
+	minLeadWait       = 1800 * time.Millisecond
+	maxLeadWait       = 2300 * time.Millisecond
+	leadTimeoutMargin = 700 * time.Millisecond
+	// minFeedBackoff and maxFeedBackoff bound the backoff after a failed request,
+	// maxLeadBackoff that of the lead follower: it asks again at most 1.5 s after the
+	// store's return, at the price of about one call a second per data centre while the
+	// store is away.
+	minFeedBackoff = 100 * time.Millisecond
+	maxFeedBackoff = 2 * time.Second
+	maxLeadBackoff = time.Second
+	// followCheckInterval is the time between two checks whether this daemon must follow.
+	followCheckInterval = 300 * time.Millisecond
+	// firstStartFollowDelay is when daemons begin to follow the feed at the first start
+	// of the fleet. By then they know each other, so that only the highest ranked do.
+	// firstStartFollowAllDelay is when all daemons without a placement begin.
+	firstStartFollowDelay    = 2500 * time.Millisecond
+	firstStartFollowAllDelay = 5 * time.Second
+	// feedLagTolerance is how long a peer may have a newer version than the feed has
+	// delivered until the open request is aborted and sent again.
+	feedLagTolerance = 300 * time.Millisecond
 )
 
-// feedFollower follows the documents that operators write to the store themselves.
-// Source: docs/design/platform.md, "The way of a configuration".
+// feedFollower follows the feed of the documents that operators write to the store
+// themselves. Source: docs/design/platform.md, "The way of a configuration".
 type feedFollower struct {
 	*Env
-	outage  *events.Outage
-	started sync.Once
-	lookDue intervalTimer
-	// resting is true while others of this data centre follow the feed.
-	resting atomic.Bool
-	// first is true for the first follower of this data centre.
-	first atomic.Bool
-	// waitsForPeers is true while peers are asked first.
-	waitsForPeers atomic.Bool
-	// told is the highest version that the feed has told, aheadSince since when
-	// a peer has told more; 0: it has not.
-	told       atomic.Uint64
-	aheadSince int64
+	outage     *events.Outage
+	started    sync.Once
+	checkTimer intervalTimer
+	// idle is true while other daemons follow the feed.
+	idle atomic.Bool
+	// isLead is true for the lead follower: the one with rank 0 in its reader group.
+	isLead atomic.Bool
+	// waitingForPeers is true while a restarted daemon waits for its peers
+	// (shouldWaitForPeers).
+	waitingForPeers atomic.Bool
+	// newestFromFeed is the highest version that the feed has delivered. laggingSince is
+	// since when a peer has had a newer one, in nanoseconds; 0: none has.
+	newestFromFeed atomic.Uint64
+	laggingSince   int64
 
 	mu     sync.Mutex
 	cancel context.CancelFunc
 }
 
-// feedPosition is where the feed goes on; not known at first, and after the store
-// has forgotten its history.
+// feedPosition is where to continue the feed. It is not known at first and after the
+// store has discarded the history from there on.
 type feedPosition struct {
 	known  bool
 	cursor uint64
-	// evacuated is the set of evacuated data centres as it stood at the cursor.
+	// evacuated is the set of evacuated data centres at the cursor.
 	evacuated evacuation.Set
-	// orders is the set of orders for roll-outs, likewise.
+	// orders is the set of orders for roll-outs at the cursor.
 	orders rollout.Orders
 }
 
-// after is the place after an update. The first one tells all of the set.
-func (at feedPosition) after(update placement.FeedUpdate) feedPosition {
+// after returns the position after an update.
+func (position feedPosition) after(update placement.FeedUpdate) feedPosition {
 	return feedPosition{
 		known: true, cursor: update.Cursor,
-		evacuated: at.evacuated.With(update.Cursor, update.Evacuations),
-		orders:    at.orders.With(update.Cursor, update.Rollouts),
+		evacuated: position.evacuated.With(update.Cursor, update.Evacuations),
+		orders:    position.orders.With(update.Cursor, update.Rollouts),
 	}
 }
 
@@ -101,64 +103,63 @@
 // Tick implements System.
 func (f *feedFollower) Tick(now int64, mail *tables.Mail) {
 	if mail.StoreRestored {
-		// It hangs on a version that is void.
-		f.reopen()
+		// The restored store may lack the version that the open request waits behind.
+		f.abortRequest()
 	}
-	waited := f.waitsForPeers.Swap(f.shouldWaitForPeers(now))
-	if f.lookDue.fires(now, feedLook) || waited && !f.waitsForPeers.Load() {
-		f.resting.Store(!f.mustFollow(now))
-		f.first.Store(f.ahead() == 0)
+	waited := f.waitingForPeers.Swap(f.shouldWaitForPeers(now))
+	if f.checkTimer.fires(now, followCheckInterval) || waited && !f.waitingForPeers.Load() {
+		f.idle.Store(!f.mustFollow(now))
+		f.isLead.Store(f.rankAmongPeers() == 0)
 	}
 	f.started.Do(func() { go f.run() })
-	if f.World.PlacementVersion() <= f.told.Load() {
-		f.aheadSince = 0
+	if f.World.PlacementVersion() <= f.newestFromFeed.Load() {
+		f.laggingSince = 0
 		return
 	}
-	if f.aheadSince == 0 {
-		f.aheadSince = now
+	if f.laggingSince == 0 {
+		f.laggingSince = now
 	}
-	if now-f.aheadSince > int64(feedTrust) {
-		f.aheadSince = now
-		f.reopen()
+	if now-f.laggingSince > int64(feedLagTolerance) {
+		f.laggingSince = now
+		f.abortRequest()
 	}
 }
 
-// mustFollow is true for the first few daemons of each data centre, for one
-// that has no version yet, and for one that has few links: it may be the only
-// one that hears the store. All others learn over their links.
+// mustFollow reports whether this daemon must follow the feed: if it is one of the
+// highest ranked of its reader group, has no placement yet, or has so few links that it
+// may be the only one that reaches the store. All others get updates over their links.
 func (f *feedFollower) mustFollow(now int64) bool {
-	if f.Settings.Platform.FirstStart && now < int64(firstFollowAll) {
-		return f.mustFollowFirst(now)
+	if f.Settings.Platform.FirstStart && now < int64(firstStartFollowAllDelay) {
+		return f.mustFollowAtFirstStart(now)
 	}
-	return f.World.Placement == nil || f.World.Peers.Len() < fewLinks || f.ahead() < f.Settings.Placement.FeedReaders
+	return f.World.Placement == nil || f.World.Peers.Len() < minLinks || f.rankAmongPeers() < f.Settings.Placement.FeedReaders
 }
 
-// mustFollowFirst is mustFollow while the whole system starts for the first
-// time. Few links are open by then, so daemons rank themselves among the members
-// that they know; all of them live.
-func (f *feedFollower) mustFollowFirst(now int64) bool {
-	return now >= int64(firstFollowAfter) && f.rankIn(f.feedReaderGroup()) < f.Settings.Placement.FeedReaders
+// mustFollowAtFirstStart is mustFollow during the first start of the fleet. Few links are
+// open then, so daemons rank themselves among all members they know.
+func (f *feedFollower) mustFollowAtFirstStart(now int64) bool {
+	return now >= int64(firstStartFollowDelay) && f.rankIn(f.feedReaderGroup()) < f.Settings.Placement.FeedReaders
 }
 
-// ahead counts the daemons with which this one shares the feed's readers that come
-// before it by rendezvous hash. Only those with a link count: a member that is gone
-// but not forgotten follows nothing. Where links are few, more daemons follow, which
-// costs calls and is never wrong.
-func (f *feedFollower) ahead() int {
+// rankAmongPeers returns the rank of this daemon in its reader group by rendezvous hash;
+// 0: the first. Only linked daemons count, since a member that has failed but is not yet
+// removed follows nothing. With few links more daemons follow, which costs calls but does
+// no harm.
+func (f *feedFollower) rankAmongPeers() int {
 	group := f.feedReaderGroup()
-	mine := utils.Rendezvous(group.name, f.World.VM)
-	before := map[string]struct{}{}
+	ownWeight := utils.Rendezvous(group.name, f.World.VM)
+	higherRanked := map[string]struct{}{}
 	f.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		hello := &peer.Hello
-		if group.has(f.proximityOf(peer)) && !row.Leaving && utils.Rendezvous(group.name, hello.VM) > mine {
-			before[hello.VM] = struct{}{}
+		if group.contains(f.proximityOf(peer)) && !row.Leaving && utils.Rendezvous(group.name, hello.VM) > ownWeight {
+			higherRanked[hello.VM] = struct{}{}
 		}
 	})
-	return len(before)
+	return len(higherRanked)
 }
 
-// reopen gives up the request that hangs: it may hang behind a cut.
-func (f *feedFollower) reopen() {
+// abortRequest aborts the open request, whose connection may be cut off.
+func (f *feedFollower) abortRequest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.cancel != nil {
@@ -168,55 +169,56 @@
 
 func (f *feedFollower) run() {
 	f.awaitPeers()
-	at, rest := feedPosition{}, feedRest
+	position, backoff := feedPosition{}, minFeedBackoff
 	for f.DaemonContext.Err() == nil {
-		if f.resting.Load() {
-			// Where the feed went on is of no use later: others followed it.
-			at = feedPosition{}
-			f.sleep(feedLook)
+		if f.idle.Load() {
+			// Others follow meanwhile, so the position would be outdated later.
+			position = feedPosition{}
+			f.sleep(followCheckInterval)
 			continue
 		}
 		began := time.Now()
-		next, err := f.step(at)
+		next, err := f.step(position)
 		f.outage.Note(err)
 		if err == nil {
-			if !at.known {
-				// Whether this daemon must follow the feed shows once its links are
-				// open; the feed then tells what came meanwhile.
-				f.sleep(2 * feedLook)
+			if !position.known {
+				// Once its links are open, it is known whether this daemon must follow
+				// the feed. If so, the feed then delivers what changed meanwhile.
+				f.sleep(2 * followCheckInterval)
 			}
-			at, rest = next, feedRest
+			position, backoff = next, minFeedBackoff
 			continue
 		}
 		if errors.Is(err, store.ErrHistoryGone) {
-			f.Log.Event(events.FeedBehind, events.F("cursor", at.cursor))
-			at = feedPosition{}
+			f.Log.Event(events.FeedBehind, events.F("cursor", position.cursor))
+			position = feedPosition{}
 		}
-		// A request that hung has rested already.
-		f.sleep(max(rest-time.Since(began), feedRest))
-		rest = min(2*rest, f.restMost())
+		// The time for which a request has hung counts as part of the backoff.
+		f.sleep(max(backoff-time.Since(began), minFeedBackoff))
+		backoff = min(2*backoff, f.maxBackoff())
 	}
 }
 
-// awaitPeers returns once peers have been asked first.
+// awaitPeers blocks while the daemon waits for its peers.
 func (f *feedFollower) awaitPeers() {
-	const look = 10 * time.Millisecond
-	for f.waitsForPeers.Load() && f.DaemonContext.Err() == nil {
-		time.Sleep(look)
+	const pollInterval = 10 * time.Millisecond
+	for f.waitingForPeers.Load() && f.DaemonContext.Err() == nil {
+		time.Sleep(pollInterval)
 	}
 }
 
-// restMost is how long this follower rests at most.
-func (f *feedFollower) restMost() time.Duration {
-	if f.first.Load() {
-		return firstRestMost
+// maxBackoff returns the longest backoff of this follower.
+func (f *feedFollower) maxBackoff() time.Duration {
+	if f.isLead.Load() {
+		return maxLeadBackoff
 	}
-	return feedRestMost
+	return maxFeedBackoff
 }
 
-// sleep rests for around a time, so that daemons do not come back as one.
-func (f *feedFollower) sleep(rest time.Duration) {
-	timer := time.NewTimer(rest/2 + rand.N(rest))
+// sleep waits for a random time from half to one and a half times backoff, so that
+// daemons do not ask all at once.
+func (f *feedFollower) sleep(backoff time.Duration) {
+	timer := time.NewTimer(backoff/2 + rand.N(backoff))
 	defer timer.Stop()
 	select {
 	case <-timer.C:
@@ -224,94 +226,96 @@
 	}
 }
 
-// step makes one request to the feed and hands on what it told.
-func (f *feedFollower) step(at feedPosition) (next feedPosition, err error) {
-	wait, bound := f.waits()
-	if !at.known {
-		bound = f.Settings.Platform.Timeout
+// step sends one request to the feed and posts what it delivered to the inbox.
+func (f *feedFollower) step(position feedPosition) (next feedPosition, err error) {
+	wait, timeout := f.waitAndTimeout()
+	if !position.known {
+		timeout = f.Settings.Platform.Timeout
 	}
-	ctx, cancel := context.WithTimeout(f.DaemonContext, bound)
+	ctx, cancel := context.WithTimeout(f.DaemonContext, timeout)
 	defer cancel()
 	f.mu.Lock()
 	f.cancel = cancel
 	f.mu.Unlock()
 	began := f.Now()
-	update, err := f.ask(ctx, at, wait)
-	var damaged *placement.UnreadableDocumentError
-	if errors.As(err, &damaged) {
-		f.Log.Event(events.DocumentRefused, events.F("cause", damaged.Cause))
+	update, err := f.request(ctx, position, wait)
+	var unreadable *placement.UnreadableDocumentError
+	if errors.As(err, &unreadable) {
+		f.Log.Event(events.DocumentRefused, events.F("cause", unreadable.Cause))
 		err = nil
 	}
 	if err != nil {
-		return at, err
+		return position, err
 	}
-	next = at.after(update)
-	if !at.known || len(update.Evacuations) > 0 {
-		f.takeEvacuation(next.evacuated)
+	next = position.after(update)
+	if !position.known || len(update.Evacuations) > 0 {
+		f.postEvacuation(next.evacuated)
 	}
 	for _, refused := range update.RolloutErrors {
 		f.Log.Event(events.RolloutRefused, events.F("cause", refused))
 	}
-	if !at.known || len(update.Rollouts) > 0 {
+	if !position.known || len(update.Rollouts) > 0 {
 		f.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutOrders = &next.orders })
 	}
 	if update.Document != nil {
-		err = f.take(update.Document)
+		err = f.postDocument(update.Document)
 	}
-	if err == nil && damaged == nil {
-		f.noteRead(began)
+	if err == nil && unreadable == nil {
+		f.postStoreRead(began)
 	}
 	return next, err
 }
 
-// noteRead notes that the store has told all that it knew when the request began. What it
-// told is in force first: it was posted before.
-func (f *feedFollower) noteRead(began int64) {
+// postStoreRead records that the feed has delivered everything that the store contained
+// when the request began. It runs after the other posts, so that this content is in force
+// first.
+func (f *feedFollower) postStoreRead(began int64) {
 	f.World.Inbox.Post(false, func(m *tables.Mail) { m.StoreReadAt = max(m.StoreReadAt, began) })
 }
 
-// takeEvacuation hands the set of evacuated data centres to the systems, before
-// any document that came with it: both are then in force at once.
-func (f *feedFollower) takeEvacuation(set evacuation.Set) {
+// postEvacuation passes the set of evacuated data centres to the systems, before any
+// document of the same update, so that both take effect in the same tick.
+func (f *feedFollower) postEvacuation(set evacuation.Set) {
 	f.World.Inbox.Post(true, func(m *tables.Mail) { m.Evacuation = &set })
 }
 
-// waits is how long the next request to the feed may hang, and when it is given up.
-func (f *feedFollower) waits() (wait, bound time.Duration) {
-	if f.first.Load() {
-		wait = firstWaitLeast + rand.N(firstWaitMost-firstWaitLeast)
+// waitAndTimeout returns how long the next request to the feed may be held by the store,
+// and after how long it is aborted.
+func (f *feedFollower) waitAndTimeout() (wait, timeout time.Duration) {
+	if f.isLead.Load() {
+		wait = minLeadWait + rand.N(maxLeadWait-minLeadWait)
 		if proof := f.proofReadInterval(); proof > 0 {
 			wait = min(wait, proof)
 		}
-		return wait, wait + firstSlack
+		return wait, wait + leadTimeoutMargin
 	}
-	wait = feedWaitLeast + rand.N(feedWaitMost-feedWaitLeast)
+	wait = minFeedWait + rand.N(maxFeedWait-minFeedWait)
 	if proof := f.proofReadInterval(); proof > 0 {
 		wait = min(wait, proof)
 	}
-	return wait, wait + feedSlack
+	return wait, wait + feedTimeoutMargin
 }
 
-func (f *feedFollower) ask(ctx context.Context, at feedPosition, wait time.Duration) (placement.FeedUpdate, error) {
+func (f *feedFollower) request(ctx context.Context, position feedPosition, wait time.Duration) (placement.FeedUpdate, error) {
 	began := time.Now()
-	if !at.known {
+	if !position.known {
 		update, err := f.Feed.Newest(ctx)
 		store.Count(f.Metrics, "newest", began, err)
 		return update, err
 	}
-	update, err := f.Feed.Next(ctx, at.cursor, wait)
+	update, err := f.Feed.Next(ctx, position.cursor, wait)
 	store.Count(f.Metrics, "feed", began, err)
 	return update, err
 }
 
-// take hands a document to the systems, which never lower the version.
-func (f *feedFollower) take(doc *placement.Document) error {
+// postDocument passes a document to the systems, which ignore older versions.
+func (f *feedFollower) postDocument(doc *placement.Document) error {
 	hash, err := doc.Hash()
 	if err != nil {
 		return err
 	}
-	if doc.Version > f.told.Load() {
-		f.told.Store(doc.Version)
+	if doc.Version > f.newestFromFeed.Load() {
+		f.newestFromFeed.Store(doc.Version)
 	}
 	f.World.Inbox.Post(true, func(m *tables.Mail) {
 		m.Placements = append(m.Placements, tables.ReceivedPlacement{Document: doc, Hash: hash, FromStore: true})
--- a/pkg/systems/feedfollower_test.go
+++ b/pkg/systems/feedfollower_test.go
@@ -20,8 +20,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// scriptedFeed answers each request by hand; one without a step hangs until its
-// context ends, as behind a cut.
+// scriptedFeed answers each request with the next step. Without a step a request hangs
+// until its context ends, as with a connection that is cut off.
 type scriptedFeed struct {
 	mu    sync.Mutex
 	steps []func(after uint64) (placement.FeedUpdate, error)
@@ -50,7 +50,7 @@
 	return s.next(ctx, after)
 }
 
-func tells(version, cursor uint64) func(uint64) (placement.FeedUpdate, error) {
+func returnsVersion(version, cursor uint64) func(uint64) (placement.FeedUpdate, error) {
 	return func(uint64) (placement.FeedUpdate, error) {
 		return placement.FeedUpdate{Document: &placement.Document{Version: version}, Cursor: cursor}, nil
 	}
@@ -60,14 +60,15 @@
 	return func(uint64) (placement.FeedUpdate, error) { return placement.FeedUpdate{}, err }
 }
 
-// count is how often the feed was asked.
+// count returns the number of requests.
 func (s *scriptedFeed) count() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return len(s.asked)
 }
 
-// startFollower runs a follower and the placements system over a feed.
+// startFollower makes a daemon with a feed follower and the placements system. tick runs
+// both for a time.
 func startFollower(t *testing.T, feed *scriptedFeed) (env *Env, tick func(time.Duration)) {
 	env = testEnv()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -84,10 +85,10 @@
 	}
 }
 
-func TestTheFollowerNeverLowersTheVersion(t *testing.T) {
+func TestFeedFollowerNeverLowersTheVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
-			tells(4, 10), tells(3, 11), fails(store.ErrHistoryGone), tells(2, 9), tells(6, 13),
+			returnsVersion(4, 10), returnsVersion(3, 11), fails(store.ErrHistoryGone), returnsVersion(2, 9), returnsVersion(6, 13),
 		}}
 		env, tick := startFollower(t, feed)
 		for range 40 {
@@ -96,65 +97,65 @@
 			must.GreaterEq(t, before, env.World.PlacementVersion())
 		}
 		test.Eq(t, 6, env.World.PlacementVersion())
-		// After the lost history it read the newest version whole, and went on
-		// from where that was.
+		// After the history was gone it read the newest version, and continued from
+		// there.
 		test.Eq(t, []uint64{0, 10, 11, 0, 9, 13}, feed.asked)
 	})
 }
 
-func TestAHungFeedIsGivenUpWhenAPeerKnowsMore(t *testing.T) {
+func TestHangingFeedRequestIsAbortedWhenAPeerHasANewerVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){tells(4, 10)}}
+		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){returnsVersion(4, 10)}}
 		env, tick := startFollower(t, feed)
-		tick(4 * feedLook)
+		tick(4 * followCheckInterval)
 		must.Eq(t, []uint64{0, 10}, feed.asked)
 		env.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, updateFrom(t, "there", 7)) })
-		tick(2 * feedTrust)
+		tick(2 * feedLagTolerance)
 		test.Eq(t, 7, env.World.PlacementVersion())
 		must.SliceLen(t, 3, feed.asked)
 		test.Eq(t, 10, feed.asked[2])
 	})
 }
 
-// TestTheFirstFollowerAsksAgainWithinThreeSeconds: a store that was silent never
-// answers what was asked meanwhile, and all followers may hang on that.
-func TestTheFirstFollowerAsksAgainWithinThreeSeconds(t *testing.T) {
+// TestLeadFollowerAsksAgainWithinThreeSeconds: a store that stopped responding never
+// answers the requests that were open, and all followers may wait for these.
+func TestLeadFollowerAsksAgainWithinThreeSeconds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){tells(4, 10)}}
+		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){returnsVersion(4, 10)}}
 		env, tick := startFollower(t, feed)
-		tick(4 * feedLook)
+		tick(4 * followCheckInterval)
 		must.Eq(t, []uint64{0, 10}, feed.asked)
 		feed.mu.Lock()
-		feed.steps = append(feed.steps, tells(5, 11))
+		feed.steps = append(feed.steps, returnsVersion(5, 11))
 		feed.mu.Unlock()
-		tick(3*time.Second + feedRest)
+		tick(3*time.Second + minFeedBackoff)
 		test.Eq(t, 5, env.World.PlacementVersion())
 	})
 }
 
-// TestTheFirstFollowerAsksAgainSoonAfterTwoOutages: the store refuses for a while, so
-// that rests grow, is silent then, and answers again. The rest does not come on top of
-// the time for which a request has hung.
-func TestTheFirstFollowerAsksAgainSoonAfterTwoOutages(t *testing.T) {
+// TestLeadFollowerAsksAgainSoonAfterTwoOutages: the store refuses requests for a while,
+// so that the backoff grows, then does not respond, and then answers again. The time for
+// which a request has hung must count as part of the backoff.
+func TestLeadFollowerAsksAgainSoonAfterTwoOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){tells(4, 10)}}
+		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){returnsVersion(4, 10)}}
 		const refusals = 8
 		for range refusals {
 			feed.steps = append(feed.steps, fails(errors.New("down")))
 		}
 		env, tick := startFollower(t, feed)
 		for feed.count() < 2+refusals {
-			tick(feedLook)
+			tick(followCheckInterval)
 		}
 		feed.mu.Lock()
-		feed.steps = append(feed.steps, tells(5, 11))
+		feed.steps = append(feed.steps, returnsVersion(5, 11))
 		feed.mu.Unlock()
-		tick(firstWaitMost + firstSlack + 2*feedRest)
+		tick(maxLeadWait + leadTimeoutMargin + 2*minFeedBackoff)
 		test.Eq(t, 5, env.World.PlacementVersion())
 	})
 }
 
-func TestAFeedThatFailsIsAskedSeldom(t *testing.T) {
+func TestFailingFeedIsAskedSeldom(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{}
 		for range 1000 {
@@ -166,15 +167,15 @@
 	})
 }
 
-// TestOnlyAFewDaemonsOfADataCentreFollowTheFeed: the others learn over links,
-// and follow when they are alone.
-func TestOnlyAFewDaemonsOfADataCentreFollowTheFeed(t *testing.T) {
+// TestFewDaemonsOfADataCentreFollowTheFeed checks that a lower ranked daemon gets updates
+// over its links, and follows the feed only without links.
+func TestFewDaemonsOfADataCentreFollowTheFeed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){tells(4, 10)}}
+		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){returnsVersion(4, 10)}}
 		env, tick := startFollower(t, feed)
 		env.Settings.Placement.FeedReaders = 1
-		tick(feedLook)
-		must.Eq(t, 4, env.World.PlacementVersion(), must.Sprint("a daemon without a version reads it"))
+		tick(followCheckInterval)
+		must.Eq(t, 4, env.World.PlacementVersion(), must.Sprint("a daemon without a placement reads it"))
 		rank := utils.Rendezvous("here", "vm")
 		var peers []*link.Peer
 		for n := 0; len(peers) < 2; n++ {
@@ -183,17 +184,17 @@
 				env.World.Peers.GetOrAdd(peers[len(peers)-1])
 			}
 		}
-		tick(4 * feedLook)
+		tick(4 * followCheckInterval)
 		asked := len(feed.asked)
-		must.Eq(t, 1, asked, must.Sprint("it has links now, and does not begin to follow"))
+		must.Eq(t, 1, asked, must.Sprint("it has links and does not follow"))
 		feed.mu.Lock()
-		feed.steps = append(feed.steps, tells(5, 11))
+		feed.steps = append(feed.steps, returnsVersion(5, 11))
 		feed.mu.Unlock()
 		tick(30 * time.Second)
-		test.Eq(t, asked, len(feed.asked), test.Sprint("it rests"))
+		test.Eq(t, asked, len(feed.asked), test.Sprint("it is idle"))
 		env.World.Peers.Remove(peers[0])
 		env.World.Peers.Remove(peers[1])
-		tick(2 * feedLook)
-		must.Eq(t, 5, env.World.PlacementVersion(), must.Sprint("one that is alone follows"))
+		tick(2 * followCheckInterval)
+		must.Eq(t, 5, env.World.PlacementVersion(), must.Sprint("without links it follows"))
 	})
 }
--- a/pkg/systems/firststart_test.go
+++ b/pkg/systems/firststart_test.go
@@ -18,7 +18,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// countingVMList is a list of VMs that counts its reads and the entries written.
+// countingVMList is a list of VMs that counts the reads and the written entries.
 type countingVMList struct {
 	store.Platform
 	mu     sync.Mutex
@@ -42,7 +42,7 @@
 	return nil
 }
 
-// newStartEnv makes a daemon with a list of VMs, and what lets it run for a time.
+// newStartEnv makes a daemon that reads list. run runs its systems for a time.
 func newStartEnv(t *testing.T, first bool, list *countingVMList) (env *Env, run func(time.Duration)) {
 	env = testEnv()
 	env.Settings.Platform.FirstStart = first
@@ -63,42 +63,42 @@
 	}
 }
 
-func tellMembers(env *Env, count int) {
+func addMembers(env *Env, count int) {
 	for n := range count {
 		env.World.Members.Merge(env.Now(), nil, wire.Member{VM: fmt.Sprint("m", n), DataCentre: "here", Service: "s"})
 	}
 }
 
-func TestAtTheFirstStartTheListIsReadAfterOthersHaveWrittenTheirEntries(t *testing.T) {
+func TestFirstStartReadsTheListAfterADelay(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &countingVMList{}
 		_, run := newStartEnv(t, true, list)
-		run(firstListAfter - time.Millisecond)
+		run(minFirstListDelay - time.Millisecond)
 		test.Eq(t, 0, list.reads)
-		test.Eq(t, 1, list.writes, test.Sprint("its own entry it writes at once"))
-		// The ticks of this test are 20 ms apart.
-		run(firstListWithin + 40*time.Millisecond)
+		test.Eq(t, 1, list.writes, test.Sprint("its own entry is written at once"))
+		// The ticks of run are 20 ms apart.
+		run(firstListSpread + 40*time.Millisecond)
 		test.Eq(t, 1, list.reads)
 	})
 }
 
-// TestADaemonThatWasToldOfOthersReadsTheListWhereItIsStartedAgain, and not at the
-// first start of the whole system.
-func TestADaemonThatWasToldOfOthersReadsTheListWhereItIsStartedAgain(t *testing.T) {
+// TestDaemonToldOfMembersReadsTheListOnlyAfterARestart and not at the first start of the
+// fleet.
+func TestDaemonToldOfMembersReadsTheListOnlyAfterARestart(t *testing.T) {
 	for _, tc := range []struct {
 		name  string
 		first bool
 		after time.Duration
 		reads int
 	}{
-		{"first start", true, 2 * firstListWithin, 0},
-		{"started again", false, 20 * time.Millisecond, 1},
+		{"first start", true, 2 * firstListSpread, 0},
+		{"restart", false, 20 * time.Millisecond, 1},
 	} {
 		t.Run(tc.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				list := &countingVMList{}
 				env, run := newStartEnv(t, tc.first, list)
-				tellMembers(env, toldEnough+1)
+				addMembers(env, enoughMembers+1)
 				run(tc.after)
 				test.Eq(t, tc.reads, list.reads)
 			})
@@ -106,21 +106,21 @@
 	}
 }
 
-func TestAnEntryThatStandsInTheListIsNotWrittenAgain(t *testing.T) {
+func TestListedEntryIsNotWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &countingVMList{}
 		env, run := newStartEnv(t, false, list)
-		list.vms = []store.VM{{ID: "other"}, (&registration{Env: env}).entry()}
+		list.vms = []store.VM{{ID: "other"}, (&registration{Env: env}).ownEntry()}
 		run(10 * time.Second)
 		test.Eq(t, 0, list.writes)
 	})
 }
 
-func TestAnEntryThatDiffersFromTheListIsWritten(t *testing.T) {
+func TestChangedEntryIsWritten(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &countingVMList{}
 		env, run := newStartEnv(t, false, list)
-		old := (&registration{Env: env}).entry()
+		old := (&registration{Env: env}).ownEntry()
 		old.Links = "10.0.0.9:1"
 		list.vms = []store.VM{old}
 		run(10 * time.Second)
@@ -128,21 +128,21 @@
 	})
 }
 
-// TestSeedsAreAskedOneAfterTheOther: 295 daemons that dialled all three seeds at
-// once gave each of those 295 links.
-func TestSeedsAreAskedOneAfterTheOther(t *testing.T) {
+// TestSeedsAreDialledOneAfterTheOther guards against all daemons of a fleet dialling all
+// seeds at once, which gave each of three seeds 295 links from 295 daemons.
+func TestSeedsAreDialledOneAfterTheOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
 		env.DaemonContext = t.Context()
 		env.Settings.Listen.Links = "10.0.0.1:7000"
 		env.Settings.Links.Seeds = []string{"10.0.0.1:1", "10.0.0.2:1", "10.0.0.3:1", "10.0.0.4:1"}
-		dialled := countDials(env)
+		dialled := failAndCountDials(env)
 		s := &seedDialer{Env: env}
 		s.Tick(env.Now(), &tables.Mail{})
 		synctest.Wait()
 		test.MapLen(t, 1, dialled)
 		for range 2 {
-			time.Sleep(seedEvery)
+			time.Sleep(seedDialInterval)
 			s.Tick(env.Now(), &tables.Mail{})
 			synctest.Wait()
 		}
@@ -150,32 +150,32 @@
 	})
 }
 
-func TestSeedsWaitAtTheFirstStart(t *testing.T) {
+func TestFirstStartDelaysTheDialsOfSeeds(t *testing.T) {
 	env := testEnv()
 	env.Settings.Platform.FirstStart = true
 	env.Settings.Links.Seeds = []string{"10.0.0.2:1"}
 	s := &seedDialer{Env: env}
-	s.Tick(int64(seedsAtFirstStart)-1, &tables.Mail{})
-	test.SliceEmpty(t, s.order)
+	s.Tick(int64(firstStartSeedDelay)-1, &tables.Mail{})
+	test.SliceEmpty(t, s.addresses)
 }
 
-func TestAtTheFirstStartOnlyTheFirstDaemonsFollowTheFeed(t *testing.T) {
+func TestFirstStartOnlyHighestRankedDaemonsFollowTheFeed(t *testing.T) {
 	env := testEnv()
 	env.Settings.Platform.FirstStart = true
 	env.Settings.Placement.FeedReaders = 1
 	f := newFeedFollower(env)
-	test.False(t, f.mustFollow(1), test.Sprint("nobody knows the others yet"))
-	test.True(t, f.mustFollow(int64(firstFollowAfter)), test.Sprint("alone"))
-	// Some of these members come first; links to them there are none yet.
-	tellMembers(env, 20)
+	test.False(t, f.mustFollow(1), test.Sprint("the other members are not known yet"))
+	test.True(t, f.mustFollow(int64(firstStartFollowDelay)), test.Sprint("there is no other member"))
+	// Some of these members rank higher, but there are no links to them yet.
+	addMembers(env, 20)
 	must.Positive(t, f.rankInDataCentre())
-	test.False(t, f.mustFollow(int64(firstFollowAfter)))
-	test.True(t, f.mustFollow(int64(firstFollowAll)), test.Sprint("nobody has told a version"))
+	test.False(t, f.mustFollow(int64(firstStartFollowDelay)))
+	test.True(t, f.mustFollow(int64(firstStartFollowAllDelay)), test.Sprint("no peer has sent a placement"))
 	env.Settings.Platform.FirstStart = false
-	test.True(t, f.mustFollow(1), test.Sprint("started again: it asks at once"))
+	test.True(t, f.mustFollow(1), test.Sprint("a restarted daemon follows at once"))
 }
 
-func TestAtTheFirstStartOneDataCentresWordIsEnough(t *testing.T) {
+func TestFirstStartAcceptsAPlacementFromOneDataCentre(t *testing.T) {
 	env := testEnv()
 	env.Settings.Platform.FirstStart = true
 	env.World.Members.Merge(1, nil, wire.Member{VM: "x", DataCentre: "b"})
@@ -184,23 +184,23 @@
 	test.Eq(t, 4, env.World.PlacementVersion())
 }
 
-// TestPeersOfTheOwnDataCentreAreComparedWithFirst: where a whole data centre
-// lacks a row, one daemon fetches it from another data centre, not all.
-func TestPeersOfTheOwnDataCentreAreComparedWithFirst(t *testing.T) {
+// TestAntiEntropyAsksPeersOfItsDataCentreFirst: if a whole data centre lacks a row, one
+// daemon requests it from another data centre, not all.
+func TestAntiEntropyAsksPeersOfItsDataCentreFirst(t *testing.T) {
 	env := testEnv()
-	c := &antiEntropy{Env: env, patience: time.Second}
+	c := &antiEntropy{Env: env, extraWait: time.Second}
 	near := &link.Peer{Hello: wire.Hello{DataCentre: "here"}}
 	far := &link.Peer{Hello: wire.Hello{DataCentre: "there"}}
-	test.Eq(t, 0, c.wait(near), test.Sprint("a daemon that knows nobody asks at once"))
-	test.Eq(t, nearFirst, c.wait(far))
-	tellMembers(env, 3)
-	test.Eq(t, differFor, c.wait(near))
-	test.Eq(t, differFor+time.Second, c.wait(far))
+	test.Eq(t, 0, c.settleTimeFor(near), test.Sprint("the table is initial"))
+	test.Eq(t, sameDataCentreHeadStart, c.settleTimeFor(far))
+	addMembers(env, 3)
+	test.Eq(t, settleTime, c.settleTimeFor(near))
+	test.Eq(t, settleTime+time.Second, c.settleTimeFor(far))
 }
 
-// TestADaemonDoesNotSweepAtItsStart: it knows nobody yet and takes itself for a
-// reader; 295 daemons made 295 calls to the store.
-func TestADaemonDoesNotSweepAtItsStart(t *testing.T) {
+// TestOnceSweeperDoesNotSweepAtStart: a daemon that has just started knows no other
+// member and takes itself for a reader, so 295 daemons made 295 calls to the store.
+func TestOnceSweeperDoesNotSweepAtStart(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
 		env.DaemonContext = t.Context()
@@ -208,10 +208,10 @@
 		env.SweepOnceRows = func(context.Context) (int, error) { sweeps++; return 0, nil }
 		s := &onceSweeper{Env: env}
 		s.Tick(1, &tables.Mail{})
-		s.Tick(int64(sweepEvery), &tables.Mail{})
+		s.Tick(int64(onceSweepInterval), &tables.Mail{})
 		synctest.Wait()
 		test.Eq(t, 0, sweeps)
-		s.Tick(1+int64(sweepEvery), &tables.Mail{})
+		s.Tick(1+int64(onceSweepInterval), &tables.Mail{})
 		synctest.Wait()
 		test.Eq(t, 1, sweeps)
 	})
--- a/pkg/systems/gateticker.go
+++ b/pkg/systems/gateticker.go
@@ -2,7 +2,8 @@
 
 import "github.com/rushramp/rushramp/pkg/tables"
 
-// gateTicker lets waiting calls start when the gate's limit rose by itself.
+// gateTicker starts waiting requests after a gate's limit has risen without a request
+// ending.
 type gateTicker struct{ *Env }
 
 // Tick implements System.
--- a/pkg/systems/heartbeatpace.go
+++ b/pkg/systems/heartbeatpace.go
@@ -7,35 +7,35 @@
 )
 
 const (
-	// paceUnit is what paces are counted in: parts of links.heartbeat.
+	// paceUnit is the unit of the intervals here: 1/32 of links.heartbeat.
 	paceUnit = 32
-	// paceMost bounds how much rarer than links.heartbeat idle links of a large
-	// fleet carry a heartbeat. Departures and versions do not wait for one, and a
-	// link in use is watched by its calls.
-	paceMost = 4 * paceUnit
-	// paceStart is for how long after the first start of the whole system the fleet
-	// counts as large. It becomes known over links that each carry heartbeats
-	// meanwhile: of 295 daemons these were 60 in 100 of the bytes between data centres
-	// in the first ten seconds.
-	paceStart = 6 * time.Second
+	// maxPace is the longest heartbeat interval of idle links, for a large fleet.
+	// Departures and placement versions do not wait for a heartbeat, and links with calls
+	// detect a dead peer by themselves.
+	maxPace = 4 * paceUnit
+	// firstStartPaceTime is for how long after the first start the fleet counts as large.
+	// Its size is not known until links are open, and at links.heartbeat these would
+	// spend most of the traffic between data centres on heartbeats.
+	firstStartPaceTime = 6 * time.Second
 )
 
-// heartbeatPace works out how rarely idle links carry heartbeats: as links.heartbeat says
-// in a fleet of up to paceUnit members, more rarely in proportion above that. Peers
-// are told, so that they may know of another size of the fleet.
+// heartbeatPace computes the heartbeat interval of idle links: links.heartbeat in a fleet
+// of up to paceUnit members, and longer in proportion to the members above that. Each
+// daemon tells its peers its interval, since they may know of a different number of
+// members.
 type heartbeatPace struct{}
 
-// of returns the time between two heartbeats and the longest silence of a peer that
-// does not say its own, both in parts of links.heartbeat. first is true where the
-// whole system starts for the first time.
-func (heartbeatPace) of(now int64, members int, first bool) (every, bound time.Duration) {
-	if first && now < int64(paceStart) {
-		return paceMost, link.MissedHeartbeats * paceMost
+// intervals returns the time between two heartbeats, and the longest silence of a peer
+// that does not state its own, both in units of links.heartbeat/paceUnit. firstStart is
+// true at the first start of the fleet.
+func (heartbeatPace) intervals(now int64, members int, firstStart bool) (interval, silence time.Duration) {
+	if firstStart && now < int64(firstStartPaceTime) {
+		return maxPace, link.MissedHeartbeats * maxPace
 	}
-	every = paced(members)
-	return every, link.MissedHeartbeats * every
+	interval = paceFor(members)
+	return interval, link.MissedHeartbeats * interval
 }
 
-func paced(members int) time.Duration {
-	return time.Duration(min(max(members, paceUnit), paceMost))
+func paceFor(members int) time.Duration {
+	return time.Duration(min(max(members, paceUnit), maxPace))
 }
--- a/pkg/systems/heartbeatpace_test.go
+++ b/pkg/systems/heartbeatpace_test.go
@@ -9,21 +9,21 @@
 	"github.com/rushramp/rushramp/pkg/link"
 )
 
-// TestHeartbeatsGetRarerWithTheFleet: those of a small one come as the settings say,
-// and none waits longer than paceMost.
-func TestHeartbeatsGetRarerWithTheFleet(t *testing.T) {
-	for members, want := range map[int]time.Duration{1: paceUnit, 13: paceUnit, 61: 61, 295: paceMost, 21_000: paceMost} {
-		every, bound := heartbeatPace{}.of(1, members, false)
-		test.Eq(t, want, every)
-		test.Eq(t, link.MissedHeartbeats*want, bound)
+// TestHeartbeatIntervalGrowsWithTheFleet checks that a small fleet uses the interval in
+// the settings, and that no interval exceeds maxPace.
+func TestHeartbeatIntervalGrowsWithTheFleet(t *testing.T) {
+	for members, want := range map[int]time.Duration{1: paceUnit, 13: paceUnit, 61: 61, 295: maxPace, 21_000: maxPace} {
+		interval, silence := heartbeatPace{}.intervals(1, members, false)
+		test.Eq(t, want, interval)
+		test.Eq(t, link.MissedHeartbeats*want, silence)
 	}
 }
 
-// TestTheFirstStartCountsAsThatOfALargeFleet: nobody knows its size yet.
-func TestTheFirstStartCountsAsThatOfALargeFleet(t *testing.T) {
-	every, bound := heartbeatPace{}.of(1, 1, true)
-	test.Eq(t, paceMost, every)
-	test.Eq(t, link.MissedHeartbeats*paceMost, bound)
-	every, _ = heartbeatPace{}.of(int64(paceStart), 13, true)
-	test.Eq(t, paceUnit, every)
+// TestFirstStartUsesTheIntervalOfALargeFleet: the size of the fleet is not known yet.
+func TestFirstStartUsesTheIntervalOfALargeFleet(t *testing.T) {
+	interval, silence := heartbeatPace{}.intervals(1, 1, true)
+	test.Eq(t, maxPace, interval)
+	test.Eq(t, link.MissedHeartbeats*maxPace, silence)
+	interval, _ = heartbeatPace{}.intervals(int64(firstStartPaceTime), 13, true)
+	test.Eq(t, paceUnit, interval)
 }
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -10,93 +10,96 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// heardEvery is how many heartbeats go by between two that carry Heard.
-const heardEvery = 4
+// heartbeatsPerHeard is how many heartbeats of a link there are per one that carries
+// Heard.
+const heartbeatsPerHeard = 4
 
-// heartbeats keeps the state that this daemon tells its peers, and sends it on
-// links without traffic. Links in use watch each other through their calls.
+// heartbeats updates the state frame of this daemon and sends it on links without
+// traffic. Links with calls detect a dead peer by unanswered calls.
 type heartbeats struct {
 	*Env
-	due     intervalTimer
-	leaving bool
-	pace    heartbeatPace
-	// proofDue is when all peers are told again how old the proof of the version is.
-	proofDue intervalTimer
+	timer      intervalTimer
+	wasLeaving bool
+	pace       heartbeatPace
+	// proofTimer makes the state go to all peers, so that they learn how old the proof of
+	// the placement in force is (View.PlacementProvenAt).
+	proofTimer intervalTimer
 }
 
-// keepPace sets how often idle links carry a heartbeat. The number of links
-// grows with that of the members; links in use do not wait for heartbeats, but
-// ask for a sign of life (closeSilent).
-func (h *heartbeats) keepPace(now int64) {
+// updatePace sets the heartbeat interval of idle links, which grows with the number of
+// members, as the number of links does. Links with calls do not rely on heartbeats
+// (closeUnresponsive).
+func (h *heartbeats) updatePace(now int64) {
 	if h.DialOptions.Pace == nil {
 		return
 	}
-	every, bound := h.pace.of(now, h.World.Members.Len(), h.Settings.Platform.FirstStart)
-	h.DialOptions.Pace.Set(every*h.Settings.Links.Heartbeat/paceUnit, bound*h.Settings.Links.Heartbeat/paceUnit)
+	interval, silence := h.pace.intervals(now, h.World.Members.Len(), h.Settings.Platform.FirstStart)
+	h.DialOptions.Pace.Set(interval*h.Settings.Links.Heartbeat/paceUnit, silence*h.Settings.Links.Heartbeat/paceUnit)
 }
 
 // Tick implements System.
 func (h *heartbeats) Tick(now int64, _ *tables.Mail) {
-	leftNow := h.World.View.Leaving() && !h.leaving
-	proves := h.Settings.Teams.RevokeWithin > 0 && h.proofDue.fires(now, h.Settings.Teams.RevokeWithin/proofStatesPerPeriod)
-	if !leftNow && !proves && !h.due.fires(now, h.Settings.Links.Heartbeat/4) {
+	startedLeaving := h.World.View.Leaving() && !h.wasLeaving
+	sendProof := h.Settings.Teams.RevokeWithin > 0 && h.proofTimer.fires(now, h.Settings.Teams.RevokeWithin/proofStatesPerPeriod)
+	if !startedLeaving && !sendProof && !h.timer.fires(now, h.Settings.Links.Heartbeat/4) {
 		return
 	}
-	h.leaving = h.World.View.Leaving()
-	h.keepPace(now)
-	h.refresh(now)
-	h.send(time.Now(), leftNow || proves, h.Control.State(), h.heard(now))
+	h.wasLeaving = h.World.View.Leaving()
+	h.updatePace(now)
+	h.updateState(now)
+	h.send(time.Now(), startedLeaving || sendProof, h.Control.State(), h.heardDataCentres(now))
 }
 
-// send sends the state on links without traffic, and on all when it must not
-// wait. Each fourth heartbeat of a link says which data centres were heard, and each
-// one how long the link may be idle, which hangs on how far the peer is.
-func (h *heartbeats) send(at time.Time, all bool, state *wire.State, heard []wire.Heard) {
+// send sends the state to the peers whose heartbeat is due, or to all peers. Each frame
+// contains how long the link may be idle, which depends on the peer's proximity; every
+// fourth also contains when the data centres were last heard of.
+func (h *heartbeats) send(at time.Time, all bool, state *wire.State, heardDataCentres []wire.Heard) {
 	var brief, full [proximity.Count]wire.State
-	for to := range proximity.Count {
-		brief[to] = *state
-		brief[to].IdleTenths = h.idleTenths(to)
-		full[to] = brief[to]
-		full[to].Heard = heard
+	for level := range proximity.Count {
+		brief[level] = *state
+		brief[level].IdleTenths = h.idleTenths(level)
+		full[level] = brief[level]
+		full[level].Heard = heardDataCentres
 	}
 	h.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if !all && !peer.HeartbeatDue(at) {
 			return
 		}
-		to := h.proximityOf(peer)
-		state := &brief[to]
-		if row.HeartbeatsSent%heardEvery == 0 {
-			state = &full[to]
+		level := h.proximityOf(peer)
+		state := &brief[level]
+		if row.HeartbeatsSent%heartbeatsPerHeard == 0 {
+			state = &full[level]
 		}
 		row.HeartbeatsSent++
-		// A link that has closed leaves the table with its next event.
+		// A closed link is removed from the table by its LinkEvent.
 		_ = peer.Send(state)
 	})
 }
 
-// idleTenths is for how long this daemon may say nothing on an idle link to a place;
-// 0: it does not say.
-func (h *heartbeats) idleTenths(to proximity.Level) uint32 {
+// idleTenths returns for how long this daemon may be silent on an idle link to a
+// proximity level, in units of wire.IdleTenth; 0: not stated.
+func (h *heartbeats) idleTenths(level proximity.Level) uint32 {
 	if h.DialOptions.Pace == nil {
 		return 0
 	}
-	return uint32(h.DialOptions.Pace.Idle(to) / wire.IdleTenth)
+	return uint32(h.DialOptions.Pace.Idle(level) / wire.IdleTenth)
 }
 
-func (h *heartbeats) refresh(now int64) {
+func (h *heartbeats) updateState(now int64) {
 	state := wire.State{StoreAgeMS: wire.StoreNever, Members: h.World.Members.Digest(), IdleTenths: h.idleTenths(proximity.SameDataCentre)}
 	if age, ok := h.World.StoreReadAge(now); ok {
 		state.StoreAgeMS = uint64(age.Milliseconds())
 	}
 	if proven := h.World.View.PlacementProvenAt(); proven > 0 && h.Settings.Teams.RevokeWithin > 0 {
-		// The state is told until it is made again.
+		// The state may be sent until the next update, so the age includes the time until
+		// then.
 		age := time.Duration(now-proven) + h.Settings.Links.Heartbeat/4
 		state.ProofMS = uint64(age.Milliseconds()) + 1
 	}
 	h.Control.state.set(state)
 }
 
-func (h *heartbeats) heard(now int64) []wire.Heard {
+func (h *heartbeats) heardDataCentres(now int64) []wire.Heard {
 	var out []wire.Heard
 	for dc, at := range h.World.DataCentreHeardAt {
 		if dc != h.World.DataCentre {
@@ -106,9 +109,8 @@
 	return out
 }
 
-// latestState is the state for peers. The parts that may not lag, the version in
-// force, the evacuated data centres and leaving, are read from the view each
-// time.
+// latestState holds the state frame for peers. Fields that must not lag behind are read
+// from the view at each call.
 type latestState struct{ value atomic.Pointer[wire.State] }
 
 func (l *latestState) set(s wire.State) { l.value.Store(&s) }
--- a/pkg/systems/linkevents.go
+++ b/pkg/systems/linkevents.go
@@ -8,31 +8,32 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// take takes over that a link came up or ended.
-func (l *links) take(now int64, e tables.LinkEvent) {
+// handleLinkEvent updates the tables and endpoints after a link came up, ended or failed
+// to open.
+func (l *links) handleLinkEvent(now int64, e tables.LinkEvent) {
 	if e.Up {
 		l.World.Peers.GetOrAdd(e.Peer)
-		l.tellFormer(e.Peer)
-		l.newProcess(now, e)
-		l.greet(now, e.Peer)
+		l.sendFormerRecord(e.Peer)
+		l.handleNewProcess(now, e)
+		l.handlePeerUp(now, e.Peer)
 	} else {
 		l.World.Peers.Remove(e.Peer)
 	}
 	if e.Endpoint == nil {
 		return
 	}
-	l.dialing.ended(e.Endpoint)
+	l.dials.end(e.Endpoint)
 	l.World.MarkDirty(e.Endpoint.Service)
 	if e.Up {
-		l.up(e)
+		l.handleEndpointUp(e)
 		return
 	}
-	l.down(now, e)
+	l.handleEndpointDown(now, e)
 }
 
-// greet tells a peer at once what only this daemon knows first-hand, and lets a
-// peer that was restarted be dialled again without a rest.
-func (l *links) greet(now int64, peer *link.Peer) {
+// handlePeerUp sends a new peer this daemon's own record and the evacuated data centres,
+// and lets its endpoint be dialled again without delay.
+func (l *links) handlePeerUp(now int64, peer *link.Peer) {
 	if row, ok := l.World.Members.Find(l.World.VM); ok {
 		sendMembers(peer, []wire.Member{l.World.Members.Record[row]})
 	}
@@ -41,25 +42,26 @@
 	if !ok {
 		return
 	}
-	said := l.World.Members.Record[row]
-	if said.Incarnation > peer.Hello.Incarnation {
-		// The peer's process is a new one with a lower number: it must count on.
-		sendMembers(peer, []wire.Member{said})
+	record := l.World.Members.Record[row]
+	if record.Incarnation > peer.Hello.Incarnation {
+		// The peer was restarted with a lower incarnation, for instance after a step of
+		// its clock. With this record it takes a higher one.
+		sendMembers(peer, []wire.Member{record})
 	}
-	route := l.World.Members.Endpoint[row]
-	l.restUntil[route] = now
-	delete(l.failures, route)
-	l.unreached.remove(route)
+	endpoint := l.World.Members.Endpoint[row]
+	l.redialAt[endpoint] = now
+	delete(l.failures, endpoint)
+	l.unreached.remove(endpoint)
 }
 
-func (l *links) up(e tables.LinkEvent) {
+func (l *links) handleEndpointUp(e tables.LinkEvent) {
 	row, ok := l.World.Members.Find(e.Endpoint.VM)
 	if !ok || l.World.Members.Endpoint[row] != e.Endpoint {
 		e.Client.Close()
 		return
 	}
 	if e.Peer.Hello.VM != e.Endpoint.VM {
-		// Another VM has the address: the one that was meant is gone.
+		// Another VM has taken over the address, so the expected one no longer exists.
 		gone := l.World.Members.Record[row]
 		gone.State = wire.MemberGone
 		l.World.Members.Merge(l.Now(), nil, gone)
@@ -70,17 +72,17 @@
 	}
 	delete(l.failures, e.Endpoint)
 	l.unreached.remove(e.Endpoint)
-	// The members may have told of the new process before this link came up.
+	// The table of members may contain the new process already, from another peer.
 	e.Endpoint.Load.BeginIncarnation(e.Peer.Hello.Incarnation, int(l.World.Members.Record[row].Slots))
 	l.clients[e.Endpoint] = e.Client
 	e.Endpoint.SetRunner(e.Client)
 	l.Log.Event(events.LinkUp, events.F("peer", e.Endpoint.VM))
 }
 
-// tellFormer tells a daemon that was started again the row of its former process: its
-// entry stands in the list of VMs if that has written it. Bytes to other data centres have
-// a price, so those of its own tell it.
-func (l *links) tellFormer(peer *link.Peer) {
+// sendFormerRecord sends a restarted daemon the record of its former process, from which
+// it learns that its entry in the list of VMs is written. Only daemons in the same data
+// centre send it, since traffic between data centres costs more.
+func (l *links) sendFormerRecord(peer *link.Peer) {
 	row, ok := l.World.Members.Find(peer.Hello.VM)
 	if !ok || peer.Outgoing || l.proximityOf(peer) != proximity.SameDataCentre {
 		return
@@ -90,37 +92,37 @@
 	}
 }
 
-// newProcess takes over that another process answers for a known VM: what was
-// known of the old one's load is void, and that it left does not bind this one.
-func (l *links) newProcess(now int64, e tables.LinkEvent) {
+// handleNewProcess updates the record of a VM whose daemon is a newer process than the
+// known one. The old process's load is discarded, and so is that it was leaving.
+func (l *links) handleNewProcess(now int64, e tables.LinkEvent) {
 	hello := &e.Peer.Hello
 	row, ok := l.World.Members.Find(hello.VM)
 	if !ok || hello.Incarnation <= l.World.Members.Record[row].Incarnation {
 		return
 	}
-	said := l.World.Members.Record[row]
-	said.Incarnation = hello.Incarnation
-	said.Revision = 0
-	said.State = wire.MemberLive
+	record := l.World.Members.Record[row]
+	record.Incarnation = hello.Incarnation
+	record.Revision = 0
+	record.State = wire.MemberLive
 	if hello.State.Leaving {
-		said.State = wire.MemberLeaving
+		record.State = wire.MemberLeaving
 	}
-	l.World.Members.Merge(now, e.Peer, said)
-	l.World.Members.Endpoint[row].Load.Reset(int(said.Slots))
-	l.World.MarkDirty(said.Service)
+	l.World.Members.Merge(now, e.Peer, record)
+	l.World.Members.Endpoint[row].Load.Reset(int(record.Slots))
+	l.World.MarkDirty(record.Service)
 }
 
-func (l *links) down(now int64, e tables.LinkEvent) {
+func (l *links) handleEndpointDown(now int64, e tables.LinkEvent) {
 	if l.surplus.forgetClosed(e.Endpoint) && l.clients[e.Endpoint] == e.Client {
 		delete(l.clients, e.Endpoint)
 		e.Endpoint.SetRunner(nil)
 		return
 	}
 	l.failures[e.Endpoint]++
-	rest := redialAfter << min(l.failures[e.Endpoint]-1, redialDoublings)
-	l.restUntil[e.Endpoint] = now + int64(rest)
-	if l.failures[e.Endpoint] >= unreachedAfter {
-		l.unreached.add(e.Endpoint, l.restUntil[e.Endpoint])
+	delay := minRedialDelay << min(l.failures[e.Endpoint]-1, maxRedialDoublings)
+	l.redialAt[e.Endpoint] = now + int64(delay)
+	if l.failures[e.Endpoint] >= unreachedFailures {
+		l.unreached.add(e.Endpoint, l.redialAt[e.Endpoint])
 	}
 	if l.clients[e.Endpoint] == e.Client && e.Client != nil {
 		delete(l.clients, e.Endpoint)
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -9,104 +9,107 @@
 )
 
 const (
-	dialTime = 2 * time.Second
-	// redialAfter is how long a route rests after a link failed or ended.
-	redialAfter = 200 * time.Millisecond
-	// redialDoublings is how often that time doubles while dialling fails.
-	redialDoublings = 4
-	// sampleEvery is how often the sample is worked out again.
-	sampleEvery = time.Second
+	dialTimeout = 2 * time.Second
+	// minRedialDelay is the delay before an endpoint is dialled again after its link
+	// failed or ended.
+	minRedialDelay = 200 * time.Millisecond
+	// maxRedialDoublings is how often the delay doubles on consecutive failures.
+	maxRedialDoublings = 4
+	// sampleInterval is the time between two checks whether the sample must be drawn
+	// again.
+	sampleInterval = time.Second
 )
 
-// links opens links: to the subset of each service that this entry was asked
-// for, and to a small sample of other daemons. Source: docs/design/members.md.
+// links opens and closes the links of this daemon: to the subset of each service that
+// this entry was asked for, and to a small sample of other daemons. Source:
+// docs/design/members.md.
 type links struct {
 	*Env
-	clients   map[*tables.Endpoint]*link.Client
-	dialing   *dialLimiter
-	restUntil map[*tables.Endpoint]int64
-	// failures counts a route's failed dials and ended links in a row.
-	failures  map[*tables.Endpoint]int
-	surplus   *surplusLinks
-	unreached *unreachedEndpoints
-	sampleDue intervalTimer
-	sample    []*tables.Endpoint
-	// drawnAt is the state of the members that the sample was drawn from.
-	drawnAt  uint64
-	retryDue intervalTimer
+	clients  map[*tables.Endpoint]*link.Client
+	dials    *dialLimiter
+	redialAt map[*tables.Endpoint]int64
+	// failures is the number of consecutive failed dials and lost links of an endpoint.
+	failures    map[*tables.Endpoint]int
+	surplus     *surplusLinks
+	unreached   *unreachedEndpoints
+	sampleTimer intervalTimer
+	sample      []*tables.Endpoint
+	// sampledChangeCount is the ChangeCount of the table of members when the sample was
+	// drawn.
+	sampledChangeCount uint64
+	retryTimer         intervalTimer
 }
 
 // Tick implements System.
 func (l *links) Tick(now int64, mail *tables.Mail) {
 	if l.clients == nil {
 		l.clients = map[*tables.Endpoint]*link.Client{}
-		l.dialing = newDialLimiter()
-		l.restUntil = map[*tables.Endpoint]int64{}
+		l.dials = newDialLimiter()
+		l.redialAt = map[*tables.Endpoint]int64{}
 		l.failures = map[*tables.Endpoint]int{}
 		l.surplus = newSurplusLinks()
 		l.unreached = newUnreachedEndpoints(l.World)
 	}
 	for _, e := range mail.LinkEvents {
-		l.take(now, e)
+		l.handleLinkEvent(now, e)
 	}
 	for _, service := range mail.RequestedServices {
 		l.World.RequestedServices[service] = struct{}{}
 		l.World.MarkDirty(service)
 	}
-	retry := l.retryDue.fires(now, redialAfter)
+	retry := l.retryTimer.fires(now, minRedialDelay)
 	if retry {
-		l.noteDistances()
+		l.recordRoundTrips()
 		l.unreached.expire(now)
-		l.closeSilent()
+		l.closeUnresponsive()
 	}
-	again := l.dialing.leftOver
-	l.dialing.leftOver = false
-	l.openServices(now, retry || again)
+	resumeDeferred := l.dials.deferred
+	l.dials.deferred = false
+	l.openServices(now, retry || resumeDeferred)
 	if retry {
 		l.openAll(now, l.World.RolloutWatchers)
 		l.openAll(now, l.World.QuotaCounterDaemons)
 	}
-	if again {
+	if resumeDeferred {
 		l.openAll(now, l.sample)
 	}
-	if l.sampleDue.fires(now, sampleEvery) {
-		if changes := l.World.Members.ChangeCount(); changes != l.drawnAt {
-			l.drawnAt = changes
+	if l.sampleTimer.fires(now, sampleInterval) {
+		if changeCount := l.World.Members.ChangeCount(); changeCount != l.sampledChangeCount {
+			l.sampledChangeCount = changeCount
 			l.drawSample()
-			l.closeGone()
+			l.closeOutdated()
 		}
 		l.openAll(now, l.sample)
 		l.closeSurplus(now)
 	}
 }
 
-func (l *links) noteDistances() {
-	var distances leastRoundTrips
-	for route, client := range l.clients {
-		distances.note(l.World.Here().To(route.DataCentre, route.Region), client.RoundTrip())
-		route.Load.SetRoundTrip(client.RoundTrip())
+func (l *links) recordRoundTrips() {
+	var roundTrips leastRoundTrips
+	for endpoint, client := range l.clients {
+		roundTrips.record(l.World.Here().To(endpoint.DataCentre, endpoint.Region), client.RoundTrip())
+		endpoint.Load.SetRoundTrip(client.RoundTrip())
 		client.MeasureAgain()
 	}
-	if share, ok := distances.regionShare(); ok {
+	if share, ok := roundTrips.regionShare(); ok {
 		l.World.View.SetRegionShare(share)
 	}
 }
 
-// closeSilent closes links on which calls wait and whose peers have owed a sign of
-// life as long as ends an idle link of a small fleet: a VM without power, or behind
-// a cut, ends no connection.
-func (l *links) closeSilent() {
-	for route, client := range l.clients {
-		if route.Load.Outstanding() > 0 && client.Unanswered() > link.MissedHeartbeats*l.Settings.Links.Heartbeat {
+// closeUnresponsive closes links with outstanding calls whose peer has left a request for
+// a sign of life unanswered for too long: a VM that loses power, or that is cut off, does
+// not close its connections.
+func (l *links) closeUnresponsive() {
+	for endpoint, client := range l.clients {
+		if endpoint.Load.Outstanding() > 0 && client.Unanswered() > link.MissedHeartbeats*l.Settings.Links.Heartbeat {
 			client.Close()
 		}
 	}
 }
 
-// openServices opens the links that calls need: those of the services whose
-// members changed, or of all. Services take turns, each with its routes in their
-// order, so that a daemon that has just started has a few links for each of them
-// first.
+// openServices opens the links that calls need, for the services whose members changed or
+// for all. It takes one endpoint of each subset in turn, so that a daemon that has just
+// started first gets a few links for each service.
 func (l *links) openServices(now int64, all bool) {
 	var subsets [][]*tables.Endpoint
 	for service := range l.World.RequestedServices {
@@ -115,18 +118,18 @@
 		}
 	}
 	for turn := 0; len(subsets) > 0; turn++ {
-		rest := subsets[:0]
-		for _, routes := range subsets {
-			if turn < len(routes) {
-				l.openOne(now, routes[turn])
-				rest = append(rest, routes)
+		remaining := subsets[:0]
+		for _, endpoints := range subsets {
+			if turn < len(endpoints) {
+				l.openOne(now, endpoints[turn])
+				remaining = append(remaining, endpoints)
 			}
 		}
-		subsets = rest
+		subsets = remaining
 	}
 }
 
-// subsetsOf are the subsets of a service, one a kind.
+// subsetsOf returns the subsets of a service, one for each request kind.
 func (l *links) subsetsOf(service string) [][]*tables.Endpoint {
 	view := l.World.View.Placement()
 	if view == nil {
@@ -143,39 +146,39 @@
 	return out
 }
 
-func (l *links) openAll(now int64, routes []*tables.Endpoint) {
-	for _, route := range routes {
-		l.openOne(now, route)
+func (l *links) openAll(now int64, endpoints []*tables.Endpoint) {
+	for _, endpoint := range endpoints {
+		l.openOne(now, endpoint)
 	}
 }
 
-func (l *links) openOne(now int64, route *tables.Endpoint) {
-	if _, open := l.clients[route]; open || route.VM == l.World.VM || now < l.restUntil[route] {
+func (l *links) openOne(now int64, endpoint *tables.Endpoint) {
+	if _, open := l.clients[endpoint]; open || endpoint.VM == l.World.VM || now < l.redialAt[endpoint] {
 		return
 	}
-	if l.dialing.begin(now, route) {
-		go l.dial(route)
+	if l.dials.tryBegin(now, endpoint) {
+		go l.dial(endpoint)
 	}
 }
 
-func (l *links) dial(route *tables.Endpoint) {
-	ctx, cancel := context.WithTimeout(l.DaemonContext, dialTime)
+func (l *links) dial(endpoint *tables.Endpoint) {
+	ctx, cancel := context.WithTimeout(l.DaemonContext, dialTimeout)
 	defer cancel()
-	client, err := link.DialClient(ctx, l.Common, &endpointControl{Control: l.Control, world: l.World, route: route}, route.LinkAddress, l.DialOptions)
+	client, err := link.DialClient(ctx, l.Common, &endpointControl{Control: l.Control, world: l.World, endpoint: endpoint}, endpoint.LinkAddress, l.DialOptions)
 	if err != nil {
 		l.World.Inbox.Post(false, func(m *tables.Mail) {
-			m.LinkEvents = append(m.LinkEvents, tables.LinkEvent{Endpoint: route, Cause: err})
+			m.LinkEvents = append(m.LinkEvents, tables.LinkEvent{Endpoint: endpoint, Cause: err})
 		})
 		return
 	}
 	client.Run()
 }
 
-// closeGone closes links to VMs that are gone or that another VM replaced.
-func (l *links) closeGone() {
-	for route, client := range l.clients {
-		row, ok := l.World.Members.Find(route.VM)
-		if !ok || l.World.Members.Endpoint[row] != route {
+// closeOutdated closes links to VMs that were removed or replaced.
+func (l *links) closeOutdated() {
+	for endpoint, client := range l.clients {
+		row, ok := l.World.Members.Find(endpoint.VM)
+		if !ok || l.World.Members.Endpoint[row] != endpoint {
 			client.Close()
 		}
 	}
--- a/pkg/systems/membergossip.go
+++ b/pkg/systems/membergossip.go
@@ -10,141 +10,142 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// spreadMost is how many changed rows are passed on at once. More, as when a
-// whole list is new, are left to the comparing of tables, which sends each
-// peer only what it lacks.
-const spreadMost = 200
+// maxGossipChanges is the largest number of changes in a tick that are passed on. Larger
+// sets, such as a whole new list, are left to antiEntropy, which sends each peer only the
+// rows it lacks.
+const maxGossipChanges = 200
 
-// spreadFanout is how many daemons of its own data centre a daemon passes a new
-// row on to. Each daemon doing so reaches nearly all in a few steps (some e^-4
-// are missed, and found by the comparing of tables), where passing on over all
-// links costs the square of the fleet for each change.
-const spreadFanout = 4
+// gossipFanout is how many daemons of the same data centre a daemon passes a change on
+// to. When each does so, a change reaches nearly all in a few steps; a share of about
+// e^-4 is missed and recovered by antiEntropy. Passing changes on over all links would
+// cost the square of the fleet's size for each change.
+const gossipFanout = 4
 
-// spreadRelays is how many daemons of a data centre, in the mean, send a row of
-// one of its VMs to each other data centre of the region and to each other region;
-// e^-3 of the rows are missed there and found by the comparing of tables. Bytes
-// between data centres have a price.
-const spreadRelays = 3
+// gossipRelays is how many daemons of a data centre, on average, send a change of one of
+// its VMs to each other data centre of the region and to each other region. A share of
+// about e^-3 of the changes is missed there and recovered by antiEntropy. Traffic between
+// data centres costs more.
+const gossipRelays = 3
 
-// spreadEvery is the least time between two times of passing rows on. A single
-// change goes at once; while a fleet starts, what comes within this time goes in
-// one frame a daemon: 295 daemons sent 700,000 frames of one row each.
-const spreadEvery = 100 * time.Millisecond
+// gossipInterval is the least time between two rounds of passing changes on. A single
+// change is sent at once. While a fleet starts, the changes of an interval are sent
+// together, instead of one frame for each.
+const gossipInterval = 100 * time.Millisecond
 
-// memberGossip passes on rows of members that changed, the own row too: to a few
-// daemons of the own data centre, and now and then to another data centre. A row
-// that a daemon knows already changes nothing there and goes no further.
+// memberGossip passes changes of the table of members on to randomly selected peers: to a
+// few in the same data centre, and with a low probability to other data centres. A daemon
+// that knows a change already does not pass it on.
 type memberGossip struct {
 	*Env
-	due intervalTimer
-	// waiting are the rows to pass on, the newest of each VM.
-	waiting map[string]tables.MemberChange
+	timer intervalTimer
+	// pending holds the changes to pass on, the newest of each VM.
+	pending map[string]tables.MemberChange
 }
 
 // Tick implements System.
 func (s *memberGossip) Tick(now int64, _ *tables.Mail) {
 	s.collect(s.World.Members.TakeChanges())
-	if len(s.waiting) == 0 || !s.due.fires(now, spreadEvery) {
+	if len(s.pending) == 0 || !s.timer.fires(now, gossipInterval) {
 		return
 	}
-	said := make([]tables.MemberChange, 0, len(s.waiting))
-	for _, f := range s.waiting {
-		said = append(said, f)
+	changes := make([]tables.MemberChange, 0, len(s.pending))
+	for _, change := range s.pending {
+		changes = append(changes, change)
 	}
-	clear(s.waiting)
-	for peer, rows := range s.plan(said) {
+	clear(s.pending)
+	for peer, rows := range s.plan(changes) {
 		sendMembers(peer, rows)
 	}
 }
 
-// collect notes the rows to pass on that changed since the last tick.
-func (s *memberGossip) collect(fresh []tables.MemberChange) {
-	if len(fresh) == 0 || len(fresh) > spreadMost {
+// collect adds the changes of the last tick to pending.
+func (s *memberGossip) collect(changes []tables.MemberChange) {
+	if len(changes) == 0 || len(changes) > maxGossipChanges {
 		return
 	}
 	if s.Registrar == nil {
-		s.spreadList(fresh)
+		s.sendListChanges(changes)
 	}
-	if s.waiting == nil {
-		s.waiting = map[string]tables.MemberChange{}
+	if s.pending == nil {
+		s.pending = map[string]tables.MemberChange{}
 	}
-	for _, f := range s.changesFromDaemons(fresh) {
-		s.waiting[f.Record.VM] = f
+	for _, change := range s.changesFromDaemons(changes) {
+		s.pending[change.Record.VM] = change
 	}
 }
 
-// plan says which rows go over which links.
-func (s *memberGossip) plan(said []tables.MemberChange) map[*link.Peer][]wire.Member {
+// plan selects the records to send over each link.
+func (s *memberGossip) plan(changes []tables.MemberChange) map[*link.Peer][]wire.Member {
 	out := map[*link.Peer][]wire.Member{}
-	if len(said) == 0 {
+	if len(changes) == 0 {
 		return out
 	}
-	near, far := s.peersByGroup()
-	for _, peer := range pickRandom(near, spreadFanout) {
-		out[peer] = rowsNotFrom(peer, said)
+	localPeers, groups := s.peersByGroup()
+	for _, peer := range pickRandom(localPeers, gossipFanout) {
+		out[peer] = rowsNotFrom(peer, changes)
 	}
-	for to, peers := range far {
+	for group, peers := range groups {
 		for _, peer := range pickRandom(peers, 1) {
-			out[peer] = rowsNotFrom(peer, s.relayed(to, said))
+			out[peer] = rowsNotFrom(peer, s.selectForGroup(group, changes))
 		}
 	}
 	return out
 }
 
-// spreadList passes a reader's news of the platform's list on over all links.
-// Where daemons write the list themselves, each reads it at its start.
-func (s *memberGossip) spreadList(fresh []tables.MemberChange) {
+// sendListChanges sends what a reader took over from the platform's list of VMs over all
+// links. It is not needed if daemons write the list themselves, because then each daemon
+// reads the list at its start.
+func (s *memberGossip) sendListChanges(changes []tables.MemberChange) {
 	var listed []tables.MemberChange
-	for _, f := range fresh {
-		if f.From == nil && f.Record.VM != s.World.VM {
-			listed = append(listed, f)
+	for _, change := range changes {
+		if change.From == nil && change.Record.VM != s.World.VM {
+			listed = append(listed, change)
 		}
 	}
 	s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { sendMembers(peer, rowsNotFrom(peer, listed)) })
 }
 
-// changesFromDaemons are the rows that a daemon said, this one or another.
-func (s *memberGossip) changesFromDaemons(fresh []tables.MemberChange) []tables.MemberChange {
+// changesFromDaemons returns the changes that were reported by a daemon, this one
+// included.
+func (s *memberGossip) changesFromDaemons(changes []tables.MemberChange) []tables.MemberChange {
 	var out []tables.MemberChange
-	for _, f := range fresh {
-		if f.From != nil || f.Record.VM == s.World.VM {
-			out = append(out, f)
+	for _, change := range changes {
+		if change.From != nil || change.Record.VM == s.World.VM {
+			out = append(out, change)
 		}
 	}
 	return out
 }
 
-// relayed are the rows that this daemon sends to a group, each with a chance by which
-// spreadRelays daemons of its data centre do so: those of the own data centre go to
-// all groups, those of other regions to the data centres of the own one, where a row
-// that crossed into one must reach the others. Rows of the own region's other data
-// centres are relayed by these.
-func (s *memberGossip) relayed(to peerGroup, said []tables.MemberChange) []tables.MemberChange {
-	chance := spreadRelays / float64(max(s.World.Members.CountInDataCentre(s.World.DataCentre), 1))
+// selectForGroup selects the records that this daemon sends to a group, each at random so
+// that on average gossipRelays daemons of its data centre send it. Records of the own
+// data centre go to all groups. Records of other regions go to the data centres of the
+// own region. Records of the region's other data centres are sent by the daemons there.
+func (s *memberGossip) selectForGroup(group peerGroup, changes []tables.MemberChange) []tables.MemberChange {
+	chance := gossipRelays / float64(max(s.World.Members.CountInDataCentre(s.World.DataCentre), 1))
 	var out []tables.MemberChange
-	for _, f := range said {
-		from := s.World.Here().To(f.Record.DataCentre, f.Record.Region)
-		relays := from == proximity.SameDataCentre || from == proximity.OtherRegion && to.at == proximity.Region
-		if relays && rand.Float64() < chance {
-			out = append(out, f)
+	for _, change := range changes {
+		from := s.World.Here().To(change.Record.DataCentre, change.Record.Region)
+		relay := from == proximity.SameDataCentre || from == proximity.OtherRegion && group.level == proximity.Region
+		if relay && rand.Float64() < chance {
+			out = append(out, change)
 		}
 	}
 	return out
 }
 
-// pickRandom picks up to most of some links.
-func pickRandom(peers []*link.Peer, most int) []*link.Peer {
+// pickRandom returns up to limit randomly selected peers.
+func pickRandom(peers []*link.Peer, limit int) []*link.Peer {
 	rand.Shuffle(len(peers), func(i, j int) { peers[i], peers[j] = peers[j], peers[i] })
-	return peers[:min(most, len(peers))]
+	return peers[:min(limit, len(peers))]
 }
 
-// rowsNotFrom are the rows that did not come from a peer.
-func rowsNotFrom(peer *link.Peer, fresh []tables.MemberChange) []wire.Member {
+// rowsNotFrom returns the records that were not received from the peer's VM.
+func rowsNotFrom(peer *link.Peer, changes []tables.MemberChange) []wire.Member {
 	var rows []wire.Member
-	for _, f := range fresh {
-		if f.From == nil || f.From.Hello.VM != peer.Hello.VM {
-			rows = append(rows, f.Record)
+	for _, change := range changes {
+		if change.From == nil || change.From.Hello.VM != peer.Hello.VM {
+			rows = append(rows, change.Record)
 		}
 	}
 	return rows
--- a/pkg/systems/membergossip_test.go
+++ b/pkg/systems/membergossip_test.go
@@ -12,9 +12,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// spreadFleet makes a daemon with two links to each of some others in its own
-// data centre and in another one, all of them members.
-func spreadFleet(each int) *memberGossip {
+// gossipFleet makes a daemon with two links to each of some other members in its own data
+// centre and in another one.
+func gossipFleet(each int) *memberGossip {
 	env := testEnv()
 	for _, dataCentre := range []string{"here", "there"} {
 		for n := range each {
@@ -28,11 +28,11 @@
 	return &memberGossip{Env: env}
 }
 
-// TestNewsGoesToAFewDaemonsOfTheOwnDataCentre: with two links to each of 60
-// daemons, four daemons are reached, over one link each, be the row the own one
-// or one that was heard.
-func TestNewsGoesToAFewDaemonsOfTheOwnDataCentre(t *testing.T) {
-	s := spreadFleet(60)
+// TestChangesGoToFewDaemonsOfTheSameDataCentre checks that with two links to each of 60
+// daemons, gossipFanout daemons get a change over one link each, whether it is the own
+// record or one that was received.
+func TestChangesGoToFewDaemonsOfTheSameDataCentre(t *testing.T) {
+	s := gossipFleet(60)
 	far := &link.Peer{Hello: wire.Hello{VM: "there5", DataCentre: "there"}}
 	for _, f := range []tables.MemberChange{
 		{Record: wire.Member{VM: "vm", DataCentre: "here"}},
@@ -44,16 +44,16 @@
 				reached[peer.Hello.VM] += len(rows)
 			}
 		}
-		test.MapLen(t, spreadFanout, reached)
+		test.MapLen(t, gossipFanout, reached)
 	}
 }
 
-// TestARowCrossesIntoAnotherDataCentreAFewTimes: sixty daemons that hear of a
-// row of their data centre send it to another one some three times in all, and
-// rows of other data centres not at all.
-func TestARowCrossesIntoAnotherDataCentreAFewTimes(t *testing.T) {
+// TestFewDaemonsSendARowToAnotherDataCentre checks that of sixty daemons with a record of
+// their data centre, about gossipRelays send it to another one, and none sends a record
+// of another data centre.
+func TestFewDaemonsSendARowToAnotherDataCentre(t *testing.T) {
 	const daemons, rounds = 60, 200
-	s := spreadFleet(daemons)
+	s := gossipFleet(daemons)
 	near := &link.Peer{Hello: wire.Hello{VM: "here5", DataCentre: "here"}}
 	crossed := map[string]int{}
 	for range daemons * rounds {
@@ -69,12 +69,12 @@
 			}
 		}
 	}
-	test.Between(t, rounds*spreadRelays*8/10, crossed["own"], rounds*spreadRelays*12/10)
+	test.Between(t, rounds*gossipRelays*8/10, crossed["own"], rounds*gossipRelays*12/10)
 	test.Eq(t, 0, crossed["foreign"])
 }
 
-// regionFleet makes a daemon of a1, in the region a of two data centres, that has
-// links with some daemons of each data centre of the regions a and b.
+// regionFleet makes a daemon in the data centre a1 of region a, with links to some
+// daemons of each data centre of the regions a and b, two in each.
 func regionFleet(each int) *memberGossip {
 	env := testEnv()
 	env.World.DataCentre, env.World.Region = "a1", "a"
@@ -88,9 +88,10 @@
 	return &memberGossip{Env: env}
 }
 
-// TestARowCrossesIntoAnotherRegionAFewTimes, however many data centres that has; there
-// it goes on to all of them, and not back.
-func TestARowCrossesIntoAnotherRegionAFewTimes(t *testing.T) {
+// TestFewDaemonsSendARowToAnotherRegion checks that this does not depend on its number of
+// data centres, and that a record received from another region goes on to all data
+// centres of the own one, but not back.
+func TestFewDaemonsSendARowToAnotherRegion(t *testing.T) {
 	const daemons, rounds = 20, 300
 	s := regionFleet(daemons)
 	from := &link.Peer{Hello: wire.Hello{VM: "a15", DataCentre: "a1", Region: "a"}}
@@ -108,7 +109,7 @@
 		}
 	}
 	few := func(what string) {
-		test.Between(t, rounds*spreadRelays*8/10, crossed[what], rounds*spreadRelays*12/10, test.Sprint(what))
+		test.Between(t, rounds*gossipRelays*8/10, crossed[what], rounds*gossipRelays*12/10, test.Sprint(what))
 	}
 	few("own to region")
 	few("own to other")
@@ -118,10 +119,10 @@
 	test.Eq(t, 0, crossed["other to other"])
 }
 
-// TestASmallDataCentreLosesNoRow: where a data centre has no more daemons than
-// relays are wanted, each sends each row on.
-func TestASmallDataCentreLosesNoRow(t *testing.T) {
-	s := spreadFleet(spreadRelays)
+// TestEachDaemonOfASmallDataCentreSendsEachRow: the data centre has no more daemons than
+// gossipRelays.
+func TestEachDaemonOfASmallDataCentreSendsEachRow(t *testing.T) {
+	s := gossipFleet(gossipRelays)
 	for range 100 {
 		sent := 0
 		for peer, rows := range s.plan([]tables.MemberChange{{Record: wire.Member{VM: "vm", DataCentre: "here"}}}) {
@@ -133,17 +134,18 @@
 	}
 }
 
-func TestARowDoesNotGoBackToTheDaemonItCameFrom(t *testing.T) {
+func TestRowIsNotSentBackToItsSource(t *testing.T) {
 	from := &link.Peer{Hello: wire.Hello{VM: "a"}}
 	otherWay := &link.Peer{Hello: wire.Hello{VM: "a"}}
-	fresh := []tables.MemberChange{{Record: wire.Member{VM: "x"}, From: from}, {Record: wire.Member{VM: "y"}}}
-	test.Len(t, 1, rowsNotFrom(otherWay, fresh))
-	test.Len(t, 2, rowsNotFrom(&link.Peer{Hello: wire.Hello{VM: "b"}}, fresh))
+	changes := []tables.MemberChange{{Record: wire.Member{VM: "x"}, From: from}, {Record: wire.Member{VM: "y"}}}
+	test.Len(t, 1, rowsNotFrom(otherWay, changes))
+	test.Len(t, 2, rowsNotFrom(&link.Peer{Hello: wire.Hello{VM: "b"}}, changes))
 }
 
-// TestChangesThatComeTogetherGoTogether: a single change is passed on at once,
-// those that follow it wait for each other, the newest of each VM.
-func TestChangesThatComeTogetherGoTogether(t *testing.T) {
+// TestChangesWithinTheGossipIntervalAreSentTogether: a single change is sent at once, the
+// following ones wait for the end of the interval, and only the newest of each VM is
+// sent.
+func TestChangesWithinTheGossipIntervalAreSentTogether(t *testing.T) {
 	env := testEnv()
 	s := &memberGossip{Env: env}
 	from := &link.Peer{Hello: wire.Hello{VM: "from"}}
@@ -152,14 +154,14 @@
 	}
 	change("a", 1)
 	s.Tick(1, &tables.Mail{})
-	test.MapEmpty(t, s.waiting, test.Sprint("the first one waits for nothing"))
+	test.MapEmpty(t, s.pending, test.Sprint("the first change is sent at once"))
 	change("b", 1)
 	s.Tick(2, &tables.Mail{})
 	change("b", 2)
 	change("c", 1)
 	s.Tick(3, &tables.Mail{})
-	must.MapLen(t, 2, s.waiting)
-	test.Eq(t, 2, s.waiting["b"].Record.Revision)
-	s.Tick(1+int64(spreadEvery), &tables.Mail{})
-	test.MapEmpty(t, s.waiting)
+	must.MapLen(t, 2, s.pending)
+	test.Eq(t, 2, s.pending["b"].Record.Revision)
+	s.Tick(1+int64(gossipInterval), &tables.Mail{})
+	test.MapEmpty(t, s.pending)
 }
--- a/pkg/systems/membership.go
+++ b/pkg/systems/membership.go
@@ -11,82 +11,83 @@
 )
 
 const (
-	// rowsPerFrame bounds one frame of members.
-	rowsPerFrame = 500
-	// unlistedAfter is how long a member that the list never showed may be
-	// unlisted: the list lags, and others may have seen a newer one.
-	unlistedAfter = 2 * time.Minute
-	// missingReads is how many reads of the list in a row must miss a member
-	// before it counts as gone.
-	missingReads = 2
-	// refuteEvery is the least time between two refutations of this daemon.
-	refuteEvery = 30 * time.Second
+	// maxRowsPerFrame is the largest number of records in one frame.
+	maxRowsPerFrame = 500
+	// unlistedGracePeriod is how long a member that the list of VMs has never contained
+	// may be missing from it. The list lags behind, and other daemons may have read a
+	// newer one.
+	unlistedGracePeriod = 2 * time.Minute
+	// maxMissedReads is how many consecutive reads of the list must lack a member before
+	// it is removed.
+	maxMissedReads = 2
+	// refuteInterval is the least time between two refutations by this daemon.
+	refuteInterval = 30 * time.Second
 )
 
-// membership keeps the table of membership: from the platform's list, which a few
-// daemons a data centre read, and from what daemons pass on. Source:
-// docs/design/membership.md.
+// membership updates the table of members from the platform's list of VMs, which a few
+// daemons of each data centre read, and from the records that peers send. Source:
+// docs/design/members.md.
 type membership struct {
 	*Env
-	refute intervalTimer
-	// introduced is true once the own row stands in the table.
-	introduced bool
+	refuteTimer intervalTimer
+	// ownRowAdded is true once this daemon has added its own row.
+	ownRowAdded bool
 }
 
 // Tick implements System.
-func (me *membership) Tick(now int64, mail *tables.Mail) {
+func (ms *membership) Tick(now int64, mail *tables.Mail) {
 	if mail.Leave {
-		me.Leave()
+		ms.Leave()
 	}
-	me.introduce(now)
+	ms.addOwnRow(now)
 	if mail.VMList != nil {
-		me.takeList(now, mail.VMList)
+		ms.mergeList(now, mail.VMList)
 	}
 	for _, m := range mail.Members {
 		for _, row := range m.Rows {
-			me.merge(now, m.Peer, row)
+			ms.merge(now, m.Peer, row)
 		}
 	}
-	me.refuteGone(now)
+	ms.refuteGone(now)
 	for _, ask := range mail.MembersAsks {
-		sendMembers(ask.Peer, me.World.Members.DifferingRows(ask.Buckets))
+		sendMembers(ask.Peer, ms.World.Members.DifferingRows(ask.Buckets))
 	}
 }
 
-// introduce puts this daemon's own row into the table at its first tick, where
-// daemons write the list themselves.
-func (me *membership) introduce(now int64) {
-	if me.Registrar == nil || me.introduced {
+// addOwnRow adds this daemon's own row at its first tick, if daemons write the list
+// themselves.
+func (ms *membership) addOwnRow(now int64) {
+	if ms.Registrar == nil || ms.ownRowAdded {
 		return
 	}
-	me.introduced = true
-	s := me.Settings
-	me.merge(now, nil, me.ownRow(wire.Member{
-		VM: s.VM.ID, Incarnation: me.Control.Incarnation(), Region: s.VM.Region, DataCentre: s.VM.DataCentre,
+	ms.ownRowAdded = true
+	s := ms.Settings
+	ms.merge(now, nil, ms.withBackendState(wire.Member{
+		VM: s.VM.ID, Incarnation: ms.Control.Incarnation(), Region: s.VM.Region, DataCentre: s.VM.DataCentre,
 		Service: s.BackendServer.Service, Links: s.Listen.Links, Callers: s.Listen.Callers,
 		Slots: uint32(s.BackendServer.Slots), Revision: 1,
 	}))
 }
 
-func (me *membership) takeList(now int64, list *tables.VMList) {
+func (ms *membership) mergeList(now int64, list *tables.VMList) {
 	listed := make(map[string]struct{}, len(list.VMs))
 	for _, vm := range list.VMs {
 		listed[vm.ID] = struct{}{}
-		me.merge(now, nil, me.rowOf(vm))
-		if row, ok := me.World.Members.Find(vm.ID); ok {
-			me.World.Members.Listed[row] = true
-			me.World.Members.MissedReads[row] = 0
+		ms.merge(now, nil, ms.recordOf(vm))
+		if row, ok := ms.World.Members.Find(vm.ID); ok {
+			ms.World.Members.Listed[row] = true
+			ms.World.Members.MissedReads[row] = 0
 		}
 	}
-	if me.Registrar == nil {
-		// A list that daemons write themselves never takes anybody out.
-		me.buryUnlisted(now, list.DataCentre, listed)
+	if ms.Registrar == nil {
+		// A list that daemons write themselves never removes a member.
+		ms.removeUnlisted(now, list.DataCentre, listed)
 	}
 }
 
-// rowOf turns a VM of the list into a row. The list knows VMs, not processes:
-// what it says holds for the newest process that is known.
-func (me *membership) rowOf(vm store.VM) wire.Member {
+// recordOf converts an entry of the list of VMs to a record. The list does not know
+// processes, so the entry counts as a statement about the newest known process of the VM.
+func (ms *membership) recordOf(vm store.VM) wire.Member {
 	out := wire.Member{
 		VM: vm.ID, Started: vm.Started, Region: vm.Region, DataCentre: vm.DataCentre,
 		Service: vm.Service, Links: vm.Links, Callers: vm.Callers, Slots: uint32(max(vm.Slots, 0)),
@@ -94,125 +95,126 @@
 	if vm.State == store.VMLeaving {
 		out.State = wire.MemberLeaving
 	}
-	if row, ok := me.World.Members.Find(vm.ID); ok && me.World.Members.Record[row].Started == vm.Started {
-		out.Incarnation = me.World.Members.Record[row].Incarnation
-		out.Revision = me.World.Members.Record[row].Revision
-		out.Backend = me.World.Members.Record[row].Backend
-		out.Version = me.World.Members.Record[row].Version
+	if row, ok := ms.World.Members.Find(vm.ID); ok && ms.World.Members.Record[row].Started == vm.Started {
+		out.Incarnation = ms.World.Members.Record[row].Incarnation
+		out.Revision = ms.World.Members.Record[row].Revision
+		out.Backend = ms.World.Members.Record[row].Backend
+		out.Version = ms.World.Members.Record[row].Version
 	}
 	return out
 }
 
-// buryUnlisted takes out what the list has shown before and shows no more.
-func (me *membership) buryUnlisted(now int64, dataCentre string, listed map[string]struct{}) {
+// removeUnlisted removes members that the list no longer contains.
+func (ms *membership) removeUnlisted(now int64, dataCentre string, listed map[string]struct{}) {
 	var gone []wire.Member
-	m := me.World.Members
+	m := ms.World.Members
 	m.EachRow(func(row int) {
 		_, ok := listed[m.Record[row].VM]
-		mayKnow := m.Listed[row] || now-m.AddedAt[row] > int64(unlistedAfter)
-		elsewhere := dataCentre != "" && m.Record[row].DataCentre != dataCentre
-		// A daemon does not bury itself: it knows better.
-		if ok || !mayKnow || elsewhere || m.Record[row].VM == me.World.VM {
+		listIsDecisive := m.Listed[row] || now-m.AddedAt[row] > int64(unlistedGracePeriod)
+		outsideList := dataCentre != "" && m.Record[row].DataCentre != dataCentre
+		// A daemon does not remove itself: it knows that it runs.
+		if ok || !listIsDecisive || outsideList || m.Record[row].VM == ms.World.VM {
 			return
 		}
-		if m.MissedReads[row]++; m.MissedReads[row] < missingReads {
+		if m.MissedReads[row]++; m.MissedReads[row] < maxMissedReads {
 			return
 		}
-		dead := m.Record[row]
-		dead.State = wire.MemberGone
-		gone = append(gone, dead)
+		removed := m.Record[row]
+		removed.State = wire.MemberGone
+		gone = append(gone, removed)
 	})
-	for _, dead := range gone {
-		me.merge(now, nil, dead)
+	for _, removed := range gone {
+		ms.merge(now, nil, removed)
 	}
 }
 
-func (me *membership) merge(now int64, from *link.Peer, said wire.Member) {
-	ended, changed := me.World.Members.Merge(now, from, said)
+func (ms *membership) merge(now int64, from *link.Peer, record wire.Member) {
+	removed, changed := ms.World.Members.Merge(now, from, record)
 	if !changed {
 		return
 	}
-	me.World.MarkDirty(said.Service)
-	if ended != nil {
-		me.World.MarkDirty(ended.Service)
+	ms.World.MarkDirty(record.Service)
+	if removed != nil {
+		ms.World.MarkDirty(removed.Service)
 	}
-	me.note(said)
-	if said.VM == me.World.VM {
-		me.aboutSelf(now, said)
+	ms.logChange(record)
+	if record.VM == ms.World.VM {
+		ms.handleOwnRecord(now, record)
 	}
 }
 
-func (me *membership) note(said wire.Member) {
-	vm := events.F("vm", said.VM)
-	switch said.State {
+func (ms *membership) logChange(record wire.Member) {
+	vm := events.F("vm", record.VM)
+	switch record.State {
 	case wire.MemberLive:
-		me.Log.Event(events.MemberJoined, vm, events.F("data_centre", said.DataCentre), events.F("service", said.Service))
+		ms.Log.Event(events.MemberJoined, vm, events.F("data_centre", record.DataCentre), events.F("service", record.Service))
 	case wire.MemberLeaving:
-		me.Log.Event(events.MemberLeaving, vm)
+		ms.Log.Event(events.MemberLeaving, vm)
 	case wire.MemberGone:
-		me.Log.Event(events.MemberGone, vm)
+		ms.Log.Event(events.MemberGone, vm)
 	}
 }
 
-// aboutSelf looks at what is said of this daemon: it binds the own row to the
-// runner, answers what is said of an older process with its own incarnation,
-// and leaves when the platform marks this VM as leaving. Only the platform's
-// list says so without an incarnation.
-func (me *membership) aboutSelf(now int64, said wire.Member) {
-	if row, ok := me.World.Members.Find(me.World.VM); ok && me.Runner != nil {
-		me.World.Members.Endpoint[row].SetRunner(me.Runner)
-	}
-	own := me.Control.Incarnation()
+// handleOwnRecord handles a record of this daemon that changed the table. It sets the
+// runner of the own endpoint and replaces records of other processes of this VM by one
+// with a higher incarnation. It leaves when the platform marks this VM as leaving; only
+// the platform's list does so without an incarnation.
+func (ms *membership) handleOwnRecord(now int64, record wire.Member) {
+	if row, ok := ms.World.Members.Find(ms.World.VM); ok && ms.Runner != nil {
+		ms.World.Members.Endpoint[row].SetRunner(ms.Runner)
+	}
+	ownIncarnation := ms.Control.Incarnation()
 	switch {
-	case said.State == wire.MemberGone:
-		// refuteGone answers, not too often.
-	case said.Incarnation < own:
-		marked := said.State == wire.MemberLeaving && said.Incarnation == 0
-		said.Incarnation = own
-		if !marked {
-			said.State = wire.MemberLive
+	case record.State == wire.MemberGone:
+		// refuteGone does this, limited to one refutation per refuteInterval.
+	case record.Incarnation < ownIncarnation:
+		markedByPlatform := record.State == wire.MemberLeaving && record.Incarnation == 0
+		record.Incarnation = ownIncarnation
+		if !markedByPlatform {
+			record.State = wire.MemberLive
 		}
-		me.merge(now, nil, me.ownRow(said))
-	case said.Incarnation > own:
-		// An older process of this VM counted further, as after a step of the
-		// wall clock: this one goes before it.
-		me.Control.incarnation.Store(said.Incarnation + 1)
-		said.Incarnation++
-		said.State = wire.MemberLive
-		me.merge(now, nil, me.ownRow(said))
-	case said.State == wire.MemberLeaving:
-		me.Leave()
+		ms.merge(now, nil, ms.withBackendState(record))
+	case record.Incarnation > ownIncarnation:
+		// An earlier process of this VM had a higher incarnation, for instance because
+		// the clock was set back since. This process takes the next one.
+		ms.Control.incarnation.Store(record.Incarnation + 1)
+		record.Incarnation++
+		record.State = wire.MemberLive
+		ms.merge(now, nil, ms.withBackendState(record))
+	case record.State == wire.MemberLeaving:
+		ms.Leave()
 	}
 }
 
-// ownRow is a row of this daemon with what only it knows.
-func (me *membership) ownRow(said wire.Member) wire.Member {
-	if me.Backend == nil {
-		return said
-	}
-	said.Backend, said.Version = me.backendState(), me.Backend.Version()
-	return said
+// withBackendState returns a record of this daemon with the current state and version of
+// its backend server.
+func (ms *membership) withBackendState(record wire.Member) wire.Member {
+	if ms.Backend == nil {
+		return record
+	}
+	record.Backend, record.Version = ms.backendState(), ms.Backend.Version()
+	return record
 }
 
-// refuteGone answers the news that this daemon is gone while it lives, with a
-// newer incarnation, as in the SWIM paper. A list that flaps must not bury a
-// VM for as long as its tombstone stands.
-func (me *membership) refuteGone(now int64) {
-	stone, buried := me.World.Members.Tombstone(me.World.VM)
-	if !buried || me.World.View.Leaving() || !me.refute.fires(now, refuteEvery) {
+// refuteGone adds this daemon to the table again, with a higher incarnation, if it was
+// removed although it runs, like a refutation in the SWIM protocol. Otherwise a flapping
+// list would keep a VM out for as long as its tombstone lasts.
+func (ms *membership) refuteGone(now int64) {
+	tombstone, found := ms.World.Members.Tombstone(ms.World.VM)
+	if !found || ms.World.View.Leaving() || !ms.refuteTimer.fires(now, refuteInterval) {
 		return
 	}
-	me.Metrics.GetOrCreateCounter("rushramp_members_refuted_total").Inc()
-	me.Control.incarnation.Store(max(stone.Incarnation, me.Control.Incarnation()) + 1)
-	stone.State = wire.MemberLive
-	stone.Incarnation = me.Control.Incarnation()
-	me.merge(now, nil, stone)
+	ms.Metrics.GetOrCreateCounter("rushramp_members_refuted_total").Inc()
+	ms.Control.incarnation.Store(max(tombstone.Incarnation, ms.Control.Incarnation()) + 1)
+	tombstone.State = wire.MemberLive
+	tombstone.Incarnation = ms.Control.Incarnation()
+	ms.merge(now, nil, tombstone)
 }
 
 func sendMembers(peer *link.Peer, rows []wire.Member) {
 	for len(rows) > 0 {
-		n := min(len(rows), rowsPerFrame)
-		// A peer that is gone asks again over another link.
+		n := min(len(rows), maxRowsPerFrame)
+		// After a failure the peer requests the rows again over another link.
 		_ = peer.Send(&wire.Members{Rows: rows[:n]})
 		rows = rows[n:]
 	}
--- a/pkg/systems/membership_test.go
+++ b/pkg/systems/membership_test.go
@@ -13,23 +13,23 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// noRegistrar stands for a platform whose list daemons write themselves.
-type noRegistrar struct{}
+// noopRegistrar is a registrar that writes nothing.
+type noopRegistrar struct{}
 
-func (noRegistrar) Register(context.Context, store.VM) error { return nil }
+func (noopRegistrar) Register(context.Context, store.VM) error { return nil }
 
-func selfEnv() (env *Env, run func(said ...wire.Member) wire.Member) {
+func newMembershipEnv() (env *Env, run func(records ...wire.Member) wire.Member) {
 	env = testEnv()
 	left := false
 	env.Leave = func() { left = true }
 	env.Backend = backend.NewLifecycle(true, nil)
-	env.Registrar = noRegistrar{}
+	env.Registrar = noopRegistrar{}
 	env.Settings.Listen.Links = "127.0.0.1:7401"
 	system, watch := &membership{Env: env}, &backendReporter{Env: env}
-	return env, func(said ...wire.Member) wire.Member {
+	return env, func(records ...wire.Member) wire.Member {
 		mail := &tables.Mail{}
-		if len(said) > 0 {
-			mail.Members = []tables.PeerMembers{{Rows: said}}
+		if len(records) > 0 {
+			mail.Members = []tables.PeerMembers{{Rows: records}}
 		}
 		system.Tick(env.Now(), mail)
 		watch.Tick(env.Now(), mail)
@@ -41,8 +41,8 @@
 	}
 }
 
-func TestADaemonIntroducesItself(t *testing.T) {
-	env, run := selfEnv()
+func TestDaemonAddsItsOwnRow(t *testing.T) {
+	env, run := newMembershipEnv()
 	own := run()
 	must.Eq(t, "vm", own.VM)
 	test.Eq(t, wire.BackendAbsent, own.Backend)
@@ -54,10 +54,10 @@
 	test.Eq(t, wire.BackendAbsent, run().Backend)
 }
 
-// TestAnOlderProcessThatCountedFurther is a restart after the wall clock was
-// set back: peers hold a row with a higher incarnation, which was leaving.
-func TestAnOlderProcessThatCountedFurther(t *testing.T) {
-	env, run := selfEnv()
+// TestRestartAfterTheClockWasSetBackTakesAHigherIncarnation: peers have a record of the
+// former process with a higher incarnation, as leaving.
+func TestRestartAfterTheClockWasSetBackTakesAHigherIncarnation(t *testing.T) {
+	env, run := newMembershipEnv()
 	own := run()
 	env.Backend.RecordInstanceID(1, "i-1")
 	old := own
--- a/pkg/systems/oncesweeper.go
+++ b/pkg/systems/oncesweeper.go
@@ -8,37 +8,37 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// sweepEvery is the time between two sweeps of a reader. At two readers a data
-// centre and 18 data centres, 120 rows a second are looked at in all.
-const sweepEvery = 30 * time.Second
+// onceSweepInterval is the time between two sweeps of one reader.
+const onceSweepInterval = 30 * time.Second
 
-// onceSweeper lets the data centre's readers delete rows of never-repeat calls that
-// are long past their time, so that the table does not grow without bound.
+// onceSweeper lets the platform readers of a data centre (isPlatformReader) delete
+// expired rows of never-repeat calls from the store, which would otherwise grow without
+// bound.
 type onceSweeper struct {
 	*Env
-	due  intervalTimer
-	busy atomic.Bool
+	timer    intervalTimer
+	sweeping atomic.Bool
 }
 
 // Tick implements System.
 func (s *onceSweeper) Tick(now int64, _ *tables.Mail) {
-	if s.due.nextAt == 0 {
-		// Not at the start: all daemons would sweep that know nobody yet.
-		s.due.nextAt = now + int64(sweepEvery)
+	if s.timer.nextAt == 0 {
+		// At its start a daemon knows no other member and takes itself for a reader.
+		s.timer.nextAt = now + int64(onceSweepInterval)
 	}
-	if s.SweepOnceRows == nil || !s.due.fires(now, sweepEvery) || !s.isPlatformReader() {
+	if s.SweepOnceRows == nil || !s.timer.fires(now, onceSweepInterval) || !s.isPlatformReader() {
 		return
 	}
-	if s.busy.CompareAndSwap(false, true) {
+	if s.sweeping.CompareAndSwap(false, true) {
 		go s.sweep()
 	}
 }
 
 func (s *onceSweeper) sweep() {
-	defer s.busy.Store(false)
+	defer s.sweeping.Store(false)
 	ctx, cancel := context.WithTimeout(s.DaemonContext, s.Settings.Platform.Timeout)
 	defer cancel()
-	// A sweep that fails is made up for by the next ones.
+	// Later sweeps make up for one that fails.
 	deleted, _ := s.SweepOnceRows(ctx)
 	s.Metrics.GetOrCreateCounter("rushramp_once_swept_total").Add(deleted)
 }
--- a/pkg/systems/peergroups.go
+++ b/pkg/systems/peergroups.go
@@ -6,45 +6,45 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// proximityOf is how far a peer is, as it said itself.
+// proximityOf returns how far a peer is, by the location in its hello frame.
 func (e *Env) proximityOf(peer *link.Peer) proximity.Level {
 	return e.World.Here().To(peer.Hello.DataCentre, peer.Hello.Region)
 }
 
-// peerGroup is a set of peers that news is sent to as one: a data centre of the own
-// region, or another region whole, since bytes between regions have the higher price.
-// Whoever hears news there passes it on.
+// peerGroup is a set of peers that one message is enough for, since its receivers pass
+// the message on within the group: a data centre of the own region, or a whole other
+// region, because traffic between regions costs more.
 type peerGroup struct {
-	at   proximity.Level
-	name string
+	level proximity.Level
+	name  string
 }
 
-// peerGroupOf is the group of a VM. One whose region is not known stands for its data
-// centre.
+// peerGroupOf returns the group of a VM. Outside the own region, a VM whose region is not
+// known belongs to the group of its data centre.
 func (e *Env) peerGroupOf(dataCentre, region string) peerGroup {
-	at := e.World.Here().To(dataCentre, region)
-	if at == proximity.OtherRegion && region != "" {
-		return peerGroup{at, region}
+	level := e.World.Here().To(dataCentre, region)
+	if level == proximity.OtherRegion && region != "" {
+		return peerGroup{level, region}
 	}
-	return peerGroup{at, dataCentre}
+	return peerGroup{level, dataCentre}
 }
 
-// peersByGroup returns one link to each daemon: those of the own data centre, and
-// the others by their groups.
-func (e *Env) peersByGroup() (near []*link.Peer, far map[peerGroup][]*link.Peer) {
+// peersByGroup returns one link to each daemon that is not leaving: localPeers are those
+// in the same data centre, groups are the others.
+func (e *Env) peersByGroup() (localPeers []*link.Peer, groups map[peerGroup][]*link.Peer) {
 	seen := map[string]struct{}{}
-	far = map[peerGroup][]*link.Peer{}
+	groups = map[peerGroup][]*link.Peer{}
 	e.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if _, known := seen[peer.Hello.VM]; known || row.Leaving {
 			return
 		}
 		seen[peer.Hello.VM] = struct{}{}
 		if peer.Hello.DataCentre == e.World.DataCentre {
-			near = append(near, peer)
+			localPeers = append(localPeers, peer)
 			return
 		}
-		to := e.peerGroupOf(peer.Hello.DataCentre, peer.Hello.Region)
-		far[to] = append(far[to], peer)
+		group := e.peerGroupOf(peer.Hello.DataCentre, peer.Hello.Region)
+		groups[group] = append(groups[group], peer)
 	})
-	return near, far
+	return localPeers, groups
 }
--- a/pkg/systems/peerstates.go
+++ b/pkg/systems/peerstates.go
@@ -9,56 +9,57 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// peerStates takes over what peers say of themselves: first-hand knowledge, which
-// goes before the platform's list.
+// peerStates takes over what peers report about themselves in their state frames. This is
+// more recent than the platform's list of VMs.
 type peerStates struct{ *Env }
 
 // Tick implements System.
-func (ne *peerStates) Tick(now int64, mail *tables.Mail) {
-	if mail.StoreReadAt > ne.World.NewestStoreReadAt {
-		ne.World.NewestStoreReadAt = mail.StoreReadAt
+func (p *peerStates) Tick(now int64, mail *tables.Mail) {
+	if mail.StoreReadAt > p.World.NewestStoreReadAt {
+		p.World.NewestStoreReadAt = mail.StoreReadAt
 	}
-	for _, n := range mail.PeerStates {
-		ne.take(n)
+	for _, received := range mail.PeerStates {
+		p.apply(received)
 	}
 }
 
-func (ne *peerStates) take(n tables.PeerState) {
-	row := ne.World.Peers.GetOrAdd(n.Peer)
-	row.PlacementVersion = max(row.PlacementVersion, n.State.Placement)
-	ne.hear(n)
-	if n.State.Leaving && !row.Leaving {
+func (p *peerStates) apply(received tables.PeerState) {
+	row := p.World.Peers.GetOrAdd(received.Peer)
+	row.PlacementVersion = max(row.PlacementVersion, received.State.Placement)
+	p.recordAges(received)
+	if received.State.Leaving && !row.Leaving {
 		row.Leaving = true
-		ne.markLeaving(n.At, n.Peer)
+		p.markLeaving(received.At, received.Peer)
 	}
 }
 
-// hear takes over how fresh the peer's knowledge of the store and of the data
-// centres is. Ages, not times, travel: clocks of VMs differ.
-func (ne *peerStates) hear(n tables.PeerState) {
-	ne.World.DataCentreHeardAt[n.Peer.Hello.DataCentre] = n.At
-	for _, h := range n.State.Heard {
-		at := n.At - int64(time.Duration(h.AgeMS)*time.Millisecond)
-		ne.World.DataCentreHeardAt[h.DataCentre] = max(ne.World.DataCentreHeardAt[h.DataCentre], at)
+// recordAges records how recently the peer knows the store to have been read and the data
+// centres to have been heard of. State frames carry ages instead of times because the
+// clocks of VMs differ.
+func (p *peerStates) recordAges(received tables.PeerState) {
+	p.World.DataCentreHeardAt[received.Peer.Hello.DataCentre] = received.At
+	for _, h := range received.State.Heard {
+		at := received.At - int64(time.Duration(h.AgeMS)*time.Millisecond)
+		p.World.DataCentreHeardAt[h.DataCentre] = max(p.World.DataCentreHeardAt[h.DataCentre], at)
 	}
-	if n.State.StoreAgeMS < wire.StoreNever {
-		at := n.At - int64(time.Duration(n.State.StoreAgeMS)*time.Millisecond)
-		ne.World.NewestStoreReadAt = max(ne.World.NewestStoreReadAt, at)
+	if received.State.StoreAgeMS < wire.StoreNever {
+		at := received.At - int64(time.Duration(received.State.StoreAgeMS)*time.Millisecond)
+		p.World.NewestStoreReadAt = max(p.World.NewestStoreReadAt, at)
 	}
 }
 
-// markLeaving takes a peer's own word that it is leaving. The platform may say
-// so seconds later; members passes it on.
-func (ne *peerStates) markLeaving(now int64, peer *link.Peer) {
-	row, ok := ne.World.Members.Find(peer.Hello.VM)
-	if !ok || ne.World.Members.Record[row].Incarnation > peer.Hello.Incarnation {
+// markLeaving merges a peer's own report that it is leaving. The platform's list may show
+// this only seconds later.
+func (p *peerStates) markLeaving(now int64, peer *link.Peer) {
+	row, ok := p.World.Members.Find(peer.Hello.VM)
+	if !ok || p.World.Members.Record[row].Incarnation > peer.Hello.Incarnation {
 		return
 	}
-	said := ne.World.Members.Record[row]
-	said.Incarnation = peer.Hello.Incarnation
-	said.State = wire.MemberLeaving
-	if _, changed := ne.World.Members.Merge(now, peer, said); changed {
-		ne.World.MarkDirty(said.Service)
-		ne.Log.Event(events.MemberLeaving, events.F("vm", said.VM), events.F("from", "link"))
+	record := p.World.Members.Record[row]
+	record.Incarnation = peer.Hello.Incarnation
+	record.State = wire.MemberLeaving
+	if _, changed := p.World.Members.Merge(now, peer, record); changed {
+		p.World.MarkDirty(record.Service)
+		p.Log.Event(events.MemberLeaving, events.F("vm", record.VM), events.F("from", "link"))
 	}
 }
--- a/pkg/systems/readers.go
+++ b/pkg/systems/readers.go
@@ -5,25 +5,28 @@
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
-// isPlatformReader is true when this daemon is among its data centre's readers of the
-// platform. Each daemon works that out by itself from its table of members;
-// while tables differ there is a reader more or less, which costs a read or
-// some time, and is never wrong.
+// isPlatformReader reports whether this daemon is one of the few of its data centre that
+// read the platform's store for all. Each daemon determines this from its own table of
+// members. While tables differ there may be a reader too many or too few, which costs a
+// read or some delay but no correctness.
 func (e *Env) isPlatformReader() bool { return e.rankInDataCentre() < e.Settings.Placement.HeadReaders }
 
-// readerGroup are the daemons among which a few read for all.
+// readerGroup is a set of daemons of which a few read the store for all.
 type readerGroup struct {
-	// name is what they are ranked by, upTo the farthest place of theirs.
-	name string
-	upTo proximity.Level
+	// name is hashed to rank the daemons. maxLevel is the farthest proximity of a daemon
+	// in the group.
+	name     string
+	maxLevel proximity.Level
 }
 
-// has is true for daemons at a place.
-func (r readerGroup) has(at proximity.Level) bool { return at != proximity.Unknown && at <= r.upTo }
+// contains reports whether the group contains the daemons of a proximity level.
+func (r readerGroup) contains(level proximity.Level) bool {
+	return level != proximity.Unknown && level <= r.maxLevel
+}
 
-// feedReaderGroup are those among which the followers of the feed are drawn: the region where
-// there are several, since each region hears the others over its links and the store
-// stands in one of them; else the data centre.
+// feedReaderGroup returns the group from which the followers of the feed are selected.
+// With several regions it is the region, because a region gets new versions over its
+// links and the store is in only one of them; otherwise it is the data centre.
 func (e *Env) feedReaderGroup() readerGroup {
 	if e.World.Members.RegionCount() > 1 && e.World.Region != "" {
 		return readerGroup{e.World.Region, proximity.Region}
@@ -31,26 +34,26 @@
 	return readerGroup{e.World.DataCentre, proximity.SameDataCentre}
 }
 
-// rankInDataCentre counts the members of this data centre that come before this
-// daemon by rendezvous hash.
+// rankInDataCentre returns the rank of this daemon among the members of its data centre
+// by rendezvous hash; 0: the first.
 func (e *Env) rankInDataCentre() int {
 	return e.rankIn(readerGroup{e.World.DataCentre, proximity.SameDataCentre})
 }
 
-// rankIn counts the members among some readers that come before this daemon by
-// rendezvous hash.
+// rankIn returns the rank of this daemon among the members of a group by rendezvous hash;
+// 0: the first. Leaving members do not count.
 func (e *Env) rankIn(group readerGroup) int {
-	mine := utils.Rendezvous(group.name, e.World.VM)
-	ahead := 0
+	ownWeight := utils.Rendezvous(group.name, e.World.VM)
+	rank := 0
 	m := e.World.Members
 	m.EachRow(func(row int) {
-		vm := &m.Record[row]
-		if !group.has(e.World.Here().To(vm.DataCentre, vm.Region)) || vm.VM == e.World.VM || m.Leaving(row) {
+		record := &m.Record[row]
+		if !group.contains(e.World.Here().To(record.DataCentre, record.Region)) || record.VM == e.World.VM || m.Leaving(row) {
 			return
 		}
-		if utils.Rendezvous(group.name, vm.VM) > mine {
-			ahead++
+		if utils.Rendezvous(group.name, record.VM) > ownWeight {
+			rank++
 		}
 	})
-	return ahead
+	return rank
 }
--- a/pkg/systems/registration.go
+++ b/pkg/systems/registration.go
@@ -12,81 +12,82 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// registerEvery is the time between two tries to write the own entry.
-const registerEvery = 2 * time.Second
+// registerInterval is the time between two attempts to write the entry.
+const registerInterval = 2 * time.Second
 
-// registration writes this daemon's entry into the list of VMs once, where daemons
-// write that list themselves. Links say all the rest.
+// registration writes this daemon's entry to the list of VMs once, if daemons write that
+// list themselves. Later changes are sent only over links.
 type registration struct {
 	*Env
-	due  intervalTimer
-	busy atomic.Bool
-	done atomic.Bool
-	// wroteAt is when the entry was written, in nanoseconds; 0: it was not, by this process.
-	wroteAt atomic.Int64
-	outage  *events.Outage
+	timer   intervalTimer
+	writing atomic.Bool
+	done    atomic.Bool
+	// writtenAt is when this process wrote the entry, in nanoseconds; 0: it has not.
+	writtenAt atomic.Int64
+	outage    *events.Outage
 }
 
-// listFirst is how long a daemon that was started again waits for the list: its
-// entry stands there mostly, as it was. A VM that is new tells its peers of
-// itself meanwhile.
-const listFirst = 500 * time.Millisecond
+// listWait is how long a restarted daemon waits for the list of VMs, which usually
+// contains its unchanged entry already. The peers of a new VM learn of it over their
+// links meanwhile.
+const listWait = 500 * time.Millisecond
 
 // Tick implements System.
 func (r *registration) Tick(now int64, mail *tables.Mail) {
 	if mail.StoreRestored {
-		r.writeAgain(now)
+		r.scheduleRewrite(now)
 	}
 	if r.Registrar == nil || r.done.Load() {
 		return
 	}
-	if mail.VMList != nil && r.isListed(mail.VMList) || r.isKnownFromBefore(mail) {
+	if mail.VMList != nil && r.isListed(mail.VMList) || r.isWrittenByFormerProcess(mail) {
 		r.done.Store(true)
 		return
 	}
-	waits := !r.Settings.Platform.FirstStart && mail.VMList == nil && (now < int64(listFirst) || r.shouldWaitForPeers(now))
-	if waits || !r.due.fires(now, registerEvery) {
+	mustWait := !r.Settings.Platform.FirstStart && mail.VMList == nil && (now < int64(listWait) || r.shouldWaitForPeers(now))
+	if mustWait || !r.timer.fires(now, registerInterval) {
 		return
 	}
-	if r.busy.CompareAndSwap(false, true) {
+	if r.writing.CompareAndSwap(false, true) {
 		go r.write()
 	}
 }
 
 func (r *registration) write() {
-	defer r.busy.Store(false)
+	defer r.writing.Store(false)
 	ctx, cancel := context.WithTimeout(r.DaemonContext, r.Settings.Platform.Timeout)
 	defer cancel()
 	began := time.Now()
-	err := r.Registrar.Register(ctx, r.entry())
+	err := r.Registrar.Register(ctx, r.ownEntry())
 	store.Count(r.Metrics, "register", began, err)
 	r.outage.Note(err)
 	if err == nil {
-		r.wroteAt.Store(r.Now())
+		r.writtenAt.Store(r.Now())
 		r.done.Store(true)
 	}
 }
 
 const (
-	// copyMost is how old a copy may be that the store comes back from: platforms' copies
-	// are some seconds old. What was written before then is in it.
-	copyMost = time.Minute
-	// againWithin is the time over which daemons write again, so that a fleet that has just
-	// started does not come as one.
-	againWithin = time.Second
+	// maxCopyAge is the greatest age of the backup that a store is restored from. An
+	// entry that was written before that is in the backup.
+	maxCopyAge = time.Minute
+	// rewriteSpread is the time over which daemons spread their repeated writes, so that
+	// a fleet that has just started does not write all at once.
+	rewriteSpread = time.Second
 )
 
-// writeAgain has the entry written once more that a copy of the store may lack.
-func (r *registration) writeAgain(now int64) {
-	if at := r.wroteAt.Load(); at == 0 || now-at > int64(copyMost) {
+// scheduleRewrite has the entry written again if the backup that the store was restored
+// from may lack it.
+func (r *registration) scheduleRewrite(now int64) {
+	if at := r.writtenAt.Load(); at == 0 || now-at > int64(maxCopyAge) {
 		return
 	}
 	r.done.Store(false)
-	r.due.nextAt = now + rand.Int64N(int64(againWithin))
+	r.timer.nextAt = now + rand.Int64N(int64(rewriteSpread))
 }
 
-// entry is this daemon's own.
-func (r *registration) entry() store.VM {
+// ownEntry returns this daemon's entry in the list of VMs.
+func (r *registration) ownEntry() store.VM {
 	s := r.Settings
 	return store.VM{
 		ID: s.VM.ID, Region: s.VM.Region, DataCentre: s.VM.DataCentre, Service: s.BackendServer.Service,
@@ -94,13 +95,13 @@
 	}
 }
 
-// isKnownFromBefore is true when a peer tells of a former process of this VM with the same
-// entry: that process has written it.
-func (r *registration) isKnownFromBefore(mail *tables.Mail) bool {
-	own := r.entry()
-	for _, told := range mail.Members {
-		for i := range told.Rows {
-			if row := &told.Rows[i]; row.VM == own.ID && row.Incarnation > 0 && row.Incarnation < r.Control.Incarnation() && entryOf(row) == own {
+// isWrittenByFormerProcess reports whether a peer sent the record of a former process of
+// this VM with the same entry, which that process has then written.
+func (r *registration) isWrittenByFormerProcess(mail *tables.Mail) bool {
+	own := r.ownEntry()
+	for _, received := range mail.Members {
+		for i := range received.Rows {
+			if row := &received.Rows[i]; row.VM == own.ID && row.Incarnation > 0 && row.Incarnation < r.Control.Incarnation() && entryOf(row) == own {
 				return true
 			}
 		}
@@ -108,7 +109,7 @@
 	return false
 }
 
-// entryOf is the entry that the daemon of a row writes.
+// entryOf returns the entry that the daemon of a record writes.
 func entryOf(row *wire.Member) store.VM {
 	return store.VM{
 		ID: row.VM, Region: row.Region, DataCentre: row.DataCentre, Service: row.Service,
@@ -116,10 +117,10 @@
 	}
 }
 
-// isListed is true when a list holds this daemon's entry as it would write it.
+// isListed reports whether a list contains this daemon's entry unchanged.
 func (r *registration) isListed(list *tables.VMList) bool {
 	for _, vm := range list.VMs {
-		if vm == r.entry() {
+		if vm == r.ownEntry() {
 			return true
 		}
 	}
--- a/pkg/systems/rendezvous.go
+++ b/pkg/systems/rendezvous.go
@@ -8,23 +8,24 @@
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
-// rankedEndpoint is a route with its weight by rendezvous hash.
+// rankedEndpoint is an endpoint with its rendezvous hash weight.
 type rankedEndpoint struct {
-	route  *tables.Endpoint
-	weight uint64
+	endpoint *tables.Endpoint
+	weight   uint64
 }
 
-// highestByRendezvous returns the first routes by rendezvous hash on a name, highestByRendezvous first.
-// Each route is hashed once. The order hangs on the names alone.
-func highestByRendezvous(name string, routes []*tables.Endpoint, most int) []*tables.Endpoint {
-	ranked := make([]rankedEndpoint, len(routes))
-	for i, route := range routes {
-		ranked[i] = rankedEndpoint{route, utils.Rendezvous(name, route.VM)}
+// highestByRendezvous returns the limit endpoints with the highest rendezvous hash
+// weights for a name, highest first. The order depends only on the name and the VMs'
+// names.
+func highestByRendezvous(name string, endpoints []*tables.Endpoint, limit int) []*tables.Endpoint {
+	ranked := make([]rankedEndpoint, len(endpoints))
+	for i, endpoint := range endpoints {
+		ranked[i] = rankedEndpoint{endpoint, utils.Rendezvous(name, endpoint.VM)}
 	}
 	slices.SortFunc(ranked, func(a, b rankedEndpoint) int { return cmp.Compare(b.weight, a.weight) })
-	out := make([]*tables.Endpoint, 0, min(most, len(ranked)))
-	for _, r := range ranked[:min(most, len(ranked))] {
-		out = append(out, r.route)
+	out := make([]*tables.Endpoint, 0, min(limit, len(ranked)))
+	for _, r := range ranked[:min(limit, len(ranked))] {
+		out = append(out, r.endpoint)
 	}
 	return out
 }
--- a/pkg/systems/rowsweeper_test.go
+++ b/pkg/systems/rowsweeper_test.go
@@ -13,24 +13,24 @@
 	"github.com/rushramp/rushramp/pkg/standin/fakestore"
 )
 
-// sweptEnv is a daemon that sweeps a stand-in of the store.
-func sweptEnv(t *testing.T) (*rowSweeper, *fakestore.Store) {
+// newTestRowSweeper returns a sweeper of departures and its fake store.
+func newTestRowSweeper(t *testing.T) (*rowSweeper, *fakestore.Store) {
 	env, platform := testEnv(), fakestore.New()
 	env.DaemonContext, env.Platform, env.Backend = t.Context(), platform, backend.NewLifecycle(true, nil)
 	return newDepartureSweep(env), platform
 }
 
-func rowsOfDepartures(t *testing.T, platform *fakestore.Store) int {
+func countDepartureRows(t *testing.T, platform *fakestore.Store) int {
 	rows, err := platform.Scan(t.Context(), departurePrefix, departurePrefix, 1<<20)
 	must.NoError(t, err)
 	return len(rows)
 }
 
-// TestTheRowsOfDeparturesStayBounded: a day of 5,800 replacements leaves the rows of
-// a few minutes, none of them younger than departures are remembered.
-func TestTheRowsOfDeparturesStayBounded(t *testing.T) {
+// TestDepartureRowsStayBounded checks that 5,800 replacements in a day never leave more
+// rows than those of two intervals, nor fewer than those of one.
+func TestDepartureRowsStayBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s, platform := sweptEnv(t)
+		s, platform := newTestRowSweeper(t)
 		const replacements = 5800
 		pause := 24 * time.Hour / replacements
 		most := 0
@@ -39,17 +39,18 @@
 			mail := s.World.Inbox.Take()
 			s.Tick(s.Now(), &mail)
 			synctest.Wait()
-			most = max(most, rowsOfDepartures(t, platform))
+			most = max(most, countDepartureRows(t, platform))
 			time.Sleep(pause)
 		}
-		perSweep := int(departureSweepEvery / pause)
+		perSweep := int(departureSweepInterval / pause)
 		test.Between(t, perSweep, most, 2*perSweep+3)
 	})
 }
 
-// TestASweepTakesNoRowThatIsNew: nor one that was written again meanwhile.
-func TestASweepTakesNoRowThatIsNew(t *testing.T) {
-	s, platform := sweptEnv(t)
+// TestSweepKeepsNewRows checks that a sweep deletes only rows that the previous one has
+// seen.
+func TestSweepKeepsNewRows(t *testing.T) {
+	s, platform := newTestRowSweeper(t)
 	s.SaveDeparture(t.Context(), backend.Incarnation{ID: "i-1"})
 	deleted, err := s.sweep(t.Context())
 	must.NoError(t, err)
@@ -58,14 +59,14 @@
 	deleted, err = s.sweep(t.Context())
 	must.NoError(t, err)
 	test.Eq(t, 1, deleted)
-	test.Eq(t, 1, rowsOfDepartures(t, platform))
+	test.Eq(t, 1, countDepartureRows(t, platform))
 }
 
-// TestASweepThatFailsIsMadeUpFor: rows stay while the store is away or its answers
-// are lost, and go afterwards.
-func TestASweepThatFailsIsMadeUpFor(t *testing.T) {
-	s, platform := sweptEnv(t)
-	const rows = 3 * rowsSwept
+// TestLaterSweepsMakeUpForAFailedOne checks that rows remain while the store is away or
+// its answers are lost, and are deleted afterwards.
+func TestLaterSweepsMakeUpForAFailedOne(t *testing.T) {
+	s, platform := newTestRowSweeper(t)
+	const rows = 3 * deleteBatchSize
 	for n := range rows {
 		s.SaveDeparture(t.Context(), backend.Incarnation{ID: fmt.Sprint("i-", n)})
 	}
@@ -75,7 +76,7 @@
 	_, err = s.sweep(t.Context())
 	must.Error(t, err)
 	platform.SetFaults(fakestore.Faults{})
-	must.Eq(t, rows, rowsOfDepartures(t, platform))
+	must.Eq(t, rows, countDepartureRows(t, platform))
 	platform.SetFaults(fakestore.Faults{LoseAnswers: 1})
 	_, err = s.sweep(t.Context())
 	must.Error(t, err)
@@ -84,13 +85,13 @@
 		_, err = s.sweep(t.Context())
 		must.NoError(t, err)
 	}
-	test.Eq(t, 0, rowsOfDepartures(t, platform))
+	test.Eq(t, 0, countDepartureRows(t, platform))
 }
 
-// TestOneDaemonOfADataCentreSweeps: of twenty, each of which knows all others.
+// TestOneDaemonOfADataCentreSweeps uses twenty daemons that know each other.
 func TestOneDaemonOfADataCentreSweeps(t *testing.T) {
 	const daemons = 20
-	fleet := spreadFleet(daemons)
+	fleet := gossipFleet(daemons)
 	sweepers := 0
 	for n := range daemons {
 		fleet.World.VM, fleet.World.DataCentre = fmt.Sprint("here", n), "here"
--- a/pkg/systems/sample.go
+++ b/pkg/systems/sample.go
@@ -5,53 +5,53 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// sampleSameDataCentre is how many daemons of the own data centre the sample holds: links
-// drawn at random, three a daemon, connect a data centre of any size.
+// sampleSameDataCentre is how many daemons of the same data centre the sample contains.
+// With three random links per daemon, a data centre of any size is connected.
 const sampleSameDataCentre = 3
 
-// drawSample picks the daemons that this one keeps a link with besides those
-// that calls need: the highest by rendezvous hash, some in the own data centre,
-// one in each other of the region and one in each other region. They carry
-// placement versions and news even where no calls go.
+// drawSample selects the daemons that this one keeps links to in addition to those that
+// calls need, by rendezvous hash: some in the same data centre, one in each other data
+// centre of the region and one in each other region. These links carry placement versions
+// and member changes even where there are no calls.
 //
-// It keeps links to those besides that should follow the store's feed for it: each daemon
-// that has no link to them takes itself for one of them, and asks the store too.
+// The sample also contains the expected followers of the feed. A daemon without links to
+// them would rank itself as a follower and call the store as well.
 func (l *links) drawSample() {
 	byGroup := map[peerGroup][]*tables.Endpoint{}
 	l.World.Members.EachRow(func(row int) {
-		route := l.World.Members.Endpoint[row]
-		if route.VM == l.World.VM || l.World.Members.Leaving(row) {
+		endpoint := l.World.Members.Endpoint[row]
+		if endpoint.VM == l.World.VM || l.World.Members.Leaving(row) {
 			return
 		}
-		in := l.peerGroupOf(route.DataCentre, route.Region)
-		byGroup[in] = append(byGroup[in], route)
+		group := l.peerGroupOf(endpoint.DataCentre, endpoint.Region)
+		byGroup[group] = append(byGroup[group], endpoint)
 	})
-	l.sample = append(l.sample[:0], l.firstFollowers()...)
-	for in, routes := range byGroup {
-		most := 1
-		if in.at == proximity.SameDataCentre {
-			most = sampleSameDataCentre
+	l.sample = append(l.sample[:0], l.expectedFollowers()...)
+	for group, endpoints := range byGroup {
+		limit := 1
+		if group.level == proximity.SameDataCentre {
+			limit = sampleSameDataCentre
 		}
-		l.sample = append(l.sample, highestByRendezvous(l.World.VM, routes, most)...)
+		l.sample = append(l.sample, highestByRendezvous(l.World.VM, endpoints, limit)...)
 	}
 }
 
-// firstFollowers are the daemons that should follow the feed of the store for this one's
-// data centre. Where they follow for a region, a link more to each would cross between data
-// centres, which costs more than a call.
-func (l *links) firstFollowers() []*tables.Endpoint {
+// expectedFollowers returns the daemons that should follow the feed for this daemon's
+// data centre. It returns none if they follow for a region: further links between data
+// centres would cost more than calls to the store.
+func (l *links) expectedFollowers() []*tables.Endpoint {
 	group := l.feedReaderGroup()
-	if l.Feed == nil || group.upTo != proximity.SameDataCentre {
+	if l.Feed == nil || group.maxLevel != proximity.SameDataCentre {
 		return nil
 	}
-	var routes []*tables.Endpoint
+	var endpoints []*tables.Endpoint
 	l.World.Members.EachRow(func(row int) {
-		route := l.World.Members.Endpoint[row]
-		_, unreached := l.World.Unreached[route]
-		if !unreached && !l.World.Members.Leaving(row) && group.has(l.World.Here().To(route.DataCentre, route.Region)) {
-			routes = append(routes, route)
+		endpoint := l.World.Members.Endpoint[row]
+		_, unreached := l.World.Unreached[endpoint]
+		if !unreached && !l.World.Members.Leaving(row) && group.contains(l.World.Here().To(endpoint.DataCentre, endpoint.Region)) {
+			endpoints = append(endpoints, endpoint)
 		}
 	})
-	// This daemon may be one of them, which openOne passes over.
-	return highestByRendezvous(group.name, routes, l.Settings.Placement.FeedReaders)
+	// This daemon may be among them; openOne ignores it.
+	return highestByRendezvous(group.name, endpoints, l.Settings.Placement.FeedReaders)
 }
--- a/pkg/systems/seeddialer.go
+++ b/pkg/systems/seeddialer.go
@@ -13,77 +13,77 @@
 )
 
 const (
-	// fewLinks is the number of links below which a daemon asks its seeds.
-	fewLinks = 2
-	// enoughLinks is the number of links from which those to seeds are closed:
-	// a few seeds can't keep a link to each daemon of a fleet.
-	enoughLinks = 8
-	// seedEvery is the time between two looks; each dials one seed at most, so
-	// that the first seed has the time to answer before the next one is asked.
-	// seedRest is the time between two dials of one seed.
-	seedEvery = 100 * time.Millisecond
-	seedRest  = 400 * time.Millisecond
-	// seedsAtFirstStart is when seeds are asked at the first start of the whole
-	// system: all daemons start at once and find each other in the store's list
-	// of VMs; seeds are for when that can't be read.
-	seedsAtFirstStart = 2 * time.Second
+	// minLinks is the number of links below which a daemon dials its seeds.
+	minLinks = 2
+	// maxLinksForSeeds is the number of links from which those to seeds are closed: a few
+	// seeds cannot keep a link to each daemon of a fleet.
+	maxLinksForSeeds = 8
+	// seedDialInterval is the time between two dials, so that the first seed has time to
+	// answer before the next one is dialled. seedRedialDelay is how long after the end of
+	// a link or dial the same seed may be dialled again.
+	seedDialInterval = 100 * time.Millisecond
+	seedRedialDelay  = 400 * time.Millisecond
+	// firstStartSeedDelay is when seeds are first dialled at the first start of the
+	// fleet. All daemons then find each other in the store's list of VMs, and need seeds
+	// only if it cannot be read.
+	firstStartSeedDelay = 2 * time.Second
 )
 
-// seedDialer dials the addresses in the settings while this daemon has few links: a
-// daemon that was just started learns the members and the placement there, also
-// while the store is away. Seeds may be stale or down.
+// seedDialer dials the seeds in the settings while this daemon has few links. A daemon
+// that has just started learns the members and the placement from them, even if the store
+// cannot be reached. Seeds may be outdated or down.
 type seedDialer struct {
 	*Env
 	due intervalTimer
-	// order is the seeds' link addresses in an order of this daemon's own, so
-	// that the fleet's first dials are spread over them; next is whose turn it is.
-	order []string
-	next  int
+	// addresses are the link addresses of the seeds in random order, so that the fleet's
+	// first dials are spread over them. next is the index of the next one to dial.
+	addresses []string
+	next      int
 
-	mu   sync.Mutex
-	rest map[string]int64
-	open map[string]*link.Client
+	mu       sync.Mutex
+	redialAt map[string]int64
+	clients  map[string]*link.Client
 }
 
 // Tick implements System.
 func (s *seedDialer) Tick(now int64, _ *tables.Mail) {
-	early := s.Settings.Platform.FirstStart && now < int64(seedsAtFirstStart)
-	if len(s.Settings.Links.Seeds) == 0 || early || !s.due.fires(now, seedEvery) {
+	tooEarly := s.Settings.Platform.FirstStart && now < int64(firstStartSeedDelay)
+	if len(s.Settings.Links.Seeds) == 0 || tooEarly || !s.due.fires(now, seedDialInterval) {
 		return
 	}
-	s.prepare()
+	s.initialise()
 	switch n := s.World.Peers.Len(); {
-	case n < fewLinks:
+	case n < minLinks:
 		s.dialNext(now)
-	case n >= enoughLinks:
+	case n >= maxLinksForSeeds:
 		s.closeAll()
 	}
 }
 
-func (s *seedDialer) prepare() {
-	if s.order != nil {
+func (s *seedDialer) initialise() {
+	if s.addresses != nil {
 		return
 	}
-	s.rest, s.open = map[string]int64{}, map[string]*link.Client{}
+	s.redialAt, s.clients = map[string]int64{}, map[string]*link.Client{}
 	for _, seed := range s.Settings.Links.Seeds {
 		if address := s.linkAddress(seed); address != s.Settings.Listen.Links {
-			s.order = append(s.order, address)
+			s.addresses = append(s.addresses, address)
 		}
 	}
-	rand.Shuffle(len(s.order), func(i, j int) { s.order[i], s.order[j] = s.order[j], s.order[i] })
+	rand.Shuffle(len(s.addresses), func(i, j int) { s.addresses[i], s.addresses[j] = s.addresses[j], s.addresses[i] })
 }
 
-// dialNext dials the next seed that is neither open nor resting.
+// dialNext dials the next seed that has no link and whose redial delay is over.
 func (s *seedDialer) dialNext(now int64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for range s.order {
-		address := s.order[s.next%len(s.order)]
+	for range s.addresses {
+		address := s.addresses[s.next%len(s.addresses)]
 		s.next++
-		if _, open := s.open[address]; open || now < s.rest[address] {
+		if _, open := s.clients[address]; open || now < s.redialAt[address] {
 			continue
 		}
-		s.open[address] = nil
+		s.clients[address] = nil
 		go s.dial(address)
 		return
 	}
@@ -92,15 +92,15 @@
 func (s *seedDialer) closeAll() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, client := range s.open {
+	for _, client := range s.clients {
 		if client != nil {
 			client.Close()
 		}
 	}
 }
 
-// linkAddress is where a seed takes links: its IP number with this daemon's own
-// port, since ports are alike on all VMs.
+// linkAddress returns the link address of a seed: its IP address with the port of this
+// daemon's own link address, since all VMs use the same ports.
 func (s *seedDialer) linkAddress(seed string) string {
 	host, _, seedErr := net.SplitHostPort(seed)
 	_, port, ownErr := net.SplitHostPort(s.Settings.Listen.Links)
@@ -111,7 +111,7 @@
 }
 
 func (s *seedDialer) dial(address string) {
-	ctx, cancel := context.WithTimeout(s.DaemonContext, dialTime)
+	ctx, cancel := context.WithTimeout(s.DaemonContext, dialTimeout)
 	defer cancel()
 	client, err := link.DialClient(ctx, s.Common, s.Control, address, s.DialOptions)
 	if err != nil {
@@ -122,12 +122,12 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.open, address)
-	s.rest[address] = s.Now() + int64(seedRest)
+	delete(s.clients, address)
+	s.redialAt[address] = s.Now() + int64(seedRedialDelay)
 }
 
 func (s *seedDialer) opened(address string, client *link.Client) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.open[address] = client
+	s.clients[address] = client
 }
--- a/pkg/systems/stalenesscheck.go
+++ b/pkg/systems/stalenesscheck.go
@@ -7,46 +7,47 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// stalenessCheck works out whether this daemon can tell that its placement is in force.
-// It can while the store was read lately, by itself or by someone it hears of.
-// When the store is silent for all, it can as long as it hears of each other
-// data centre: then no daemon out of its hearing can have seen a change
-// accepted. Source: docs/design/placement.md, "Cut off".
+// stalenessCheck determines whether this daemon can tell that its placement is still in
+// force. It can if the store was read recently, by itself or by a daemon it hears of. If
+// no daemon can read the store, it can as long as it hears of every other data centre:
+// then no daemon that it does not hear of can have seen a change being accepted. Source:
+// docs/design/placement.md, "Cut off".
 type stalenessCheck struct {
 	*Env
-	due intervalTimer
+	timer intervalTimer
 }
 
-const doubtEvery = 100 * time.Millisecond
+const stalenessCheckInterval = 100 * time.Millisecond
 
 // Tick implements System.
-func (d *stalenessCheck) Tick(now int64, _ *tables.Mail) {
-	if !d.due.fires(now, doubtEvery) {
+func (s *stalenessCheck) Tick(now int64, _ *tables.Mail) {
+	if !s.timer.fires(now, stalenessCheckInterval) {
 		return
 	}
-	age, ok := d.World.StoreReadAge(now)
-	stale := !ok || age > d.Settings.Placement.UnsureAfter
-	d.World.View.SetStoreStale(stale)
-	unsure := d.World.Placement != nil && stale && d.someoneSilent(now)
-	if unsure == d.World.View.PlacementUnsure() {
+	age, ok := s.World.StoreReadAge(now)
+	stale := !ok || age > s.Settings.Placement.UnsureAfter
+	s.World.View.SetStoreStale(stale)
+	unsure := s.World.Placement != nil && stale && s.anyDataCentreSilent(now)
+	if unsure == s.World.View.PlacementUnsure() {
 		return
 	}
-	d.World.View.SetPlacementUnsure(unsure)
+	s.World.View.SetPlacementUnsure(unsure)
 	if unsure {
-		d.Log.Event(events.PlacementUnsure, events.F("version", d.World.PlacementVersion()))
+		s.Log.Event(events.PlacementUnsure, events.F("version", s.World.PlacementVersion()))
 	}
 }
 
-// someoneSilent is true when another data centre was not heard of lately.
-func (d *stalenessCheck) someoneSilent(now int64) bool {
-	bound := d.Settings.Placement.UnsureAfter
+// anyDataCentreSilent reports whether another data centre was not heard of within
+// Settings.Placement.UnsureAfter.
+func (s *stalenessCheck) anyDataCentreSilent(now int64) bool {
+	bound := s.Settings.Placement.UnsureAfter
 	silent := false
-	d.World.Members.EachRow(func(row int) {
-		dc := d.World.Members.Record[row].DataCentre
-		if dc == d.World.DataCentre {
+	s.World.Members.EachRow(func(row int) {
+		dc := s.World.Members.Record[row].DataCentre
+		if dc == s.World.DataCentre {
 			return
 		}
-		at, heard := d.World.DataCentreHeardAt[dc]
+		at, heard := s.World.DataCentreHeardAt[dc]
 		if !heard || time.Duration(now-at) > bound {
 			silent = true
 		}
--- a/pkg/systems/suspensionwatch.go
+++ b/pkg/systems/suspensionwatch.go
@@ -8,31 +8,32 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// suspensionWatch closes the links of a VM that was suspended for longer than a link may be
-// silent: its peers have given them up, and their watches here count the steady time
-// only, so that a request could wait on one for as long again. Source:
-// docs/design/clocks.md.
+// suspensionWatch logs suspensions of the VM, and closes all links after one that was
+// longer than a link may be silent: the peers have given up these links, but the liveness
+// checks here do not count suspended time, so a request could wait on a dead link as long
+// as on a silent one. Source: docs/design/clocks.md.
 type suspensionWatch struct {
 	*Env
-	// seen is what was suspended in all when that was last looked at.
-	seen time.Duration
+	// lastTotal is the total suspended time at the last tick.
+	lastTotal time.Duration
 }
 
 // Tick implements System.
 func (s *suspensionWatch) Tick(int64, *tables.Mail) {
 	total := s.Suspended()
-	grown := total - s.seen
-	if grown <= 0 {
+	added := total - s.lastTotal
+	if added <= 0 {
 		return
 	}
-	s.seen = total
-	s.Log.Event(events.Suspended, events.F("took", events.Milliseconds(grown)), events.F("total", events.Milliseconds(total)))
-	if s.outlastsLinks(grown) {
+	s.lastTotal = total
+	s.Log.Event(events.Suspended, events.F("took", events.Milliseconds(added)), events.F("total", events.Milliseconds(total)))
+	if s.outlastsLinks(added) {
 		s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { peer.Close() })
 	}
 }
 
-// outlastsLinks is true for a suspension after which peers have given their links up.
-func (s *suspensionWatch) outlastsLinks(took time.Duration) bool {
-	return took > s.DialOptions.Pace.Silence()
+// outlastsLinks reports whether peers have given up their links after a suspension of
+// this duration.
+func (s *suspensionWatch) outlastsLinks(duration time.Duration) bool {
+	return duration > s.DialOptions.Pace.Silence()
 }
--- a/pkg/systems/suspensionwatch_test.go
+++ b/pkg/systems/suspensionwatch_test.go
@@ -14,8 +14,8 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// TestASuspensionIsToldOnce and counts in all that is asked for its age.
-func TestASuspensionIsToldOnce(t *testing.T) {
+// TestSuspensionIsLoggedOnce also checks that Env.Now includes the suspended time.
+func TestSuspensionIsLoggedOnce(t *testing.T) {
 	env := testEnv()
 	var out bytes.Buffer
 	env.Log = events.NewLog(&out, events.Info)
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -1,7 +1,8 @@
-// Package systems holds the systems that run over the tables each tick, one
-// file a system. A system reads and writes tables only; what it starts outside
-// (a dial, a read of the store) ends in the inbox. Source: docs/DESIGN.md,
-// "Tables and systems".
+// Package systems holds the systems of a daemon: the steps of its control loop, which run
+// one after another at each tick, in one goroutine. A system reads and changes the tables
+// (package tables). What it starts outside of them, such as a dial or a read of the
+// store, runs in a goroutine of its own and posts its result to the inbox for a later
+// tick. Source: docs/DESIGN.md, "Tables and systems".
 package systems
 
 import (
@@ -23,60 +24,69 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// System is one system. now is in nanoseconds of the daemon's steady clock.
+// System is one step of a tick. now is in nanoseconds of the daemon's monotonic clock;
+// mail is what was posted to the inbox since the last tick.
 type System interface {
 	Tick(now int64, mail *tables.Mail)
 }
 
-// Env is what systems share besides the tables.
+// Env holds the tables and the other dependencies of the systems.
 type Env struct {
 	*common.Common
 	World    *tables.World
 	Platform store.Platform
 	Store    *placement.Store
-	// Executor is nil on a daemon that is an entry only.
+	// Executor runs calls from other daemons on this VM's backend server; nil on a daemon
+	// that is only an entry.
 	Executor *executor.Executor
-	// Runner runs calls of this daemon's own backend server; nil: there is none.
+	// Runner runs calls on this VM's backend server without a link; nil without a backend
+	// server.
 	Runner call.Runner
-	// RoutedRunner runs routed requests; nil: none are taken.
+	// RoutedRunner runs routed requests on this VM's backend server; nil if the daemon
+	// takes none.
 	RoutedRunner *runner.Runner
-	// Trial is the backend server's part in a roll-out; nil: it has none.
+	// Trial applies a roll-out to this VM's backend server; nil if it takes no part in
+	// roll-outs.
 	Trial *enforcer.Enforcer
-	// Backend knows which backend server stands beside the daemon, its version, and
-	// whether it lives; nil: it is not watched.
+	// Backend tracks this VM's backend server: its process, its version and whether it
+	// accepts requests; nil if it is not tracked.
 	Backend *backend.Lifecycle
-	// Evacuation is read beside rushramp's own head; nil where there is a feed.
+	// Evacuation reads the evacuated data centres from the store; nil if there is a Feed.
 	Evacuation *evacuation.Register
-	// Orders are those of roll-outs, read beside rushramp's own head; nil where there is
-	// a feed.
+	// Orders reads the orders of roll-outs from the store; nil if there is a Feed.
 	Orders *rollout.OrderStore
-	// Rollouts keeps the plans of roll-outs in the store; nil: none are carried out here.
-	// RolloutLimits are what the platform holds them to, the zero value where it has
-	// none. Recorder counts the outcomes of runs while one is under way.
+	// Rollouts stores the plans of roll-outs; nil if this daemon carries none out.
+	// RolloutLimits are the platform's limits for them, the zero value if it has none.
+	// Recorder counts the outcomes of requests during a roll-out.
 	Rollouts      rollout.PlanStore
 	RolloutLimits rollout.Limits
 	Recorder      *rollout.Recorder
-	// Feed tells of documents in the store; nil: rushramp's own head is read.
+	// Feed delivers placement documents, evacuations and roll-out orders that operators
+	// write to the store themselves. If it is nil, rushramp's own head in the store is
+	// read instead.
 	Feed placement.Feed
-	// Registrar is set where daemons write the list of VMs themselves.
+	// Registrar writes this VM's entry to the list of VMs; nil if the platform maintains
+	// the list.
 	Registrar   store.Registrar
 	Control     *Control
 	DialOptions link.DialOptions
-	// DaemonContext ends when the daemon does.
+	// DaemonContext is cancelled when the daemon stops.
 	DaemonContext context.Context
-	// SweepOnceRows deletes old rows of never-repeat calls; nil: it is not done.
+	// SweepOnceRows deletes old rows of never-repeat calls from the store and returns how
+	// many; nil if nothing is to be swept.
 	SweepOnceRows func(ctx context.Context) (deleted int, err error)
-	// Leave begins the drain; it returns at once.
+	// Leave starts to drain the daemon and returns at once.
 	Leave func()
 
-	// backendHeldBack is true while the backend server must not run anything yet, as its
-	// version is new to the service.
+	// backendHeldBack is true while the backend server must not receive requests because
+	// its version is new to the service.
 	backendHeldBack bool
-	// subsetCache are those worked out last, by service and kind.
+	// subsetCache holds the latest result of subset for each service and kind.
 	subsetCache map[subsetKey]cachedSubset
 }
 
-// requestsInFlight counts the requests at the backend server and its gates.
+// requestsInFlight returns the number of requests that run on the backend server or wait
+// for it.
 func (e *Env) requestsInFlight() (out int64) {
 	if e.Executor != nil {
 		out += e.Executor.InFlight()
@@ -87,11 +97,11 @@
 	return out
 }
 
-// newSystems is the one list of systems, in the newSystems in which they run: what came
-// from outside first, what is published last.
+// newSystems returns the systems in the order in which they run: those that take over
+// input from outside first, those that publish results last.
 func newSystems(env *Env) []System {
-	known := newRolloutTracker(env)
-	watch := newRolloutWatcher(env, known)
+	tracker := newRolloutTracker(env)
+	watcher := newRolloutWatcher(env, tracker)
 	return []System{
 		&suspensionWatch{Env: env},
 		&vmListReader{Env: env, outage: events.NewOutage(env.Log, "list of VMs")},
@@ -105,9 +115,9 @@
 		&membership{Env: env},
 		&peerStates{Env: env},
 		&evacuations{Env: env},
-		known,
-		watch,
-		newRolloutGuard(env, known, watch),
+		tracker,
+		watcher,
+		newRolloutGuard(env, tracker, watcher),
 		newQuotas(env),
 		&backendReporter{Env: env},
 		&antiEntropy{Env: env},
@@ -125,7 +135,7 @@
 	}
 }
 
-// versionReader is the system that reads new versions from the store.
+// versionReader returns the system that reads new placement versions from the store.
 func versionReader(env *Env) System {
 	if env.Feed != nil {
 		return newFeedFollower(env)
@@ -133,18 +143,19 @@
 	return &headReader{Env: env, headOutage: events.NewOutage(env.Log, "placement head"), ordersOutage: events.NewOutage(env.Log, "orders of roll-outs")}
 }
 
-// Scheduler runs the systems.
+// Scheduler runs the systems at each tick.
 type Scheduler struct {
 	env     *Env
 	systems []System
 }
 
-// NewScheduler makes the scheduler of one daemon.
+// NewScheduler returns the scheduler of a daemon.
 func NewScheduler(env *Env) *Scheduler {
 	return &Scheduler{env: env, systems: newSystems(env)}
 }
 
-// Run ticks until ctx ends.
+// Run runs the systems at each Settings.Tick, and at once after an urgent post to the
+// inbox, until ctx ends.
 func (sc *Scheduler) Run(ctx context.Context) {
 	ticker := time.NewTicker(sc.env.Settings.Tick)
 	defer ticker.Stop()
@@ -168,14 +179,15 @@
 	}
 }
 
-// intervalTimer is a small timer for systems that act less often than each tick.
+// intervalTimer lets a system act less often than at each tick. The zero value fires at
+// its first check. nextAt is in nanoseconds.
 type intervalTimer struct{ nextAt int64 }
 
-// fires is true once per interval.
-func (d *intervalTimer) fires(now int64, every time.Duration) bool {
+// fires reports whether the timer is due, and if so starts the next interval.
+func (d *intervalTimer) fires(now int64, interval time.Duration) bool {
 	if now < d.nextAt {
 		return false
 	}
-	d.nextAt = now + int64(every)
+	d.nextAt = now + int64(interval)
 	return true
 }
--- a/pkg/systems/trafficlog.go
+++ b/pkg/systems/trafficlog.go
@@ -13,64 +13,64 @@
 	"github.com/rushramp/rushramp/pkg/traffic"
 )
 
-// accountEvery is the time between two lines of the account: two short lines
-// each ten seconds are under a tenth of a percent of log.bytes_per_second.
-const accountEvery = 10 * time.Second
+// trafficLogInterval keeps the two lines per interval below 0.1 % of
+// log.bytes_per_second.
+const trafficLogInterval = 10 * time.Second
 
-// trafficLog logs what this daemon has sent to others and asked of the store. The
-// same figures stand in the metrics.
+// trafficLog logs the frames sent to other daemons and the calls made to the store since
+// its last lines. The metrics contain the same figures.
 type trafficLog struct {
 	*Env
-	due   intervalTimer
-	sent  map[traffic.Total]traffic.Total
-	calls map[string]uint64
+	timer      intervalTimer
+	lastTotals map[traffic.Total]traffic.Total
+	lastCalls  map[string]uint64
 }
 
 // Tick implements System.
-func (a *trafficLog) Tick(now int64, _ *tables.Mail) {
-	if !a.due.fires(now, accountEvery) {
+func (t *trafficLog) Tick(now int64, _ *tables.Mail) {
+	if !t.timer.fires(now, trafficLogInterval) {
 		return
 	}
-	a.logTraffic()
-	a.logStore()
+	t.logTraffic()
+	t.logStoreCalls()
 }
 
-func (a *trafficLog) logTraffic() {
-	if a.sent == nil {
-		a.sent = map[traffic.Total]traffic.Total{}
+func (t *trafficLog) logTraffic() {
+	if t.lastTotals == nil {
+		t.lastTotals = map[traffic.Total]traffic.Total{}
 	}
 	var frames []string
-	for _, line := range a.Traffic.Totals() {
-		key := traffic.Total{To: line.To, Kind: line.Kind}
-		before := a.sent[key]
-		a.sent[key] = line
-		if line.Frames > before.Frames {
-			frames = append(frames, fmt.Sprintf("%s/%s:%d/%d", line.Kind, line.To, line.Frames-before.Frames, line.Bytes-before.Bytes))
+	for _, total := range t.Traffic.Totals() {
+		key := traffic.Total{To: total.To, Kind: total.Kind}
+		last := t.lastTotals[key]
+		t.lastTotals[key] = total
+		if total.Frames > last.Frames {
+			frames = append(frames, fmt.Sprintf("%s/%s:%d/%d", total.Kind, total.To, total.Frames-last.Frames, total.Bytes-last.Bytes))
 		}
 	}
-	opened, at := 0, [proximity.Count]int{}
-	a.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
+	opened, byLevel := 0, [proximity.Count]int{}
+	t.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
 		if peer.Outgoing {
 			opened++
 		}
-		at[a.proximityOf(peer)]++
+		byLevel[t.proximityOf(peer)]++
 	})
-	a.Log.Event(events.LinkTraffic, events.F("links", a.World.Peers.Len()), events.F("opened", opened), events.F("near", at[proximity.SameDataCentre]), events.F("region", at[proximity.Region]), events.F("other", at[proximity.OtherRegion]),
-		events.F("members", a.World.Members.Len()), events.F("frames_and_bytes", strings.Join(frames, " ")))
+	t.Log.Event(events.LinkTraffic, events.F("links", t.World.Peers.Len()), events.F("opened", opened), events.F("near", byLevel[proximity.SameDataCentre]), events.F("region", byLevel[proximity.Region]), events.F("other", byLevel[proximity.OtherRegion]),
+		events.F("members", t.World.Members.Len()), events.F("frames_and_bytes", strings.Join(frames, " ")))
 }
 
-func (a *trafficLog) logStore() {
-	if a.calls == nil {
-		a.calls = map[string]uint64{}
+func (t *trafficLog) logStoreCalls() {
+	if t.lastCalls == nil {
+		t.lastCalls = map[string]uint64{}
 	}
 	var calls []string
-	for _, c := range store.Calls(a.Metrics) {
-		if n := c.Count - a.calls[c.Name]; n > 0 {
+	for _, c := range store.Calls(t.Metrics) {
+		if n := c.Count - t.lastCalls[c.Name]; n > 0 {
 			calls = append(calls, fmt.Sprintf("%s:%d", c.Name, n))
 		}
-		a.calls[c.Name] = c.Count
+		t.lastCalls[c.Name] = c.Count
 	}
 	if len(calls) > 0 {
-		a.Log.Event(events.StoreCalls, events.F("calls", strings.Join(calls, " ")))
+		t.Log.Event(events.StoreCalls, events.F("calls", strings.Join(calls, " ")))
 	}
 }
--- a/pkg/systems/unreachedendpoints.go
+++ b/pkg/systems/unreachedendpoints.go
@@ -2,14 +2,14 @@
 
 import "github.com/rushramp/rushramp/pkg/tables"
 
-// unreachedAfter is how many dials and ends of a link in a row put a route among
-// those that cannot be reached: one may be a restart.
-const unreachedAfter = 2
-
-// unreachedEndpoints keeps the routes whose daemons cannot be reached. A VM that lost its
-// power says nothing of it, and no list tells: without this its place in the
-// subset would stay empty. A route comes back when its rest is over, and is then
-// dialled again.
+// unreachedFailures is how many consecutive failed dials and lost links make an endpoint
+// unreached. One alone may be a restart.
+const unreachedFailures = 2
+
+// unreachedEndpoints maintains World.Unreached, the endpoints that cannot be reached. A
+// VM that loses power sends nothing and may stay in the list of VMs, so without this it
+// would keep its place in the subset. An endpoint is removed when its redial delay is
+// over, and is then dialled again.
 type unreachedEndpoints struct {
 	world *tables.World
 	until map[*tables.Endpoint]int64
@@ -19,33 +19,33 @@
 	return &unreachedEndpoints{world: w, until: map[*tables.Endpoint]int64{}}
 }
 
-// add puts a route among them until a time in nanoseconds.
-func (u *unreachedEndpoints) add(route *tables.Endpoint, until int64) {
-	u.until[route] = until
-	u.world.Unreached[route] = struct{}{}
-	u.changed(route)
+// add marks an endpoint as unreached until a time in nanoseconds.
+func (u *unreachedEndpoints) add(endpoint *tables.Endpoint, until int64) {
+	u.until[endpoint] = until
+	u.world.Unreached[endpoint] = struct{}{}
+	u.markChanged(endpoint)
 }
 
-// remove takes a route out: its daemon was heard.
-func (u *unreachedEndpoints) remove(route *tables.Endpoint) {
-	if _, known := u.until[route]; !known {
+// remove unmarks an endpoint whose daemon was reached or whose redial delay is over.
+func (u *unreachedEndpoints) remove(endpoint *tables.Endpoint) {
+	if _, known := u.until[endpoint]; !known {
 		return
 	}
-	delete(u.until, route)
-	delete(u.world.Unreached, route)
-	u.changed(route)
+	delete(u.until, endpoint)
+	delete(u.world.Unreached, endpoint)
+	u.markChanged(endpoint)
 }
 
-// expire takes out the routes whose rest is over.
+// expire removes the endpoints whose redial delay is over.
 func (u *unreachedEndpoints) expire(now int64) {
-	for route, until := range u.until {
+	for endpoint, until := range u.until {
 		if now >= until {
-			u.remove(route)
+			u.remove(endpoint)
 		}
 	}
 }
 
-func (u *unreachedEndpoints) changed(route *tables.Endpoint) {
+func (u *unreachedEndpoints) markChanged(endpoint *tables.Endpoint) {
 	u.world.UnreachedChanges++
-	u.world.MarkDirty(route.Service)
+	u.world.MarkDirty(endpoint.Service)
 }
