--- a/pkg/systems/viewpublisher.go
+++ b/pkg/systems/viewpublisher.go
@@ -7,31 +7,32 @@
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
-// maxRedirects is how many addresses a redirect or refusal names at most.
+// maxRedirects is the maximum number of addresses in a redirect or refusal.
 const maxRedirects = 3
 
-// viewPublisher gives the hot path a new view of each service that changed.
+// viewPublisher publishes a new view of each service that changed to the request path.
 type viewPublisher struct {
 	*Env
-	// members are the changes of the table of members that were published.
-	members uint64
+	// publishedChangeCount is the ChangeCount of the table of members when the VM counts
+	// were last published.
+	publishedChangeCount uint64
 }
 
 // Tick implements System.
 func (p *viewPublisher) Tick(_ int64, _ *tables.Mail) {
 	p.World.View.SetMemberCount(p.World.Members.Len())
-	if changes := p.World.Members.ChangeCount(); changes != p.members {
-		p.members = changes
+	if changeCount := p.World.Members.ChangeCount(); changeCount != p.publishedChangeCount {
+		p.publishedChangeCount = changeCount
 		p.World.View.SetVMsByService(p.World.Members.VMsByService())
 	}
-	p.becomeReady()
+	p.updateReady()
 	if len(p.World.DirtyServices) == 0 {
 		return
 	}
 	current := p.World.View.Placement()
 	for service := range p.World.DirtyServices {
-		_, wanted := p.World.RequestedServices[service]
-		if !wanted || current == nil {
+		_, requested := p.World.RequestedServices[service]
+		if !requested || current == nil {
 			continue
 		}
 		p.World.View.SetService(service, p.serviceView(current, service))
@@ -39,7 +40,7 @@
 	clear(p.World.DirtyServices)
 }
 
-func (p *viewPublisher) becomeReady() {
+func (p *viewPublisher) updateReady() {
 	if p.World.View.Ready() || p.World.Placement == nil || p.World.Members.Len() == 0 {
 		return
 	}
@@ -61,34 +62,34 @@
 
 func (p *viewPublisher) kindView(kind *placement.CompiledKind) *tables.KindView {
 	out := &tables.KindView{Kind: kind}
-	for _, route := range p.subset(kind) {
-		if route.Runner() == nil {
-			out.UnlinkedEndpoints = append(out.UnlinkedEndpoints, route)
+	for _, endpoint := range p.subset(kind) {
+		if endpoint.Runner() == nil {
+			out.UnlinkedEndpoints = append(out.UnlinkedEndpoints, endpoint)
 			continue
 		}
-		out.LinkedCandidates = append(out.LinkedCandidates, tables.Candidate{Endpoint: route, Load: route.Load})
+		out.LinkedCandidates = append(out.LinkedCandidates, tables.Candidate{Endpoint: endpoint, Load: endpoint.Load})
 	}
 	if !kind.Allows(p.World.DataCentre) {
-		out.RedirectAddresses = p.redirects(kind)
+		out.RedirectAddresses = p.redirectAddresses(kind)
 	}
 	return out
 }
 
-// redirects returns daemons in allowed data centres where callers from outside
-// may enter, a few of them, in an order of this daemon's own.
-func (p *viewPublisher) redirects(kind *placement.CompiledKind) []string {
-	type weighed struct {
+// redirectAddresses returns the caller addresses of a few daemons in data centres that
+// the kind allows, ordered by rendezvous hash on this daemon's name.
+func (p *viewPublisher) redirectAddresses(kind *placement.CompiledKind) []string {
+	type rankedAddress struct {
 		address string
 		weight  uint64
 	}
-	var best []weighed
+	var best []rankedAddress
 	evacuated := p.World.View.Evacuation()
 	p.World.Members.EachRow(func(row int) {
-		route := p.World.Members.Endpoint[row]
-		if p.World.Members.Leaving(row) || !kind.Allows(route.DataCentre) || evacuated.Has(route.DataCentre) || route.CallerAddress == "" {
+		endpoint := p.World.Members.Endpoint[row]
+		if p.World.Members.Leaving(row) || !kind.Allows(endpoint.DataCentre) || evacuated.Has(endpoint.DataCentre) || endpoint.CallerAddress == "" {
 			return
 		}
-		best = append(best, weighed{route.CallerAddress, utils.Rendezvous(p.World.VM, route.VM)})
+		best = append(best, rankedAddress{endpoint.CallerAddress, utils.Rendezvous(p.World.VM, endpoint.VM)})
 		for i := len(best) - 1; i > 0 && best[i].weight > best[i-1].weight; i-- {
 			best[i], best[i-1] = best[i-1], best[i]
 		}
--- a/pkg/systems/viewpublisher_test.go
+++ b/pkg/systems/viewpublisher_test.go
@@ -9,8 +9,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// TestVMsOfServicesArePublished, and again when they have changed.
-func TestVMsOfServicesArePublished(t *testing.T) {
+// TestVMCountsOfServicesArePublished at the first tick and again after each change.
+func TestVMCountsOfServicesArePublished(t *testing.T) {
 	env := testEnv()
 	p := &viewPublisher{Env: env}
 	for _, s := range []struct {
--- a/pkg/systems/vmlist.go
+++ b/pkg/systems/vmlist.go
@@ -10,105 +10,108 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// vmListReader reads the platform's list of VMs: the few readers of a data
-// centre that data centre's part, and a daemon that knows nobody yet all of it.
+// vmListReader reads the platform's list of VMs. A daemon that has just started reads the
+// whole list; after that the readers of a data centre read the part of this data centre.
 type vmListReader struct {
 	*Env
-	firstDue intervalTimer
-	due      intervalTimer
-	busy     atomic.Bool
-	// outage logs when the list does not come.
+	firstTimer intervalTimer
+	timer      intervalTimer
+	reading    atomic.Bool
+	// outage logs that the list cannot be read.
 	outage *events.Outage
-	// began is true once a whole list was read.
-	began atomic.Bool
-	// reads counts this reader's reads.
+	// listRead is true once the whole list was read, or is not needed because peers sent
+	// the members.
+	listRead atomic.Bool
+	// reads counts the reads of parts.
 	reads int
-	// firstAt is when the first list is read, in nanoseconds.
-	firstAt int64
+	// firstReadAt is when the list is first read at the first start of the fleet, in
+	// nanoseconds.
+	firstReadAt int64
 }
 
-// firstListEvery is the time between two tries to read the first list.
-const firstListEvery = time.Second
+// firstListInterval is the longest time between two attempts to read the whole list.
+const firstListInterval = time.Second
 
-// neighbourEvery is how many reads go by between two of the next data centre's
-// part: a data centre that is lost has no readers left that could say so.
-const neighbourEvery = 5
+// readsPerNeighbourRead is how many reads of a reader there are per one of the next data
+// centre's part. A data centre that has failed as a whole has no readers left that could
+// notice it.
+const readsPerNeighbourRead = 5
 
-// At the first start of the whole system daemons write their entries at the same
-// moment, so a list that is read at once is nearly empty. They read it at a
-// random time instead, and those whom others have told of toldEnough members by
-// then do not need to: a few readers in a fleet of hundreds do for all.
+// At the first start of the fleet all daemons write their entries at the same moment, so
+// a list that is read at once is nearly empty. Daemons therefore read it after a random
+// time, and not at all if peers have sent them more than enoughMembers members by then.
 const (
-	firstListAfter  = 300 * time.Millisecond
-	firstListWithin = 2 * time.Second
-	toldEnough      = 20
+	minFirstListDelay = 300 * time.Millisecond
+	firstListSpread   = 2 * time.Second
+	enoughMembers     = 20
 )
 
 // Tick implements System.
 func (v *vmListReader) Tick(now int64, _ *tables.Mail) {
-	if v.tooEarly(now) {
+	if v.mustWaitForFirstRead(now) {
 		return
 	}
-	if !v.began.Load() {
+	if !v.listRead.Load() {
 		v.readFirst(now)
 		return
 	}
-	if v.due.fires(now, v.Settings.Platform.VMListEvery) && v.isPlatformReader() {
-		v.start(v.nextPart())
+	if v.timer.fires(now, v.Settings.Platform.VMListEvery) && v.isPlatformReader() {
+		v.startRead(v.nextPart())
 	}
 }
 
-// readFirst reads the whole list until that has worked once.
+// readFirst reads the whole list, until this has succeeded once.
 func (v *vmListReader) readFirst(now int64) {
-	every := v.Settings.Platform.VMListEvery
-	if !v.firstDue.fires(now, min(every, firstListEvery)) {
+	interval := v.Settings.Platform.VMListEvery
+	if !v.firstTimer.fires(now, min(interval, firstListInterval)) {
 		return
 	}
-	// While members become known, more daemons than in the end take themselves
-	// for readers: the first part is read a whole interval later.
-	v.due.nextAt = now + int64(every)
-	v.start("")
+	// While the table fills, too many daemons take themselves for readers, so parts are
+	// read only one interval later.
+	v.timer.nextAt = now + int64(interval)
+	v.startRead("")
 }
 
-func (v *vmListReader) start(part string) {
-	if v.busy.CompareAndSwap(false, true) {
+func (v *vmListReader) startRead(part string) {
+	if v.reading.CompareAndSwap(false, true) {
 		go v.read(part)
 	}
 }
 
-// tooEarly is true at the first start until this daemon's time to read the first
-// list has come.
-func (v *vmListReader) tooEarly(now int64) bool {
-	if v.began.Load() {
+// mustWaitForFirstRead reports whether this daemon must wait before it reads the whole
+// list: for a random time at the first start of the fleet, for its peers at a restart.
+func (v *vmListReader) mustWaitForFirstRead(now int64) bool {
+	if v.listRead.Load() {
 		return false
 	}
 	if !v.Settings.Platform.FirstStart {
-		v.toldByPeers(now)
+		v.skipFirstReadIfTold(now)
 		return v.shouldWaitForPeers(now)
 	}
-	if v.firstAt == 0 {
-		v.firstAt = int64(firstListAfter + rand.N(firstListWithin))
+	if v.firstReadAt == 0 {
+		v.firstReadAt = int64(minFirstListDelay + rand.N(firstListSpread))
 	}
-	if v.World.Members.Len() > toldEnough {
-		v.began.Store(true)
+	if v.World.Members.Len() > enoughMembers {
+		v.listRead.Store(true)
 	}
-	return now < v.firstAt
+	return now < v.firstReadAt
 }
 
-// toldByPeers spares a daemon that was started again its first read, where peers have told
-// it of the members while it waited for them.
-func (v *vmListReader) toldByPeers(now int64) {
-	if v.hasPeerWithPlacement() && v.World.Members.Len() > toldEnough {
-		v.due.nextAt = now + int64(v.Settings.Platform.VMListEvery)
-		v.began.Store(true)
+// skipFirstReadIfTold skips the first read of a restarted daemon if its peers have sent
+// it the members.
+func (v *vmListReader) skipFirstReadIfTold(now int64) {
+	if v.hasPeerWithPlacement() && v.World.Members.Len() > enoughMembers {
+		v.timer.nextAt = now + int64(v.Settings.Platform.VMListEvery)
+		v.listRead.Store(true)
 	}
 }
 
-// nextPart is the own data centre, and now and then the one after it.
+// nextPart returns the data centre whose part is read next: the own one, and sometimes
+// the one after it by name.
 func (v *vmListReader) nextPart() string {
 	v.reads++
 	own := v.World.DataCentre
-	if v.reads%neighbourEvery != 0 {
+	if v.reads%readsPerNeighbourRead != 0 {
 		return own
 	}
 	first, next := own, ""
@@ -128,7 +131,7 @@
 }
 
 func (v *vmListReader) read(part string) {
-	defer v.busy.Store(false)
+	defer v.reading.Store(false)
 	ctx, cancel := context.WithTimeout(v.DaemonContext, v.Settings.Platform.Timeout)
 	defer cancel()
 	vms, err := v.Platform.VMs(ctx, part)
@@ -136,7 +139,7 @@
 	if err != nil {
 		return
 	}
-	v.began.Store(true)
+	v.listRead.Store(true)
 	list := &tables.VMList{DataCentre: part, VMs: vms}
 	v.World.Inbox.Post(false, func(m *tables.Mail) { m.VMList = list })
 }
--- a/pkg/systems/waitforpeers_test.go
+++ b/pkg/systems/waitforpeers_test.go
@@ -13,25 +13,25 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// knowingPeer puts a link into the table to a daemon that has a version in force.
-func knowingPeer(env *Env, version uint64) {
+// addPeerWithPlacement adds a link to a daemon that has this version in force.
+func addPeerWithPlacement(env *Env, version uint64) {
 	peer := &link.Peer{Conn: link.NewClosedConn(), Hello: wire.Hello{VM: "seed", DataCentre: "here", Incarnation: 1}}
 	env.World.Peers.GetOrAdd(peer).PlacementVersion = version
 }
 
-// TestARestartWithPeersCostsNoCalls: neither the list is read nor the entry written where
-// peers tell both within the time that is given to them.
-func TestARestartWithPeersCostsNoCalls(t *testing.T) {
+// TestRestartWithPeersMakesNoStoreCalls checks that a restarted daemon neither reads the
+// list of VMs nor writes its entry if peers send both in time.
+func TestRestartWithPeersMakesNoStoreCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		list := &countingVMList{}
 		env, run := newStartEnv(t, false, list)
 		env.Settings.Links.Seeds = []string{"127.0.0.9:7401"}
 		env.Control = NewControl(env.Common, env.World, 7)
 		run(50 * time.Millisecond)
-		knowingPeer(env, 3)
+		addPeerWithPlacement(env, 3)
 		run(100 * time.Millisecond)
-		tellMembers(env, toldEnough+1)
-		own := (&registration{Env: env}).entry()
+		addMembers(env, enoughMembers+1)
+		own := (&registration{Env: env}).ownEntry()
 		before := wire.Member{
 			VM: own.ID, Incarnation: 6, DataCentre: own.DataCentre, Region: own.Region, Service: own.Service,
 			Links: own.Links, Callers: own.Callers, Slots: uint32(own.Slots),
@@ -45,8 +45,9 @@
 	})
 }
 
-// TestARestartOfAllAsksTheStoreSoon: its seeds have nothing to tell, or are away.
-func TestARestartOfAllAsksTheStoreSoon(t *testing.T) {
+// TestRestartOfTheWholeFleetAsksTheStoreSoon: the seeds have no placement, or cannot be
+// reached.
+func TestRestartOfTheWholeFleetAsksTheStoreSoon(t *testing.T) {
 	for _, linked := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
 			list := &countingVMList{vms: []store.VM{{ID: "other", DataCentre: "here", Service: "s", Links: "127.0.0.8:1", State: store.VMLive}}}
@@ -54,9 +55,9 @@
 			env.Settings.Links.Seeds = []string{"127.0.0.9:7401"}
 			env.Control = NewControl(env.Common, env.World, 7)
 			if linked {
-				knowingPeer(env, 0)
+				addPeerWithPlacement(env, 0)
 			}
-			run(peersAnswer + 40*time.Millisecond)
+			run(seedAnswerTimeout + 40*time.Millisecond)
 			test.Eq(t, 1, list.reads)
 		})
 	}
