--- a/pkg/systems/antientropy.go
+++ b/pkg/systems/antientropy.go
@@ -15,8 +15,9 @@
 	// initialCompareInterval replaces compareInterval while the table is initial
 	// (hasInitialTable).
 	initialCompareInterval = 60 * time.Millisecond
-	// settleTime is how long a peer's table must differ while neither table changes: a
-	// change that is still being passed on makes tables differ for a moment.
+	// settleTime is how long a peer's table must differ, while neither table changes,
+	// before rows are requested: a change that is still being passed on makes tables
+	// differ for a moment.
 	settleTime = 1500 * time.Millisecond
 	// maxExtraWait bounds the random time by which settleTime is longer for a peer in
 	// another data centre. If all daemons of a data centre lack the same row, the first
@@ -42,71 +43,73 @@
 }
 
 // Tick implements System.
-func (c *antiEntropy) Tick(now int64, mail *tables.Mail) {
-	if changeCount := c.World.Members.ChangeCount(); changeCount != c.changeCount {
-		c.changeCount, c.digest = changeCount, c.World.Members.Digest()
-		c.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) { row.MembersDifferSince = 0 })
+func (a *antiEntropy) Tick(now int64, mail *tables.Mail) {
+	if changeCount := a.World.Members.ChangeCount(); changeCount != a.changeCount {
+		a.changeCount, a.digest = changeCount, a.World.Members.Digest()
+		a.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) { row.MembersDifferSince = 0 })
 	}
 	for _, received := range mail.PeerStates {
-		c.recordDigest(now, received)
+		a.recordDigest(now, received)
 	}
-	every := compareInterval
-	if c.hasInitialTable() {
-		every = initialCompareInterval
+	interval := compareInterval
+	if a.hasInitialTable() {
+		interval = initialCompareInterval
 	}
-	if c.timer.fires(now, every) {
-		c.requestRows(now)
+	if a.timer.fires(now, interval) {
+		a.requestRows(now)
 	}
 }
 
-func (c *antiEntropy) recordDigest(now int64, received tables.PeerState) {
-	row := c.World.Peers.GetOrAdd(received.Peer)
+// recordDigest records the digest of a peer's table, and since when it differs from the own.
+func (a *antiEntropy) recordDigest(now int64, received tables.PeerState) {
+	row := a.World.Peers.GetOrAdd(received.Peer)
 	switch {
-	case received.State.Members == c.digest:
+	case received.State.Members == a.digest:
 		row.MembersDifferSince = 0
 	case row.MembersDifferSince == 0 || received.State.Members != row.MembersDigest:
 		row.MembersDifferSince = now
 	}
 	row.MembersDigest = received.State.Members
-	if _, known := c.World.Members.Find(received.Peer.Hello.VM); !known && row.MembersDifferSince != 0 {
+	if _, known := a.World.Members.Find(received.Peer.Hello.VM); !known && row.MembersDifferSince != 0 {
 		// This daemon does not know the peer itself, so the peer's table is newer.
 		row.MembersDifferSince = min(row.MembersDifferSince, now-int64(settleTime))
 	}
 }
 
-func (c *antiEntropy) requestRows(now int64) {
+// requestRows requests the differing rows from the peer that has been due for the longest time.
+func (a *antiEntropy) requestRows(now int64) {
 	var chosen *link.Peer
 	var longestOverdue int64
-	c.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
+	a.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if row.MembersDifferSince == 0 {
 			return
 		}
-		if overdue := now - row.MembersDifferSince - int64(c.settleTimeFor(peer)); overdue >= 0 && (chosen == nil || overdue > longestOverdue) {
+		if overdue := now - row.MembersDifferSince - int64(a.settleTimeFor(peer)); overdue >= 0 && (chosen == nil || overdue > longestOverdue) {
 			chosen, longestOverdue = peer, overdue
 		}
 	})
 	if chosen == nil {
 		return
 	}
-	c.extraWait = rand.N(maxExtraWait)
-	c.World.Peers.GetOrAdd(chosen).MembersDifferSince = now
-	_ = chosen.Send(&wire.MembersAsk{Buckets: c.World.Members.BucketDigests()})
+	a.extraWait = rand.N(maxExtraWait)
+	a.World.Peers.GetOrAdd(chosen).MembersDifferSince = now
+	_ = chosen.Send(&wire.MembersAsk{Buckets: a.World.Members.BucketDigests()})
 }
 
 // settleTimeFor returns how long a peer's table must differ before rows are requested.
-func (c *antiEntropy) settleTimeFor(peer *link.Peer) time.Duration {
-	sameDataCentre := peer.Hello.DataCentre == c.World.DataCentre
+func (a *antiEntropy) settleTimeFor(peer *link.Peer) time.Duration {
+	sameDataCentre := peer.Hello.DataCentre == a.World.DataCentre
 	switch {
-	case sameDataCentre && c.hasInitialTable():
+	case sameDataCentre && a.hasInitialTable():
 		return 0
-	case c.hasInitialTable():
+	case a.hasInitialTable():
 		return sameDataCentreHeadStart
 	case sameDataCentre:
 		return settleTime
 	}
-	return settleTime + c.extraWait
+	return settleTime + a.extraWait
 }
 
 // hasInitialTable reports whether this daemon has just started: its table contains at
 // most itself and the first peer that sent a hello frame.
-func (c *antiEntropy) hasInitialTable() bool { return c.World.Members.Len() <= 2 }
+func (a *antiEntropy) hasInitialTable() bool { return a.World.Members.Len() <= 2 }
--- a/pkg/systems/broadcast.go
+++ b/pkg/systems/broadcast.go
@@ -11,8 +11,8 @@
 
 const (
 	// broadcastRelays is how many daemons of a data centre relay an item to other data
-	// centres, beside the one that announced it. If each daemon did so, the traffic
-	// between data centres would grow with the square of the fleet.
+	// centres, beside the one that announced it. If each daemon did so, an item would be
+	// sent to other data centres once per daemon and link.
 	broadcastRelays = 3
 	// otherRegionFanout is how many daemons of another region each relay sends the item
 	// to.
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -71,6 +71,8 @@
 	}
 }
 
+// add records a departure and forgets those older than departureRetention. It returns added,
+// extended by the id if that is new.
 func (d *departures) add(now int64, added []string, id string) []string {
 	if _, known := d.World.Departures[id]; known {
 		return added
@@ -84,6 +86,8 @@
 	return append(added, id)
 }
 
+// merge records the departures that a peer or the store reported, and appends the new ones to
+// added.
 func (d *departures) merge(now int64, added []string, frame *wire.Departures) []string {
 	for _, id := range frame.IDs {
 		d.Backend.RecordDeparture(now, backend.ParseIncarnation(id))
--- a/pkg/systems/diallimiter.go
+++ b/pkg/systems/diallimiter.go
@@ -8,10 +8,10 @@
 
 const (
 	// maxDialsPerWindow bounds the dials that start within dialWindow. A dial takes about
-	// 0.2 ms of processor time at each end, of which a daemon may have only a sixth of
-	// one processor: after a power failure of all VMs, a hundred dials at once would all
-	// finish late, although a few links are needed soon. Dials that hang do not count,
-	// since they cost nothing.
+	// 0.2 ms of processor time at each end, and a daemon may have only a sixth of a
+	// processor. After a power failure of all VMs, a hundred dials at once would all
+	// finish late, although the first few links are needed soon. Dials that hang do not
+	// count, since they cost nothing.
 	maxDialsPerWindow = 16
 	dialWindow        = 40 * time.Millisecond
 )
--- a/pkg/systems/feedfollower.go
+++ b/pkg/systems/feedfollower.go
@@ -158,7 +158,7 @@
 	return len(higherRanked)
 }
 
-// abortRequest aborts the open request, whose connection may be cut off.
+// abortRequest aborts the open request, which may hang on a broken connection.
 func (f *feedFollower) abortRequest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/pkg/systems/heartbeatpace.go
+++ b/pkg/systems/heartbeatpace.go
@@ -10,12 +10,12 @@
 	// paceUnit is the unit of the intervals here: 1/32 of links.heartbeat.
 	paceUnit = 32
 	// maxPace is the longest heartbeat interval of idle links, for a large fleet.
-	// Departures and placement versions do not wait for a heartbeat, and links with calls
-	// detect a dead peer by themselves.
+	// Departures and placement versions do not wait for a heartbeat, and
+	// closeUnresponsive checks links with calls.
 	maxPace = 4 * paceUnit
 	// firstStartPaceTime is for how long after the first start the fleet counts as large.
-	// Its size is not known until links are open, and at links.heartbeat these would
-	// spend most of the traffic between data centres on heartbeats.
+	// Its size is not known until links are open, and with links.heartbeat as the
+	// interval most of the traffic between data centres would be heartbeats.
 	firstStartPaceTime = 6 * time.Second
 )
 
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -15,7 +15,7 @@
 const heartbeatsPerHeard = 4
 
 // heartbeats updates the state frame of this daemon and sends it on links without
-// traffic. Links with calls detect a dead peer by unanswered calls.
+// traffic. A dead peer on a link with calls is detected by closeUnresponsive instead.
 type heartbeats struct {
 	*Env
 	timer      intervalTimer
--- a/pkg/systems/linkevents.go
+++ b/pkg/systems/linkevents.go
@@ -93,7 +93,7 @@
 }
 
 // handleNewProcess updates the record of a VM whose daemon is a newer process than the
-// known one. The old process's load is discarded, and so is that it was leaving.
+// known one. The load of the old process and its leaving state are discarded.
 func (l *links) handleNewProcess(now int64, e tables.LinkEvent) {
 	hello := &e.Peer.Hello
 	row, ok := l.World.Members.Find(hello.VM)
--- a/pkg/systems/membergossip.go
+++ b/pkg/systems/membergossip.go
@@ -43,50 +43,50 @@
 }
 
 // Tick implements System.
-func (s *memberGossip) Tick(now int64, _ *tables.Mail) {
-	s.collect(s.World.Members.TakeChanges())
-	if len(s.pending) == 0 || !s.timer.fires(now, gossipInterval) {
+func (g *memberGossip) Tick(now int64, _ *tables.Mail) {
+	g.collect(g.World.Members.TakeChanges())
+	if len(g.pending) == 0 || !g.timer.fires(now, gossipInterval) {
 		return
 	}
-	changes := make([]tables.MemberChange, 0, len(s.pending))
-	for _, change := range s.pending {
+	changes := make([]tables.MemberChange, 0, len(g.pending))
+	for _, change := range g.pending {
 		changes = append(changes, change)
 	}
-	clear(s.pending)
-	for peer, rows := range s.plan(changes) {
+	clear(g.pending)
+	for peer, rows := range g.plan(changes) {
 		sendMembers(peer, rows)
 	}
 }
 
 // collect adds the changes of the last tick to pending.
-func (s *memberGossip) collect(changes []tables.MemberChange) {
+func (g *memberGossip) collect(changes []tables.MemberChange) {
 	if len(changes) == 0 || len(changes) > maxGossipChanges {
 		return
 	}
-	if s.Registrar == nil {
-		s.sendListChanges(changes)
+	if g.Registrar == nil {
+		g.sendListChanges(changes)
 	}
-	if s.pending == nil {
-		s.pending = map[string]tables.MemberChange{}
+	if g.pending == nil {
+		g.pending = map[string]tables.MemberChange{}
 	}
-	for _, change := range s.changesFromDaemons(changes) {
-		s.pending[change.Record.VM] = change
+	for _, change := range g.changesFromDaemons(changes) {
+		g.pending[change.Record.VM] = change
 	}
 }
 
 // plan selects the records to send over each link.
-func (s *memberGossip) plan(changes []tables.MemberChange) map[*link.Peer][]wire.Member {
+func (g *memberGossip) plan(changes []tables.MemberChange) map[*link.Peer][]wire.Member {
 	out := map[*link.Peer][]wire.Member{}
 	if len(changes) == 0 {
 		return out
 	}
-	localPeers, groups := s.peersByGroup()
+	localPeers, groups := g.peersByGroup()
 	for _, peer := range pickRandom(localPeers, gossipFanout) {
 		out[peer] = rowsNotFrom(peer, changes)
 	}
 	for group, peers := range groups {
 		for _, peer := range pickRandom(peers, 1) {
-			out[peer] = rowsNotFrom(peer, s.selectForGroup(group, changes))
+			out[peer] = rowsNotFrom(peer, g.selectForGroup(group, changes))
 		}
 	}
 	return out
@@ -95,22 +95,22 @@
 // sendListChanges sends what a reader took over from the platform's list of VMs over all
 // links. It is not needed if daemons write the list themselves, because then each daemon
 // reads the list at its start.
-func (s *memberGossip) sendListChanges(changes []tables.MemberChange) {
+func (g *memberGossip) sendListChanges(changes []tables.MemberChange) {
 	var listed []tables.MemberChange
 	for _, change := range changes {
-		if change.From == nil && change.Record.VM != s.World.VM {
+		if change.From == nil && change.Record.VM != g.World.VM {
 			listed = append(listed, change)
 		}
 	}
-	s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { sendMembers(peer, rowsNotFrom(peer, listed)) })
+	g.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { sendMembers(peer, rowsNotFrom(peer, listed)) })
 }
 
 // changesFromDaemons returns the changes that were reported by a daemon, this one
 // included.
-func (s *memberGossip) changesFromDaemons(changes []tables.MemberChange) []tables.MemberChange {
+func (g *memberGossip) changesFromDaemons(changes []tables.MemberChange) []tables.MemberChange {
 	var out []tables.MemberChange
 	for _, change := range changes {
-		if change.From != nil || change.Record.VM == s.World.VM {
+		if change.From != nil || change.Record.VM == g.World.VM {
 			out = append(out, change)
 		}
 	}
@@ -121,11 +121,11 @@
 // that on average gossipRelays daemons of its data centre send it. Records of the own
 // data centre go to all groups. Records of other regions go to the data centres of the
 // own region. Records of the region's other data centres are sent by the daemons there.
-func (s *memberGossip) selectForGroup(group peerGroup, changes []tables.MemberChange) []tables.MemberChange {
-	chance := gossipRelays / float64(max(s.World.Members.CountInDataCentre(s.World.DataCentre), 1))
+func (g *memberGossip) selectForGroup(group peerGroup, changes []tables.MemberChange) []tables.MemberChange {
+	chance := gossipRelays / float64(max(g.World.Members.CountInDataCentre(g.World.DataCentre), 1))
 	var out []tables.MemberChange
 	for _, change := range changes {
-		from := s.World.Here().To(change.Record.DataCentre, change.Record.Region)
+		from := g.World.Here().To(change.Record.DataCentre, change.Record.Region)
 		relay := from == proximity.SameDataCentre || from == proximity.OtherRegion && group.level == proximity.Region
 		if relay && rand.Float64() < chance {
 			out = append(out, change)
--- a/pkg/systems/membership.go
+++ b/pkg/systems/membership.go
@@ -69,6 +69,7 @@
 	}))
 }
 
+// mergeList merges a read of the list of VMs.
 func (ms *membership) mergeList(now int64, list *tables.VMList) {
 	listed := make(map[string]struct{}, len(list.VMs))
 	for _, vm := range list.VMs {
@@ -156,9 +157,10 @@
 }
 
 // handleOwnRecord handles a record of this daemon that changed the table. It sets the
-// runner of the own endpoint and replaces records of other processes of this VM by one
-// with a higher incarnation. It leaves when the platform marks this VM as leaving; only
-// the platform's list does so without an incarnation.
+// runner of the own endpoint, and replaces a record of another process of this VM by one
+// of this process, which takes a higher incarnation if necessary. It leaves if the
+// platform's list marks this VM as leaving, which is the only source of that state with
+// incarnation 0; that an earlier process was leaving does not count.
 func (ms *membership) handleOwnRecord(now int64, record wire.Member) {
 	if row, ok := ms.World.Members.Find(ms.World.VM); ok && ms.Runner != nil {
 		ms.World.Members.Endpoint[row].SetRunner(ms.Runner)
@@ -166,7 +168,7 @@
 	ownIncarnation := ms.Control.Incarnation()
 	switch {
 	case record.State == wire.MemberGone:
-		// refuteGone does this, limited to one refutation per refuteInterval.
+		// refuteGone handles this, at most once per refuteInterval.
 	case record.Incarnation < ownIncarnation:
 		markedByPlatform := record.State == wire.MemberLeaving && record.Incarnation == 0
 		record.Incarnation = ownIncarnation
--- a/pkg/systems/oncesweeper.go
+++ b/pkg/systems/oncesweeper.go
@@ -23,7 +23,8 @@
 // Tick implements System.
 func (s *onceSweeper) Tick(now int64, _ *tables.Mail) {
 	if s.timer.nextAt == 0 {
-		// At its start a daemon knows no other member and takes itself for a reader.
+		// At its start a daemon knows no other member and takes itself for a reader, so
+		// it does not sweep yet.
 		s.timer.nextAt = now + int64(onceSweepInterval)
 	}
 	if s.SweepOnceRows == nil || !s.timer.fires(now, onceSweepInterval) || !s.isPlatformReader() {
--- a/pkg/systems/peerstates.go
+++ b/pkg/systems/peerstates.go
@@ -9,8 +9,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// peerStates takes over what peers report about themselves in their state frames. This is
-// more recent than the platform's list of VMs.
+// peerStates applies what peers report about themselves in their state frames, which is
+// newer than the platform's list of VMs.
 type peerStates struct{ *Env }
 
 // Tick implements System.
--- a/pkg/systems/readers.go
+++ b/pkg/systems/readers.go
@@ -24,9 +24,9 @@
 	return level != proximity.Unknown && level <= r.maxLevel
 }
 
-// feedReaderGroup returns the group from which the followers of the feed are selected.
-// With several regions it is the region, because a region gets new versions over its
-// links and the store is in only one of them; otherwise it is the data centre.
+// feedReaderGroup returns the group from which the followers of the feed are selected:
+// the region if there are several, because a region also gets new versions over its links
+// and the store is in only one of them; otherwise the data centre.
 func (e *Env) feedReaderGroup() readerGroup {
 	if e.World.Members.RegionCount() > 1 && e.World.Region != "" {
 		return readerGroup{e.World.Region, proximity.Region}
--- a/pkg/systems/registration.go
+++ b/pkg/systems/registration.go
@@ -68,9 +68,9 @@
 }
 
 const (
-	// maxCopyAge is the greatest age of the backup that a store is restored from. An
+	// maxBackupAge is the greatest age of the backup that a store is restored from. An
 	// entry that was written before that is in the backup.
-	maxCopyAge = time.Minute
+	maxBackupAge = time.Minute
 	// rewriteSpread is the time over which daemons spread their repeated writes, so that
 	// a fleet that has just started does not write all at once.
 	rewriteSpread = time.Second
@@ -79,7 +79,7 @@
 // scheduleRewrite has the entry written again if the backup that the store was restored
 // from may lack it.
 func (r *registration) scheduleRewrite(now int64) {
-	if at := r.writtenAt.Load(); at == 0 || now-at > int64(maxCopyAge) {
+	if at := r.writtenAt.Load(); at == 0 || now-at > int64(maxBackupAge) {
 		return
 	}
 	r.done.Store(false)
--- a/pkg/systems/rendezvous.go
+++ b/pkg/systems/rendezvous.go
@@ -14,8 +14,8 @@
 	weight   uint64
 }
 
-// highestByRendezvous returns the limit endpoints with the highest rendezvous hash
-// weights for a name, highest first. The order depends only on the name and the VMs'
+// highestByRendezvous returns up to limit endpoints: those with the highest rendezvous
+// hash weights for a name, highest first. The order depends only on the name and the VMs'
 // names.
 func highestByRendezvous(name string, endpoints []*tables.Endpoint, limit int) []*tables.Endpoint {
 	ranked := make([]rankedEndpoint, len(endpoints))
--- a/pkg/systems/rowsweeper.go
+++ b/pkg/systems/rowsweeper.go
@@ -43,11 +43,11 @@
 	previous map[string]uint64
 }
 
-func newDepartureSweep(env *Env) *rowSweeper {
+func newDepartureSweeper(env *Env) *rowSweeper {
 	return &rowSweeper{Env: env, prefix: departurePrefix, interval: departureSweepInterval, counter: "rushramp_departures_swept_total"}
 }
 
-func newQuarantineSweep(env *Env) *rowSweeper {
+func newQuarantineSweeper(env *Env) *rowSweeper {
 	return &rowSweeper{Env: env, prefix: heldKeyPrefix, interval: quarantine.CrashRetention, counter: "rushramp_held_requests_swept_total"}
 }
 
@@ -75,7 +75,8 @@
 	}
 }
 
-// sweep deletes the rows that the previous sweep has seen, and remembers the others.
+// sweep deletes the rows that have not changed since the previous sweep, and remembers
+// the others.
 func (s *rowSweeper) sweep(ctx context.Context) (deleted int, err error) {
 	kept := map[string]uint64{}
 	var old []store.Write
--- a/pkg/systems/rowsweeper_test.go
+++ b/pkg/systems/rowsweeper_test.go
@@ -17,7 +17,7 @@
 func newTestRowSweeper(t *testing.T) (*rowSweeper, *fakestore.Store) {
 	env, platform := testEnv(), fakestore.New()
 	env.DaemonContext, env.Platform, env.Backend = t.Context(), platform, backend.NewLifecycle(true, nil)
-	return newDepartureSweep(env), platform
+	return newDepartureSweeper(env), platform
 }
 
 func countDepartureRows(t *testing.T, platform *fakestore.Store) int {
--- a/pkg/systems/seeddialer.go
+++ b/pkg/systems/seeddialer.go
@@ -34,7 +34,7 @@
 // cannot be reached. Seeds may be outdated or down.
 type seedDialer struct {
 	*Env
-	due intervalTimer
+	timer intervalTimer
 	// addresses are the link addresses of the seeds in random order, so that the fleet's
 	// first dials are spread over them. next is the index of the next one to dial.
 	addresses []string
@@ -48,7 +48,7 @@
 // Tick implements System.
 func (s *seedDialer) Tick(now int64, _ *tables.Mail) {
 	tooEarly := s.Settings.Platform.FirstStart && now < int64(firstStartSeedDelay)
-	if len(s.Settings.Links.Seeds) == 0 || tooEarly || !s.due.fires(now, seedDialInterval) {
+	if len(s.Settings.Links.Seeds) == 0 || tooEarly || !s.timer.fires(now, seedDialInterval) {
 		return
 	}
 	s.initialise()
--- a/pkg/systems/suspensionwatch.go
+++ b/pkg/systems/suspensionwatch.go
@@ -9,9 +9,9 @@
 )
 
 // suspensionWatch logs suspensions of the VM, and closes all links after one that was
-// longer than a link may be silent: the peers have given up these links, but the liveness
-// checks here do not count suspended time, so a request could wait on a dead link as long
-// as on a silent one. Source: docs/design/clocks.md.
+// longer than a link may be silent. The peers have given up these links, but the liveness
+// checks here do not count suspended time, so a request could wait on such a link for as
+// long again as a link may be silent. Source: docs/design/clocks.md.
 type suspensionWatch struct {
 	*Env
 	// lastTotal is the total suspended time at the last tick.
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -24,7 +24,7 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// System is one step of a tick. now is in nanoseconds of the daemon's monotonic clock;
+// System is one step of a tick. now is Env.Now at the start of the tick, in nanoseconds;
 // mail is what was posted to the inbox since the last tick.
 type System interface {
 	Tick(now int64, mail *tables.Mail)
@@ -36,11 +36,11 @@
 	World    *tables.World
 	Platform store.Platform
 	Store    *placement.Store
-	// Executor runs calls from other daemons on this VM's backend server; nil on a daemon
-	// that is only an entry.
+	// Executor runs calls on this VM's backend server; nil on a daemon that is only an
+	// entry.
 	Executor *executor.Executor
-	// Runner runs calls on this VM's backend server without a link; nil without a backend
-	// server.
+	// Runner is what runs calls on this VM's backend server, RoutedRunner or Executor;
+	// nil without a backend server.
 	Runner call.Runner
 	// RoutedRunner runs routed requests on this VM's backend server; nil if the daemon
 	// takes none.
@@ -109,9 +109,9 @@
 		&seedDialer{Env: env},
 		&registration{Env: env, outage: events.NewOutage(env.Log, "own entry in the list of VMs")},
 		&departures{Env: env},
-		newDepartureSweep(env),
+		newDepartureSweeper(env),
 		newQuarantines(env),
-		newQuarantineSweep(env),
+		newQuarantineSweeper(env),
 		&membership{Env: env},
 		&peerStates{Env: env},
 		&evacuations{Env: env},
@@ -184,10 +184,10 @@
 type intervalTimer struct{ nextAt int64 }
 
 // fires reports whether the timer is due, and if so starts the next interval.
-func (d *intervalTimer) fires(now int64, interval time.Duration) bool {
-	if now < d.nextAt {
+func (t *intervalTimer) fires(now int64, interval time.Duration) bool {
+	if now < t.nextAt {
 		return false
 	}
-	d.nextAt = now + int64(interval)
+	t.nextAt = now + int64(interval)
 	return true
 }
--- a/pkg/systems/viewpublisher.go
+++ b/pkg/systems/viewpublisher.go
@@ -76,7 +76,8 @@
 }
 
 // redirectAddresses returns the caller addresses of a few daemons in data centres that
-// the kind allows, ordered by rendezvous hash on this daemon's name.
+// the kind allows and that are not evacuated, ordered by rendezvous hash on this daemon's
+// name.
 func (p *viewPublisher) redirectAddresses(kind *placement.CompiledKind) []string {
 	type rankedAddress struct {
 		address string
--- a/pkg/systems/vmlist.go
+++ b/pkg/systems/vmlist.go
@@ -85,7 +85,7 @@
 		return false
 	}
 	if !v.Settings.Platform.FirstStart {
-		v.skipFirstReadIfTold(now)
+		v.skipFirstReadIfInformed(now)
 		return v.shouldWaitForPeers(now)
 	}
 	if v.firstReadAt == 0 {
@@ -97,9 +97,9 @@
 	return now < v.firstReadAt
 }
 
-// skipFirstReadIfTold skips the first read of a restarted daemon if its peers have sent
-// it the members.
-func (v *vmListReader) skipFirstReadIfTold(now int64) {
+// skipFirstReadIfInformed skips the first read of a restarted daemon if its peers have
+// sent it the members.
+func (v *vmListReader) skipFirstReadIfInformed(now int64) {
 	if v.hasPeerWithPlacement() && v.World.Members.Len() > enoughMembers {
 		v.timer.nextAt = now + int64(v.Settings.Platform.VMListEvery)
 		v.listRead.Store(true)
