--- a/pkg/systems/converge_test.go
+++ b/pkg/systems/converge_test.go
@@ -110,19 +110,19 @@
 		{"r0", "r1", "r2", "r3"}, {"", "", "", ""},
 	}).Draw(t, "regions")
 	for d := range rapid.IntRange(1, 4).Draw(t, "data centres") {
-		var before *gossipNode
+		var previous *gossipNode
 		for v := range rapid.IntRange(1, 8).Draw(t, "daemons") {
 			n := newGossipNode(fmt.Sprint("d", d, "v", v), fmt.Sprint("d", d), regions[d])
 			switch {
-			case before != nil:
-				connect(n, before)
+			case previous != nil:
+				connect(n, previous)
 			case first != nil:
 				connect(n, first)
 			}
-			if before == nil {
+			if previous == nil {
 				first = n
 			}
-			before = n
+			previous = n
 			nodes = append(nodes, n)
 		}
 	}
--- a/pkg/systems/departures_test.go
+++ b/pkg/systems/departures_test.go
@@ -104,9 +104,9 @@
 	test.MapNotContainsKey(t, env.World.Departures, "old")
 }
 
-// TestDeparturesAreSentOnceOverEachNewLink guards against sending them over all links at
-// each tick, which would cost a daemon with hundreds of links more than the rest of its
-// work.
+// TestDeparturesAreSentOnceOverEachNewLink: the system must not go through all links at
+// each tick, which would cost a daemon with hundreds of links more than the sending
+// itself.
 func TestDeparturesAreSentOnceOverEachNewLink(t *testing.T) {
 	env, _, tick := newDeparturesEnv(t, false)
 	first := &link.Peer{Conn: link.NewClosedConn()}
@@ -122,9 +122,9 @@
 	test.True(t, env.World.Peers.GetOrAdd(second).DeparturesSent)
 }
 
-// TestFewDaemonsRelayADepartureToOtherDataCentres checks that broadcastRelays of sixty
-// daemons that receive a departure relay it, and that a daemon without links in its data
-// centre does.
+// TestFewDaemonsRelayADepartureToOtherDataCentres checks that of sixty daemons that
+// receive a departure exactly broadcastRelays relay it, and that a daemon without links
+// in its data centre relays all.
 func TestFewDaemonsRelayADepartureToOtherDataCentres(t *testing.T) {
 	const daemons = 60
 	s := gossipFleet(daemons)
--- a/pkg/systems/feedfollower_test.go
+++ b/pkg/systems/feedfollower_test.go
@@ -74,12 +74,12 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	env.DaemonContext, env.Feed = ctx, feed
-	follower, versions := newFeedFollower(env), &placements{Env: env}
+	follower, placementSystem := newFeedFollower(env), &placements{Env: env}
 	return env, func(d time.Duration) {
 		for end := time.Now().Add(d); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 			mail := env.World.Inbox.Take()
 			follower.Tick(env.Now(), &mail)
-			versions.Tick(env.Now(), &mail)
+			placementSystem.Tick(env.Now(), &mail)
 			synctest.Wait()
 		}
 	}
@@ -176,10 +176,10 @@
 		env.Settings.Placement.FeedReaders = 1
 		tick(followCheckInterval)
 		must.Eq(t, 4, env.World.PlacementVersion(), must.Sprint("a daemon without a placement reads it"))
-		rank := utils.Rendezvous("here", "vm")
+		ownWeight := utils.Rendezvous("here", "vm")
 		var peers []*link.Peer
 		for n := 0; len(peers) < 2; n++ {
-			if vm := fmt.Sprint("other", n); utils.Rendezvous("here", vm) > rank {
+			if vm := fmt.Sprint("other", n); utils.Rendezvous("here", vm) > ownWeight {
 				peers = append(peers, &link.Peer{Hello: wire.Hello{VM: vm, DataCentre: "here"}})
 				env.World.Peers.GetOrAdd(peers[len(peers)-1])
 			}
--- a/pkg/systems/membergossip_test.go
+++ b/pkg/systems/membergossip_test.go
@@ -88,9 +88,10 @@
 	return &memberGossip{Env: env}
 }
 
-// TestFewDaemonsSendARowToAnotherRegion checks that this does not depend on its number of
-// data centres, and that a record received from another region goes on to all data
-// centres of the own one, but not back.
+// TestFewDaemonsSendARowToAnotherRegion checks that about gossipRelays daemons send a
+// record of their data centre to another region, however many data centres that has. A
+// record received from another region goes on to all data centres of the own one, but not
+// back.
 func TestFewDaemonsSendARowToAnotherRegion(t *testing.T) {
 	const daemons, rounds = 20, 300
 	s := regionFleet(daemons)
--- a/pkg/systems/membership_test.go
+++ b/pkg/systems/membership_test.go
@@ -25,14 +25,14 @@
 	env.Backend = backend.NewLifecycle(true, nil)
 	env.Registrar = noopRegistrar{}
 	env.Settings.Listen.Links = "127.0.0.1:7401"
-	system, watch := &membership{Env: env}, &backendReporter{Env: env}
+	system, reporter := &membership{Env: env}, &backendReporter{Env: env}
 	return env, func(records ...wire.Member) wire.Member {
 		mail := &tables.Mail{}
 		if len(records) > 0 {
 			mail.Members = []tables.PeerMembers{{Rows: records}}
 		}
 		system.Tick(env.Now(), mail)
-		watch.Tick(env.Now(), mail)
+		reporter.Tick(env.Now(), mail)
 		row, ok := env.World.Members.Find(env.World.VM)
 		if !ok || left {
 			return wire.Member{State: wire.MemberGone}
--- a/pkg/systems/roundtrips_test.go
+++ b/pkg/systems/roundtrips_test.go
@@ -12,25 +12,25 @@
 
 func TestRegionShareUsesTheLeastRoundTrips(t *testing.T) {
 	const ms = time.Millisecond
-	var d leastRoundTrips
-	d.record(proximity.Region, 3*ms)
-	d.record(proximity.Region, 9*ms)
-	_, ok := d.regionShare()
+	var r leastRoundTrips
+	r.record(proximity.Region, 3*ms)
+	r.record(proximity.Region, 9*ms)
+	_, ok := r.regionShare()
 	test.False(t, ok, test.Sprint("no link to another region"))
-	d.record(proximity.OtherRegion, 0)
-	_, ok = d.regionShare()
+	r.record(proximity.OtherRegion, 0)
+	_, ok = r.regionShare()
 	test.False(t, ok, test.Sprint("a link that was not measured yet"))
-	d.record(proximity.OtherRegion, 40*ms)
-	d.record(proximity.OtherRegion, 24*ms)
-	share, ok := d.regionShare()
+	r.record(proximity.OtherRegion, 40*ms)
+	r.record(proximity.OtherRegion, 24*ms)
+	share, ok := r.regionShare()
 	test.True(t, ok)
 	test.Eq(t, 0.125, share)
-	d.record(proximity.OtherRegion, ms)
-	share, _ = d.regionShare()
+	r.record(proximity.OtherRegion, ms)
+	share, _ = r.regionShare()
 	test.Eq(t, 1, share, test.Sprint("another region is never cheaper"))
 }
 
-// TestRegionShareIsOneInADeploymentWithOneRegion: no other region was ever measured.
+// TestRegionShareIsOneInADeploymentWithOneRegion: it is 1 until a share is set.
 func TestRegionShareIsOneInADeploymentWithOneRegion(t *testing.T) {
 	view := &tables.View{}
 	test.Eq(t, 1, view.RegionShare())
--- a/pkg/systems/rowsweeper_test.go
+++ b/pkg/systems/rowsweeper_test.go
@@ -26,8 +26,8 @@
 	return len(rows)
 }
 
-// TestDepartureRowsStayBounded checks that 5,800 replacements in a day never leave more
-// rows than those of two intervals, nor fewer than those of one.
+// TestDepartureRowsStayBounded checks, with 5,800 replacements in a day, that the largest
+// number of rows is between those of one and two sweep intervals.
 func TestDepartureRowsStayBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s, platform := newTestRowSweeper(t)
