--- a/pkg/enforcer/enforcer.go
+++ b/pkg/enforcer/enforcer.go
@@ -1,6 +1,6 @@
-// Package enforcer is the part that one backend server has in its service's roll-out: the
-// executor beside it refuses what the roll-out lets it not run, and counts how its runs
-// end. Source: docs/design/rollout.md.
+// Package enforcer applies a service's roll-out to one backend server: it tells the
+// executor what the roll-out does not permit the backend server to run, and counts how
+// its runs end. Source: docs/design/rollout.md.
 package enforcer
 
 import (
@@ -12,75 +12,79 @@
 	"github.com/rushramp/rushramp/pkg/utils"
 )
 
-// Enforcer is safe for concurrent use.
+// Enforcer applies roll-outs to the backend server of one lifecycle. It is safe for
+// concurrent use.
 type Enforcer struct {
 	common    *common.Common
 	lifecycle *backend.Lifecycle
-	// recorder is nil where nothing is counted.
+	// recorder is nil where no outcomes are counted.
 	recorder *rollout.Recorder
-	// guard is nil while no roll-out concerns the backend server.
+	// guard is nil until SetGuard: the backend server may run all requests.
 	guard atomic.Pointer[rollout.Guard]
 }
 
-// New makes the trial of the backend server that a lifecycle follows. recorder may be
-// nil.
+// New returns an enforcer without a guard. recorder may be nil: the enforcer then counts
+// no outcomes.
 func New(c *common.Common, lifecycle *backend.Lifecycle, recorder *rollout.Recorder) *Enforcer {
-	t := &Enforcer{common: c, lifecycle: lifecycle, recorder: recorder}
-	c.Metrics.GetOrCreateGauge("rushramp_rollout_barred", t.barredGauge)
-	return t
+	e := &Enforcer{common: c, lifecycle: lifecycle, recorder: recorder}
+	c.Metrics.GetOrCreateGauge("rushramp_rollout_barred", e.barredGauge)
+	return e
 }
 
-func (t *Enforcer) barredGauge() float64 {
-	if t.RefusalReason() != "" {
+func (e *Enforcer) barredGauge() float64 {
+	if e.RefusalReason() != "" {
 		return 1
 	}
 	return 0
 }
 
-// SetGuard puts a guard in force, at once for all that is not handed over yet: what
-// was handed over before counts as in flight from here on, until it has ended.
-func (t *Enforcer) SetGuard(g *rollout.Guard) { t.guard.Store(g) }
+// SetGuard replaces the guard. It applies at once to all requests that were not handed to
+// the backend server yet. Those that were count as in flight until they end.
+func (e *Enforcer) SetGuard(g *rollout.Guard) { e.guard.Store(g) }
 
-// RefusalReason says why a roll-out lets the backend server run nothing; empty: it lets it.
-func (t *Enforcer) RefusalReason() string {
-	instance, _ := t.lifecycle.Current()
-	return t.RefusalReasonFor(instance.String())
+// RefusalReason returns why a roll-out does not permit the backend server to run
+// requests; empty where it may.
+func (e *Enforcer) RefusalReason() string {
+	instance, _ := e.lifecycle.Current()
+	return e.RefusalReasonFor(instance.String())
 }
 
-// RefusalReasonFor says why a roll-out lets an incarnation run nothing; empty: it lets it.
-func (t *Enforcer) RefusalReasonFor(instance string) string {
-	return t.guard.Load().RefusalReasonFor(instance, t.lifecycle.Version(), t.common.Settings.VM.ID)
+// RefusalReasonFor returns why a roll-out does not permit an incarnation of the backend
+// server to run requests; empty where it may.
+func (e *Enforcer) RefusalReasonFor(instance string) string {
+	return e.guard.Load().RefusalReasonFor(instance, e.lifecycle.Version(), e.common.Settings.VM.ID)
 }
 
-// PlanRevision is true while a roll-out of the service is known, and the revision is that of
-// its plan.
-func (t *Enforcer) PlanRevision() (revision uint64, is bool) {
-	g := t.guard.Load()
+// PlanRevision returns the revision of the plan of the service's roll-out. known is false
+// where no roll-out is known.
+func (e *Enforcer) PlanRevision() (revision uint64, known bool) {
+	g := e.guard.Load()
 	if g == nil || g.Traffic == nil {
 		return 0, false
 	}
 	return g.Revision, true
 }
 
-// Record counts how a run ended, as evidence on its version, until the roll-out has
-// ended: the counter's name alone takes an allocation and some 300 ns a run.
-func (t *Enforcer) Record(o rollout.Outcome) {
-	if t.recorder == nil || !t.recorder.Counting() {
+// Record counts how a run ended, as evidence on its version. It does nothing unless a
+// roll-out is known and the recorder counts: building the name of the counter costs an
+// allocation and some 300 ns a run.
+func (e *Enforcer) Record(o rollout.Outcome) {
+	if e.recorder == nil || !e.recorder.Counting() {
 		return
 	}
-	if _, is := t.PlanRevision(); !is {
+	if _, known := e.PlanRevision(); !known {
 		return
 	}
-	t.count(o.Failed)
-	t.recorder.Count(o)
+	e.countRun(o.Failed)
+	e.recorder.Count(o)
 }
 
-// count counts a run of the backend server's version for the metrics.
-func (t *Enforcer) count(failed bool) {
+// countRun counts a run in the metric of the backend server's version.
+func (e *Enforcer) countRun(failed bool) {
 	outcome := "worked"
 	if failed {
 		outcome = "failed"
 	}
-	service, version := utils.Label(t.common.Settings.BackendServer.Service), utils.Label(t.lifecycle.Version())
-	t.common.Metrics.GetOrCreateCounter(`rushramp_rollout_runs_total{service="` + service + `",version="` + version + `",outcome="` + outcome + `"}`).Inc()
+	service, version := utils.Label(e.common.Settings.BackendServer.Service), utils.Label(e.lifecycle.Version())
+	e.common.Metrics.GetOrCreateCounter(`rushramp_rollout_runs_total{service="` + service + `",version="` + version + `",outcome="` + outcome + `"}`).Inc()
 }
--- a/pkg/enforcer/enforcer_test.go
+++ b/pkg/enforcer/enforcer_test.go
@@ -15,17 +15,18 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// TestNothingIsRecordedAfterARollOut: runs then cost no allocation, and count nowhere.
-func TestNothingIsRecordedAfterARollOut(t *testing.T) {
+// TestRecordDoesNothingUnlessRecorderCounts checks that Record then allocates nothing and
+// adds no metric, and that it does once the recorder has begun to count.
+func TestRecordDoesNothingUnlessRecorderCounts(t *testing.T) {
 	s := settings.Default()
 	s.BackendServer.Service = "s"
 	c := common.NewCommon(events.Discard(), &s)
 	recorder := rollout.NewRecorder("vm", "s", 1)
-	trial := New(c, backend.NewLifecycle(true, nil), recorder)
-	book := rollout.NewReplica()
-	book.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Completed}}})
-	trial.SetGuard(&rollout.Guard{Traffic: book.Traffic("s")})
-	run := func() { trial.Record(rollout.Outcome{Route: "r", Duration: time.Millisecond}) }
+	e := New(c, backend.NewLifecycle(true, nil), recorder)
+	replica := rollout.NewReplica()
+	replica.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Completed}}})
+	e.SetGuard(&rollout.Guard{Traffic: replica.Traffic("s")})
+	run := func() { e.Record(rollout.Outcome{Route: "r", Duration: time.Millisecond}) }
 	counted := func() bool {
 		var out bytes.Buffer
 		c.Metrics.WritePrometheus(&out)
@@ -35,5 +36,5 @@
 	test.False(t, counted())
 	recorder.Begin(5, "v2")
 	run()
-	test.True(t, counted(), test.Sprint("while it is under way"))
+	test.True(t, counted(), test.Sprint("while the recorder counts"))
 }
