--- a/pkg/rollout/baseline.go
+++ b/pkg/rollout/baseline.go
@@ -6,146 +6,156 @@
 )
 
 const (
-	// sliceTime is the unit of the old versions' history: two reports. historySlices of them, 20 s,
-	// hold enough runs of a route that has one a second.
-	sliceTime     = int64(500 * time.Millisecond)
+	// sliceDuration is the length of one slice of the history, in nanoseconds: two reports.
+	sliceDuration = int64(500 * time.Millisecond)
+	// historySlices is the number of slices. The resulting 20 s hold minBaselineRuns of a
+	// route with one request a second.
 	historySlices = 40
-	// leastRuns of the old versions make a reference.
-	leastRuns = 20
-	// slowSteps above the step of the old versions' median begins what is slow: 2.0 to
-	// 2.4 times the median. A version that takes three times as long is over it, work
-	// beside a full backend server (1.7 times) is not.
-	slowSteps = stepsPerOctave + 1
+	// minBaselineRuns is the number of runs of the old versions that make a baseline.
+	minBaselineRuns = 20
+	// slowStepOffset is the distance from the histogram step of the old versions' median
+	// duration to the first step that counts as slow: 2.0 to 2.4 times the median. A version
+	// that takes three times as long is above it. Work beside a full backend server, which
+	// takes 1.7 times as long, is not.
+	slowStepOffset = stepsPerOctave + 1
 )
 
-// tally is runs of one route within a time.
+// tally counts runs of one route. durations is their histogram, as in
+// RouteCounts.DurationCounts.
 type tally struct {
 	runs, failures uint32
-	times          [timeSteps]uint32
+	durations      [histogramSteps]uint32
 }
 
 func (t *tally) add(o *tally) {
 	t.runs += o.runs
 	t.failures += o.failures
-	for i, n := range o.times {
-		t.times[i] += n
+	for i, n := range o.durations {
+		t.durations[i] += n
 	}
 }
 
-// timed counts the runs whose time is known, and those of them in a step or above it.
-func (t *tally) timed(from int) (all, above uint32) {
-	for i, n := range t.times {
+// countTimed counts the runs in the histogram, and those in the given step or above.
+func (t *tally) countTimed(fromStep int) (all, above uint32) {
+	for i, n := range t.durations {
 		all += n
-		if i >= from {
+		if i >= fromStep {
 			above += n
 		}
 	}
 	return all, above
 }
 
-// median is the step of the middle run.
-func (t *tally) median() int {
-	all, _ := t.timed(0)
-	below := uint32(0)
-	for i, n := range t.times {
-		below += n
-		if 2*below >= all {
+// medianStep returns the histogram step of the median duration.
+func (t *tally) medianStep() int {
+	all, _ := t.countTimed(0)
+	sum := uint32(0)
+	for i, n := range t.durations {
+		sum += n
+		if 2*sum >= all {
 			return i
 		}
 	}
-	return timeSteps - 1
+	return histogramSteps - 1
 }
 
-// history is the runs of a route at the old versions, of the last 20 s.
+// history holds the old versions' runs of one route in the last 20 s, in a ring of
+// slices.
 type history struct {
-	ring   [historySlices]tally
-	at     [historySlices]int64
-	newest int64
+	ring [historySlices]tally
+	// sliceNumbers are the numbers of the slices in the ring: their time divided by
+	// sliceDuration.
+	sliceNumbers [historySlices]int64
+	// newestRun is when the last runs were reported, in nanoseconds; 0 before the first.
+	newestRun int64
 }
 
-// add counts runs that were told at a time.
+// add adds runs that were reported at a time, in nanoseconds.
 func (h *history) add(now int64, t *tally) {
-	number := now / sliceTime
-	place := number % historySlices
-	if h.at[place] != number {
-		h.at[place], h.ring[place] = number, tally{}
+	number := now / sliceDuration
+	i := number % historySlices
+	if h.sliceNumbers[i] != number {
+		h.sliceNumbers[i], h.ring[i] = number, tally{}
 	}
-	h.ring[place].add(t)
+	h.ring[i].add(t)
 	if t.runs > 0 {
-		h.newest = max(h.newest, now)
+		h.newestRun = max(h.newestRun, now)
 	}
 }
 
-// between sums the slices that a time touches.
-func (h *history) between(from, to int64) (sum tally) {
+// sumBetween sums the slices that overlap a span of time.
+func (h *history) sumBetween(from, to int64) (sum tally) {
 	for i := range h.ring {
-		if h.ring[i].runs > 0 && h.at[i] >= from/sliceTime && h.at[i] <= to/sliceTime {
+		if h.ring[i].runs > 0 && h.sliceNumbers[i] >= from/sliceDuration && h.sliceNumbers[i] <= to/sliceDuration {
 			sum.add(&h.ring[i])
 		}
 	}
 	return sum
 }
 
-// reference is what runs of the new version are held against.
-type reference struct {
-	// failures and slow are the bad parts of the old versions; slowFrom is the step from
-	// which a run is slow, 0: not known.
-	failures, slow float64
-	slowFrom       int
-	// blind is true for one of another time.
-	blind bool
+// baseline holds the old versions' rates, which the new version is tested against.
+type baseline struct {
+	// failureRate and slowRate are the shares of runs that failed and that were slow.
+	failureRate, slowRate float64
+	// slowFromStep is the histogram step from which a run is slow; 0 where it is not known.
+	slowFromStep int
+	// stale is true where the old versions ran too few requests at the time of the tested
+	// runs, so that the rates are of another time.
+	stale bool
 }
 
-// about makes the reference for runs told at a time, out of what the old versions did
-// over all of the history and just then: the worse of the two, since a fault that
-// strikes both versions must not count against the new one. before is the last one.
-func (h *history) about(at, now int64, before reference) reference {
+// baselineAt returns the baseline for runs that were reported at a time. Its rates are
+// the higher ones of the whole history's and of those around that time, so that a fault
+// that affects both versions does not count against the new one. Values that cannot be
+// estimated are those of the baseline before.
+func (h *history) baselineAt(at, now int64, before baseline) baseline {
 	out := before
-	long := h.between(now-historySlices*sliceTime+sliceTime, now)
-	if long.runs >= leastRuns {
-		out.failures = float64(long.failures) / float64(long.runs)
+	whole := h.sumBetween(now-historySlices*sliceDuration+sliceDuration, now)
+	if whole.runs >= minBaselineRuns {
+		out.failureRate = float64(whole.failures) / float64(whole.runs)
 	}
-	if timed, _ := long.timed(0); timed >= leastRuns {
-		out.slowFrom = long.median() + slowSteps
-		_, slow := long.timed(out.slowFrom)
-		out.slow = float64(slow) / float64(timed)
+	if timed, _ := whole.countTimed(0); timed >= minBaselineRuns {
+		out.slowFromStep = whole.medianStep() + slowStepOffset
+		_, slow := whole.countTimed(out.slowFromStep)
+		out.slowRate = float64(slow) / float64(timed)
 	}
-	short, known := h.around(at)
-	out.blind = !known
-	if !known {
+	nearby, enough := h.sumAround(at)
+	out.stale = !enough
+	if !enough {
 		return out
 	}
-	out.failures = max(out.failures, surely(short.failures, short.runs))
-	if timed, slow := short.timed(out.slowFrom); out.slowFrom > 0 && timed > 0 {
-		out.slow = max(out.slow, surely(slow, timed))
+	out.failureRate = max(out.failureRate, lowerEstimate(nearby.failures, nearby.runs))
+	if timed, slow := nearby.countTimed(out.slowFromStep); out.slowFromStep > 0 && timed > 0 {
+		out.slowRate = max(out.slowRate, lowerEstimate(slow, timed))
 	}
 	return out
 }
 
-// around sums the shortest time about a moment that holds runs enough, since a long one
-// hides the beginning of a fault; known is false where there were none.
-func (h *history) around(at int64) (sum tally, known bool) {
-	for _, back := range []int64{1, 3, 8} {
-		sum = h.between(at-back*sliceTime, at+weighAfter)
-		if sum.runs >= leastRuns {
+// sumAround sums the shortest span around a time that has minBaselineRuns, since a longer
+// span would hide the beginning of a fault. enough is false where no span has them.
+func (h *history) sumAround(at int64) (sum tally, enough bool) {
+	for _, slicesBefore := range []int64{1, 3, 8} {
+		sum = h.sumBetween(at-slicesBefore*sliceDuration, at+evaluationDelay)
+		if sum.runs >= minBaselineRuns {
 			return sum, true
 		}
 	}
 	return sum, false
 }
 
-// usual returns the bad parts to test against.
-func (r *reference) usual() (failures, slow float64) {
-	slow = slowMargin * r.slow
-	if r.blind {
-		return max(r.failures, blindFailures), max(slow, blindSlow)
+// testRates returns the failure rate and the slow rate to test against: those of the
+// baseline with the margin for slow runs, and at least the minimum rates.
+func (b *baseline) testRates() (failureRate, slowRate float64) {
+	slowRate = slowRateMargin * b.slowRate
+	if b.stale {
+		return max(b.failureRate, staleMinFailureRate), max(slowRate, staleMinSlowRate)
 	}
-	return max(r.failures, failureFloor), max(slow, slowFloor)
+	return max(b.failureRate, minFailureRate), max(slowRate, minSlowRate)
 }
 
-// surely is a share of few runs, less one standard error: a fault that strikes both
-// versions is seen, chance among few runs makes the test no duller.
-func surely(bad, all uint32) float64 {
+// lowerEstimate returns the share of bad runs less one standard error. A rate estimated
+// from few runs may be too high by chance, which would make the test less sensitive.
+func lowerEstimate(bad, all uint32) float64 {
 	p := float64(bad) / float64(all)
 	return p - math.Sqrt(p*(1-p)/float64(all))
 }
--- a/pkg/rollout/canaries.go
+++ b/pkg/rollout/canaries.go
@@ -7,102 +7,110 @@
 )
 
 const (
-	// usedSlots is the part of its slots that a backend server of the old versions is
-	// taken to use where it is not known: what gates use at first (routing.use).
-	usedSlots = 0.8
-	// headroom over what the old versions have in use of late is what the target must
-	// have free slots for: requests come unevenly, and gates use 0.8 of the slots.
-	headroom = 1.5
-	// keptSlots of those that were ready at the switch must still be there to complete.
-	keptSlots = 0.8
-	// fewCanaries bounds the canaries: of a service of 200 backend servers eight run 4 in
-	// 100 of its requests, more than the test needs.
-	fewCanaries = 8
-	// sameShare is how far the share may be off before the row is written for it.
-	sameShare = 0.25
+	// assumedSlotUse is the share of its slots that a backend server of the old versions
+	// is assumed to use where PeakBusySlots is not known: the share that gates use
+	// at first (routing.use).
+	assumedSlotUse = 0.8
+	// slotHeadroom multiplies the slots that the old versions use to give the slots that
+	// the target needs: requests come unevenly, and gates use 0.8 of the slots.
+	slotHeadroom = 1.5
+	// minReadyShare is the share of the target's slots at the switch that must be ready for
+	// the roll-out to complete.
+	minReadyShare = 0.8
+	// maxPlannedCanaries is the largest number of canaries that a plan picks. Of a service
+	// of 200 backend servers eight run 4% of the requests, more than the test needs.
+	maxPlannedCanaries = 8
+	// shareTolerance is the relative change of the canaries' share below which the plan is
+	// not written again.
+	shareTolerance = 0.25
 )
 
 func (d *decision) isTarget(s *Server) bool { return s.Version == d.plan.Target }
 
 func (d *decision) isOld(s *Server) bool { return slices.Contains(d.plan.Old, s.Version) }
 
-// slots sums those of ready backend servers; each has one at least.
-func (d *decision) slots(of func(*Server) bool) (sum int) {
+// readySlots sums the slots of the ready backend servers for which match is true.
+func (d *decision) readySlots(match func(*Server) bool) (sum int) {
 	for i := range d.servers {
-		if s := &d.servers[i]; s.Ready && of(s) {
-			sum += s.slots()
+		if s := &d.servers[i]; s.Ready && match(s) {
+			sum += s.slotCount()
 		}
 	}
 	return sum
 }
 
-func (s *Server) slots() int { return min(max(s.Slots, 1), math.MaxUint16) }
+// slotCount returns the slots of a backend server, at least one.
+func (s *Server) slotCount() int { return min(max(s.Slots, 1), math.MaxUint16) }
 
-func (d *decision) count(of func(*Server) bool) (n int) {
+// readyServers counts the ready backend servers for which match is true.
+func (d *decision) readyServers(match func(*Server) bool) (n int) {
 	for i := range d.servers {
-		if s := &d.servers[i]; s.Ready && of(s) {
+		if s := &d.servers[i]; s.Ready && match(s) {
 			n++
 		}
 	}
 	return n
 }
 
-// needed is how many slots the target must have for what the old versions run.
-func (d *decision) needed() int {
+// neededSlots returns how many slots the target needs to run the requests of the old
+// versions.
+func (d *decision) neededSlots() int {
 	sum := 0.0
 	for i := range d.servers {
 		s := &d.servers[i]
 		switch {
 		case !s.Ready || !d.isOld(s):
 		case s.PeakBusySlots > 0:
-			sum += min(headroom*float64(s.PeakBusySlots), float64(s.slots()))
+			sum += min(slotHeadroom*float64(s.PeakBusySlots), float64(s.slotCount()))
 		default:
-			sum += usedSlots * float64(s.slots())
+			sum += assumedSlotUse * float64(s.slotCount())
 		}
 	}
 	return int(math.Ceil(sum))
 }
 
-// others counts the backend servers of all other versions that are not empty, in two
-// parts: those in touch, and those that are lost.
-func (d *decision) others() (running, lost int) {
+// undrainedOthers counts the backend servers of versions other than the target that are
+// not drained: running counts the reachable ones, unreachable the rest.
+func (d *decision) undrainedOthers() (running, unreachable int) {
 	for i := range d.servers {
 		switch s := &d.servers[i]; {
 		case d.isTarget(s) || s.Version == "" || s.Drained:
 		case s.Unreachable:
-			lost++
+			unreachable++
 		default:
 			running++
 		}
 	}
-	return running, lost
+	return running, unreachable
 }
 
-// pick chooses the canaries and their share. Those that are canaries and ready stay;
-// others follow by the names of their VMs, as many as carry with the largest share
-// allowed about the load that they will have after the switch. One at least: it then has
-// less load than later.
-func (d *decision) pick() (vms []string, perMille uint32) {
-	all := max(d.slots(d.isTarget), d.slots(d.isOld))
-	most := mostShare(d.order.Duration, d.limits)
+// pickCanaries returns the VMs of the canaries and their share of the requests in
+// thousandths. It takes candidates as long as their part of all slots is within the
+// largest share allowed, so that the load of each slot is about that after the switch. It
+// takes maxPlannedCanaries at most and one at least, which then has less load than after
+// the switch where its part of the slots exceeds the largest share.
+func (d *decision) pickCanaries() (vms []string, perMille uint32) {
+	all := max(d.readySlots(d.isTarget), d.readySlots(d.isOld))
+	maxShare := maxCanaryShare(d.order.Duration, d.limits)
 	taken := 0
-	for _, s := range d.candidates() {
-		fits := float64(taken+s.slots()) <= most*float64(all)
-		if len(vms) > 0 && (!fits || len(vms) >= fewCanaries) {
+	for _, s := range d.canaryCandidates() {
+		fits := float64(taken+s.slotCount()) <= maxShare*float64(all)
+		if len(vms) > 0 && (!fits || len(vms) >= maxPlannedCanaries) {
 			break
 		}
 		vms = append(vms, s.VM)
-		taken += s.slots()
+		taken += s.slotCount()
 	}
 	if len(vms) == 0 {
 		return nil, 0
 	}
-	share := min(most, float64(taken)/float64(all))
+	share := min(maxShare, float64(taken)/float64(all))
 	return vms, uint32(max(1000*share, 1))
 }
 
-// candidates are the target's ready backend servers, the present canaries first.
-func (d *decision) candidates() (out []*Server) {
+// canaryCandidates returns the target's ready backend servers: first the present
+// canaries, then the others, each group sorted by VM.
+func (d *decision) canaryCandidates() (out []*Server) {
 	for i := range d.servers {
 		if s := &d.servers[i]; s.Ready && d.isTarget(s) {
 			out = append(out, s)
@@ -121,14 +129,14 @@
 	return out
 }
 
-// refresh replaces canaries that are not ready any more, and follows the share where
-// backend servers come or go.
-func (d *decision) refresh() (Plan, bool) {
-	vms, perMille := d.pick()
+// updateCanaries replaces canaries that are no longer ready, and adapts their share where
+// backend servers have joined or left.
+func (d *decision) updateCanaries() (Plan, bool) {
+	vms, perMille := d.pickCanaries()
 	slices.Sort(vms)
 	before := slices.Sorted(slices.Values(d.plan.Canaries))
-	off := math.Abs(float64(perMille) - float64(d.plan.PerMille))
-	if slices.Equal(vms, before) && off <= sameShare*float64(d.plan.PerMille) {
+	difference := math.Abs(float64(perMille) - float64(d.plan.PerMille))
+	if slices.Equal(vms, before) && difference <= shareTolerance*float64(d.plan.PerMille) {
 		return d.plan, false
 	}
 	d.plan.Canaries, d.plan.PerMille = vms, perMille
--- a/pkg/rollout/cusum.go
+++ b/pkg/rollout/cusum.go
@@ -2,80 +2,84 @@
 
 import "math"
 
-// The test of one route: a cumulative sum (CUSUM, Page's form of the sequential
-// likelihood ratio test) over the runs of the new version, of the logarithm of how much
-// likelier each is if the version is worse than the old ones than if it is as good. A
-// run is either bad (failed; or slow) or good. The sum never falls below zero, so that a
-// long good history does not hide what begins late, and it may trip at any time.
+// The new version is tested on each route with a cumulative sum (CUSUM, Page's
+// sequential likelihood-ratio test). Each run is good or bad; one test counts failed runs
+// as bad, another one slow runs. The sum adds, for each run, the logarithm of how much
+// likelier the run is if the version's bad rate (the share of its runs that are bad) is
+// higher than the old versions' rate than if it is the same. The sum never falls below
+// zero, so that a long good history does not delay the detection of a fault that begins
+// late.
 //
-// Why this one: it is the quickest there is for a change of unknown time at a given rate
-// of false alarms; it needs one number a route; and with runs counted as slow or not it
-// holds for any distribution of work times, also where only part of the answers is slow.
-// Tests at fixed numbers of runs would be late or, if looked at each time, wrong more
-// often than they say.
+// CUSUM has the shortest detection delay for a change at an unknown time, at a given
+// rate of false alarms, and needs one number a route. As runs count only as slow or not,
+// it holds for any distribution of work times, also where only some answers are slow.
+// Tests after fixed numbers of runs detect a fault later, and give more false alarms than
+// their nominal rate if they are evaluated repeatedly.
 //
-// Two alternatives run beside each other: much worse (a bad part larger by 0.3), told
-// after few runs, and a little worse (by 0.1), told later.
+// Each test runs for two alternatives: a bad rate that is higher by 0.3, detected within
+// few runs, and one that is higher by 0.1, detected later.
 //
-// Error rates and delays are measured by TestErrorRates and TestDelays; the figures stand
-// in docs/design/rollout.md.
+// TestErrorRates and TestDelays measure the error rates and delays; docs/design/rollout.md
+// lists them.
 const (
-	// trip is where a sum tells a bad version. The chance that a sum trips within n runs
-	// of a version as good as the reference is below n*exp(-trip).
-	trip = 13.0
-	// mostAtOnce bounds what one report of one backend server adds, so that one moment at
-	// one server (its connections are reset, its neighbours slow it down) tells nothing:
-	// the runs of that moment all fall together and are no independent evidence. Three
-	// reports at least, 0.75 s.
-	mostAtOnce = trip / 3
+	// alarmThreshold is the sum, a natural logarithm, at which a test raises an alarm. The
+	// chance of an alarm within n runs of a version as good as the baseline is below
+	// n*exp(-alarmThreshold).
+	alarmThreshold = 13.0
+	// maxGainPerReport bounds what one report of one backend server adds to a sum: runs
+	// that fail together, as when connections are reset, are not independent evidence. An
+	// alarm needs three reports at least.
+	maxGainPerReport = alarmThreshold / 3
 
-	muchWorse   = 0.3
-	littleWorse = 0.1
+	// largeIncrease and smallIncrease are the two alternatives: by how much the bad rate is
+	// higher than the baseline's.
+	largeIncrease = 0.3
+	smallIncrease = 0.1
 
-	// failureFloor and slowFloor are the smallest bad parts of the old versions that are
-	// reckoned with: fewer runs than tell rarer ones are seen. slowFloor holds for the
-	// runs that a slow spell overtakes before the backend server tells of it.
-	failureFloor = 0.01
-	slowFloor    = 0.03
-	// slowMargin times the slow part of the old versions is reckoned with: slow runs come
-	// together, and at few canaries more unevenly than over all old backend servers. Of
-	// 20,000 good roll-outs 11 were told bad with 1, 5 with 1.2 and 2 with 1.5; a version
-	// slow three times in ten gets 28, 32 and 37 runs of a route (TestErrorRates).
-	slowMargin = 1.5
-	// blindFailures and blindSlow are reckoned with where the old versions run nothing at
-	// the time (while switching, or they are gone), so that nobody tells whether a fault
-	// strikes both.
-	blindFailures = 0.05
-	blindSlow     = 0.1
-	// mostUsual is the largest bad part of the old versions beside which anything is told.
-	// Beyond it the fault strikes both, and the runs of its time are no evidence.
-	mostUsual = 0.6
+	// minFailureRate and minSlowRate are the lowest baseline rates to test against: lower
+	// ones cannot be estimated from the few runs of the history. minSlowRate also covers
+	// runs during which the backend server slows down before it reports its slowdown.
+	minFailureRate = 0.01
+	minSlowRate    = 0.03
+	// slowRateMargin multiplies the baseline's slow rate, because slow runs come in
+	// clusters, and those are spread less evenly over a few canaries than over all old
+	// backend servers. A higher margin gives fewer false alarms and a later detection.
+	slowRateMargin = 1.5
+	// staleMinFailureRate and staleMinSlowRate take the place of the minimum rates while
+	// the baseline is stale: the old versions run too little then to show a fault that
+	// affects both versions.
+	staleMinFailureRate = 0.05
+	staleMinSlowRate    = 0.1
+	// maxBaselineRate is the highest baseline rate at which runs are tested. Above it a
+	// fault affects both versions, and the runs are no evidence against the new one.
+	maxBaselineRate = 0.6
 )
 
-// cusum is the sum of one alternative.
+// cusum is the cumulative sum of log-likelihood ratios for one alternative.
 type cusum float64
 
-// add weighs the runs of one report against a usual bad part and one that is larger by
-// the step. It returns true where the sum trips.
-func (c *cusum) add(bad, good uint32, usual, step float64) bool {
-	if usual > mostUsual {
+// add adds the bad and good runs of one report. The alternative is a bad rate that is
+// higher than the baseline's rate by increase. It returns true where the sum reaches the
+// alarm threshold.
+func (c *cusum) add(bad, good uint32, rate, increase float64) bool {
+	if rate > maxBaselineRate {
 		return false
 	}
-	worse := usual + step
-	gain := float64(bad)*math.Log(worse/usual) + float64(good)*math.Log((1-worse)/(1-usual))
-	*c = max(0, *c+cusum(min(gain, mostAtOnce)))
-	return *c >= trip
+	higher := rate + increase
+	gain := float64(bad)*math.Log(higher/rate) + float64(good)*math.Log((1-higher)/(1-rate))
+	*c = max(0, *c+cusum(min(gain, maxGainPerReport)))
+	return *c >= alarmThreshold
 }
 
-// pair is the two alternatives of one kind of bad run.
-type pair struct{ much, little cusum }
+// cusumPair holds the sums for the two alternatives of one test.
+type cusumPair struct{ large, small cusum }
 
-// add is true where either trips. blind is for a reference of another time: only the
-// much worse one counts then.
-func (p *pair) add(bad, good uint32, usual float64, blind bool) bool {
-	tripped := p.much.add(bad, good, usual, muchWorse)
-	if blind {
-		return tripped
+// add adds the runs of one report to both sums and returns true where either reaches the
+// alarm threshold. With a stale baseline only the large increase is tested.
+func (p *cusumPair) add(bad, good uint32, rate float64, stale bool) bool {
+	alarm := p.large.add(bad, good, rate, largeIncrease)
+	if stale {
+		return alarm
 	}
-	return p.little.add(bad, good, usual, littleWorse) || tripped
+	return p.small.add(bad, good, rate, smallIncrease) || alarm
 }
--- a/pkg/rollout/decide.go
+++ b/pkg/rollout/decide.go
@@ -6,71 +6,78 @@
 	"time"
 )
 
-// Limits are what the platform holds a roll-out to, and what settings say.
+// Limits bounds the harm that a bad version may do during a roll-out.
 type Limits struct {
-	// MaxBadShare bounds what a bad version may get between order and deadline, as a share of
-	// the service's requests. Platforms allow a number of requests besides; nothing is
-	// planned with it (mostShare).
+	// MaxBadShare is the largest share of the service's requests that a bad version may
+	// get between the order and its deadline, from 0 to 1. Platforms may allow a number of
+	// requests besides, which is not planned with.
 	MaxBadShare float64
-	// StopWithin is how soon a version must get nothing more after it has shown itself
-	// bad.
+	// StopWithin is the longest time from when a version shows itself bad until it gets no
+	// more requests.
 	StopWithin time.Duration
 }
 
-// Server is what the decider knows of one backend server of the service.
+// Server is the state of one backend server of the service, as known to the daemon that
+// decides.
 type Server struct {
 	VM string
-	// Version is empty where it has not said it yet: it runs nothing until then.
+	// Version is empty until the backend server has reported it. It runs no requests
+	// before.
 	Version string
-	Slots   int
-	// Ready is true for one that takes requests: it lives, has a link, and is not in an
-	// evacuated data centre.
+	// Slots is the number of requests that it can run at once.
+	Slots int
+	// Ready is true for a backend server that takes requests: it is live, has a link, and
+	// is not in an evacuated data centre.
 	Ready bool
-	// Drained is true for one whose executor obeys the plan in force and has nothing in
-	// flight; Unreachable for one that nobody has a link with.
+	// Drained is true where the executor follows the current plan and has no requests in
+	// flight. Unreachable is true where the daemon that decides has had no link to it for
+	// some time.
 	Drained, Unreachable bool
-	// PeakBusySlots is the most slots that it had in use of late; 0: not known.
+	// PeakBusySlots is the largest number of slots that were recently in use at once; 0
+	// where it is not known.
 	PeakBusySlots int
 }
 
-// Decide returns the plan that should follow: the same one where nothing is due. now
-// is on the store's steady clock. It is a function of what it gets, so that two that
-// decide at once on the same knowledge write the same row, and only one of them wins.
+// Decide returns the plan that follows, and whether it differs from the current one. The
+// result depends on the arguments alone, so that daemons that decide at the same time
+// with the same knowledge write the same row, and only one write succeeds.
 //
-// The plan is the newest one known, the zero one where there is none. The next plan
-// keeps its revision: that is the condition of the write. An order that was taken away
-// is the zero one. The verdict is that of the order's judge, or the one that a stop of
-// the order means (Stop.Verdict). Who has not read the orders yet must not decide: it
-// could not tell an order taken away from one that it does not know.
+// now is the time on the store's steady clock. plan is the newest plan known, the zero
+// value where there is none; the next plan keeps its revision, on which the write of the
+// row is conditional. order is the zero value where the order was taken away. verdict is
+// the one of the order's Evaluator, or that of a stop of the order (Stop.Verdict). The
+// caller must have read the orders first: otherwise an order that it does not know would
+// look like one that was taken away.
 func Decide(now time.Duration, order Order, plan Plan, verdict Verdict, servers []Server, limits Limits) (next Plan, changed bool) {
 	d := decision{now: now, order: order, plan: plan, verdict: verdict, servers: servers, limits: limits}
 	switch {
 	case order.Revision == 0:
-		return d.takenAway()
+		return d.orderRemoved()
 	case order.Revision < plan.Order:
 		return plan, false
 	case order.Revision > plan.Order:
-		return d.begin()
+		return d.firstPlan()
 	case plan.Phase.Ended():
 		return plan, false
 	case verdict.Bad:
-		return d.to(RolledBack, verdict.Cause), true
+		return d.inPhase(RolledBack, verdict.Cause), true
 	}
-	changed = d.learnOld()
+	changed = d.addOldVersions()
 	switch plan.Phase {
 	case Waiting:
-		next, moved := d.waiting()
+		next, moved := d.fromWaiting()
 		return next, moved || changed
 	case Canary:
-		next, moved := d.canary()
+		next, moved := d.fromCanary()
 		return next, moved || changed
 	default:
-		next, moved := d.switching()
+		next, moved := d.fromSwitching()
 		return next, moved || changed
 	}
 }
 
-// decision is what one call of Decide works on; its plan is a copy.
+// decision holds the arguments of one call of Decide. Its plan is a copy that the methods
+// change.
 type decision struct {
 	now     time.Duration
 	order   Order
@@ -80,79 +87,82 @@
 	limits  Limits
 }
 
-// to is the plan in another phase.
-func (d *decision) to(phase Phase, cause string) Plan {
+// inPhase returns the plan in a phase that begins now.
+func (d *decision) inPhase(phase Phase, cause string) Plan {
 	next := d.plan
-	next.Phase, next.Since, next.Cause = phase, d.now, shortened(cause)
+	next.Phase, next.Since, next.Cause = phase, d.now, truncateCause(cause)
 	return next
 }
 
-func (d *decision) takenAway() (Plan, bool) {
+// orderRemoved rolls back a plan whose order was taken away.
+func (d *decision) orderRemoved() (Plan, bool) {
 	if d.plan.Order == 0 || d.plan.Phase.Ended() {
 		return d.plan, false
 	}
-	return d.to(RolledBack, "the order was taken away"), true
+	return d.inPhase(RolledBack, "the order was taken away"), true
 }
 
-// begin makes the first plan of an order. Where its version is what serves already
-// (an order back to it), all requests go to it at once.
-func (d *decision) begin() (Plan, bool) {
+// firstPlan returns the first plan of an order. An order back to the version that runs
+// the requests already switches all requests to it at once.
+func (d *decision) firstPlan() (Plan, bool) {
 	before := d.plan
 	d.plan = Plan{
 		Service: d.order.Service, Target: d.order.Version, Order: d.order.Revision, Revision: before.Revision,
 		Began: d.now, Since: d.now, Deadline: d.now + d.order.Duration, Cause: "ordered",
 	}
 	if before.Order > 0 {
-		d.inherit(&before)
+		d.inheritVersions(&before)
 	}
-	d.learnOld()
-	if d.alone() {
-		return d.to(Completed, "the version is the only one that runs"), true
+	d.addOldVersions()
+	if d.onlyTargetKnown() {
+		return d.inPhase(Completed, "no backend server of another version is known"), true
 	}
-	if before.Order > 0 && before.serves(d.order.Version) && d.slots(d.isTarget) > 0 {
-		return d.toSwitching("the version runs the requests already"), true
+	if before.Order > 0 && before.serves(d.order.Version) && d.readySlots(d.isTarget) > 0 {
+		return d.startSwitching("the version already runs the requests"), true
 	}
-	next, _ := d.waiting()
+	next, _ := d.fromWaiting()
 	return next, true
 }
 
-// alone is true where no backend server of another version is known, also none that
-// has not said its version yet.
-func (d *decision) alone() bool {
+// onlyTargetKnown is true where all known backend servers have reported the target
+// version and one of them is ready.
+func (d *decision) onlyTargetKnown() bool {
 	for i := range d.servers {
 		if !d.isTarget(&d.servers[i]) {
 			return false
 		}
 	}
-	return len(d.plan.Old) == 0 && d.slots(d.isTarget) > 0
+	return len(d.plan.Old) == 0 && d.readySlots(d.isTarget) > 0
 }
 
-// inherit takes over from the plan before which versions served and which may not.
-func (d *decision) inherit(before *Plan) {
-	served, left := before.Old, []string{before.Target}
+// inheritVersions fills the old and the barred versions from the plan of the order
+// before: the versions that served under it are the old ones now, and those that did not
+// are barred.
+func (d *decision) inheritVersions(before *Plan) {
+	serving, others := before.Old, []string{before.Target}
 	if before.Phase == Completed || len(before.Old) == 0 {
-		served, left = []string{before.Target}, before.Old
+		serving, others = []string{before.Target}, before.Old
 	}
-	for _, version := range served {
+	for _, version := range serving {
 		if version != d.plan.Target {
 			d.plan.Old = append(d.plan.Old, version)
 		}
 	}
-	for _, version := range slices.Concat(left, before.Barred) {
+	for _, version := range slices.Concat(others, before.Barred) {
 		known := version == d.plan.Target || slices.Contains(d.plan.Barred, version)
-		if !known && len(d.plan.Barred) < mostVersions {
+		if !known && len(d.plan.Barred) < maxVersions {
 			d.plan.Barred = append(d.plan.Barred, version)
 		}
 	}
 }
 
-// learnOld adds versions that run requests beside the target to the old ones: a
-// service may get backend servers of any version at any time.
-func (d *decision) learnOld() (changed bool) {
+// addOldVersions adds the versions of reachable backend servers that the plan does not
+// name yet to the old versions: backend servers of any version may join at any time.
+func (d *decision) addOldVersions() (changed bool) {
 	old := slices.Clone(d.plan.Old)
 	for _, s := range d.servers {
 		known := d.isTarget(&s) || slices.Contains(old, s.Version) || slices.Contains(d.plan.Barred, s.Version)
-		if !known && !s.Unreachable && s.Version != "" && len(old) < mostVersions {
+		if !known && !s.Unreachable && s.Version != "" && len(old) < maxVersions {
 			old = append(old, s.Version)
 		}
 	}
@@ -162,63 +172,68 @@
 	return changed
 }
 
-func (d *decision) waiting() (Plan, bool) {
+// fromWaiting returns the plan that follows one in the phase Waiting.
+func (d *decision) fromWaiting() (Plan, bool) {
 	switch {
-	case d.now >= d.plan.Deadline-endBefore:
-		return d.to(RolledBack, "no backend server of the version was ready in time"), true
-	case d.slots(d.isTarget) == 0:
+	case d.now >= d.plan.Deadline-endMargin:
+		return d.inPhase(RolledBack, "no backend server of the version was ready in time"), true
+	case d.readySlots(d.isTarget) == 0:
 		return d.plan, false
 	case len(d.plan.Old) > 0:
-		d.plan.Canaries, d.plan.PerMille = d.pick()
-		return d.to(Canary, fmt.Sprintf("%d backend servers of the version are ready", d.count(d.isTarget))), true
-	case d.now >= d.plan.Began+knowWithin:
-		return d.toSwitching("no other version runs the requests"), true
+		d.plan.Canaries, d.plan.PerMille = d.pickCanaries()
+		return d.inPhase(Canary, fmt.Sprintf("%d backend servers of the version are ready", d.readyServers(d.isTarget))), true
+	case d.now >= d.plan.Began+discoveryTime:
+		return d.startSwitching("no other version runs the requests"), true
 	}
 	return d.plan, false
 }
 
-func (d *decision) canary() (Plan, bool) {
-	ready, needed := d.slots(d.isTarget), d.needed()
+// fromCanary returns the plan that follows one in the phase Canary.
+func (d *decision) fromCanary() (Plan, bool) {
+	ready, needed := d.readySlots(d.isTarget), d.neededSlots()
 	switch {
-	case d.now >= d.plan.Deadline-endBefore && !d.verdict.EnoughRuns:
-		return d.to(RolledBack, "too few runs on a route to tell by the deadline"), true
-	case d.now >= d.plan.Deadline-endBefore:
-		return d.to(RolledBack, fmt.Sprintf("too few slots by the deadline: %d ready, %d needed", ready, needed)), true
-	case d.maySwitch() && d.verdict.EnoughRuns && ready > 0 && ready >= needed:
-		return d.toSwitching(fmt.Sprintf("enough runs without a finding; %d slots ready, %d needed", ready, needed)), true
+	case d.now >= d.plan.Deadline-endMargin && !d.verdict.EnoughRuns:
+		return d.inPhase(RolledBack, "too few runs on a route to evaluate the version by the deadline"), true
+	case d.now >= d.plan.Deadline-endMargin:
+		return d.inPhase(RolledBack, fmt.Sprintf("too few slots by the deadline: %d ready, %d needed", ready, needed)), true
+	case d.inSwitchWindow() && d.verdict.EnoughRuns && ready > 0 && ready >= needed:
+		return d.startSwitching(fmt.Sprintf("enough runs without an alarm; %d slots ready, %d needed", ready, needed)), true
 	}
-	return d.refresh()
+	return d.updateCanaries()
 }
 
-// maySwitch is true in the time in which it may be switched.
-func (d *decision) maySwitch() bool {
-	return d.now >= d.plan.Deadline-keepBack(d.order.Duration) && d.now < d.plan.Deadline-lastSwitch
+// inSwitchWindow is true in the time before the deadline in which the switch may begin.
+func (d *decision) inSwitchWindow() bool {
+	return d.now >= d.plan.Deadline-switchTime(d.order.Duration) && d.now < d.plan.Deadline-minTimeAfterSwitch
 }
 
-func (d *decision) toSwitching(cause string) Plan {
-	next := d.to(Switching, cause)
-	next.Slots = uint32(d.slots(d.isTarget))
+// startSwitching returns the plan in the phase Switching.
+func (d *decision) startSwitching(cause string) Plan {
+	next := d.inPhase(Switching, cause)
+	next.Slots = uint32(d.readySlots(d.isTarget))
 	return next
 }
 
-// switching ends once nothing runs elsewhere and the target has been watched with all
-// requests; when the deadline is near, without those that nobody has a link with. What
-// was due while the store was away is done when it is back, also after the deadline.
-func (d *decision) switching() (Plan, bool) {
-	ready := d.slots(d.isTarget)
-	running, lost := d.others()
-	watched := d.now >= d.plan.Since+watchSwitch
-	late := d.now >= d.plan.Deadline-endBefore
-	bears := ready > 0 && float64(ready) >= keptSlots*float64(d.plan.Slots)
+// fromSwitching returns the plan that follows one in the phase Switching. The roll-out
+// completes once all other backend servers are drained and the target has run all
+// requests for minWatchTime. Shortly before the deadline it completes without that time,
+// and without the backend servers that are unreachable. It may also complete after the
+// deadline, where the store was unavailable until then.
+func (d *decision) fromSwitching() (Plan, bool) {
+	ready := d.readySlots(d.isTarget)
+	running, unreachable := d.undrainedOthers()
+	watched := d.now >= d.plan.Since+minWatchTime
+	late := d.now >= d.plan.Deadline-endMargin
+	enoughSlots := ready > 0 && float64(ready) >= minReadyShare*float64(d.plan.Slots)
 	switch {
 	case ready == 0:
-		return d.to(RolledBack, "no backend server of the version is ready any more"), true
-	case bears && running == 0 && (late || lost == 0 && watched):
-		return d.to(Completed, fmt.Sprintf("the other versions' backend servers are empty; %d of them lost", lost)), true
-	case d.now >= d.plan.Deadline && !bears:
-		return d.to(RolledBack, fmt.Sprintf("too few slots at the deadline: %d ready, %d at the switch", ready, d.plan.Slots)), true
+		return d.inPhase(RolledBack, "no backend server of the version is ready any more"), true
+	case enoughSlots && running == 0 && (late || unreachable == 0 && watched):
+		return d.inPhase(Completed, fmt.Sprintf("no reachable backend server of another version runs requests; %d are unreachable", unreachable)), true
+	case d.now >= d.plan.Deadline && !enoughSlots:
+		return d.inPhase(RolledBack, fmt.Sprintf("too few slots at the deadline: %d ready, %d at the switch", ready, d.plan.Slots)), true
 	case d.now >= d.plan.Deadline:
-		return d.to(RolledBack, fmt.Sprintf("%d backend servers of other versions still ran requests at the deadline", running)), true
+		return d.inPhase(RolledBack, fmt.Sprintf("%d backend servers of other versions still ran requests at the deadline", running)), true
 	}
 	return d.plan, false
 }
--- a/pkg/rollout/decide_test.go
+++ b/pkg/rollout/decide_test.go
@@ -10,21 +10,22 @@
 	"github.com/shoenig/test/must"
 )
 
-// usualSlack is the number of requests that a bad version may get besides the share.
-const usualSlack = 50
+// requestSlack is the number of requests that a bad version may get besides MaxBadShare.
+const requestSlack = 50
 
-var usualLimits = Limits{MaxBadShare: 0.1, StopWithin: 5 * time.Second}
+var testLimits = Limits{MaxBadShare: 0.1, StopWithin: 5 * time.Second}
 
-// fleet is n ready backend servers of a version with twelve slots each.
-func fleet(version string, n int) (out []Server) {
+// serversOf returns n ready backend servers of a version with twelve slots each.
+func serversOf(version string, n int) (out []Server) {
 	for i := range n {
 		out = append(out, Server{VM: fmt.Sprintf("%s-%02d", version, i), Version: version, Slots: 12, Ready: true})
 	}
 	return out
 }
 
-// with returns the backend servers with a change made to those of a version.
-func with(servers []Server, version string, change func(s *Server)) []Server {
+// withChange returns a copy of the backend servers in which those of a version are
+// changed.
+func withChange(servers []Server, version string, change func(s *Server)) []Server {
 	out := append([]Server(nil), servers...)
 	for i := range out {
 		if out[i].Version == version {
@@ -34,14 +35,16 @@
 	return out
 }
 
-func both(n int) []Server { return append(fleet("v1", n), fleet("v2", n)...) }
+// bothVersions returns n ready backend servers of the old version and n of the new one.
+func bothVersions(n int) []Server { return append(serversOf("v1", n), serversOf("v2", n)...) }
 
-func empty(s *Server)    { s.Drained = true }
-func lost(s *Server)     { s.Ready, s.Unreachable = false, true }
-func notReady(s *Server) { s.Ready = false }
+func setDrained(s *Server)     { s.Drained = true }
+func setUnreachable(s *Server) { s.Ready, s.Unreachable = false, true }
+func setNotReady(s *Server)    { s.Ready = false }
 
-// at is a plan of the order in a phase: begun at 100 s, to end at 160 s.
-func at(phase Phase) Plan {
+// planIn returns a plan of order 5 in a phase. The order was seen at 100 s, and its
+// deadline is at 160 s.
+func planIn(phase Phase) Plan {
 	return Plan{
 		Service: "desk", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: phase,
 		Canaries: []string{"v2-00", "v2-01"}, PerMille: 66, Slots: 360,
@@ -49,65 +52,66 @@
 	}
 }
 
-// TestTransitions: each phase with what moves it on, and what does not.
+// TestTransitions checks for each phase what moves the plan to another one, and what does
+// not.
 func TestTransitions(t *testing.T) {
 	enough, bad := Verdict{EnoughRuns: true}, Verdict{Bad: true, Cause: "failures"}
 	order := orderOf(5, "v2")
-	all := both(30)
-	drained := with(all, "v1", empty)
+	all := bothVersions(30)
+	drained := withChange(all, "v1", setDrained)
 	for name, c := range map[string]struct {
-		now     float64
-		order   Order
-		plan    Plan
-		verdict Verdict
-		servers []Server
-		want    Phase
-		cause   string
-		same    bool
+		now       float64
+		order     Order
+		plan      Plan
+		verdict   Verdict
+		servers   []Server
+		want      Phase
+		cause     string
+		unchanged bool
 	}{
-		"waiting, none ready":              {now: 110, plan: at(Waiting), servers: fleet("v1", 30), want: Waiting, same: true},
-		"waiting, an evacuated target":     {now: 110, plan: at(Waiting), servers: with(all, "v2", notReady), want: Waiting, same: true},
-		"waiting, one ready":               {now: 110, plan: at(Waiting), servers: append(fleet("v1", 30), fleet("v2", 1)...), want: Canary, cause: "1 backend servers"},
-		"waiting, nobody runs the target":  {now: 159, plan: at(Waiting), servers: fleet("v1", 30), want: RolledBack, cause: "ready in time"},
-		"waiting, stopped":                 {now: 110, plan: at(Waiting), verdict: bad, servers: all, want: RolledBack, cause: "failures"},
-		"canary, enough but early":         {now: 151.9, plan: at(Canary), verdict: enough, servers: all, want: Canary, same: true},
-		"canary, enough and time":          {now: 152, plan: at(Canary), verdict: enough, servers: all, want: Switching, cause: "360 slots ready, 288 needed"},
-		"canary, time, not enough runs":    {now: 152, plan: at(Canary), servers: all, want: Canary, same: true},
-		"canary, too late to switch":       {now: 158, plan: at(Canary), verdict: enough, servers: all, want: Canary, same: true},
-		"canary, too few runs to the end":  {now: 159, plan: at(Canary), servers: all, want: RolledBack, cause: "too few runs"},
-		"canary, too few slots":            {now: 152, plan: at(Canary), verdict: enough, servers: append(fleet("v1", 30), fleet("v2", 23)...), want: Canary, same: true},
-		"canary, too few slots to the end": {now: 159, plan: at(Canary), verdict: enough, servers: append(fleet("v1", 30), fleet("v2", 23)...), want: RolledBack, cause: "276 ready, 288 needed"},
-		"canary, fewer slots do for little work": {now: 152, plan: at(Canary), verdict: enough, want: Switching, cause: "120 slots ready, 90 needed",
-			servers: append(with(fleet("v1", 30), "v1", func(s *Server) { s.PeakBusySlots = 2 }), fleet("v2", 10)...)},
-		"canary, bad":                      {now: 120, plan: at(Canary), verdict: Verdict{Bad: true, EnoughRuns: true, Cause: "slow"}, servers: all, want: RolledBack, cause: "slow"},
-		"canary, order taken away":         {now: 120, order: Order{Service: "none"}, plan: at(Canary), servers: all, want: RolledBack, cause: "taken away"},
-		"canary, an older order":           {now: 120, order: orderOf(4, "v3"), plan: at(Canary), servers: all, want: Canary, same: true},
-		"canary, an older order's verdict": {now: 120, order: orderOf(4, "v3"), plan: at(Canary), verdict: bad, servers: all, want: Canary, same: true},
-		"switching, old ones busy":         {now: 153, plan: at(Switching), servers: all, want: Switching, same: true},
-		"switching, empty, not watched":    {now: 101, plan: at(Switching), servers: drained, want: Switching, same: true},
-		"switching, empty":                 {now: 102, plan: at(Switching), servers: drained, want: Completed, cause: "empty; 0 of them lost"},
-		"switching, lost ones, early":      {now: 153, plan: at(Switching), servers: with(all, "v1", lost), want: Switching, same: true},
-		"switching, lost ones, late":       {now: 159, plan: at(Switching), servers: with(all, "v1", lost), want: Completed, cause: "30 of them lost"},
-		"switching, busy near the end":     {now: 159.5, plan: at(Switching), servers: all, want: Switching, same: true},
-		"switching, busy at the end":       {now: 160, plan: at(Switching), servers: all, want: RolledBack, cause: "30 backend servers of other versions"},
-		"switching, empty after the end":   {now: 170, plan: at(Switching), servers: drained, want: Completed},
-		"switching, target gone":           {now: 153, plan: at(Switching), servers: with(drained, "v2", notReady), want: RolledBack, cause: "ready any more"},
-		"switching, target much smaller":   {now: 153, plan: at(Switching), servers: append(drained[:30:30], fleet("v2", 20)...), want: Switching, same: true},
-		"the same to the end":              {now: 160, plan: at(Switching), servers: append(drained[:30:30], fleet("v2", 20)...), want: RolledBack, cause: "240 ready, 360 at the switch"},
-		"switching, bad":                   {now: 153, plan: at(Switching), verdict: bad, servers: drained, want: RolledBack, cause: "failures"},
-		"switching, a third version runs":  {now: 153, plan: at(Switching), servers: append(drained, fleet("v9", 1)...), want: Switching},
-		"completed, bad":                   {now: 153, plan: at(Completed), verdict: bad, servers: all, want: Completed, same: true},
-		"completed, order taken away":      {now: 153, order: Order{Service: "none"}, plan: at(Completed), servers: all, want: Completed, same: true},
-		"rolled back, enough":              {now: 153, plan: at(RolledBack), verdict: enough, servers: all, want: RolledBack, same: true},
+		"waiting, none ready":                      {now: 110, plan: planIn(Waiting), servers: serversOf("v1", 30), want: Waiting, unchanged: true},
+		"waiting, an evacuated target":             {now: 110, plan: planIn(Waiting), servers: withChange(all, "v2", setNotReady), want: Waiting, unchanged: true},
+		"waiting, one ready":                       {now: 110, plan: planIn(Waiting), servers: append(serversOf("v1", 30), serversOf("v2", 1)...), want: Canary, cause: "1 backend servers"},
+		"waiting, no backend server of the target": {now: 159, plan: planIn(Waiting), servers: serversOf("v1", 30), want: RolledBack, cause: "ready in time"},
+		"waiting, stopped":                         {now: 110, plan: planIn(Waiting), verdict: bad, servers: all, want: RolledBack, cause: "failures"},
+		"canary, enough runs, too early to switch": {now: 151.9, plan: planIn(Canary), verdict: enough, servers: all, want: Canary, unchanged: true},
+		"canary, enough runs, time to switch":      {now: 152, plan: planIn(Canary), verdict: enough, servers: all, want: Switching, cause: "360 slots ready, 288 needed"},
+		"canary, time to switch, too few runs":     {now: 152, plan: planIn(Canary), servers: all, want: Canary, unchanged: true},
+		"canary, enough runs, too late to switch":  {now: 158, plan: planIn(Canary), verdict: enough, servers: all, want: Canary, unchanged: true},
+		"canary, too few runs at the end":          {now: 159, plan: planIn(Canary), servers: all, want: RolledBack, cause: "too few runs"},
+		"canary, too few slots":                    {now: 152, plan: planIn(Canary), verdict: enough, servers: append(serversOf("v1", 30), serversOf("v2", 23)...), want: Canary, unchanged: true},
+		"canary, too few slots at the end":         {now: 159, plan: planIn(Canary), verdict: enough, servers: append(serversOf("v1", 30), serversOf("v2", 23)...), want: RolledBack, cause: "276 ready, 288 needed"},
+		"canary, fewer slots are enough for less load": {now: 152, plan: planIn(Canary), verdict: enough, want: Switching, cause: "120 slots ready, 90 needed",
+			servers: append(withChange(serversOf("v1", 30), "v1", func(s *Server) { s.PeakBusySlots = 2 }), serversOf("v2", 10)...)},
+		"canary, bad":                                         {now: 120, plan: planIn(Canary), verdict: Verdict{Bad: true, EnoughRuns: true, Cause: "slow"}, servers: all, want: RolledBack, cause: "slow"},
+		"canary, order taken away":                            {now: 120, order: Order{Service: "none"}, plan: planIn(Canary), servers: all, want: RolledBack, cause: "taken away"},
+		"canary, an older order":                              {now: 120, order: orderOf(4, "v3"), plan: planIn(Canary), servers: all, want: Canary, unchanged: true},
+		"canary, an older order's verdict":                    {now: 120, order: orderOf(4, "v3"), plan: planIn(Canary), verdict: bad, servers: all, want: Canary, unchanged: true},
+		"switching, old versions not drained":                 {now: 153, plan: planIn(Switching), servers: all, want: Switching, unchanged: true},
+		"switching, drained, not watched long enough":         {now: 101, plan: planIn(Switching), servers: drained, want: Switching, unchanged: true},
+		"switching, drained":                                  {now: 102, plan: planIn(Switching), servers: drained, want: Completed, cause: "of another version runs requests; 0 are unreachable"},
+		"switching, unreachable ones, early":                  {now: 153, plan: planIn(Switching), servers: withChange(all, "v1", setUnreachable), want: Switching, unchanged: true},
+		"switching, unreachable ones, near the deadline":      {now: 159, plan: planIn(Switching), servers: withChange(all, "v1", setUnreachable), want: Completed, cause: "30 are unreachable"},
+		"switching, not drained near the deadline":            {now: 159.5, plan: planIn(Switching), servers: all, want: Switching, unchanged: true},
+		"switching, not drained at the deadline":              {now: 160, plan: planIn(Switching), servers: all, want: RolledBack, cause: "30 backend servers of other versions"},
+		"switching, drained after the deadline":               {now: 170, plan: planIn(Switching), servers: drained, want: Completed},
+		"switching, target not ready":                         {now: 153, plan: planIn(Switching), servers: withChange(drained, "v2", setNotReady), want: RolledBack, cause: "ready any more"},
+		"switching, target has too few slots":                 {now: 153, plan: planIn(Switching), servers: append(drained[:30:30], serversOf("v2", 20)...), want: Switching, unchanged: true},
+		"switching, target has too few slots at the deadline": {now: 160, plan: planIn(Switching), servers: append(drained[:30:30], serversOf("v2", 20)...), want: RolledBack, cause: "240 ready, 360 at the switch"},
+		"switching, bad":                                      {now: 153, plan: planIn(Switching), verdict: bad, servers: drained, want: RolledBack, cause: "failures"},
+		"switching, a third version joins":                    {now: 153, plan: planIn(Switching), servers: append(drained, serversOf("v9", 1)...), want: Switching},
+		"completed, bad":                                      {now: 153, plan: planIn(Completed), verdict: bad, servers: all, want: Completed, unchanged: true},
+		"completed, order taken away":                         {now: 153, order: Order{Service: "none"}, plan: planIn(Completed), servers: all, want: Completed, unchanged: true},
+		"rolled back, enough runs":                            {now: 153, plan: planIn(RolledBack), verdict: enough, servers: all, want: RolledBack, unchanged: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if c.order.Service == "" {
 				c.order = order
 			}
-			next, changed := Decide(time.Duration(c.now*float64(time.Second)), c.order, c.plan, c.verdict, c.servers, usualLimits)
+			next, changed := Decide(time.Duration(c.now*float64(time.Second)), c.order, c.plan, c.verdict, c.servers, testLimits)
 			test.Eq(t, c.want, next.Phase)
 			test.Eq(t, c.plan.Revision, next.Revision)
-			if c.same {
+			if c.unchanged {
 				test.False(t, changed)
 				test.Eq(t, c.plan, next)
 				return
@@ -118,9 +122,10 @@
 	}
 }
 
-// TestTheFirstPlanOfAnOrder goes on to canaries in the same write where it can.
-func TestTheFirstPlanOfAnOrder(t *testing.T) {
-	next, changed := Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, both(30), usualLimits)
+// TestFirstPlanBeginsWithCanaries checks that the first plan of an order skips the phase
+// Waiting where backend servers of the target are ready.
+func TestFirstPlanBeginsWithCanaries(t *testing.T) {
+	next, changed := Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, bothVersions(30), testLimits)
 	must.True(t, changed)
 	test.Eq(t, Plan{
 		Service: "desk", Target: "v2", Old: []string{"v1"}, Order: 5, Phase: Canary,
@@ -129,10 +134,11 @@
 	}, next)
 }
 
-// TestALaterOrderTakesThePlaceOfARunningPlan: the version that was tried is left.
-func TestALaterOrderTakesThePlaceOfARunningPlan(t *testing.T) {
-	servers := append(both(3), fleet("v3", 3)...)
-	next, changed := Decide(120*time.Second, orderOf(9, "v3"), at(Canary), Verdict{Bad: true}, servers, usualLimits)
+// TestLaterOrderReplacesPlan checks that the first plan of a later order keeps the versions
+// that ran the requests as the old ones, and bars the others.
+func TestLaterOrderReplacesPlan(t *testing.T) {
+	servers := append(bothVersions(3), serversOf("v3", 3)...)
+	next, changed := Decide(120*time.Second, orderOf(9, "v3"), planIn(Canary), Verdict{Bad: true}, servers, testLimits)
 	must.True(t, changed)
 	test.Eq(t, Canary, next.Phase)
 	test.Eq(t, []string{"v1"}, next.Old)
@@ -140,57 +146,60 @@
 	test.Eq(t, 180*time.Second, next.Deadline)
 	test.Eq(t, 6, next.Revision)
 
-	completed := at(Completed)
-	next, _ = Decide(300*time.Second, orderOf(9, "v3"), completed, Verdict{}, servers, usualLimits)
+	completed := planIn(Completed)
+	next, _ = Decide(300*time.Second, orderOf(9, "v3"), completed, Verdict{}, servers, testLimits)
 	test.Eq(t, []string{"v2"}, next.Old)
 	test.Eq(t, []string{"v1"}, next.Barred)
 }
 
-// TestAnOrderBackToTheVersionThatServes sends it all requests at once, and is complete
-// when nothing runs elsewhere.
-func TestAnOrderBackToTheVersionThatServes(t *testing.T) {
-	next, _ := Decide(120*time.Second, orderOf(9, "v1"), at(Canary), Verdict{}, both(3), usualLimits)
+// TestOrderBackToServingVersionSwitchesAtOnce checks that an order back to the version that
+// runs the requests begins with Switching, and completes once the others are drained.
+func TestOrderBackToServingVersionSwitchesAtOnce(t *testing.T) {
+	next, _ := Decide(120*time.Second, orderOf(9, "v1"), planIn(Canary), Verdict{}, bothVersions(3), testLimits)
 	test.Eq(t, Switching, next.Phase)
 	test.SliceEmpty(t, next.Old)
 	test.Eq(t, []string{"v2"}, next.Barred)
-	next, changed := Decide(122*time.Second, orderOf(9, "v1"), next, Verdict{}, with(both(3), "v2", empty), usualLimits)
+	next, changed := Decide(122*time.Second, orderOf(9, "v1"), next, Verdict{}, withChange(bothVersions(3), "v2", setDrained), testLimits)
 	test.True(t, changed)
 	test.Eq(t, Completed, next.Phase)
 }
 
-// TestAVersionThatRunsAlone: the order is complete at once where all have said their
-// versions; else it is switched to once no other one has shown itself.
-func TestAVersionThatRunsAlone(t *testing.T) {
-	next, changed := Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, fleet("v2", 3), usualLimits)
+// TestOrderForOnlyVersion checks that the order completes at once where all backend servers
+// have reported the target version. Where one has not reported its version yet, the switch
+// begins after discoveryTime.
+func TestOrderForOnlyVersion(t *testing.T) {
+	next, changed := Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, serversOf("v2", 3), testLimits)
 	test.True(t, changed)
 	test.Eq(t, Completed, next.Phase)
 	test.SliceEmpty(t, next.Old)
-	next, changed = Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, append(fleet("v2", 3), fleet("", 1)...), usualLimits)
+	next, changed = Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, append(serversOf("v2", 3), serversOf("", 1)...), testLimits)
 	test.True(t, changed)
 	test.Eq(t, Waiting, next.Phase)
 	test.SliceEmpty(t, next.Old)
-	_, changed = Decide(101*time.Second, orderOf(5, "v2"), next, Verdict{}, fleet("v2", 3), usualLimits)
+	_, changed = Decide(101*time.Second, orderOf(5, "v2"), next, Verdict{}, serversOf("v2", 3), testLimits)
 	test.False(t, changed)
-	next, _ = Decide(102*time.Second, orderOf(5, "v2"), next, Verdict{}, fleet("v2", 3), usualLimits)
+	next, _ = Decide(102*time.Second, orderOf(5, "v2"), next, Verdict{}, serversOf("v2", 3), testLimits)
 	test.Eq(t, Switching, next.Phase)
 }
 
-// TestACanaryThatLeavesIsReplaced, and the others stay.
-func TestACanaryThatLeavesIsReplaced(t *testing.T) {
-	servers := both(30)
+// TestCanaryThatIsNotReadyIsReplaced also checks that the other canaries stay.
+func TestCanaryThatIsNotReadyIsReplaced(t *testing.T) {
+	servers := bothVersions(30)
 	servers[30].Ready = false
-	next, changed := Decide(120*time.Second, orderOf(5, "v2"), at(Canary), Verdict{}, servers, usualLimits)
+	next, changed := Decide(120*time.Second, orderOf(5, "v2"), planIn(Canary), Verdict{}, servers, testLimits)
 	test.True(t, changed)
 	test.Eq(t, []string{"v2-01", "v2-02"}, next.Canaries)
 	test.Eq(t, 100*time.Second, next.Since)
-	next, changed = Decide(120*time.Second, orderOf(5, "v2"), at(Canary), Verdict{}, with(servers, "v2", notReady), usualLimits)
+	next, changed = Decide(120*time.Second, orderOf(5, "v2"), planIn(Canary), Verdict{}, withChange(servers, "v2", setNotReady), testLimits)
 	test.True(t, changed)
 	test.SliceEmpty(t, next.Canaries)
 	test.Eq(t, 0, next.PerMille)
 }
 
-// TestCanariesCarryTheirLaterLoad, as far as the share allows.
-func TestCanariesCarryTheirLaterLoad(t *testing.T) {
+// TestCanariesGetTheirLoadAfterTheSwitch checks that the canaries' number and share give
+// them the load per slot that they will have after the switch, as far as the largest share
+// and number allow.
+func TestCanariesGetTheirLoadAfterTheSwitch(t *testing.T) {
 	for _, c := range []struct {
 		old, target, canaries int
 		duration              time.Duration
@@ -207,18 +216,19 @@
 	} {
 		order := orderOf(5, "v2")
 		order.Duration = c.duration
-		next, _ := Decide(100*time.Second, order, Plan{}, Verdict{}, append(fleet("v1", c.old), fleet("v2", c.target)...), usualLimits)
+		next, _ := Decide(100*time.Second, order, Plan{}, Verdict{}, append(serversOf("v1", c.old), serversOf("v2", c.target)...), testLimits)
 		test.Len(t, c.canaries, next.Canaries)
 		test.Eq(t, c.perMille, next.PerMille, test.Sprint(c))
 	}
 }
 
-// TestTwoServicesAtOnce: a decision reads nothing but its own service's.
-func TestTwoServicesAtOnce(t *testing.T) {
+// TestDecisionsOfTwoServicesAreIndependent checks that Decide keeps no state between the
+// decisions on two services.
+func TestDecisionsOfTwoServicesAreIndependent(t *testing.T) {
 	other := orderOf(7, "v2")
 	other.Service = "book"
-	a, _ := Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, both(30), usualLimits)
-	b, _ := Decide(100*time.Second, other, Plan{}, Verdict{}, both(8), usualLimits)
+	a, _ := Decide(100*time.Second, orderOf(5, "v2"), Plan{}, Verdict{}, bothVersions(30), testLimits)
+	b, _ := Decide(100*time.Second, other, Plan{}, Verdict{}, bothVersions(8), testLimits)
 	test.Eq(t, "desk", a.Service)
 	test.Eq(t, "book", b.Service)
 	test.Eq(t, []string{"v2-00"}, b.Canaries)
--- a/pkg/rollout/evaluator.go
+++ b/pkg/rollout/evaluator.go
@@ -6,131 +6,142 @@
 )
 
 const (
-	// weighAfter is how long runs of the new version wait before they are weighed, while
-	// the old ones run: until reports of the old ones that tell of the same time are
-	// there (one each 250 ms, and a link), so that a fault that strikes both is seen at
-	// both.
-	weighAfter = int64(400 * time.Millisecond)
-	// mostReporters bounds the processes whose reports are kept; the largest service has
-	// some 200 backend servers.
-	mostReporters = 1024
-	// mostWaiting bounds the reports of a route that wait to be weighed: 500 backend
-	// servers at four a second.
-	mostWaiting = 1024
-	// enoughRuns of a route are enough to move on: of 2,000 versions that fail three in
-	// ten on one route, 1,941 are told within them, of those that take three times as long
-	// all (TestEnoughRuns). Within 30 it is 1,508.
-	enoughRuns = 45
-	// enoughShare of the old versions' runs of the last 20 s is enough where a route has
-	// few requests: less than the smallest share that canaries usually have (0.033), and
-	// 29 runs of 144 a second over 8 s.
-	enoughShare = 0.025
-	// knowAfter is how long a judge that begins listens before it finds anything enough:
-	// four reports of each backend server.
-	knowAfter = int64(time.Second)
+	// evaluationDelay is how long runs of the new version wait before they are tested
+	// while the old versions run requests, in nanoseconds. By then the old versions'
+	// reports about the same time have arrived (one each 250 ms, and a link), so that a
+	// fault that affects both versions shows at both.
+	evaluationDelay = int64(400 * time.Millisecond)
+	// maxReporters bounds the daemon processes whose last reports are kept. The largest
+	// service has some 200 backend servers.
+	maxReporters = 1024
+	// maxPendingBatches bounds the batches of a route that wait to be tested: those of 500
+	// backend servers at four reports a second.
+	maxPendingBatches = 1024
+	// minRuns of a route are enough to move on: a version that fails 30% of them is nearly
+	// always found within so many (TestEnoughRuns).
+	minRuns = 45
+	// minRunShare is the number of runs that is enough on a route with few requests, as a
+	// share of the old versions' runs in the history. It is less than the smallest share
+	// that canaries usually have (0.033).
+	minRunShare = 0.025
+	// minListenTime is the time from the first report of an old version until there can be
+	// enough runs, in nanoseconds: four reports of each backend server.
+	minListenTime = int64(time.Second)
 )
 
-// Evaluator weighs the reports of one order. It is not safe for concurrent use.
+// Evaluator evaluates the reports of one order: it compares the runs of the new version
+// with those of the old versions, route by route. It is not safe for concurrent use.
 type Evaluator struct {
 	order     Order
-	reporters map[reporter]*heard
-	routes    map[string]*trial
+	reporters map[reporter]*lastReport
+	routes    map[string]*routeEvidence
 	verdict   Verdict
-	// oldSince is when an old version reported first; 0: none has.
-	oldSince int64
+	// firstOldReport is when the first report of an old version came, in nanoseconds; 0
+	// where none has.
+	firstOldReport int64
 }
 
-// reporter is a process of a daemon with the version of the backend server beside it.
+// reporter identifies the source of reports: a process of a daemon, with the version of
+// the backend server beside it.
 type reporter struct {
 	vm, version string
 	process     uint64
 }
 
-// heard is the last report of a reporter.
-type heard struct {
+// lastReport holds the number and the counts of the last report of a reporter.
+type lastReport struct {
 	seq    uint32
 	routes map[string]RouteCounts
 }
 
-// trial is what is known of one route.
-type trial struct {
-	old     history
-	ref     reference
-	waiting []batch
-	// total is all runs of the new version under the order, slow those that took too long.
-	total          tally
-	slow           uint32
-	failing, tardy pair
+// routeEvidence is the evidence on one route.
+type routeEvidence struct {
+	oldRuns  history
+	baseline baseline
+	// pending are batches of the new version that are not tested yet, the oldest first.
+	pending []batch
+	// total counts all runs of the new version under the order, slowRuns the slow ones of
+	// those that were tested.
+	total                 tally
+	slowRuns              uint32
+	failureTest, slowTest cusumPair
 }
 
-// batch is what one report of the new version told of a route.
+// batch holds the runs of the new version that one report added to a route.
 type batch struct {
-	at   int64
-	runs tally
+	receivedAt int64
+	runs       tally
 }
 
-// NewEvaluator makes the judge of an order.
+// NewEvaluator returns an evaluator for an order that has no reports yet.
 func NewEvaluator(order Order) *Evaluator {
-	return &Evaluator{order: order, reporters: map[reporter]*heard{}, routes: map[string]*trial{}}
+	return &Evaluator{order: order, reporters: map[reporter]*lastReport{}, routes: map[string]*routeEvidence{}}
 }
 
-// AddReport takes a report over; old ones of a process are passed over, as are those of
-// other orders. now is in nanoseconds of a steady clock.
-func (j *Evaluator) AddReport(now int64, r Report) {
-	if r.Service != j.order.Service || r.Order != j.order.Revision || !isName(r.VM) || len(r.Version) > mostName || len(r.Routes) > mostRoutes {
+// AddReport adds the counts of a report. It ignores reports of other orders, reports
+// older than the reporter's last one, and those with values out of bounds. now is in
+// nanoseconds of a steady clock.
+func (e *Evaluator) AddReport(now int64, r Report) {
+	if r.Service != e.order.Service || r.Order != e.order.Revision || !isValidName(r.VM) || len(r.Version) > maxNameBytes || len(r.Routes) > maxRoutes {
 		return
 	}
-	last := j.heardFrom(reporter{vm: r.VM, version: r.Version, process: r.Process})
+	last := e.lastReportOf(reporter{vm: r.VM, version: r.Version, process: r.Process})
 	if last == nil || r.Seq <= last.seq {
 		return
 	}
 	last.seq = r.Seq
 	for _, counts := range r.Routes {
-		j.takeRoute(now, r.Version, last, counts)
+		e.addRoute(now, r.Version, last, counts)
 	}
-	if j.oldSince == 0 && r.Version != j.order.Version {
-		j.oldSince = now
+	if e.firstOldReport == 0 && r.Version != e.order.Version {
+		e.firstOldReport = now
 	}
 }
 
-func (j *Evaluator) heardFrom(who reporter) *heard {
-	last, known := j.reporters[who]
-	if !known && len(j.reporters) < mostReporters {
-		last = &heard{routes: map[string]RouteCounts{}}
-		j.reporters[who] = last
+// lastReportOf returns the last report of a reporter, an empty one for a new reporter,
+// and nil for a new one beyond maxReporters.
+func (e *Evaluator) lastReportOf(from reporter) *lastReport {
+	last, known := e.reporters[from]
+	if !known && len(e.reporters) < maxReporters {
+		last = &lastReport{routes: map[string]RouteCounts{}}
+		e.reporters[from] = last
 	}
 	return last
 }
 
-func (j *Evaluator) takeRoute(now int64, version string, last *heard, counts RouteCounts) {
-	if len(counts.Route) > mostName || len(counts.DurationCounts) > timeSteps || counts.Failures > counts.Runs {
+// addRoute adds the runs of a route that a report holds beyond the last one: those of an
+// old version to the history, those of the new version to the pending batches.
+func (e *Evaluator) addRoute(now int64, version string, last *lastReport, counts RouteCounts) {
+	if len(counts.Route) > maxNameBytes || len(counts.DurationCounts) > histogramSteps || counts.Failures > counts.Runs {
 		return
 	}
-	fresh := since(last.routes[counts.Route], counts)
+	added := countsSince(last.routes[counts.Route], counts)
 	last.routes[counts.Route] = counts
-	of := j.trialOf(counts.Route)
-	if of == nil || fresh.runs == 0 {
+	evidence := e.evidenceFor(counts.Route)
+	if evidence == nil || added.runs == 0 {
 		return
 	}
-	if version != j.order.Version {
-		of.old.add(now, &fresh)
+	if version != e.order.Version {
+		evidence.oldRuns.add(now, &added)
 		return
 	}
-	of.total.add(&fresh)
-	of.waiting = append(of.waiting, batch{at: now, runs: fresh})
+	evidence.total.add(&added)
+	evidence.pending = append(evidence.pending, batch{receivedAt: now, runs: added})
 }
 
-func (j *Evaluator) trialOf(route string) *trial {
-	of, known := j.routes[route]
-	if !known && len(j.routes) < mostRoutes {
-		of = &trial{}
-		j.routes[route] = of
+// evidenceFor returns the evidence on a route; nil for a new route beyond maxRoutes.
+func (e *Evaluator) evidenceFor(route string) *routeEvidence {
+	evidence, known := e.routes[route]
+	if !known && len(e.routes) < maxRoutes {
+		evidence = &routeEvidence{}
+		e.routes[route] = evidence
 	}
-	return of
+	return evidence
 }
 
-// since is what was counted since an earlier report. Counts that fell were begun anew.
-func since(before, now RouteCounts) (out tally) {
+// countsSince returns the runs that were counted between two reports. Counts that are
+// lower than before have restarted at zero.
+func countsSince(before, now RouteCounts) (out tally) {
 	if now.Runs < before.Runs || now.Failures < before.Failures {
 		before = RouteCounts{}
 	}
@@ -139,67 +150,72 @@
 		if i < len(before.DurationCounts) && before.DurationCounts[i] <= n {
 			n -= before.DurationCounts[i]
 		}
-		out.times[i] = n
+		out.durations[i] = n
 	}
 	return out
 }
 
-// Verdict weighs all that was taken. now is in nanoseconds of a steady clock. A bad
-// version stays bad.
-func (j *Evaluator) Verdict(now int64) Verdict {
-	for route, of := range j.routes {
-		if cause := of.weigh(now); cause != "" && !j.verdict.Bad {
-			j.verdict = Verdict{Bad: true, Cause: fmt.Sprintf("route %s: %s", route, cause)}
+// Verdict tests the pending runs and returns the verdict on the new version. A version
+// found bad stays bad. now is in nanoseconds of a steady clock.
+func (e *Evaluator) Verdict(now int64) Verdict {
+	for route, evidence := range e.routes {
+		if cause := evidence.evaluatePending(now); cause != "" && !e.verdict.Bad {
+			e.verdict = Verdict{Bad: true, Cause: fmt.Sprintf("route %s: %s", route, cause)}
 		}
 	}
-	j.verdict.EnoughRuns = j.enough(now)
-	return j.verdict
+	e.verdict.EnoughRuns = e.hasEnoughRuns(now)
+	return e.verdict
 }
 
-// weigh tests the runs whose time has come. It returns why the version is bad, or "".
-func (t *trial) weigh(now int64) (cause string) {
-	for len(t.waiting) > 0 {
-		b := t.waiting[0]
-		oldRuns := t.old.newest > 0 && now-t.old.newest <= weighAfter
-		if oldRuns && now-b.at < weighAfter && len(t.waiting) < mostWaiting {
+// evaluatePending tests the pending batches that have waited for evaluationDelay, or all
+// of them where the old versions run nothing at the time. It returns why the version is
+// bad; empty where no test has found that.
+func (r *routeEvidence) evaluatePending(now int64) (cause string) {
+	for len(r.pending) > 0 {
+		b := r.pending[0]
+		oldVersionsRun := r.oldRuns.newestRun > 0 && now-r.oldRuns.newestRun <= evaluationDelay
+		if oldVersionsRun && now-b.receivedAt < evaluationDelay && len(r.pending) < maxPendingBatches {
 			return cause
 		}
-		t.waiting = t.waiting[1:]
-		if found := t.test(now, &b); cause == "" {
+		r.pending = r.pending[1:]
+		if found := r.testBatch(now, &b); cause == "" {
 			cause = found
 		}
 	}
 	return cause
 }
 
-func (t *trial) test(now int64, b *batch) (cause string) {
-	t.ref = t.old.about(b.at, now, t.ref)
-	usualFailures, usualSlow := t.ref.usual()
-	if t.failing.add(b.runs.failures, b.runs.runs-b.runs.failures, usualFailures, t.ref.blind) {
-		return fmt.Sprintf("%d of %d runs failed, reckoned with %.3f; sequential test, threshold %.0f", t.total.failures, t.total.runs, usualFailures, trip)
+// testBatch tests the failures and the durations of a batch against the baseline at its
+// time. It returns why the version is bad; empty where neither test has found that.
+func (r *routeEvidence) testBatch(now int64, b *batch) (cause string) {
+	r.baseline = r.oldRuns.baselineAt(b.receivedAt, now, r.baseline)
+	failureRate, slowRate := r.baseline.testRates()
+	if r.failureTest.add(b.runs.failures, b.runs.runs-b.runs.failures, failureRate, r.baseline.stale) {
+		return fmt.Sprintf("%d of %d runs failed; CUSUM test against a rate of %.3f, threshold %.0f", r.total.failures, r.total.runs, failureRate, alarmThreshold)
 	}
-	if t.ref.slowFrom == 0 {
+	if r.baseline.slowFromStep == 0 {
 		return ""
 	}
-	timed, slow := b.runs.timed(t.ref.slowFrom)
-	t.slow += slow
-	if t.tardy.add(slow, timed-slow, usualSlow, t.ref.blind) {
-		all, _ := t.total.timed(0)
-		return fmt.Sprintf("%d of %d runs took over twice the old versions' median, reckoned with %.3f; sequential test, threshold %.0f", t.slow, all, usualSlow, trip)
+	timed, slow := b.runs.countTimed(r.baseline.slowFromStep)
+	r.slowRuns += slow
+	if r.slowTest.add(slow, timed-slow, slowRate, r.baseline.stale) {
+		all, _ := r.total.countTimed(0)
+		return fmt.Sprintf("%d of %d runs took over twice the old versions' median; CUSUM test against a rate of %.3f, threshold %.0f", r.slowRuns, all, slowRate, alarmThreshold)
 	}
 	return ""
 }
 
-// enough is true where each route that the old versions ran lately has shown runs of
-// the new one, half of them with a time that counts.
-func (j *Evaluator) enough(now int64) bool {
-	for _, of := range j.routes {
-		lately := of.old.between(now-historySlices*sliceTime+sliceTime, now)
-		need := min(enoughRuns, enoughShare*float64(lately.runs))
-		timed, _ := of.total.timed(0)
-		if float64(of.total.runs) < need || 2*float64(timed) < need {
+// hasEnoughRuns is true where each route on which the old versions have recently run
+// requests has enough runs of the new version, and at least half as many with a duration
+// that counts.
+func (e *Evaluator) hasEnoughRuns(now int64) bool {
+	for _, evidence := range e.routes {
+		recent := evidence.oldRuns.sumBetween(now-historySlices*sliceDuration+sliceDuration, now)
+		need := min(minRuns, minRunShare*float64(recent.runs))
+		timed, _ := evidence.total.countTimed(0)
+		if float64(evidence.total.runs) < need || 2*float64(timed) < need {
 			return false
 		}
 	}
-	return j.oldSince > 0 && now-j.oldSince >= knowAfter
+	return e.firstOldReport > 0 && now-e.firstOldReport >= minListenTime
 }
--- a/pkg/rollout/evaluator_test.go
+++ b/pkg/rollout/evaluator_test.go
@@ -8,28 +8,28 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestErrorRates: what good and bad versions get, at the rates of a service of 370
-// requests a second with a canary of 0.05, the usual failures and slow runs at their
-// floors, which is the worst case for false alarms. Played with -rollouts 2000 the
-// figures are those of docs/design/rollout.md.
+// TestErrorRates checks how often good versions are found bad, and how many runs it takes
+// to find a bad one, at a service of 370 requests a second with a canary share of 0.05.
+// The baseline's rates are the minimum rates, which is the worst case for false alarms.
+// The figures in docs/design/rollout.md come from runs with -rollouts 2000.
 func TestErrorRates(t *testing.T) {
 	for name, c := range map[string]struct {
-		version    version
-		most, runs float64
+		behaviour          behaviour
+		maxAlarms, maxRuns float64
 	}{
 		"good":                       {},
-		"fails three in ten":         {version: version{failing: 0.3}, runs: 22},
-		"fails one in ten":           {version: version{failing: 0.1}, runs: 150},
-		"takes three times as long":  {version: version{tardy: 1, times: 3}, runs: 20},
-		"three in ten take fourfold": {version: version{tardy: 0.3, times: 4}, runs: 45},
-		"bad after half a minute":    {version: version{failing: 0.3, from: 30 * time.Second}, runs: 22},
-		"bad on one route":           {version: version{failing: 0.3, route: "check"}, runs: 30},
+		"fails three in ten":         {behaviour: behaviour{failureRate: 0.3}, maxRuns: 22},
+		"fails one in ten":           {behaviour: behaviour{failureRate: 0.1}, maxRuns: 150},
+		"takes three times as long":  {behaviour: behaviour{slowRate: 1, slowFactor: 3}, maxRuns: 20},
+		"three in ten take fourfold": {behaviour: behaviour{slowRate: 0.3, slowFactor: 4}, maxRuns: 45},
+		"bad after half a minute":    {behaviour: behaviour{failureRate: 0.3, from: 30 * time.Second}, maxRuns: 22},
+		"bad on one route":           {behaviour: behaviour{failureRate: 0.3, route: "check"}, maxRuns: 30},
 	} {
 		t.Run(name, func(t *testing.T) {
-			alarms, runs, delay, longest := 0, 0.0, 0.0, time.Duration(0)
-			for seed := range *rollOuts {
-				p := newPlay(uint64(seed))
-				verdict, at := p.until(time.Minute, c.version)
+			foundBad, runs, delay, longest := 0, 0.0, 0.0, time.Duration(0)
+			for seed := range *rollOutsPerCase {
+				s := newSimulation(uint64(seed))
+				verdict, at := s.runUntil(time.Minute, c.behaviour)
 				if verdict.Bad && name == "good" {
 					t.Log(seed, at, verdict.Cause)
 				}
@@ -37,203 +37,210 @@
 					test.True(t, verdict.EnoughRuns)
 					continue
 				}
-				alarms++
-				since := at - max(c.version.from, tick) + tick
+				foundBad++
+				since := at - max(c.behaviour.from, tickInterval) + tickInterval
 				delay += since.Seconds()
 				longest = max(longest, since)
-				// Runs of the route that is bad since then, less those that came while the
-				// reports waited.
-				runs += 0.05 * 194 * max(since-time.Duration(weighAfter), 0).Seconds()
+				// The runs of the bad route until the alarm, without those that came during
+				// the evaluation delay.
+				runs += 0.05 * 194 * max(since-time.Duration(evaluationDelay), 0).Seconds()
 			}
-			n := float64(max(alarms, 1))
-			t.Logf(name+": told %d of %d, %.1f runs of a route, %.2f s in the middle, %.2f at the longest", alarms, *rollOuts, runs/n, delay/n, longest.Seconds())
-			if c.version == (version{}) {
-				test.LessEq(t, *rollOuts/2000, alarms)
+			n := float64(max(foundBad, 1))
+			t.Logf(name+": found %d of %d bad, after %.1f runs of a route, %.2f s in the mean, %.2f s at most", foundBad, *rollOutsPerCase, runs/n, delay/n, longest.Seconds())
+			if c.behaviour == (behaviour{}) {
+				test.LessEq(t, *rollOutsPerCase/2000, foundBad)
 				return
 			}
-			test.Eq(t, *rollOuts, alarms)
-			test.LessEq(t, c.runs, runs/n)
+			test.Eq(t, *rollOutsPerCase, foundBad)
+			test.LessEq(t, c.maxRuns, runs/n)
 		})
 	}
 }
 
-// TestDelays of three services of 30, 20 and 8 backend servers, with the canaries' share
-// of a roll-out of 12 s: when a bad version is told, when a good one has shown enough.
+// TestDelays checks the time until a bad version is found and until a good one has enough
+// runs, at services of 30, 20 and 8 backend servers with the canaries' share of a roll-out
+// of 12 s.
 func TestDelays(t *testing.T) {
 	for name, l := range map[string]load{
-		"30": {routes: map[string]float64{"load": 460}, share: 0.033, work: 140 * time.Millisecond},
-		"20": {routes: map[string]float64{"submit": 176, "check": 194}, share: 0.05, work: 100 * time.Millisecond},
-		"8":  {routes: map[string]float64{"lodge": 144, "check": 146}, share: 0.06, work: 70 * time.Millisecond},
+		"30": {requestRates: map[string]float64{"load": 460}, canaryShare: 0.033, medianWork: 140 * time.Millisecond},
+		"20": {requestRates: map[string]float64{"submit": 176, "check": 194}, canaryShare: 0.05, medianWork: 100 * time.Millisecond},
+		"8":  {requestRates: map[string]float64{"lodge": 144, "check": 146}, canaryShare: 0.06, medianWork: 70 * time.Millisecond},
 	} {
-		for kind, v := range map[string]version{"failing": {failing: 0.3}, "slow": {tardy: 1, times: 3}, "good": {}} {
+		for kind, v := range map[string]behaviour{"failing": {failureRate: 0.3}, "slow": {slowRate: 1, slowFactor: 3}, "good": {}} {
 			sum, longest := 0.0, 0.0
-			for seed := range *rollOuts {
-				p := newPlay(uint64(seed))
-				p.load = l
+			for seed := range *rollOutsPerCase {
+				s := newSimulation(uint64(seed))
+				s.load = l
 				at := time.Duration(0)
 				for verdict := (Verdict{}); !verdict.Bad && !verdict.EnoughRuns || kind != "good" && !verdict.Bad; {
 					must.Less(t, time.Minute, at)
-					verdict, at = p.tick(at, v)
+					verdict, at = s.tick(at, v)
 				}
 				sum += at.Seconds()
 				longest = max(longest, at.Seconds())
 			}
-			mean := sum / float64(*rollOuts)
-			t.Logf("%s backend servers, %s: %.2f s in the middle, %.2f at the longest", name, kind, mean, longest)
-			test.LessEq(t, usualLimits.StopWithin.Seconds(), mean)
+			mean := sum / float64(*rollOutsPerCase)
+			t.Logf("%s backend servers, %s: %.2f s in the mean, %.2f s at most", name, kind, mean, longest)
+			test.LessEq(t, testLimits.StopWithin.Seconds(), mean)
 		}
 	}
 }
 
-// TestWhatIsNoEvidence against a version, each over a whole roll-out.
-func TestWhatIsNoEvidence(t *testing.T) {
-	for name, prepare := range map[string]func(p *play){
-		"a fault that strikes both": func(p *play) { p.struck, p.struckFrom, p.struckTo = 0.6, 20*time.Second, 30*time.Second },
-		"a fault of both, told late by the old ones": func(p *play) {
-			p.late, p.struck, p.struckFrom, p.struckTo = true, 0.9, 20*time.Second, 30*time.Second
+// TestExternalCausesAreNoEvidence checks that failures and slow runs which the new version
+// does not cause raise no alarm during a whole roll-out.
+func TestExternalCausesAreNoEvidence(t *testing.T) {
+	for name, prepare := range map[string]func(s *simulation){
+		"a fault that affects both versions": func(s *simulation) { s.faultRate, s.faultFrom, s.faultTo = 0.6, 20*time.Second, 30*time.Second },
+		"a fault of both versions, reported late by the old ones": func(s *simulation) {
+			s.oldReportsLate, s.faultRate, s.faultFrom, s.faultTo = true, 0.9, 20*time.Second, 30*time.Second
 		},
-		"connections reset at one moment": func(p *play) {
-			p.each = func(p *play, at time.Duration) {
+		"connections reset at one moment": func(s *simulation) {
+			s.beforeTick = func(s *simulation, at time.Duration) {
 				for i := 0; at == 20*time.Second && i < 12; i++ {
-					p.target.Count(Outcome{Route: "check", Failed: true})
+					s.target.Count(Outcome{Route: "check", Failed: true})
 				}
 			}
 		},
-		"runs that a slow spell overtakes": func(p *play) {
-			p.each = func(p *play, at time.Duration) {
+		"a slowdown reported during the runs": func(s *simulation) {
+			s.beforeTick = func(s *simulation, at time.Duration) {
 				for i := 0; at%(5*time.Second) == 0 && i < 9; i++ {
-					p.target.Count(Outcome{Route: "check", Duration: 500 * time.Millisecond, StartSlowdown: 100, PeakSlowdown: 500})
+					s.target.Count(Outcome{Route: "check", Duration: 500 * time.Millisecond, StartSlowdown: 100, PeakSlowdown: 500})
 				}
 			}
 		},
-		"slow spells": func(p *play) {
-			p.each = func(p *play, at time.Duration) {
+		"a slowdown reported before the runs": func(s *simulation) {
+			s.beforeTick = func(s *simulation, at time.Duration) {
 				for i := 0; i < 4; i++ {
-					p.target.Count(Outcome{Route: "check", Duration: 500 * time.Millisecond, StartSlowdown: 500})
+					s.target.Count(Outcome{Route: "check", Duration: 500 * time.Millisecond, StartSlowdown: 500})
 				}
 			}
 		},
-		"a cold start": func(p *play) {
-			p.each = func(p *play, at time.Duration) {
+		"a cold start": func(s *simulation) {
+			s.beforeTick = func(s *simulation, at time.Duration) {
 				for i := 0; at < 3*time.Second && i < 4; i++ {
-					p.target.Count(Outcome{Route: "check", Duration: 300 * time.Millisecond, Cold: true})
+					s.target.Count(Outcome{Route: "check", Duration: 300 * time.Millisecond, Cold: true})
 				}
 			}
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(20) {
-				p := newPlay(seed)
-				prepare(p)
-				verdict, at := p.until(time.Minute, version{})
+				s := newSimulation(seed)
+				prepare(s)
+				verdict, at := s.runUntil(time.Minute, behaviour{})
 				test.False(t, verdict.Bad, test.Sprint(seed, at, verdict.Cause))
 			}
 		})
 	}
 }
 
-// TestABadVersionBesideAFaultOfBoth is told once the fault is over.
-func TestABadVersionBesideAFaultOfBoth(t *testing.T) {
-	p := newPlay(1)
-	p.struck, p.struckFrom, p.struckTo = 0.6, 5*time.Second, 10*time.Second
-	verdict, _ := p.until(time.Minute, version{failing: 0.6, from: 8 * time.Second})
+// TestBadVersionIsFoundAfterCommonFault checks that a version that turns bad during a fault
+// of both versions is found bad once that fault is over.
+func TestBadVersionIsFoundAfterCommonFault(t *testing.T) {
+	s := newSimulation(1)
+	s.faultRate, s.faultFrom, s.faultTo = 0.6, 5*time.Second, 10*time.Second
+	verdict, _ := s.runUntil(time.Minute, behaviour{failureRate: 0.6, from: 8 * time.Second})
 	test.True(t, verdict.Bad)
 }
 
-// TestABadVersionWithoutAReference: while switching nobody runs requests at the old
-// versions; what they did before is the reference, with a wider bound.
-func TestABadVersionWithoutAReference(t *testing.T) {
-	for name, bad := range map[string]version{
-		"failing": {failing: 0.3, from: 20 * time.Second},
-		"slow":    {tardy: 1, times: 3, from: 20 * time.Second},
+// TestBadVersionIsFoundWithStaleBaseline checks that a bad version is found while the old
+// versions run nothing, as after the switch: the baseline is that of their earlier runs,
+// with higher minimum rates.
+func TestBadVersionIsFoundWithStaleBaseline(t *testing.T) {
+	for name, bad := range map[string]behaviour{
+		"failing": {failureRate: 0.3, from: 20 * time.Second},
+		"slow":    {slowRate: 1, slowFactor: 3, from: 20 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPlay(2)
-			p.each = func(p *play, at time.Duration) {
+			s := newSimulation(2)
+			s.beforeTick = func(s *simulation, at time.Duration) {
 				if at >= 20*time.Second {
-					p.load.share = 1
+					s.load.canaryShare = 1
 				}
 			}
-			verdict, at := p.until(time.Minute, bad)
+			verdict, at := s.runUntil(time.Minute, bad)
 			test.True(t, verdict.Bad)
 			test.LessEq(t, 22*time.Second, at)
 		})
 	}
-	p := newPlay(3)
-	p.load.share = 1
-	verdict, _ := p.until(time.Minute, version{failing: 0.3})
-	test.True(t, verdict.Bad, test.Sprint("nothing was ever heard of old versions"))
+	s := newSimulation(3)
+	s.load.canaryShare = 1
+	verdict, _ := s.runUntil(time.Minute, behaviour{failureRate: 0.3})
+	test.True(t, verdict.Bad, test.Sprint("without any report of an old version"))
 }
 
-// TestEnoughRuns: a version that fails three in ten on one route is told within them
-// mostly, one that fails three in ten on two routes nearly always.
+// TestEnoughRuns checks how often a bad version is found within minRuns of a route: mostly
+// where it fails 30% of the runs of one route, and nearly always where it fails those of
+// two routes or is slow.
 func TestEnoughRuns(t *testing.T) {
 	for _, c := range []struct {
-		version version
-		least   float64
+		behaviour behaviour
+		minShare  float64
 	}{
-		{version: version{failing: 0.3, route: "check"}, least: 0.85},
-		{version: version{failing: 0.3}, least: 0.95},
-		{version: version{tardy: 1, times: 3}, least: 0.99},
+		{behaviour: behaviour{failureRate: 0.3, route: "check"}, minShare: 0.85},
+		{behaviour: behaviour{failureRate: 0.3}, minShare: 0.95},
+		{behaviour: behaviour{slowRate: 1, slowFactor: 3}, minShare: 0.99},
 	} {
 		within := 0
-		for seed := range *rollOuts {
-			_, at := newPlay(uint64(seed)).until(time.Minute, c.version)
-			if 0.05*194*(at-time.Duration(weighAfter)).Seconds() <= enoughRuns {
+		for seed := range *rollOutsPerCase {
+			_, at := newSimulation(uint64(seed)).runUntil(time.Minute, c.behaviour)
+			if 0.05*194*(at-time.Duration(evaluationDelay)).Seconds() <= minRuns {
 				within++
 			}
 		}
-		t.Logf("%+v: told within %d runs: %d of %d", c.version, enoughRuns, within, *rollOuts)
-		test.GreaterEq(t, c.least*float64(*rollOuts), float64(within))
+		t.Logf("%+v: found bad within %d runs: %d of %d", c.behaviour, minRuns, within, *rollOutsPerCase)
+		test.GreaterEq(t, c.minShare*float64(*rollOutsPerCase), float64(within))
 	}
 }
 
-// TestEnoughNeedsEachRoute, and half of its runs with a time that counts.
-func TestEnoughNeedsEachRoute(t *testing.T) {
-	p := newPlay(4)
-	p.load.share = 0
-	verdict, _ := p.until(5*time.Second, version{})
+// TestEachRouteNeedsEnoughRuns checks that each route needs enough runs, and half as many
+// with a duration that counts, which those of cold runs do not.
+func TestEachRouteNeedsEnoughRuns(t *testing.T) {
+	s := newSimulation(4)
+	s.load.canaryShare = 0
+	verdict, _ := s.runUntil(5*time.Second, behaviour{})
 	test.False(t, verdict.EnoughRuns)
-	note := func(route string, cold bool) {
-		for range enoughRuns {
-			p.target.Count(Outcome{Route: route, Duration: 100 * time.Millisecond, Cold: cold})
+	count := func(route string, cold bool) {
+		for range minRuns {
+			s.target.Count(Outcome{Route: route, Duration: 100 * time.Millisecond, Cold: cold})
 		}
 	}
-	note("check", false)
-	note("submit", true)
-	test.False(t, p.report(6*time.Second).EnoughRuns)
-	note("submit", false)
-	test.True(t, p.report(7*time.Second).EnoughRuns)
+	count("check", false)
+	count("submit", true)
+	test.False(t, s.exchangeReports(6*time.Second).EnoughRuns)
+	count("submit", false)
+	test.True(t, s.exchangeReports(7*time.Second).EnoughRuns)
 }
 
-func TestNothingIsEnoughBeforeAnOldVersionHasReported(t *testing.T) {
-	j := NewEvaluator(orderOf(5, "v2"))
-	test.False(t, j.Verdict(int64(time.Hour)).EnoughRuns)
+func TestNoRunsAreEnoughBeforeReportOfOldVersion(t *testing.T) {
+	e := NewEvaluator(orderOf(5, "v2"))
+	test.False(t, e.Verdict(int64(time.Hour)).EnoughRuns)
 }
 
-// TestReports: old ones, those of another order, and those of a process that began
-// anew.
-func TestReports(t *testing.T) {
+// TestAddReportCountsEachRunOnce checks that runs are counted once where reports come
+// again or out of order, that those of a restarted process are added, and that reports of
+// another order and invalid ones are ignored.
+func TestAddReportCountsEachRunOnce(t *testing.T) {
 	report := func(process uint64, seq, runs uint32) Report {
 		return Report{Service: "desk", Order: 5, VM: "a", Version: "v2", Process: process, Seq: seq, Routes: []RouteCounts{{Route: "r", Runs: runs}}}
 	}
-	j := NewEvaluator(orderOf(5, "v2"))
-	j.AddReport(1, report(1, 2, 10))
-	j.AddReport(1, report(1, 2, 10))
-	j.AddReport(1, report(1, 1, 6))
-	j.AddReport(1, report(2, 1, 4))
-	j.AddReport(1, report(1, 3, 12))
+	e := NewEvaluator(orderOf(5, "v2"))
+	e.AddReport(1, report(1, 2, 10))
+	e.AddReport(1, report(1, 2, 10))
+	e.AddReport(1, report(1, 1, 6))
+	e.AddReport(1, report(2, 1, 4))
+	e.AddReport(1, report(1, 3, 12))
 	other := report(1, 9, 99)
 	other.Order = 4
-	j.AddReport(1, other)
-	broken := report(1, 10, 3)
-	broken.Routes[0].Failures = 7
-	j.AddReport(1, broken)
-	must.MapContainsKey(t, j.routes, "r")
-	test.Eq(t, 16, j.routes["r"].total.runs)
+	e.AddReport(1, other)
+	invalid := report(1, 10, 3)
+	invalid.Routes[0].Failures = 7
+	e.AddReport(1, invalid)
+	must.MapContainsKey(t, e.routes, "r")
+	test.Eq(t, 16, e.routes["r"].total.runs)
 }
 
-func TestAStopNamesItsOrder(t *testing.T) {
+func TestBadVerdictStopsItsOrder(t *testing.T) {
 	order := orderOf(5, "v2")
 	_, ok := Verdict{EnoughRuns: true}.Stop(order)
 	test.False(t, ok)
--- a/pkg/rollout/guard.go
+++ b/pkg/rollout/guard.go
@@ -1,20 +1,24 @@
 package rollout
 
-// Guard is what a roll-out lets one backend server run. The zero value lets it run all.
+// Guard restricts what one backend server may run during a roll-out. The zero value and a
+// nil Guard restrict nothing.
 type Guard struct {
-	// Traffic says which versions may run requests; nil: all.
+	// Traffic decides which versions may run requests; nil permits all.
 	Traffic *TrafficPolicy
-	// Revision is that of the plan that Traffic follows.
+	// Revision is the revision of the plan that Traffic follows.
 	Revision uint64
-	// BlockReason is set where the backend server may run nothing, whatever Traffic says.
+	// BlockReason is not empty where the backend server may run nothing, whatever Traffic
+	// permits.
 	BlockReason string
-	// Instance is the incarnation that the guard was made for; another one runs nothing
-	// until it was looked at. Empty: any may.
+	// Instance is the incarnation of the backend server for which the guard was made. Any
+	// other incarnation may run nothing until it has a guard of its own. Empty stands for
+	// all incarnations.
 	Instance string
 }
 
-// RefusalReasonFor says why the incarnation of a backend server on a VM, of a version, may run
-// nothing; empty: it may.
+// RefusalReasonFor returns why an incarnation of a backend server may run nothing, given
+// its version, which is empty while it is not known, and its VM. It returns "" where the
+// incarnation may run requests.
 func (g *Guard) RefusalReasonFor(instance, version, vm string) string {
 	switch {
 	case g == nil:
@@ -26,10 +30,10 @@
 	case g.Traffic == nil:
 		return ""
 	case version == "":
-		// It may be one that must run nothing; its next heartbeat tells.
-		return "a roll-out is known, and the backend server has not said its version yet"
+		// The version may be one that must run nothing. The next heartbeat reports it.
+		return "a roll-out is known, and the backend server has not reported its version yet"
 	case !g.Traffic.PermitsAny(version, vm):
-		return "the roll-out lets version " + version + " run nothing here"
+		return "the roll-out does not permit version " + version + " to run requests here"
 	}
 	return ""
 }
--- a/pkg/rollout/histogram.go
+++ b/pkg/rollout/histogram.go
@@ -6,29 +6,33 @@
 )
 
 const (
-	// timeSteps by a quarter of an octave from shortestTime on reach 16 s, which is
-	// longer than any route's usual work; what is beyond is in the last one.
-	timeSteps       = 48
-	stepsPerOctave  = 4
-	shortestTime    = 4 * time.Millisecond
-	slowestReported = 2000
-	usualSpeed      = 100
+	// histogramSteps is the number of steps of a histogram of durations. Each step but the
+	// first and the last is a quarter of an octave wide; the last one, from 13.8 s on, is
+	// longer than any route's usual work.
+	histogramSteps = 48
+	stepsPerOctave = 4
+	// firstStepTime is where the first step begins; the step also holds shorter durations.
+	firstStepTime = 4 * time.Millisecond
+	// maxSlowdownPercent bounds the slowdown by which a duration is corrected.
+	maxSlowdownPercent = 2000
+	// usualSlowdownPercent is the slowdown of a backend server at its usual speed.
+	usualSlowdownPercent = 100
 )
 
-// timeStep is the step of a time.
-func timeStep(d time.Duration) int {
-	if d <= shortestTime {
+// histogramStep returns the step of a duration, from 0 to histogramSteps-1.
+func histogramStep(d time.Duration) int {
+	if d <= firstStepTime {
 		return 0
 	}
-	return min(int(stepsPerOctave*math.Log2(float64(d)/float64(shortestTime))), timeSteps-1)
+	return min(int(stepsPerOctave*math.Log2(float64(d)/float64(firstStepTime))), histogramSteps-1)
 }
 
-// usualTime is how long the run would have taken at the usual speed of its backend
-// server.
-func (o *Outcome) usualTime() time.Duration {
-	slowdown := min(max(o.StartSlowdown, o.PeakSlowdown), slowestReported)
+// normalisedDuration returns how long the run would have taken at the usual speed of its
+// backend server.
+func (o *Outcome) normalisedDuration() time.Duration {
+	slowdown := min(max(o.StartSlowdown, o.PeakSlowdown), maxSlowdownPercent)
 	if slowdown == 0 {
-		slowdown = usualSpeed
+		slowdown = usualSlowdownPercent
 	}
-	return max(o.Duration, 0) * usualSpeed / time.Duration(slowdown)
+	return max(o.Duration, 0) * usualSlowdownPercent / time.Duration(slowdown)
 }
--- a/pkg/rollout/order.go
+++ b/pkg/rollout/order.go
@@ -1,7 +1,8 @@
 // Package rollout moves the requests of a service from one version of its backend
-// servers to another one, as operators order it: a few of them first, all of them
-// once enough is known, none any more as soon as the version shows itself bad.
-// Nothing in it uses the network. Source: docs/design/rollout.md.
+// servers to another one, as operators order it: first a small share of them to a few
+// canaries, then all of them once the canaries have run enough requests. As soon as the
+// new version proves worse than the old ones it gets no more requests.
+// The package does not use the network. Source: docs/design/rollout.md.
 package rollout
 
 import (
@@ -10,15 +11,15 @@
 	"time"
 )
 
-// Order is what operators ask for: the requests of a service are to move to backend
-// servers of a version within a time.
+// Order is an operator's order to move the requests of a service to the backend servers
+// of a version within a time.
 type Order struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	// Version is the one to move to.
+	// Version is the version to move to.
 	Version string
-	// Revision is the store's counter at which the order was written. A later order
-	// of the service has a higher one and takes the place of this one.
+	// Revision is the store's counter at which the order was written. An order of the same
+	// service with a higher revision replaces this one.
 	Revision uint64
 	// Duration is the time from the order to its deadline.
 	Duration time.Duration
@@ -31,18 +32,17 @@
 	Order *Order
 }
 
-// Orders is the whole set of orders as it stood in the store at one revision. A set
-// is never changed; the one of the higher revision goes before any other. The zero
-// value knows nothing.
+// Orders is the whole set of orders in the store at one revision. A set is never modified;
+// one of a higher revision replaces it. The zero value stands for a set that is not known.
 type Orders struct {
 	_ struct{} `cbor:",toarray"`
 	// Revision is the store's counter at which the set was read.
 	Revision uint64
-	// List is in the order of the services' names, one order a service.
+	// List is sorted by service and holds one order a service.
 	List []Order
 }
 
-// With returns the set after some changes, as it stood at a later revision.
+// With returns the set with some changes applied, as it is at a later revision.
 func (o Orders) With(revision uint64, changes []OrderChange) Orders {
 	out := Orders{Revision: revision, List: slices.Clone(o.List)}
 	for _, c := range changes {
@@ -68,6 +68,7 @@
 	return o.List[at], true
 }
 
+// find returns the index of a service's order, or where to insert it.
 func (o Orders) find(service string) (at int, found bool) {
 	return slices.BinarySearchFunc(o.List, service, func(have Order, want string) int { return strings.Compare(have.Service, want) })
 }
--- a/pkg/rollout/orderstore.go
+++ b/pkg/rollout/orderstore.go
@@ -14,57 +14,58 @@
 )
 
 const (
-	// rowOrders is where the orders stand in the platform's table, where operators use
-	// rushramp's own calls.
-	rowOrders = "rollout-orders/set"
-	// MinDuration is the shortest time that operators may give: the shortest one for
-	// which it was measured that a bad version is told while it is a canary (2.5 s of 8),
-	// and below 8 s the switch alone may take more than the allowed share.
+	// ordersKey is the key of the row with all orders in the platform's table, on platforms
+	// where operators give orders through rushramp's own API.
+	ordersKey = "rollout-orders/set"
+	// MinDuration is the shortest duration of an order: a canary of a bad version is found
+	// out within it, and the switch alone does not use up the share of requests that a bad
+	// version may get.
 	MinDuration = 12 * time.Second
-	// MaxDuration is the longest one: an order that stands for over a month is a
-	// forgotten one, and keeps the service's executors counting.
+	// MaxDuration is the longest duration of an order. An order that is older is probably
+	// forgotten, and makes the service's executors count for nothing.
 	MaxDuration = 30 * 24 * time.Hour
-	// mostChanges is how many changes the row remembers, so that one that is sent again
-	// after a lost answer is known although others were made since: far more than
-	// operators make within the minutes in which they repeat one.
-	mostChanges = 64
+	// maxRememberedChanges is how many ids of changes the row keeps. An id that an operator
+	// sends again after a lost answer, some minutes later, must still be among them.
+	maxRememberedChanges = 64
 )
 
-// ErrNoOrder says that there is no order to take away.
-var ErrNoOrder = errors.New("no order stands")
+// ErrNoOrder is returned for a request to take away an order that does not exist.
+var ErrNoOrder = errors.New("the service has no order")
 
-// OrderRequest is an operator's change of the orders.
+// OrderRequest is an operator's request to write or take away the order of a service.
 type OrderRequest struct {
-	// ID is chosen by the operator's tool. The same one again changes nothing.
+	// ID is chosen by the operator's tool. A second request with the same ID changes
+	// nothing.
 	ID      string
 	Service string
-	// Version is the one to move to; empty: the order is taken away.
-	Version  string
+	// Version is the version to move to; empty to take the order away.
+	Version string
+	// Duration is the time from the order to its deadline; 0 to take the order away.
 	Duration time.Duration
 }
 
-// Check says what the operator must correct; nil: nothing.
-func (a OrderRequest) Check() error {
+// Check returns an error that tells the operator what to correct; nil for a valid request.
+func (r OrderRequest) Check() error {
 	switch {
-	case !isName(a.ID):
-		return errors.Errorf("a change needs a change id of at most %d bytes, so that a lost answer can be resolved", mostName)
-	case !isReadable(a.Service):
-		return errors.Errorf("%.40q is no name of a service. Give one of 1 to %d bytes without spaces and control characters.", a.Service, mostName)
-	case a.Version == "" && a.Duration == 0:
+	case !isValidName(r.ID):
+		return errors.Errorf("a change needs a change id of at most %d bytes, so that a lost answer can be resolved", maxNameBytes)
+	case !isPrintableName(r.Service):
+		return errors.Errorf("%.40q is no name of a service. Give one of 1 to %d bytes without spaces and control characters.", r.Service, maxNameBytes)
+	case r.Version == "" && r.Duration == 0:
 		return nil
-	case !isReadable(a.Version):
-		return errors.Errorf("%.40q is no version. Give the word that the backend servers say, of 1 to %d bytes without spaces and control characters.", a.Version, mostName)
-	case a.Duration < MinDuration:
-		return errors.Errorf("a roll-out of %v is too short: a bad version would not be told in time. Give a duration of %v at least.", a.Duration, MinDuration)
-	case a.Duration > MaxDuration:
-		return errors.Errorf("a roll-out of %v is too long: it would be forgotten. Give a duration of %v at most.", a.Duration, MaxDuration)
+	case !isPrintableName(r.Version):
+		return errors.Errorf("%.40q is no version. Give the version that the backend servers report, of 1 to %d bytes without spaces and control characters.", r.Version, maxNameBytes)
+	case r.Duration < MinDuration:
+		return errors.Errorf("a roll-out of %v is too short to detect a bad version in time. Give a duration of %v at least.", r.Duration, MinDuration)
+	case r.Duration > MaxDuration:
+		return errors.Errorf("a roll-out of %v is too long: it would be forgotten. Give a duration of %v at most.", r.Duration, MaxDuration)
 	}
 	return nil
 }
 
-// isReadable is true for a name that operators can read and type.
-func isReadable(s string) bool {
-	if !isName(s) || !utf8.ValidString(s) {
+// isPrintableName is true for a valid name that operators can read and type.
+func isPrintableName(s string) bool {
+	if !isValidName(s) || !utf8.ValidString(s) {
 		return false
 	}
 	for _, c := range s {
@@ -75,18 +76,18 @@
 	return true
 }
 
-// OrderStore is the set of orders in the platform's table, in one row, so that the
-// row's version orders all sets. The row is never removed.
+// OrderStore keeps the orders of all services in one row of the platform's table, so that
+// the version of the row is the revision of the set. The row is never removed.
 type OrderStore struct{ table store.Table }
 
-// NewOrderStore makes the register of a platform's table.
+// NewOrderStore returns the order store in a platform's table.
 func NewOrderStore(table store.Table) *OrderStore { return &OrderStore{table: table} }
 
-// orderRow is the row's value. It is JSON, so that daemons of another release read what
-// they know of it.
+// orderRow is the value of the row. It is stored as JSON, so that daemons of another
+// release can read the fields that they know.
 type orderRow struct {
 	Orders []orderEntry `json:"orders"`
-	// Changes are the ids of the newest changes, the newest last.
+	// Changes are the ids of the latest changes, the newest last.
 	Changes []string `json:"changes"`
 }
 
@@ -97,76 +98,79 @@
 	DurationMS int64  `json:"duration_ms"`
 }
 
-// Read returns the newest set; the zero value where nothing was ever ordered.
-func (r *OrderStore) Read(ctx context.Context) (Orders, error) {
-	found, err := r.table.Get(ctx, rowOrders)
+// Read returns the newest set of orders; the zero value where there was never an order.
+// It returns an error where the table cannot be read or the row cannot be decoded.
+func (s *OrderStore) Read(ctx context.Context) (Orders, error) {
+	found, err := s.table.Get(ctx, ordersKey)
 	if errors.Is(err, store.ErrNotFound) {
 		return Orders{}, nil
 	}
 	if err != nil {
 		return Orders{}, err
 	}
-	_, orders, err := decodeOrders(found)
+	_, orders, err := decodeRow(found)
 	return orders, err
 }
 
-// Apply makes one change and returns the set after it. Changes of operators who race
-// are all made, and one whose id was made already changes nothing. ErrNoOrder where
-// there is none to take away. A store.UnknownOutcomeError leaves open whether it was
-// made; after any other error it was not.
-func (r *OrderStore) Apply(ctx context.Context, a OrderRequest) (Orders, error) {
-	if err := a.Check(); err != nil {
+// Apply carries out a request and returns the set after it. Concurrent requests are all
+// carried out, and a request whose ID was carried out before changes nothing. It returns
+// ErrNoOrder where there is no order to take away. After a store.UnknownOutcomeError the
+// request may or may not have been carried out; after any other error it was not.
+func (s *OrderStore) Apply(ctx context.Context, r OrderRequest) (Orders, error) {
+	if err := r.Check(); err != nil {
 		return Orders{}, err
 	}
-	row, err := store.Change(ctx, r.table, rowOrders, func(row store.Row) ([]byte, error) { return a.edit(row) })
+	row, err := store.Change(ctx, s.table, ordersKey, func(row store.Row) ([]byte, error) { return r.applyTo(row) })
 	if err != nil {
 		return Orders{}, err
 	}
-	_, orders, err := decodeOrders(row)
+	_, orders, err := decodeRow(row)
 	return orders, err
 }
 
-// edit returns the row's value with the change; nil where it was made already.
-func (a OrderRequest) edit(row store.Row) ([]byte, error) {
-	known, before, err := decodeOrders(row)
-	if err != nil || slices.Contains(known.Changes, a.ID) {
+// applyTo returns the value of the row after the request; nil where the request was
+// carried out before.
+func (r OrderRequest) applyTo(row store.Row) ([]byte, error) {
+	known, before, err := decodeRow(row)
+	if err != nil || slices.Contains(known.Changes, r.ID) {
 		return nil, err
 	}
-	_, stands := before.Of(a.Service)
-	change := OrderChange{Service: a.Service}
+	_, exists := before.Of(r.Service)
+	change := OrderChange{Service: r.Service}
 	switch {
-	case a.Version != "":
-		// Above the revision of each order before, as that was above an earlier version
-		// of the row, and at most the version that the row gets.
-		change.Order = &Order{Service: a.Service, Version: a.Version, Revision: row.Version + 1, Duration: a.Duration}
-	case !stands:
+	case r.Version != "":
+		// This revision is higher than that of each earlier order, which was at most the
+		// row's version, and at most the version that this write gives the row.
+		change.Order = &Order{Service: r.Service, Version: r.Version, Revision: row.Version + 1, Duration: r.Duration}
+	case !exists:
 		return nil, ErrNoOrder
 	}
 	after := before.With(row.Version+1, []OrderChange{change})
 	if !after.valid() {
-		return nil, errors.Errorf("orders of %d services stand, which is the most. Cancel those of roll-outs that have ended.", len(before.List))
+		return nil, errors.Errorf("there are orders of %d services, which is the maximum. Cancel those of roll-outs that have ended.", len(before.List))
 	}
-	return after.encode(append(known.Changes, a.ID))
+	return after.encodeRow(append(known.Changes, r.ID))
 }
 
-func (o Orders) encode(changes []string) ([]byte, error) {
-	out := orderRow{Orders: []orderEntry{}, Changes: changes[max(len(changes)-mostChanges, 0):]}
+// encodeRow returns the value of the row with these orders and the latest of the changes.
+func (o Orders) encodeRow(changes []string) ([]byte, error) {
+	out := orderRow{Orders: []orderEntry{}, Changes: changes[max(len(changes)-maxRememberedChanges, 0):]}
 	for _, order := range o.List {
 		out.Orders = append(out.Orders, orderEntry{
 			Service: order.Service, Version: order.Version, Revision: order.Revision, DurationMS: order.Duration.Milliseconds(),
 		})
 	}
 	value, err := json.Marshal(out)
-	return value, errors.Wrap(err, "orders of roll-outs")
+	return value, errors.Wrap(err, "encode the roll-out orders")
 }
 
-// decodeOrders reads the row; one that does not exist is the zero value.
-func decodeOrders(row store.Row) (out orderRow, orders Orders, err error) {
+// decodeRow decodes the row; a row that does not exist gives the zero values.
+func decodeRow(row store.Row) (out orderRow, orders Orders, err error) {
 	if row.Version == 0 {
 		return out, orders, nil
 	}
 	if err := json.Unmarshal(row.Value, &out); err != nil {
-		return out, orders, errors.Wrap(err, "orders of roll-outs")
+		return out, orders, errors.Wrap(err, "decode the roll-out orders")
 	}
 	orders.Revision = row.Version
 	for _, e := range out.Orders {
@@ -175,7 +179,7 @@
 		})
 	}
 	if !orders.valid() {
-		return out, Orders{}, errors.New("the row of the orders of roll-outs has a value out of bounds, or is of a later release")
+		return out, Orders{}, errors.New("the row of the roll-out orders has a value out of bounds, or was written by a later release")
 	}
 	return out, orders, nil
 }
--- a/pkg/rollout/orderstore_test.go
+++ b/pkg/rollout/orderstore_test.go
@@ -16,26 +16,28 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-func asked(id, service, version string) OrderRequest {
-	a := OrderRequest{ID: id, Service: service, Version: version}
+// newRequest returns a request for an order of one minute, or to take the order away where
+// version is empty.
+func newRequest(id, service, version string) OrderRequest {
+	r := OrderRequest{ID: id, Service: service, Version: version}
 	if version != "" {
-		a.Duration = time.Minute
+		r.Duration = time.Minute
 	}
-	return a
+	return r
 }
 
-// TestOrdersOfOperatorsWhoRaceAreAllMade: each orders a roll-out of a service of its own.
-func TestOrdersOfOperatorsWhoRaceAreAllMade(t *testing.T) {
-	platform := fakestore.New()
-	var all sync.WaitGroup
+// TestConcurrentRequestsAreAllApplied checks concurrent orders of different services.
+func TestConcurrentRequestsAreAllApplied(t *testing.T) {
+	table := fakestore.New()
+	var wg sync.WaitGroup
 	for _, service := range []string{"a", "b", "c"} {
-		all.Go(func() {
-			_, err := NewOrderStore(platform).Apply(t.Context(), asked("id-"+service, service, "v2"))
+		wg.Go(func() {
+			_, err := NewOrderStore(table).Apply(t.Context(), newRequest("id-"+service, service, "v2"))
 			test.NoError(t, err)
 		})
 	}
-	all.Wait()
-	orders, err := NewOrderStore(platform).Read(t.Context())
+	wg.Wait()
+	orders, err := NewOrderStore(table).Read(t.Context())
 	must.NoError(t, err)
 	must.Len(t, 3, orders.List)
 	for _, o := range orders.List {
@@ -44,19 +46,20 @@
 	}
 }
 
-// TestEachNewOrderHasAHigherRevision, also one of the same version again, and one after
-// the order was taken away. That of other services stays.
-func TestEachNewOrderHasAHigherRevision(t *testing.T) {
-	register := NewOrderStore(fakestore.New())
-	other, err := register.Apply(t.Context(), asked("0", "other", "v9"))
+// TestEachNewOrderHasHigherRevision checks that each new order of a service has a higher
+// revision than the one before, also for the same version, and after the order was taken
+// away. Orders of other services must not change.
+func TestEachNewOrderHasHigherRevision(t *testing.T) {
+	orderStore := NewOrderStore(fakestore.New())
+	other, err := orderStore.Apply(t.Context(), newRequest("0", "other", "v9"))
 	must.NoError(t, err)
 	last := uint64(0)
 	for i, version := range []string{"v2", "v2", "v3", "", "v2"} {
-		orders, err := register.Apply(t.Context(), asked(fmt.Sprint("id-", i), "s", version))
+		orders, err := orderStore.Apply(t.Context(), newRequest(fmt.Sprint("id-", i), "s", version))
 		must.NoError(t, err)
-		order, stands := orders.Of("s")
-		test.Eq(t, version != "", stands)
-		if !stands {
+		order, exists := orders.Of("s")
+		test.Eq(t, version != "", exists)
+		if !exists {
 			test.Greater(t, last, orders.Revision)
 			continue
 		}
@@ -69,108 +72,111 @@
 	}
 }
 
-// TestAChangeThatIsSentAgainChangesNothing, also where a later order has taken its place.
-func TestAChangeThatIsSentAgainChangesNothing(t *testing.T) {
-	register := NewOrderStore(fakestore.New())
-	first, err := register.Apply(t.Context(), asked("1", "s", "v2"))
+// TestRepeatedRequestChangesNothing checks a request that is sent again with the same ID,
+// also where a later order has replaced its order.
+func TestRepeatedRequestChangesNothing(t *testing.T) {
+	orderStore := NewOrderStore(fakestore.New())
+	first, err := orderStore.Apply(t.Context(), newRequest("1", "s", "v2"))
 	must.NoError(t, err)
-	again, err := register.Apply(t.Context(), asked("1", "s", "v2"))
+	again, err := orderStore.Apply(t.Context(), newRequest("1", "s", "v2"))
 	must.NoError(t, err)
 	test.Eq(t, first, again)
-	later, err := register.Apply(t.Context(), asked("2", "s", "v3"))
+	later, err := orderStore.Apply(t.Context(), newRequest("2", "s", "v3"))
 	must.NoError(t, err)
-	again, err = register.Apply(t.Context(), asked("1", "s", "v2"))
+	again, err = orderStore.Apply(t.Context(), newRequest("1", "s", "v2"))
 	must.NoError(t, err)
 	test.Eq(t, later, again)
 	for range 2 {
-		gone, err := register.Apply(t.Context(), asked("3", "s", ""))
+		removed, err := orderStore.Apply(t.Context(), newRequest("3", "s", ""))
 		must.NoError(t, err)
-		test.SliceEmpty(t, gone.List)
+		test.SliceEmpty(t, removed.List)
 	}
-	_, err = register.Apply(t.Context(), asked("4", "s", ""))
+	_, err = orderStore.Apply(t.Context(), newRequest("4", "s", ""))
 	test.ErrorIs(t, err, ErrNoOrder)
 }
 
-// TestALostAnswerIsResolvedByTheSameID: the order was made, and is made once.
-func TestALostAnswerIsResolvedByTheSameID(t *testing.T) {
-	platform := fakestore.New()
-	register := NewOrderStore(platform)
-	platform.SetFaults(fakestore.Faults{LoseAnswers: 1})
-	_, err := register.Apply(t.Context(), asked("1", "s", "v2"))
+// TestRequestIsAppliedOnceAfterLostAnswer checks that a request whose answer was lost is
+// not applied again where it is sent again with the same ID.
+func TestRequestIsAppliedOnceAfterLostAnswer(t *testing.T) {
+	table := fakestore.New()
+	orderStore := NewOrderStore(table)
+	table.SetFaults(fakestore.Faults{LoseAnswers: 1})
+	_, err := orderStore.Apply(t.Context(), newRequest("1", "s", "v2"))
 	var unknown *store.UnknownOutcomeError
 	test.True(t, errors.As(err, &unknown))
-	platform.SetFaults(fakestore.Faults{})
-	made, err := register.Read(t.Context())
+	table.SetFaults(fakestore.Faults{})
+	made, err := orderStore.Read(t.Context())
 	must.NoError(t, err)
-	again, err := register.Apply(t.Context(), asked("1", "s", "v2"))
+	again, err := orderStore.Apply(t.Context(), newRequest("1", "s", "v2"))
 	must.NoError(t, err)
 	test.Eq(t, made, again)
 	test.Len(t, 1, again.List)
 }
 
-func TestAStoreThatIsDownTakesNoOrder(t *testing.T) {
-	platform := fakestore.New()
-	platform.SetFaults(fakestore.Faults{Down: true})
-	_, err := NewOrderStore(platform).Apply(t.Context(), asked("1", "s", "v2"))
+func TestApplyFailsWhileStoreIsDown(t *testing.T) {
+	table := fakestore.New()
+	table.SetFaults(fakestore.Faults{Down: true})
+	_, err := NewOrderStore(table).Apply(t.Context(), newRequest("1", "s", "v2"))
 	must.Error(t, err)
 	var unknown *store.UnknownOutcomeError
-	test.False(t, errors.As(err, &unknown), test.Sprint("it was read first, so nothing was written"))
-	platform.SetFaults(fakestore.Faults{})
-	orders, err := NewOrderStore(platform).Read(t.Context())
+	test.False(t, errors.As(err, &unknown), test.Sprint("the read failed, so nothing was written"))
+	table.SetFaults(fakestore.Faults{})
+	orders, err := NewOrderStore(table).Read(t.Context())
 	must.NoError(t, err)
 	test.Eq(t, Orders{}, orders)
 }
 
-// TestOrdersThatCannotBeReadAreNotWrittenOver: they may be of a later release.
-func TestOrdersThatCannotBeReadAreNotWrittenOver(t *testing.T) {
+// TestUnreadableOrdersAreNotOverwritten: a later release may have written them.
+func TestUnreadableOrdersAreNotOverwritten(t *testing.T) {
 	for _, value := range []string{"no JSON", `{"orders":[{"service":"s","version":"","revision":1,"duration_ms":1}]}`} {
-		platform := fakestore.New()
-		must.NoError(t, platform.Transact(t.Context(), []store.Write{{Key: rowOrders, Value: []byte(value)}}))
-		_, err := NewOrderStore(platform).Apply(t.Context(), asked("1", "s", "v2"))
+		table := fakestore.New()
+		must.NoError(t, table.Transact(t.Context(), []store.Write{{Key: ordersKey, Value: []byte(value)}}))
+		_, err := NewOrderStore(table).Apply(t.Context(), newRequest("1", "s", "v2"))
 		test.Error(t, err)
-		row, err := platform.Get(context.Background(), rowOrders)
+		row, err := table.Get(context.Background(), ordersKey)
 		must.NoError(t, err)
 		test.Eq(t, value, string(row.Value))
 	}
 }
 
-func TestTheRowOfOrdersIsBounded(t *testing.T) {
-	register := NewOrderStore(fakestore.New())
-	for i := range mostServices {
-		_, err := register.Apply(t.Context(), asked(fmt.Sprint("id-", i), fmt.Sprintf("s-%03d", i), "v2"))
+// TestOrdersRowIsBounded checks the largest number of services and of remembered changes.
+func TestOrdersRowIsBounded(t *testing.T) {
+	orderStore := NewOrderStore(fakestore.New())
+	for i := range maxServices {
+		_, err := orderStore.Apply(t.Context(), newRequest(fmt.Sprint("id-", i), fmt.Sprintf("s-%03d", i), "v2"))
 		must.NoError(t, err)
 	}
-	_, err := register.Apply(t.Context(), asked("more", "more", "v2"))
+	_, err := orderStore.Apply(t.Context(), newRequest("more", "more", "v2"))
 	must.ErrorContains(t, err, "Cancel")
-	_, err = register.Apply(t.Context(), asked("in place", "s-000", "v3"))
+	_, err = orderStore.Apply(t.Context(), newRequest("replacement", "s-000", "v3"))
 	must.NoError(t, err)
-	row, err := register.table.Get(t.Context(), rowOrders)
+	row, err := orderStore.table.Get(t.Context(), ordersKey)
 	must.NoError(t, err)
-	known, _, err := decodeOrders(row)
+	known, _, err := decodeRow(row)
 	must.NoError(t, err)
-	test.Len(t, mostChanges, known.Changes)
+	test.Len(t, maxRememberedChanges, known.Changes)
 }
 
-// TestWhatOperatorsMustCorrect is the table of the checks.
-func TestWhatOperatorsMustCorrect(t *testing.T) {
-	right := OrderRequest{ID: "1", Service: "s", Version: "v2", Duration: time.Minute}
-	test.NoError(t, right.Check())
-	test.NoError(t, asked("1", "s", "").Check())
-	for name, spoil := range map[string]func(*OrderRequest){
-		"no id":                  func(a *OrderRequest) { a.ID = "" },
-		"no service":             func(a *OrderRequest) { a.Service = "" },
-		"a service with a space": func(a *OrderRequest) { a.Service = "glyph serve" },
-		"a long service":         func(a *OrderRequest) { a.Service = strings.Repeat("s", mostName+1) },
-		"no version":             func(a *OrderRequest) { a.Version = "" },
-		"a version with a bell":  func(a *OrderRequest) { a.Version = "v2\a" },
-		"a version of no text":   func(a *OrderRequest) { a.Version = "v\xff" },
-		"a long version":         func(a *OrderRequest) { a.Version = strings.Repeat("v", mostName+1) },
-		"no duration":            func(a *OrderRequest) { a.Duration = 0 },
-		"too short":              func(a *OrderRequest) { a.Duration = MinDuration - 1 },
-		"too long":               func(a *OrderRequest) { a.Duration = MaxDuration + 1 },
+// TestCheckRejectsInvalidRequests invalidates one field of a valid request at a time.
+func TestCheckRejectsInvalidRequests(t *testing.T) {
+	valid := OrderRequest{ID: "1", Service: "s", Version: "v2", Duration: time.Minute}
+	test.NoError(t, valid.Check())
+	test.NoError(t, newRequest("1", "s", "").Check())
+	for name, invalidate := range map[string]func(*OrderRequest){
+		"no id":                              func(r *OrderRequest) { r.ID = "" },
+		"no service":                         func(r *OrderRequest) { r.Service = "" },
+		"a service with a space":             func(r *OrderRequest) { r.Service = "glyph serve" },
+		"a long service":                     func(r *OrderRequest) { r.Service = strings.Repeat("s", maxNameBytes+1) },
+		"no version":                         func(r *OrderRequest) { r.Version = "" },
+		"a version with a control character": func(r *OrderRequest) { r.Version = "v2\a" },
+		"a version of invalid UTF-8":         func(r *OrderRequest) { r.Version = "v\xff" },
+		"a long version":                     func(r *OrderRequest) { r.Version = strings.Repeat("v", maxNameBytes+1) },
+		"no duration":                        func(r *OrderRequest) { r.Duration = 0 },
+		"too short":                          func(r *OrderRequest) { r.Duration = MinDuration - 1 },
+		"too long":                           func(r *OrderRequest) { r.Duration = MaxDuration + 1 },
 	} {
-		a := right
-		spoil(&a)
-		test.Error(t, a.Check(), test.Sprint(name))
+		r := valid
+		invalidate(&r)
+		test.Error(t, r.Check(), test.Sprint(name))
 	}
 }
--- a/pkg/rollout/plan.go
+++ b/pkg/rollout/plan.go
@@ -2,69 +2,68 @@
 
 import "time"
 
-// Phase is how far a roll-out has come. Only the store's row advances it.
+// Phase is the progress of a roll-out. It changes only by a write of the plan to the
+// store.
 type Phase uint8
 
 // The phases of a roll-out.
 const (
-	// Waiting: backend servers of the new version are not ready yet; none gets a
-	// request.
+	// Waiting: backend servers of the new version are not ready yet, and get no requests.
 	Waiting Phase = iota
-	// Canary: few backend servers of the new version get a small share.
+	// Canary: a few backend servers of the new version get a small share of the requests.
 	Canary
-	// Switching: all requests go to the new version; executors of the old ones
-	// refuse, and tell when they are empty.
+	// Switching: all requests go to the new version. Executors of the old versions refuse
+	// requests, and report when they are drained.
 	Switching
-	// Completed: the roll-out has ended well; the old backend servers stop.
+	// Completed: the roll-out has succeeded, and the old versions get no more requests.
 	Completed
-	// RolledBack: the roll-out has ended; the new version gets nothing more.
+	// RolledBack: the roll-out has ended, and the new version gets no more requests.
 	RolledBack
 )
 
-// String returns the phase's word in log lines and answers to operators.
+// String returns the name of the phase in log lines and in answers to operators.
 func (p Phase) String() string {
 	return [...]string{"waiting", "canary", "switching", "completed", "rolled_back"}[min(p, RolledBack)]
 }
 
-// Ended is true for a phase after which there is no other.
+// Ended is true for the last phase of a roll-out, Completed or RolledBack.
 func (p Phase) Ended() bool { return p == Completed || p == RolledBack }
 
-// Plan is the state of a service's roll-out as it stands in the store: one row a
-// service, written under the condition of its version.
+// Plan is the state of a service's roll-out. The store holds one row a service, and each
+// write is conditional on the row's version.
 type Plan struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	// Target is the version to move to, Old are those that served before.
+	// Target is the version to move to. Old are the versions that ran the requests before.
 	Target string
 	Old    []string
 	// Order is the revision of the order that the plan carries out.
 	Order uint64
-	// Revision is the version of the plan's row; 0: it was not written yet.
+	// Revision is the version of the plan's row; 0 before the first write.
 	Revision uint64
 	Phase    Phase
-	// Canaries are the VMs whose backend servers take the canaries' share.
+	// Canaries are the VMs whose backend servers run the canaries' share of the requests.
 	Canaries []string
-	// PerMille is the share of the service's requests for the new version while it is
-	// tried, in thousandths.
+	// PerMille is the canaries' share of the service's requests, in thousandths.
 	PerMille uint32
-	// Began and Since are when the order was first seen and when the phase began, and
-	// Deadline is until when it must have ended, all on the store's steady clock.
+	// Began is when the order was first seen, Since when the phase began, and Deadline by
+	// when the roll-out must have ended, all on the store's steady clock.
 	Began    time.Duration
 	Since    time.Duration
 	Deadline time.Duration
-	// Cause says why the phase began, in a few words for operators.
+	// Cause tells operators why the phase began.
 	Cause string
-	// Barred are versions of earlier orders that were left or have not proved
-	// themselves: they get nothing, whichever version this plan moves to.
+	// Barred are versions of earlier orders that were replaced or rolled back. They get no
+	// requests, whatever the target is.
 	Barred []string
-	// Slots are those of the target's ready backend servers when it was switched to it;
-	// it is not completed with far fewer.
+	// Slots is the number of the target's ready slots at the switch. The roll-out does not
+	// complete with far fewer.
 	Slots uint32
 }
 
-// Supersedes is true when the plan goes before another one of the same service: it
-// carries out a later order, has ended where the other one has not, or was written
-// later.
+// Supersedes is true where the plan replaces another one of the same service: it carries
+// out a later order; or, of the same order, it has ended and the other one has not; or
+// both or neither have ended and it was written later.
 func (p *Plan) Supersedes(other *Plan) bool {
 	if p.Order != other.Order {
 		return p.Order > other.Order
@@ -75,17 +74,20 @@
 	return p.Revision > other.Revision
 }
 
-// Stop is the word that a version has shown itself bad. It needs no store: whoever
-// hears it sends the version nothing more under the order that it names, and nothing
-// takes it back but a later order.
+// Stop tells that the new version of an order has proved bad. It needs no write to the
+// store: each daemon that receives it sends the version no more requests under that
+// order. Only a later order ends its effect.
 type Stop struct {
 	_       struct{} `cbor:",toarray"`
 	Service string
-	Order   uint64
-	Cause   string
+	// Order is the revision of the order that is stopped.
+	Order uint64
+	// Cause tells operators why the version is bad.
+	Cause string
 }
 
-// Update is what daemons tell each other of roll-outs.
+// Update holds orders, plans and stops that a daemon sends to its peers: all that it
+// knows, or those that changed. Zero Orders stand for no change of the orders.
 type Update struct {
 	_      struct{} `cbor:",toarray"`
 	Orders Orders
--- a/pkg/rollout/planstore.go
+++ b/pkg/rollout/planstore.go
@@ -8,44 +8,47 @@
 	"github.com/pkg/errors"
 )
 
-// PlanStore keeps the plans' rows in the platform's store, one a service, and beside
-// each the state that operators read.
+// PlanStore keeps the plans in the platform's store, one row a service, and with each
+// plan the state that operators read.
 type PlanStore interface {
-	// Read reads the plan of a service.
+	// Read returns the plan of a service. It returns ErrUnreadablePlan for a row that
+	// cannot be decoded.
 	Read(ctx context.Context, service string) (StoredPlan, error)
-	// Write writes the plan's row, and the state beside it, where the row still has the
-	// version that the plan names; else store.ErrConflict. Any other error leaves open
-	// whether the plan was written, or will be: the row must be read before anything
-	// else is written.
+	// Write writes the plan, and the state that operators read, where the row's version is
+	// still the plan's Revision; otherwise it returns store.ErrConflict. After any other
+	// error the plan may have been written or may be written later: the row must be read
+	// before the next write.
 	Write(ctx context.Context, plan Plan) error
 }
 
-// ErrUnreadablePlan is of a row that no read makes sense of: it is damaged, or of a later
+// ErrUnreadablePlan is returned for a row that is damaged or was written by a later
 // release.
-var ErrUnreadablePlan = errors.New("the plan's row cannot be read; it stays as it is until it is written by hand")
+var ErrUnreadablePlan = errors.New("the plan's row cannot be decoded; it stays as it is until an operator repairs it")
 
-// StoredPlan is what a Register read.
+// StoredPlan is the result of reading a plan.
 type StoredPlan struct {
-	// Plan is the zero value where none was written yet.
+	// Plan is the zero value where no plan was written yet.
 	Plan Plan
-	// Now is the store's steady clock at some moment while it was read.
+	// Now is the time on the store's steady clock at some moment during the read.
 	Now time.Duration
 }
 
-// Encode makes the value of a plan's row. It is JSON, so that daemons of another
-// release read what they know of it.
+// Encode returns the value of the plan's row. It is JSON, so that daemons of another
+// release can read the fields that they know. It returns an error for a plan that
+// DecodePlan would not accept.
 func (p Plan) Encode() ([]byte, error) {
 	written := p
 	written.Revision = max(p.Revision, 1)
 	if !written.valid() {
-		// Nobody could read it again, and nobody could write over it.
+		// No daemon could read this row, and so none would overwrite it.
 		return nil, errors.Errorf("the plan of service %q has a value out of bounds; it is not written", p.Service)
 	}
 	value, err := json.Marshal(p)
-	return value, errors.Wrap(err, "plan")
+	return value, errors.Wrap(err, "encode the plan")
 }
 
-// DecodePlan reads the value of a service's row, which has the given version.
+// DecodePlan decodes the value of a service's row; version is the version of the row. It
+// returns ErrUnreadablePlan where the value is not a valid plan of the service.
 func DecodePlan(service string, value []byte, version uint64) (Plan, error) {
 	var out Plan
 	if err := json.Unmarshal(value, &out); err != nil {
@@ -53,18 +56,18 @@
 	}
 	out.Revision = version
 	if out.Service != service {
-		return Plan{}, errors.Wrapf(ErrUnreadablePlan, "the plan of service %q is one of %q", service, out.Service)
+		return Plan{}, errors.Wrapf(ErrUnreadablePlan, "the row of service %q holds a plan of service %q", service, out.Service)
 	}
 	if !out.valid() {
-		return Plan{}, errors.Wrapf(ErrUnreadablePlan, "the plan of service %q has a value out of bounds, or is of a later release", service)
+		return Plan{}, errors.Wrapf(ErrUnreadablePlan, "the plan of service %q has a value out of bounds, or was written by a later release", service)
 	}
 	return out, nil
 }
 
-// Check says what an operator must correct in an order; nil: nothing.
+// Check returns an error that tells the operator what to correct; nil for a valid order.
 func (o Order) Check() error {
 	if o.valid() {
 		return nil
 	}
-	return errors.Errorf("the order for service %q must name a service and a version of at most %d bytes each, and a time above 0", o.Service[:min(len(o.Service), mostName)], mostName)
+	return errors.Errorf("the order for service %q must name a service and a version of at most %d bytes each, and a duration above 0", o.Service[:min(len(o.Service), maxNameBytes)], maxNameBytes)
 }
--- a/pkg/rollout/planstore_test.go
+++ b/pkg/rollout/planstore_test.go
@@ -11,9 +11,10 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// TestAPlanThatNobodyCouldReadIsNotWritten: its row would stand in everybody's way.
-func TestAPlanThatNobodyCouldReadIsNotWritten(t *testing.T) {
-	plan := planOf(orderOf(5, "v2"), 0, Canary)
+// TestEncodeRejectsPlansThatCannotBeDecoded: no daemon could read such a row, and so none
+// would overwrite it. DecodePlan rejects plans of another service and damaged values.
+func TestEncodeRejectsPlansThatCannotBeDecoded(t *testing.T) {
+	plan := planFor(orderOf(5, "v2"), 0, Canary)
 	value, err := plan.Encode()
 	must.NoError(t, err)
 	read, err := DecodePlan(plan.Service, value, 7)
@@ -29,19 +30,20 @@
 	test.Error(t, err)
 }
 
-// TestPlansInAPlatformsTable: one of two writers wins, and reads what stands there.
-func TestPlansInAPlatformsTable(t *testing.T) {
-	register := NewTablePlanStore(fakestore.New(), func() time.Duration { return time.Hour })
-	none, err := register.Read(t.Context(), "desk")
+// TestTablePlanStoreWritesConditionally checks that a write succeeds only where the row has
+// the revision of the plan.
+func TestTablePlanStoreWritesConditionally(t *testing.T) {
+	plans := NewTablePlanStore(fakestore.New(), func() time.Duration { return time.Hour })
+	none, err := plans.Read(t.Context(), "desk")
 	must.NoError(t, err)
 	test.Eq(t, StoredPlan{Now: time.Hour}, none)
-	plan := planOf(orderOf(5, "v2"), 0, Canary)
-	must.NoError(t, register.Write(t.Context(), plan))
-	must.ErrorIs(t, register.Write(t.Context(), plan), store.ErrConflict)
-	read, err := register.Read(t.Context(), "desk")
+	plan := planFor(orderOf(5, "v2"), 0, Canary)
+	must.NoError(t, plans.Write(t.Context(), plan))
+	must.ErrorIs(t, plans.Write(t.Context(), plan), store.ErrConflict)
+	read, err := plans.Read(t.Context(), "desk")
 	must.NoError(t, err)
 	plan.Revision = read.Plan.Revision
 	test.Eq(t, plan, read.Plan)
 	plan.Phase = Switching
-	must.NoError(t, register.Write(t.Context(), plan))
+	must.NoError(t, plans.Write(t.Context(), plan))
 }
--- a/pkg/rollout/recorder.go
+++ b/pkg/rollout/recorder.go
@@ -14,7 +14,7 @@
 type Recorder struct {
 	vm, service string
 	process     uint64
-	// counting lets runs pass without the lock while there is no order.
+	// counting spares runs the lock while there is no order.
 	counting atomic.Bool
 
 	mu      sync.Mutex
@@ -24,13 +24,14 @@
 	routes  map[string]*RouteCounts
 }
 
-// NewRecorder makes the recorder of the daemon process on a VM.
+// NewRecorder returns a recorder that counts nothing until Begin. process identifies the
+// process of the VM's daemon.
 func NewRecorder(vm, service string, process uint64) *Recorder {
 	return &Recorder{vm: vm, service: service, process: process, routes: map[string]*RouteCounts{}}
 }
 
-// Begin starts the counts anew for an order and the version of the backend server; the
-// same ones again change nothing. Order 0 ends the counting.
+// Begin restarts the counts for the revision of an order and the version of the backend
+// server. It does nothing where both are the same as before. Order 0 ends the counting.
 func (r *Recorder) Begin(order uint64, version string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -45,43 +46,44 @@
 // Counting is true while there is an order to count for.
 func (r *Recorder) Counting() bool { return r.counting.Load() }
 
-// Count counts an outcome.
+// Count adds an outcome to the counts of its route.
 func (r *Recorder) Count(o Outcome) {
 	if !r.Counting() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	counts := r.ofRoute(o.Route)
+	counts := r.countsOf(o.Route)
 	counts.Runs++
 	switch {
 	case o.Failed:
 		counts.Failures++
 	case !o.Cold:
-		counts.addTime(o.usualTime())
+		counts.addDuration(o.normalisedDuration())
 	}
 }
 
-// ofRoute returns the counts of a route. Routes beyond the bound share those of the
-// route without a name.
-func (r *Recorder) ofRoute(route string) *RouteCounts {
+// countsOf returns the counts of a route. Routes beyond maxRoutes share the counts of the
+// route with the empty name.
+func (r *Recorder) countsOf(route string) *RouteCounts {
 	if counts, found := r.routes[route]; found {
 		return counts
 	}
-	if len(route) > mostName || len(r.routes) >= mostRoutes-1 {
+	if len(route) > maxNameBytes || len(r.routes) >= maxRoutes-1 {
 		route = ""
 	}
 	counts, found := r.routes[route]
 	if !found {
-		counts = &RouteCounts{Route: route, DurationCounts: make([]uint32, timeSteps)}
+		counts = &RouteCounts{Route: route, DurationCounts: make([]uint32, histogramSteps)}
 		r.routes[route] = counts
 	}
 	return counts
 }
 
-func (c *RouteCounts) addTime(d time.Duration) { c.DurationCounts[timeStep(d)]++ }
+func (c *RouteCounts) addDuration(d time.Duration) { c.DurationCounts[histogramStep(d)]++ }
 
-// Report returns the counts; ok is false while there is no order.
+// Report returns a report with the counts, the revision of the plan that the executor
+// follows and its requests in flight. ok is false while there is no order.
 func (r *Recorder) Report(plan uint64, inFlight int64) (report Report, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/pkg/rollout/recorder_test.go
+++ b/pkg/rollout/recorder_test.go
@@ -10,7 +10,9 @@
 	"github.com/shoenig/test/must"
 )
 
-func TestARecorderCountsFromTheOrderOn(t *testing.T) {
+// TestRecorderCountsWhileThereIsAnOrder also checks which runs count as failed and which
+// durations are in the histogram.
+func TestRecorderCountsWhileThereIsAnOrder(t *testing.T) {
 	r := NewRecorder("vm-1", "desk", 7)
 	r.Count(Outcome{Route: "a"})
 	_, ok := r.Report(1, 0)
@@ -26,8 +28,8 @@
 	a, b := got.Routes[0], got.Routes[1]
 	test.Eq(t, []any{"vm-1", "v2", uint64(7), uint32(1), uint64(9), uint32(3)}, []any{got.VM, got.Version, got.Process, got.Seq, got.Plan, got.InFlight})
 	test.Eq(t, []any{"a", uint32(2), uint32(1)}, []any{a.Route, a.Runs, a.Failures})
-	test.Eq(t, make([]uint32, timeSteps), a.DurationCounts, test.Sprint("failed and cold runs tell no time"))
-	test.Eq(t, uint32(1), b.DurationCounts[timeStep(40*time.Millisecond)])
+	test.Eq(t, make([]uint32, histogramSteps), a.DurationCounts, test.Sprint("durations of failed and cold runs do not count"))
+	test.Eq(t, uint32(1), b.DurationCounts[histogramStep(40*time.Millisecond)])
 	r.Begin(6, "v2")
 	got, _ = r.Report(9, 0)
 	test.SliceEmpty(t, got.Routes)
@@ -36,30 +38,30 @@
 	test.False(t, ok)
 }
 
-func TestRoutesBeyondTheBoundShareOneCount(t *testing.T) {
+func TestRoutesBeyondMaxRoutesShareOneCount(t *testing.T) {
 	r := NewRecorder("vm-1", "desk", 7)
 	r.Begin(5, "v2")
-	for i := range 5 * mostRoutes {
+	for i := range 5 * maxRoutes {
 		r.Count(Outcome{Route: strconv.Itoa(i)})
 	}
 	got, _ := r.Report(1, -1)
-	test.Len(t, mostRoutes, got.Routes)
+	test.Len(t, maxRoutes, got.Routes)
 	test.Eq(t, 0, got.InFlight)
 }
 
-func TestARecorderIsSafeForConcurrentUse(t *testing.T) {
+func TestRecorderIsSafeForConcurrentUse(t *testing.T) {
 	r := NewRecorder("vm-1", "desk", 7)
 	r.Begin(5, "v2")
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		wg.Go(func() {
 			for range 1000 {
 				r.Count(Outcome{Route: "a", Duration: time.Millisecond})
 				r.Report(1, 1)
 			}
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	got, _ := r.Report(1, 0)
 	test.Eq(t, 8000, got.Routes[0].Runs)
 }
--- a/pkg/rollout/replica.go
+++ b/pkg/rollout/replica.go
@@ -7,201 +7,214 @@
 	"slices"
 )
 
-// Replica is what one daemon knows of roll-outs. Only the goroutine that runs the systems
-// touches it. What it holds only ever moves on, by a total order for each part (orders
-// by the revision of their set, plans by Supersedes, stops by their order), so that
-// books that heard the same news in any order hold the same.
+// Replica is one daemon's copy of the state of all roll-outs. Daemons exchange updates,
+// and Merge keeps the newer version of each part: of the orders the set of the higher
+// revision, of a service's plans the one that supersedes the other, of its stops the one
+// of the later order. Replicas that have merged the same updates, in any order, are
+// equal. A Replica is not safe for concurrent use.
 type Replica struct {
-	orders  Orders
-	plans   map[string]Plan
-	stops   map[string]Stop
-	traffic map[string]*TrafficPolicy
-	// lone is the only version that a service has, by service; none where it has more,
-	// or where that is not known.
-	lone map[string]string
-	// news and digest are made anew where something changed.
-	news   Update
-	digest uint64
+	orders Orders
+	// plans, stops and policies are by service.
+	plans    map[string]Plan
+	stops    map[string]Stop
+	policies map[string]*TrafficPolicy
+	// soleVersions holds the version of each service of which this daemon knows exactly
+	// one version.
+	soleVersions map[string]string
+	// snapshot and digest are rebuilt after each change.
+	snapshot Update
+	digest   uint64
 }
 
-// NewReplica makes an empty book.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica {
-	b := &Replica{plans: map[string]Plan{}, stops: map[string]Stop{}, traffic: map[string]*TrafficPolicy{}, lone: map[string]string{}}
-	b.seal()
-	return b
+	r := &Replica{plans: map[string]Plan{}, stops: map[string]Stop{}, policies: map[string]*TrafficPolicy{}, soleVersions: map[string]string{}}
+	r.rebuildSnapshot()
+	return r
 }
 
-// Merge takes over what is newer than what the book holds. It returns the services
-// of which something changed; none where everything was known. News beyond the bounds
-// is passed over.
-func (b *Replica) Merge(news Update) (changed []string) {
-	touched := map[string]bool{}
-	moved := b.takeOrders(news.Orders, touched)
-	for i := range news.Plans {
-		b.takePlan(&news.Plans[i], touched)
+// Merge takes over those parts of an update that are newer than the replica's own, and
+// ignores parts with values out of bounds. It returns the services whose roll-outs
+// changed, sorted; none where the update holds nothing new.
+func (r *Replica) Merge(update Update) (changed []string) {
+	services := map[string]bool{}
+	newOrders := r.mergeOrders(update.Orders, services)
+	for i := range update.Plans {
+		r.mergePlan(&update.Plans[i], services)
 	}
-	for i := range news.Stops {
-		b.takeStop(&news.Stops[i], touched)
+	for i := range update.Stops {
+		r.mergeStop(&update.Stops[i], services)
 	}
-	if !moved && len(touched) == 0 {
+	if !newOrders && len(services) == 0 {
 		return nil
 	}
-	for service := range touched {
-		b.traffic[service] = b.makeTraffic(service)
+	for service := range services {
+		r.policies[service] = r.buildPolicy(service)
 	}
-	b.seal()
-	return slices.Sorted(maps.Keys(touched))
+	r.rebuildSnapshot()
+	return slices.Sorted(maps.Keys(services))
 }
 
-func (b *Replica) takeOrders(orders Orders, touched map[string]bool) (moved bool) {
-	if orders.Revision <= b.orders.Revision || !orders.valid() {
+// mergeOrders replaces the orders by a newer set, and adds the services whose orders
+// differ to changed.
+func (r *Replica) mergeOrders(orders Orders, changed map[string]bool) (replaced bool) {
+	if orders.Revision <= r.orders.Revision || !orders.valid() {
 		return false
 	}
-	before := b.orders
-	b.orders = Orders{Revision: orders.Revision, List: slices.Clone(orders.List)}
+	before := r.orders
+	r.orders = Orders{Revision: orders.Revision, List: slices.Clone(orders.List)}
 	for _, o := range before.List {
-		if now, found := b.orders.Of(o.Service); !found || now != o {
-			touched[o.Service] = true
+		if now, found := r.orders.Of(o.Service); !found || now != o {
+			changed[o.Service] = true
 		}
 	}
-	for _, o := range b.orders.List {
+	for _, o := range r.orders.List {
 		if _, found := before.Of(o.Service); !found {
-			touched[o.Service] = true
+			changed[o.Service] = true
 		}
 	}
-	// A set as new as a plan that holds no order for it says that it was taken away.
-	for service, p := range b.plans {
-		_, found := b.orders.Of(service)
-		if !found && before.Revision < p.Order && p.Order <= b.orders.Revision {
-			touched[service] = true
+	// The new set may also be the first to show that a plan's order was taken away: it is
+	// at least as new as the plan's order and does not hold it.
+	for service, p := range r.plans {
+		_, found := r.orders.Of(service)
+		if !found && before.Revision < p.Order && p.Order <= r.orders.Revision {
+			changed[service] = true
 		}
 	}
 	return true
 }
 
-func (b *Replica) takePlan(p *Plan, touched map[string]bool) {
-	have, known := b.plans[p.Service]
-	if !p.valid() || !known && len(b.plans) >= mostServices || known && !p.Supersedes(&have) {
+// mergePlan replaces the plan of a service by one that supersedes it.
+func (r *Replica) mergePlan(p *Plan, changed map[string]bool) {
+	have, known := r.plans[p.Service]
+	if !p.valid() || !known && len(r.plans) >= maxServices || known && !p.Supersedes(&have) {
 		return
 	}
-	b.plans[p.Service] = *p
-	touched[p.Service] = true
+	r.plans[p.Service] = *p
+	changed[p.Service] = true
 }
 
-func (b *Replica) takeStop(s *Stop, touched map[string]bool) {
-	have, known := b.stops[s.Service]
-	if !s.valid() || !known && len(b.stops) >= mostServices || s.Order <= have.Order {
+// mergeStop replaces the stop of a service by one of a later order.
+func (r *Replica) mergeStop(s *Stop, changed map[string]bool) {
+	have, known := r.stops[s.Service]
+	if !s.valid() || !known && len(r.stops) >= maxServices || s.Order <= have.Order {
 		return
 	}
-	b.stops[s.Service] = *s
-	touched[s.Service] = true
+	r.stops[s.Service] = *s
+	changed[s.Service] = true
 }
 
-// seal makes the news and its digest after a change. The digest leaves causes out:
-// two that stop the same order may give different ones.
-func (b *Replica) seal() {
-	b.news = Update{Orders: b.orders}
+// rebuildSnapshot rebuilds the snapshot and its digest. The digest leaves out the causes
+// of stops: two daemons that stop the same order may give different causes.
+func (r *Replica) rebuildSnapshot() {
+	r.snapshot = Update{Orders: r.orders}
 	h := fnv.New64a()
-	number := func(n uint64) { _, _ = h.Write(binary.BigEndian.AppendUint64(nil, n)) } // a hash's Write never fails
+	number := func(n uint64) { _, _ = h.Write(binary.BigEndian.AppendUint64(nil, n)) } // Write of a hash never fails
 	name := func(s string) {
 		number(uint64(len(s)))
 		_, _ = h.Write([]byte(s))
 	}
-	number(b.orders.Revision)
-	for _, o := range b.orders.List {
+	number(r.orders.Revision)
+	for _, o := range r.orders.List {
 		name(o.Service)
 		name(o.Version)
 		number(o.Revision)
 	}
-	for _, service := range slices.Sorted(maps.Keys(b.plans)) {
-		p := b.plans[service]
-		b.news.Plans = append(b.news.Plans, p)
+	for _, service := range slices.Sorted(maps.Keys(r.plans)) {
+		p := r.plans[service]
+		r.snapshot.Plans = append(r.snapshot.Plans, p)
 		name(service)
 		number(p.Order)
 		number(p.Revision)
 		number(uint64(p.Phase))
 	}
-	number(uint64(len(b.plans)))
-	for _, service := range slices.Sorted(maps.Keys(b.stops)) {
-		b.news.Stops = append(b.news.Stops, b.stops[service])
+	number(uint64(len(r.plans)))
+	for _, service := range slices.Sorted(maps.Keys(r.stops)) {
+		r.snapshot.Stops = append(r.snapshot.Stops, r.stops[service])
 		name(service)
-		number(b.stops[service].Order)
+		number(r.stops[service].Order)
 	}
-	b.digest = h.Sum64()
+	r.digest = h.Sum64()
 }
 
-// Snapshot is all that the book holds, for peers: the same value until something changes.
-func (b *Replica) Snapshot() Update { return b.news }
+// Snapshot returns all orders, plans and stops of the replica, for peers. It returns the
+// same value until the replica changes.
+func (r *Replica) Snapshot() Update { return r.snapshot }
 
-// Digest is one number for News: two books that hold the same have the same.
-func (b *Replica) Digest() uint64 { return b.digest }
+// Digest returns a hash of the snapshot, by which daemons find out whether their
+// replicas are equal.
+func (r *Replica) Digest() uint64 { return r.digest }
 
-// Order is what is known of a service's order; ok is false for nothing.
-func (b *Replica) Order(service string) (order Order, ok bool) { return b.orders.Of(service) }
+// Order returns the order of a service; ok is false where none is known.
+func (r *Replica) Order(service string) (order Order, ok bool) { return r.orders.Of(service) }
 
-// Plan returns the newest plan of a service.
-func (b *Replica) Plan(service string) (plan Plan, ok bool) {
-	plan, ok = b.plans[service]
+// Plan returns the newest plan of a service; ok is false where none is known.
+func (r *Replica) Plan(service string) (plan Plan, ok bool) {
+	plan, ok = r.plans[service]
 	return plan, ok
 }
 
-// Stopped returns the stop of the order in force of a service.
-func (b *Replica) Stopped(service string) (stop Stop, ok bool) {
-	stop, ok = b.stops[service]
-	return stop, ok && stop.Order == b.inForce(service)
+// Stopped returns the stop of a service's current order; ok is false where that order
+// was not stopped.
+func (r *Replica) Stopped(service string) (stop Stop, ok bool) {
+	stop, ok = r.stops[service]
+	return stop, ok && stop.Order == r.currentOrderRevision(service)
 }
 
-// inForce is the revision of the newest order of a service that is known of, from
-// the orders or from its plan; 0: none.
-func (b *Replica) inForce(service string) uint64 {
-	order, _ := b.orders.Of(service)
-	return max(order.Revision, b.plans[service].Order)
+// currentOrderRevision returns the revision of the newest order of a service, which may
+// be known from the orders or from the plan alone; 0 where there is none.
+func (r *Replica) currentOrderRevision(service string) uint64 {
+	order, _ := r.orders.Of(service)
+	return max(order.Revision, r.plans[service].Order)
 }
 
-// Traffic is what the hot path needs for a service; nil: no roll-out of it is known.
-func (b *Replica) Traffic(service string) *TrafficPolicy { return b.traffic[service] }
+// Traffic returns the traffic policy of a service; nil where no roll-out of it is known.
+func (r *Replica) Traffic(service string) *TrafficPolicy { return r.policies[service] }
 
-// SetSoleVersion says which version is the only one that a service has; empty: it has more,
-// or that is not known. It is what this daemon sees, no news for peers. changed is true
-// where it lets another version run.
-func (b *Replica) SetSoleVersion(service, version string) (changed bool) {
-	if b.lone[service] == version {
+// SetSoleVersion sets the only version of which a service has backend servers; empty
+// where it has several or where that is not known. The sole version is what this daemon
+// observes and is not sent to peers. changed is true where the service's traffic policy
+// was rebuilt.
+func (r *Replica) SetSoleVersion(service, version string) (changed bool) {
+	if r.soleVersions[service] == version {
 		return false
 	}
-	b.lone[service] = version
+	r.soleVersions[service] = version
 	if version == "" {
-		delete(b.lone, service)
+		delete(r.soleVersions, service)
 	}
-	if b.traffic[service] == nil {
+	if r.policies[service] == nil {
 		return false
 	}
-	b.traffic[service] = b.makeTraffic(service)
+	r.policies[service] = r.buildPolicy(service)
 	return true
 }
 
-// makeTraffic puts together what is known of a service. No roll-out bars the only
-// version that there is: nobody else would run the requests.
-func (b *Replica) makeTraffic(service string) *TrafficPolicy {
-	t := b.ordered(service)
-	if lone := b.lone[service]; t != nil && lone != "" && !t.carries(lone) {
-		return newTraffic(open, "", without(t.shut, lone), nil, 0)
+// buildPolicy returns the traffic policy of a service; nil where no roll-out of it is
+// known. A roll-out never bars the service's only version, since no other one could run
+// the requests.
+func (r *Replica) buildPolicy(service string) *TrafficPolicy {
+	policy := r.policyFromRollout(service)
+	if sole := r.soleVersions[service]; policy != nil && sole != "" && !policy.permitsAll(sole) {
+		return newTrafficPolicy(modeOpen, "", withoutVersion(policy.barred, sole), nil, 0)
 	}
-	return t
+	return policy
 }
 
-// ordered is the traffic by the orders, plans and stops.
-func (b *Replica) ordered(service string) *TrafficPolicy {
-	order, ordered := b.orders.Of(service)
-	plan, planned := b.plans[service]
+// policyFromRollout returns the policy that follows from the orders, the plan and the
+// stop of a service.
+func (r *Replica) policyFromRollout(service string) *TrafficPolicy {
+	order, ordered := r.orders.Of(service)
+	plan, planned := r.plans[service]
 	switch {
 	case !ordered && !planned:
 		return nil
 	case !planned:
-		return newTraffic(open, "", []string{order.Version}, nil, 0)
+		return newTrafficPolicy(modeOpen, "", []string{order.Version}, nil, 0)
 	case ordered && order.Revision > plan.Order:
-		return trafficBetween(&plan, &order)
-	case !ordered && b.orders.Revision >= plan.Order, b.stops[service].Order >= plan.Order:
-		return trafficLeft(&plan)
+		return policyBeforeFirstPlan(&plan, &order)
+	case !ordered && r.orders.Revision >= plan.Order, r.stops[service].Order >= plan.Order:
+		return policyForAbandonedPlan(&plan)
 	}
-	return trafficOf(&plan)
+	return policyForPlan(&plan)
 }
--- a/pkg/rollout/simulation_test.go
+++ b/pkg/rollout/simulation_test.go
@@ -9,115 +9,121 @@
 	"time"
 )
 
-var rollOuts = flag.Int("rollouts", 60, "roll-outs that TestErrorRates and TestDelays play of each kind")
+var rollOutsPerCase = flag.Int("rollouts", 60, "simulated roll-outs for each case of TestErrorRates, TestDelays and TestEnoughRuns")
 
-const tick = 250 * time.Millisecond
+// tickInterval is the simulated time between two reports of a backend server.
+const tickInterval = 250 * time.Millisecond
 
-// version is how a version runs requests: the part that fails and the part that takes
-// times as long, from a time on, on one route or all ("").
-type version struct {
-	failing, tardy, times float64
-	from                  time.Duration
-	route                 string
+// behaviour is how a version runs requests from a time on, on one route or on all (""):
+// the share that fails, and the share that takes slowFactor times as long.
+type behaviour struct {
+	failureRate, slowRate, slowFactor float64
+	from                              time.Duration
+	route                             string
 }
 
-// load is the requests of a service by route, of which the canary gets a share.
+// load is the load of a service. requestRates are the requests a second of each route,
+// and canaryShare is the share of them that the canary gets.
 type load struct {
-	routes map[string]float64
-	share  float64
-	// work is how long a run takes in the middle.
-	work time.Duration
+	requestRates map[string]float64
+	canaryShare  float64
+	// medianWork is the median duration of a run.
+	medianWork time.Duration
 }
 
-// returns is a service of 20 backend servers at 370 requests a second.
-func returns() load {
-	return load{routes: map[string]float64{"submit": 176, "check": 194}, share: 0.05, work: 100 * time.Millisecond}
+// twoRouteLoad returns the load of a service of 20 backend servers with 370 requests a
+// second.
+func twoRouteLoad() load {
+	return load{requestRates: map[string]float64{"submit": 176, "check": 194}, canaryShare: 0.05, medianWork: 100 * time.Millisecond}
 }
 
-// play is one roll-out as its judge sees it: one canary and the old versions, whose
-// reports are one here.
-type play struct {
-	judge       *Evaluator
+// simulation simulates the reports of one roll-out to its evaluator: those of one canary,
+// and those of the old versions, which come from a single recorder.
+type simulation struct {
+	evaluator   *Evaluator
 	old, target *Recorder
 	rng         *rand.Rand
 	load        load
-	// usual is the part of all runs that fails, struck the part at both versions within
-	// a time.
-	usual, struck        float64
-	struckFrom, struckTo time.Duration
-	// late is true where the old versions' reports come a tick later than the canary's.
-	late  bool
-	onWay Report
-	// each is called with the time of a tick, before its runs.
-	each func(p *play, at time.Duration)
+	// usualFailureRate is the share of all runs that fail. From faultFrom until faultTo
+	// faultRate takes its place, at both versions.
+	usualFailureRate, faultRate float64
+	faultFrom, faultTo          time.Duration
+	// oldReportsLate delays the old versions' reports by a tick.
+	oldReportsLate bool
+	delayedReport  Report
+	// beforeTick is called with the time of each tick, before its runs are added.
+	beforeTick func(s *simulation, at time.Duration)
 }
 
-func newPlay(seed uint64) *play {
+func newSimulation(seed uint64) *simulation {
 	order := orderOf(5, "v2")
-	p := &play{
-		judge: NewEvaluator(order), old: NewRecorder("vm-1", "desk", 1), target: NewRecorder("vm-2", "desk", 1),
-		rng: rand.New(rand.NewPCG(seed, 1)), load: returns(), usual: failureFloor,
+	s := &simulation{
+		evaluator: NewEvaluator(order), old: NewRecorder("vm-1", "desk", 1), target: NewRecorder("vm-2", "desk", 1),
+		rng: rand.New(rand.NewPCG(seed, 1)), load: twoRouteLoad(), usualFailureRate: minFailureRate,
 	}
-	p.old.Begin(order.Revision, "v1")
-	p.target.Begin(order.Revision, "v2")
-	return p
+	s.old.Begin(order.Revision, "v1")
+	s.target.Begin(order.Revision, "v2")
+	return s
 }
 
-// until plays ticks until the version is bad or the time is over, and returns when.
-func (p *play) until(end time.Duration, v version) (verdict Verdict, at time.Duration) {
+// runUntil simulates ticks until the new version is found bad or the time is over. It
+// returns the last verdict and its time.
+func (s *simulation) runUntil(end time.Duration, newVersion behaviour) (verdict Verdict, at time.Duration) {
 	for at < end && !verdict.Bad {
-		verdict, at = p.tick(at, v)
+		verdict, at = s.tick(at, newVersion)
 	}
 	return verdict, at
 }
 
-// tick plays the tick after a time.
-func (p *play) tick(before time.Duration, v version) (Verdict, time.Duration) {
-	at := before + tick
-	if p.each != nil {
-		p.each(p, at)
+// tick simulates the tick after the one at a time, and returns its verdict and its time.
+func (s *simulation) tick(before time.Duration, newVersion behaviour) (Verdict, time.Duration) {
+	at := before + tickInterval
+	if s.beforeTick != nil {
+		s.beforeTick(s, at)
 	}
-	for _, route := range slices.Sorted(maps.Keys(p.load.routes)) {
-		rate := p.load.routes[route]
-		p.run(p.old, route, rate*(1-p.load.share)*tick.Seconds(), at, version{})
-		p.run(p.target, route, rate*p.load.share*tick.Seconds(), at, v)
+	for _, route := range slices.Sorted(maps.Keys(s.load.requestRates)) {
+		rate := s.load.requestRates[route]
+		s.addRuns(s.old, route, rate*(1-s.load.canaryShare)*tickInterval.Seconds(), at, behaviour{})
+		s.addRuns(s.target, route, rate*s.load.canaryShare*tickInterval.Seconds(), at, newVersion)
 	}
-	return p.report(at), at
+	return s.exchangeReports(at), at
 }
 
-func (p *play) report(at time.Duration) Verdict {
+// exchangeReports passes the reports of both versions to the evaluator.
+func (s *simulation) exchangeReports(at time.Duration) Verdict {
 	now := int64(time.Hour + at)
-	target, _ := p.target.Report(1, 0)
-	old, _ := p.old.Report(1, 0)
-	p.judge.AddReport(now, target)
-	if p.late {
-		old, p.onWay = p.onWay, old
+	target, _ := s.target.Report(1, 0)
+	old, _ := s.old.Report(1, 0)
+	s.evaluator.AddReport(now, target)
+	if s.oldReportsLate {
+		old, s.delayedReport = s.delayedReport, old
 	}
-	p.judge.AddReport(now, old)
-	return p.judge.Verdict(now)
+	s.evaluator.AddReport(now, old)
+	return s.evaluator.Verdict(now)
 }
 
-func (p *play) run(r *Recorder, route string, mean float64, at time.Duration, v version) {
+// addRuns adds the runs of one tick at one route to a recorder: mean of them on average.
+func (s *simulation) addRuns(r *Recorder, route string, mean float64, at time.Duration, version behaviour) {
 	n := int(mean)
-	if p.rng.Float64() < mean-float64(n) {
+	if s.rng.Float64() < mean-float64(n) {
 		n++
 	}
-	bad := at >= v.from && (v.route == "" || v.route == route)
+	faulty := at >= version.from && (version.route == "" || version.route == route)
 	for range n {
-		failing := p.usual
-		if at >= p.struckFrom && at < p.struckTo {
-			failing = p.struck
+		failureRate := s.usualFailureRate
+		if at >= s.faultFrom && at < s.faultTo {
+			failureRate = s.faultRate
 		}
-		if bad {
-			failing = max(failing, v.failing)
+		if faulty {
+			failureRate = max(failureRate, version.failureRate)
 		}
-		took := float64(p.load.work) * math.Exp(0.35*p.rng.NormFloat64())
-		if p.rng.Float64() < slowFloor {
-			took *= 5 // a spell that its backend server did not tell of
+		duration := float64(s.load.medianWork) * math.Exp(0.35*s.rng.NormFloat64())
+		if s.rng.Float64() < minSlowRate {
+			duration *= 5 // a slowdown that the backend server did not report
 		}
-		if bad && p.rng.Float64() < v.tardy {
-			took *= v.times
+		if faulty && s.rng.Float64() < version.slowRate {
+			duration *= version.slowFactor
 		}
-		r.Count(Outcome{Route: route, Failed: p.rng.Float64() < failing, Duration: time.Duration(took), StartSlowdown: 100})
+		r.Count(Outcome{Route: route, Failed: s.rng.Float64() < failureRate, Duration: time.Duration(duration), StartSlowdown: 100})
 	}
 }
--- a/pkg/rollout/stop.go
+++ b/pkg/rollout/stop.go
@@ -1,11 +1,11 @@
 package rollout
 
-// Stop makes the word that goes to all daemons of a verdict against the version that
-// an order moves to; ok is false while nothing is told against it.
+// Stop returns the stop that a verdict against the order's version makes, to send to all
+// daemons. ok is false where the verdict is not bad.
 func (v Verdict) Stop(order Order) (stop Stop, ok bool) {
-	return Stop{Service: order.Service, Order: order.Revision, Cause: shortened(v.Cause)}, v.Bad
+	return Stop{Service: order.Service, Order: order.Revision, Cause: truncateCause(v.Cause)}, v.Bad
 }
 
-// Verdict is what a stop means to a decider that has not told it itself. A decider
-// hands it to Decide in place of its own verdict, so that the next plan holds the stop.
+// Verdict returns the verdict that a stop stands for. A daemon that has received a stop
+// passes it to Decide in place of its own verdict, so that the next plan rolls back.
 func (s Stop) Verdict() Verdict { return Verdict{Bad: true, Cause: s.Cause} }
--- a/pkg/rollout/tableplanstore.go
+++ b/pkg/rollout/tableplanstore.go
@@ -9,27 +9,27 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// prefixPlan begins the keys of the plans in the platform's table, where operators use
-// rushramp's own calls. Operators read the state in the plan itself.
-const prefixPlan = "rollout/"
+// planKeyPrefix begins the keys of the plans in the platform's table, on platforms where
+// operators use rushramp's own API. The state that operators read is in the plan itself.
+const planKeyPrefix = "rollout/"
 
-// tableRegister is a Register over a platform's table, which has no clock of its own.
-type tableRegister struct {
+// tablePlanStore is a PlanStore in a platform's table, which has no clock of its own.
+type tablePlanStore struct {
 	table store.Table
 	now   func() time.Duration
 }
 
-// NewTablePlanStore makes the register of a platform's table. now is a clock that all
-// daemons share; where it is their VMs' own, a deadline is off by as much as two of
-// them differ.
+// NewTablePlanStore returns a plan store in a platform's table. now stands for the
+// store's clock and should be the same at all daemons. Where it is the clock of each VM,
+// a deadline is wrong by as much as two of them differ.
 func NewTablePlanStore(table store.Table, now func() time.Duration) PlanStore {
-	return &tableRegister{table: table, now: now}
+	return &tablePlanStore{table: table, now: now}
 }
 
-// Read implements Register.
-func (r *tableRegister) Read(ctx context.Context, service string) (StoredPlan, error) {
-	out := StoredPlan{Now: r.now()}
-	found, err := r.table.Get(ctx, prefixPlan+service)
+// Read implements PlanStore.
+func (s *tablePlanStore) Read(ctx context.Context, service string) (StoredPlan, error) {
+	out := StoredPlan{Now: s.now()}
+	found, err := s.table.Get(ctx, planKeyPrefix+service)
 	if errors.Is(err, store.ErrNotFound) {
 		return out, nil
 	}
@@ -40,11 +40,11 @@
 	return out, err
 }
 
-// Write implements Register.
-func (r *tableRegister) Write(ctx context.Context, plan Plan) error {
+// Write implements PlanStore.
+func (s *tablePlanStore) Write(ctx context.Context, plan Plan) error {
 	value, err := plan.Encode()
 	if err != nil {
 		return err
 	}
-	return r.table.Transact(ctx, []store.Write{{Key: prefixPlan + plan.Service, IfVersion: plan.Revision, Value: value}})
+	return s.table.Transact(ctx, []store.Write{{Key: planKeyPrefix + plan.Service, IfVersion: plan.Revision, Value: value}})
 }
--- a/pkg/rollout/validate.go
+++ b/pkg/rollout/validate.go
@@ -1,24 +1,25 @@
 package rollout
 
-// Bounds on what peers and the store say, so that a damaged word fills no memory.
-// They are some ten times what the largest known deployments need.
+// Bounds on what daemons accept from peers and from the store, so that damaged data
+// cannot fill the memory. They are about ten times what the largest known deployments
+// need.
 const (
-	mostServices = 256
-	mostVersions = 16
-	mostCanaries = 64
-	mostRoutes   = 64
-	mostName     = 256
-	mostCause    = 1024
+	maxServices   = 256
+	maxVersions   = 16
+	maxCanaries   = 64
+	maxRoutes     = 64
+	maxNameBytes  = 256
+	maxCauseBytes = 1024
 )
 
-func isName(s string) bool { return s != "" && len(s) <= mostName }
+func isValidName(s string) bool { return s != "" && len(s) <= maxNameBytes }
 
-func areNames(list []string, most int) bool {
-	if len(list) > most {
+func areValidNames(list []string, maxCount int) bool {
+	if len(list) > maxCount {
 		return false
 	}
 	for _, s := range list {
-		if !isName(s) {
+		if !isValidName(s) {
 			return false
 		}
 	}
@@ -26,12 +27,12 @@
 }
 
 func (o *Order) valid() bool {
-	return isName(o.Service) && isName(o.Version) && o.Revision > 0 && o.Duration > 0
+	return isValidName(o.Service) && isValidName(o.Version) && o.Revision > 0 && o.Duration > 0
 }
 
-// valid is true for a set within bounds whose services are in order, each once.
+// valid also requires that the list is sorted by service and holds each service once.
 func (o Orders) valid() bool {
-	if len(o.List) > mostServices {
+	if len(o.List) > maxServices {
 		return false
 	}
 	for i := range o.List {
@@ -42,16 +43,15 @@
 	return true
 }
 
-// valid is true for a plan within bounds that stands in the store.
+// valid requires a revision, so a plan that was not written to the store is not valid.
 func (p *Plan) valid() bool {
-	return isName(p.Service) && isName(p.Target) && p.Order > 0 && p.Revision > 0 &&
-		p.Phase <= RolledBack && p.PerMille <= 1000 && len(p.Cause) <= mostCause &&
-		areNames(p.Old, mostVersions) && areNames(p.Barred, mostVersions) && areNames(p.Canaries, mostCanaries)
+	return isValidName(p.Service) && isValidName(p.Target) && p.Order > 0 && p.Revision > 0 &&
+		p.Phase <= RolledBack && p.PerMille <= 1000 && len(p.Cause) <= maxCauseBytes &&
+		areValidNames(p.Old, maxVersions) && areValidNames(p.Barred, maxVersions) && areValidNames(p.Canaries, maxCanaries)
 }
 
 func (s *Stop) valid() bool {
-	return isName(s.Service) && s.Order > 0 && len(s.Cause) <= mostCause
+	return isValidName(s.Service) && s.Order > 0 && len(s.Cause) <= maxCauseBytes
 }
 
-// shortened cuts a cause to what peers accept.
-func shortened(cause string) string { return cause[:min(len(cause), mostCause)] }
+func truncateCause(cause string) string { return cause[:min(len(cause), maxCauseBytes)] }
