--- a/pkg/backend/conn.go
+++ b/pkg/backend/conn.go
@@ -11,20 +11,20 @@
 	"github.com/pkg/errors"
 )
 
-// errStray ends a connection on which bytes came while no request was waiting:
+// errUnexpectedBytes ends a connection on which bytes came while no request was waiting:
 // they belong to no request.
-var errStray = errors.New("bytes that belong to no request")
+var errUnexpectedBytes = errors.New("bytes that belong to no request")
 
-// errTooLarge ends a connection whose answer is over the bound.
-var errTooLarge = errors.New("the answer is over the bound")
+// errBodyTooLarge ends a connection whose answer is over the bound.
+var errBodyTooLarge = errors.New("the answer is over the bound")
 
 // exchange is one request on its connection.
 type exchange struct {
 	id   string
-	head *http.Request
-	// answers has room for the one answer, failed for the one error.
-	answers chan *http.Response
-	failed  chan error
+	request *http.Request
+	// response has room for the one answer, failed for the one error.
+	response chan *http.Response
+	failure  chan error
 }
 
 // conn is one connection to the backend server. It carries one request at a
@@ -34,55 +34,55 @@
 	net.Conn
 	reader   *bufio.Reader
 	idHeader string
-	maxBody  int64
+	maxBodyBytes  int64
 	lastUsed int64
 
 	mu      sync.Mutex
 	current *exchange
-	broken  error
+	closeErr  error
 }
 
 func newConn(c net.Conn, idHeader string, maxBody int) *conn {
-	out := &conn{Conn: c, reader: bufio.NewReader(c), idHeader: idHeader, maxBody: int64(maxBody)}
+	out := &conn{Conn: c, reader: bufio.NewReader(c), idHeader: idHeader, maxBodyBytes: int64(maxBody)}
 	go out.readLoop()
 	return out
 }
 
-// begin makes ex the request that the next answer belongs to; false when the
+// startExchange makes ex the request that the next answer belongs to; false when the
 // connection has ended: then nothing of the request was sent.
-func (c *conn) begin(ex *exchange) bool {
+func (c *conn) startExchange(ex *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken != nil {
+	if c.closeErr != nil {
 		return false
 	}
 	c.current = ex
 	return true
 }
 
-// usable is true for an idle connection that has not ended.
-func (c *conn) usable() bool {
+// isOpen is true for an idle connection that has not ended.
+func (c *conn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken == nil
+	return c.closeErr == nil
 }
 
-// fail ends the connection and the request that waits on it.
-func (c *conn) fail(cause error) {
+// closeWithError ends the connection and the request that waits on it.
+func (c *conn) closeWithError(cause error) {
 	c.mu.Lock()
-	if c.broken == nil {
-		c.broken = cause
+	if c.closeErr == nil {
+		c.closeErr = cause
 	}
 	ex := c.current
 	c.current = nil
 	c.mu.Unlock()
 	_ = c.Close()
 	if ex != nil {
-		ex.failed <- cause
+		ex.failure <- cause
 	}
 }
 
-func (c *conn) waiting() *exchange {
+func (c *conn) currentExchange() *exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current
@@ -90,24 +90,24 @@
 
 func (c *conn) readLoop() {
 	for {
-		if err := c.readOne(); err != nil {
-			c.fail(err)
+		if err := c.readResponse(); err != nil {
+			c.closeWithError(err)
 			return
 		}
 	}
 }
 
-// readOne reads one answer. An answer to an older request, which may come late
+// readResponse reads one answer. An answer to an older request, which may come late
 // in the place of the next one, is read to its end and dropped.
-func (c *conn) readOne() error {
+func (c *conn) readResponse() error {
 	if _, err := c.reader.Peek(1); err != nil {
 		return err
 	}
-	ex := c.waiting()
+	ex := c.currentExchange()
 	if ex == nil {
-		return errStray
+		return errUnexpectedBytes
 	}
-	resp, err := http.ReadResponse(c.reader, ex.head)
+	resp, err := http.ReadResponse(c.reader, ex.request)
 	if err != nil {
 		return err
 	}
@@ -115,18 +115,18 @@
 		return nil
 	}
 	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err != nil {
 		return errors.Wrap(err, "answer cut")
 	}
-	if int64(len(body)) > c.maxBody {
-		return errTooLarge
+	if int64(len(body)) > c.maxBodyBytes {
+		return errBodyTooLarge
 	}
 	resp.Body = io.NopCloser(bytes.NewReader(body))
 	last := resp.Close || unframed
 	if resp.Header.Get(c.idHeader) != ex.id {
 		if last {
-			return errStray
+			return errUnexpectedBytes
 		}
 		return nil
 	}
@@ -140,10 +140,10 @@
 	c.current = nil
 	var end error
 	if last || c.reader.Buffered() > 0 {
-		end = errStray
-		c.broken = end
+		end = errUnexpectedBytes
+		c.closeErr = end
 	}
 	c.mu.Unlock()
-	ex.answers <- resp
+	ex.response <- resp
 	return end
 }
--- a/pkg/backend/health_checker.go
+++ b/pkg/backend/health_checker.go
@@ -9,16 +9,16 @@
 )
 
 const (
-	// checkPause is how long nothing is asked after a check that failed or that
+	// minCheckPause is how long nothing is asked after a check that failed or that
 	// outlasted CheckerOptions.Within; it doubles up to longestCheckPause while
 	// checks go on failing, and ends with the first that does not: the watch goes
 	// on asking. A backend server that hangs costs each starting
 	// request Within once a pause.
-	checkPause        = 500 * time.Millisecond
-	longestCheckPause = 8 * time.Second
-	// checkBurst is how many seconds of checks may be saved up: spells of noise
+	minCheckPause        = 500 * time.Millisecond
+	maxCheckPause = 8 * time.Second
+	// checkBurstSeconds is how many seconds of checks may be saved up: spells of noise
 	// come in groups.
-	checkBurst = 2
+	checkBurstSeconds = 2
 )
 
 // HealthCheckerOptions bound what health checks cost.
@@ -40,16 +40,16 @@
 type HealthChecker struct {
 	opts  HealthCheckerOptions
 	check func(context.Context) error
-	limit *rate.Limiter
+	limiter *rate.Limiter
 
 	mu sync.Mutex
-	// waiting are those who wait for the check under way.
-	waiting []func()
-	// busy is true while a check is under way, late once it outlasted Within.
-	busy bool
-	late bool
-	// pause is the length of the next pause; resumeAt ends the present one.
-	pause    time.Duration
+	// waiters are those who wait for the check under way.
+	waiters []func()
+	// running is true while a check is under way, late once it outlasted Within.
+	running bool
+	timedOut bool
+	// nextPause is the length of the next nextPause; resumeAt ends the present one.
+	nextPause    time.Duration
 	resumeAt time.Time
 }
 
@@ -57,8 +57,8 @@
 // it returns.
 func NewHealthChecker(opts HealthCheckerOptions, check func(context.Context) error) *HealthChecker {
 	return &HealthChecker{
-		opts: opts, check: check, pause: checkPause,
-		limit: rate.NewLimiter(rate.Limit(opts.MaxPerSecond), checkBurst*opts.MaxPerSecond),
+		opts: opts, check: check, nextPause: minCheckPause,
+		limiter: rate.NewLimiter(rate.Limit(opts.MaxPerSecond), checkBurstSeconds*opts.MaxPerSecond),
 	}
 }
 
@@ -71,12 +71,12 @@
 	defer c.mu.Unlock()
 	now := time.Now()
 	switch {
-	case c.busy && c.late:
+	case c.running && c.timedOut:
 		return false
-	case !c.busy && (now.Before(c.resumeAt) || !c.limit.AllowN(now, 1)):
+	case !c.running && (now.Before(c.resumeAt) || !c.limiter.AllowN(now, 1)):
 		return false
 	}
-	c.join(done)
+	c.addWaiter(done)
 	return true
 }
 
@@ -87,30 +87,30 @@
 func (c *HealthChecker) ForceCheck(done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.join(done)
+	c.addWaiter(done)
 }
 
-// join adds one who waits, and begins a check where none is under way; the lock
+// addWaiter adds one who waits, and begins a check where none is under way; the lock
 // is held.
-func (c *HealthChecker) join(done func()) {
-	c.waiting = append(c.waiting, done)
-	if c.busy {
+func (c *HealthChecker) addWaiter(done func()) {
+	c.waiters = append(c.waiters, done)
+	if c.running {
 		return
 	}
-	c.busy, c.late = true, false
+	c.running, c.timedOut = true, false
 	go c.run()
 }
 
 // run makes one check.
 func (c *HealthChecker) run() {
 	began := time.Now()
-	timer := time.AfterFunc(c.opts.MaxWait, c.giveUp)
+	timer := time.AfterFunc(c.opts.MaxWait, c.onTimeout)
 	err := c.check(context.Background())
 	timer.Stop()
 	c.mu.Lock()
-	c.busy = false
-	pause, turned := c.notePause(err != nil || c.late)
-	waiting := c.take()
+	c.running = false
+	pause, turned := c.updatePause(err != nil || c.timedOut)
+	waiting := c.takeWaiters()
 	c.mu.Unlock()
 	if turned && c.opts.OnPauseChange != nil {
 		c.opts.OnPauseChange(pause, time.Since(began), err)
@@ -118,32 +118,32 @@
 	callAll(waiting)
 }
 
-// giveUp lets those go on who wait for a check that outlasts its time.
-func (c *HealthChecker) giveUp() {
+// onTimeout lets those go on who wait for a check that outlasts its time.
+func (c *HealthChecker) onTimeout() {
 	c.mu.Lock()
-	c.late = c.busy
-	waiting := c.take()
+	c.timedOut = c.running
+	waiting := c.takeWaiters()
 	c.mu.Unlock()
 	callAll(waiting)
 }
 
-// notePause sets the pause that follows a check; the lock is held. turned is true
+// updatePause sets the pause that follows a check; the lock is held. turned is true
 // when checks begin to be paused, or are no longer.
-func (c *HealthChecker) notePause(failed bool) (pause time.Duration, turned bool) {
-	before := c.pause
+func (c *HealthChecker) updatePause(failed bool) (pause time.Duration, turned bool) {
+	before := c.nextPause
 	if !failed {
-		c.pause, c.resumeAt = checkPause, time.Time{}
-		return 0, before != checkPause
+		c.nextPause, c.resumeAt = minCheckPause, time.Time{}
+		return 0, before != minCheckPause
 	}
-	c.resumeAt = time.Now().Add(c.pause)
-	c.pause = min(2*c.pause, longestCheckPause)
-	return before, before == checkPause
+	c.resumeAt = time.Now().Add(c.nextPause)
+	c.nextPause = min(2*c.nextPause, maxCheckPause)
+	return before, before == minCheckPause
 }
 
-// take empties the list of those who wait; the lock is held.
-func (c *HealthChecker) take() []func() {
-	out := c.waiting
-	c.waiting = nil
+// takeWaiters empties the list of those who wait; the lock is held.
+func (c *HealthChecker) takeWaiters() []func() {
+	out := c.waiters
+	c.waiters = nil
 	return out
 }
 
--- a/pkg/backend/health_checker_test.go
+++ b/pkg/backend/health_checker_test.go
@@ -12,49 +12,49 @@
 	"github.com/shoenig/test"
 )
 
-// checks is a health path that answers after a while, or fails.
-type checks struct {
-	made  atomic.Int64
-	takes time.Duration
+// fakeHealthPath is a health path that answers after a while, or fails.
+type fakeHealthPath struct {
+	calls  atomic.Int64
+	delay time.Duration
 	err   error
 }
 
-func (c *checks) check(context.Context) error {
-	c.made.Add(1)
-	time.Sleep(c.takes)
+func (c *fakeHealthPath) check(context.Context) error {
+	c.calls.Add(1)
+	time.Sleep(c.delay)
 	return c.err
 }
 
-const within = 8 * time.Millisecond
+const maxWait = 8 * time.Millisecond
 
-func newTestChecker(c *checks, perSecond int) *HealthChecker {
-	return NewHealthChecker(HealthCheckerOptions{MaxWait: within, MaxPerSecond: perSecond}, c.check)
+func newTestChecker(c *fakeHealthPath, perSecond int) *HealthChecker {
+	return NewHealthChecker(HealthCheckerOptions{MaxWait: maxWait, MaxPerSecond: perSecond}, c.check)
 }
 
 func TestAChecksAnswerIsShared(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		path := &checks{takes: time.Millisecond}
+		path := &fakeHealthPath{delay: time.Millisecond}
 		checker := newTestChecker(path, 40)
 		var told atomic.Int64
 		for range 5 {
 			test.True(t, checker.Check(func() { told.Add(1) }))
 		}
 		time.Sleep(2 * time.Millisecond)
-		test.Eq(t, 1, path.made.Load())
+		test.Eq(t, 1, path.calls.Load())
 		test.Eq(t, 5, told.Load())
 	})
 }
 
 func TestChecksKeepToTheirRate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		path := &checks{}
+		path := &fakeHealthPath{}
 		checker := newTestChecker(path, 40)
 		const seconds = 20
 		for range seconds * 1000 {
 			checker.Check(func() {})
 			time.Sleep(time.Millisecond)
 		}
-		test.Between(t, seconds*39, path.made.Load(), (seconds+checkBurst)*40)
+		test.Between(t, seconds*39, path.calls.Load(), (seconds+checkBurstSeconds)*40)
 	})
 }
 
@@ -62,7 +62,7 @@
 // milliseconds, and nobody waits again before a pause, which grows.
 func TestAHungHealthPathHoldsNobodyUp(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		path := &checks{takes: 400 * time.Millisecond}
+		path := &fakeHealthPath{delay: 400 * time.Millisecond}
 		checker := newTestChecker(path, 40)
 		began := time.Now()
 		var mu sync.Mutex
@@ -79,17 +79,17 @@
 		mu.Lock()
 		defer mu.Unlock()
 		for _, w := range waited {
-			test.LessEq(t, within, w)
+			test.LessEq(t, maxWait, w)
 		}
 		// Begun at 0, 0.9 and 2.3 s; three callers each came before it was late.
-		test.Eq(t, 3, path.made.Load())
+		test.Eq(t, 3, path.calls.Load())
 		test.Len(t, 9, waited)
 	})
 }
 
 func TestAFailedCheckPausesAndAGoodOneEndsThat(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		path := &checks{err: errors.New("reset")}
+		path := &fakeHealthPath{err: errors.New("reset")}
 		checker := newTestChecker(path, 40)
 		ask := func() bool {
 			allowed := checker.Check(func() {})
@@ -98,7 +98,7 @@
 		}
 		test.True(t, ask())
 		test.False(t, ask())
-		time.Sleep(checkPause)
+		time.Sleep(minCheckPause)
 		path.err = nil
 		test.True(t, ask())
 		test.True(t, ask())
@@ -109,14 +109,14 @@
 // pace than how fast it is.
 func TestTheWatchIsNotPaused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		path := &checks{err: errors.New("refused")}
+		path := &fakeHealthPath{err: errors.New("refused")}
 		checker := newTestChecker(path, 0)
 		test.False(t, checker.Check(func() {}), test.Sprint("no rate is allowed"))
 		for range 3 {
 			checker.ForceCheck(func() {})
 			synctest.Wait()
 		}
-		test.Eq(t, 3, path.made.Load())
+		test.Eq(t, 3, path.calls.Load())
 	})
 }
 
@@ -124,10 +124,10 @@
 // connections for a second, and answers now.
 func TestTheWatchEndsAPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		path := &checks{err: errors.New("refused")}
+		path := &fakeHealthPath{err: errors.New("refused")}
 		var pauses []time.Duration
 		checker := NewHealthChecker(HealthCheckerOptions{
-			MaxWait: within, MaxPerSecond: 40,
+			MaxWait: maxWait, MaxPerSecond: 40,
 			OnPauseChange: func(pause, _ time.Duration, _ error) { pauses = append(pauses, pause) },
 		}, path.check)
 		watch := func() {
@@ -141,6 +141,6 @@
 		path.err = nil
 		watch()
 		test.True(t, checker.Check(func() {}))
-		test.Eq(t, []time.Duration{checkPause, 0}, pauses)
+		test.Eq(t, []time.Duration{minCheckPause, 0}, pauses)
 	})
 }
--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -15,8 +15,8 @@
 	StartedAtMS int64
 }
 
-// bornMark stands between id and start in the text of an incarnation.
-const bornMark = "@"
+// startSeparator stands between id and start in the text of an incarnation.
+const startSeparator = "@"
 
 // String is the incarnation as it stands in log lines, frames and keys of the store: the
 // id alone where the start is not known, as daemons of the release before have it.
@@ -24,24 +24,24 @@
 	if i.StartedAtMS == 0 {
 		return i.ID
 	}
-	return i.ID + bornMark + strconv.FormatInt(i.StartedAtMS, 10)
+	return i.ID + startSeparator + strconv.FormatInt(i.StartedAtMS, 10)
 }
 
 // ParseIncarnation reads the text of an incarnation. One whose end is no start is an id.
 func ParseIncarnation(text string) Incarnation {
-	at := strings.LastIndex(text, bornMark)
+	at := strings.LastIndex(text, startSeparator)
 	if at < 0 {
 		return Incarnation{ID: text}
 	}
-	born, err := strconv.ParseInt(text[at+len(bornMark):], 10, 64)
+	born, err := strconv.ParseInt(text[at+len(startSeparator):], 10, 64)
 	if err != nil || born <= 0 {
 		return Incarnation{ID: text}
 	}
 	return Incarnation{ID: text[:at], StartedAtMS: born}
 }
 
-// mayBe is true where two words may be of one life: one that says no start may be of any.
-func (i Incarnation) mayBe(other Incarnation) bool {
+// mayEqual is true where two words may be of one life: one that says no start may be of any.
+func (i Incarnation) mayEqual(other Incarnation) bool {
 	return i.ID == other.ID && (i.StartedAtMS == other.StartedAtMS || i.StartedAtMS == 0 || other.StartedAtMS == 0)
 }
 
--- a/pkg/backend/incarnation_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -32,16 +32,16 @@
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 40, Version: "v1", ColdFor: time.Second})
 	must.True(t, l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 41, Version: "v1", Leaving: true}))
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordInstanceID(3*second, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(4*second, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1, Version: "v2", ColdFor: 3 * time.Second})
-	accepting(t, l, "a@200")
+	expectAccepting(t, l, "a@200")
 	test.Eq(t, "v2", l.Version())
 	test.Eq(t, 7*second, l.ColdPeriod().LatestEnd)
 	// A health answer names the id only.
 	l.RecordInstanceID(5*second, "a")
-	accepting(t, l, "a@200")
+	expectAccepting(t, l, "a@200")
 }
 
 // TestALateWordOfTheLifeBeforeEndsNothing: from itself, a peer or the store.
@@ -50,14 +50,14 @@
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 40})
 	l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1})
 	must.True(t, l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 41, Leaving: true}))
-	accepting(t, l, "a@200")
+	expectAccepting(t, l, "a@200")
 	l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 42, Version: "old"})
-	accepting(t, l, "a@200")
+	expectAccepting(t, l, "a@200")
 	must.False(t, l.RecordDeparture(4*second, Incarnation{ID: "a", StartedAtMS: 100}))
 	must.False(t, l.RecordDeparture(4*second, Incarnation{ID: "a", StartedAtMS: 50}))
-	accepting(t, l, "a@200")
+	expectAccepting(t, l, "a@200")
 	must.True(t, l.RecordDeparture(5*second, Incarnation{ID: "a", StartedAtMS: 200}))
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 }
 
 // TestTwoStartsInASecond in whatever order their words come.
@@ -66,9 +66,9 @@
 	l.RecordHeartbeat(1, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 9})
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 700, Sequence: 1})
 	l.RecordHeartbeat(3, Heartbeat{InstanceID: "a", StartedAtMS: 400, Sequence: 1})
-	accepting(t, l, "a@700")
+	expectAccepting(t, l, "a@700")
 	l.RecordHeartbeat(4, Heartbeat{InstanceID: "a", StartedAtMS: 400, Sequence: 2, Leaving: true})
-	accepting(t, l, "a@700")
+	expectAccepting(t, l, "a@700")
 }
 
 // TestAStartThatGoesBack: the clock was set back before the process started again. It is
@@ -78,18 +78,18 @@
 	l.RecordHeartbeat(0, Heartbeat{InstanceID: "a", StartedAtMS: 500, Sequence: 9})
 	for n := range 4 {
 		l.RecordHeartbeat(int64(1+n)*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: uint64(1 + n)})
-		accepting(t, l, "a@500")
+		expectAccepting(t, l, "a@500")
 	}
 	l.RecordHeartbeat(6*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: 5})
-	accepting(t, l, "a@300")
+	expectAccepting(t, l, "a@300")
 	must.True(t, l.RecordHeartbeat(7*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: 6, Leaving: true}))
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	// While the other one speaks, it stays.
 	l = NewLifecycle(true, nil)
 	for n := range 20 {
 		l.RecordHeartbeat(int64(n)*second, Heartbeat{InstanceID: "a", StartedAtMS: 500, Sequence: uint64(n + 1)})
 		l.RecordHeartbeat(int64(n)*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: uint64(n + 1)})
-		accepting(t, l, "a@500")
+		expectAccepting(t, l, "a@500")
 	}
 }
 
@@ -98,30 +98,30 @@
 func TestAWordWithoutAStart(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
-	accepting(t, l, "a")
+	expectAccepting(t, l, "a")
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 1})
-	accepting(t, l, "a@100")
+	expectAccepting(t, l, "a@100")
 	l.RecordHeartbeat(3, Heartbeat{InstanceID: "a", Sequence: 7})
-	accepting(t, l, "a@100")
+	expectAccepting(t, l, "a@100")
 	must.True(t, l.RecordDeparture(4, Incarnation{ID: "a"}))
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(5, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1})
-	accepting(t, l, "a@200")
+	expectAccepting(t, l, "a@200")
 
 	// A daemon that knows neither life keeps to a departure until a later one shows itself.
 	l = NewLifecycle(true, nil)
 	l.RecordDeparture(1, Incarnation{ID: "a", StartedAtMS: 100})
 	l.RecordInstanceID(2, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(3, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 50})
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(4, Heartbeat{InstanceID: "a", StartedAtMS: 101, Sequence: 1})
-	accepting(t, l, "a@101")
+	expectAccepting(t, l, "a@101")
 	// That of a daemon of the release before is of any life.
 	l = NewLifecycle(true, nil)
 	l.RecordDeparture(1, Incarnation{ID: "a"})
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 1})
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 }
 
 // TestALifeUnderAnIdThatWasReplaced: another id was seen at the address in between.
@@ -130,9 +130,9 @@
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 9})
 	l.RecordInstanceID(2*second, "b")
 	l.RecordHeartbeat(10*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 10})
-	accepting(t, l, "b")
+	expectAccepting(t, l, "b")
 	l.RecordHeartbeat(11*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: 1})
-	accepting(t, l, "a@300")
+	expectAccepting(t, l, "a@300")
 }
 
 // TestNoLifeThatSaidItLeavesIsUsed, whatever words come in whatever order, while no clock
--- a/pkg/backend/lifecycle.go
+++ b/pkg/backend/lifecycle.go
@@ -6,19 +6,19 @@
 )
 
 const (
-	// rememberDepartures is how long the id of a process that said it leaves is
+	// endRetention is how long the id of a process that said it leaves is
 	// remembered. It is far longer than any such process lives on.
-	rememberDepartures = 5 * time.Minute
-	// confirmedFor is how long a sign of life of one incarnation outweighs a
+	endRetention = 5 * time.Minute
+	// confirmationPeriod is how long a sign of life of one incarnation outweighs a
 	// heartbeat of another one, which may come seconds late.
-	confirmedFor = 2 * time.Second
-	// longestCold bounds what a backend server says of its being cold: one that is
+	confirmationPeriod = 2 * time.Second
+	// maxColdTime bounds what a backend server says of its being cold: one that is
 	// wrong by more must not be held to few starts for long. Those of the users' sites
 	// are cold for three seconds.
-	longestCold = time.Minute
-	// downAfter is how many connections in a row must be refused before the
+	maxColdTime = time.Minute
+	// connectFailuresUntilDown is how many connections in a row must be refused before the
 	// backend server counts as down.
-	downAfter = 2
+	connectFailuresUntilDown = 2
 )
 
 // State is what the daemon believes of its backend server.
@@ -85,34 +85,34 @@
 	mu      sync.Mutex
 	current Incarnation
 	state   State
-	// informed is true once all departures that could matter are known: a
+	// departuresKnown is true once all departures that could matter are known: a
 	// daemon that was started again may have acknowledged one before.
-	informed bool
-	// seenAt is the last sign of life of the current incarnation.
-	seenAt int64
+	departuresKnown bool
+	// lastSeenAt is the last sign of life of the current incarnation.
+	lastSeenAt int64
 	cold   ColdPeriod
-	// lives are the incarnations that have sent heartbeats.
-	lives map[Incarnation]*life
+	// histories are the incarnations that have sent heartbeats.
+	histories map[Incarnation]*heartbeatHistory
 	// departed and replaced are by id. The first have said that they leave; after the
 	// others another id was seen at the address, and a heartbeat that a cut held back
 	// does not bring one of them back.
-	departed map[string]end
-	replaced map[string]end
-	refusals int
-	// changed is called without the lock after each change of the belief.
-	changed func(of Incarnation, state State)
+	departed map[string]endRecord
+	replaced map[string]endRecord
+	connectFailures int
+	// onChange is called without the lock after each change of the belief.
+	onChange func(of Incarnation, state State)
 }
 
-// end is that of the lives under an id, up to the one that began at born; 0: of any of
+// endRecord is that of the lives under an id, up to the one that began at born; 0: of any of
 // them.
-type end struct {
-	born int64
-	at   int64
+type endRecord struct {
+	startedAtMS int64
+	recordedAt   int64
 }
 
-// has is true for an incarnation that may be one of those which have ended.
-func (e end) has(i Incarnation) bool {
-	return e.born == 0 || i.StartedAtMS == 0 || i.StartedAtMS <= e.born
+// covers is true for an incarnation that may be one of those which have ended.
+func (e endRecord) covers(i Incarnation) bool {
+	return e.startedAtMS == 0 || i.StartedAtMS == 0 || i.StartedAtMS <= e.startedAtMS
 }
 
 // NewLifecycle makes the lifecycle of a backend server that has not been seen.
@@ -122,7 +122,7 @@
 	if changed == nil {
 		changed = func(Incarnation, State) {}
 	}
-	return &Lifecycle{informed: informed, changed: changed, lives: map[Incarnation]*life{}, departed: map[string]end{}, replaced: map[string]end{}}
+	return &Lifecycle{departuresKnown: informed, onChange: changed, histories: map[Incarnation]*heartbeatHistory{}, departed: map[string]endRecord{}, replaced: map[string]endRecord{}}
 }
 
 // Accepting returns the incarnation that may get requests now; ok is false when
@@ -130,7 +130,7 @@
 func (l *Lifecycle) Accepting() (current Incarnation, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.current, l.informed && l.state == Live
+	return l.current, l.departuresKnown && l.state == Live
 }
 
 // Current returns the incarnation and what is believed of it.
@@ -161,158 +161,158 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if id == l.current.ID {
-		l.cold = ColdPeriod{LatestEnd: coldTill(now, coldFor), EarliestEnd: coldTill(asked, coldFor), CheckedAt: asked}
+		l.cold = ColdPeriod{LatestEnd: coldEnd(now, coldFor), EarliestEnd: coldEnd(asked, coldFor), CheckedAt: asked}
 	}
 }
 
-// coldTill is until when a backend server is cold that says so for a time.
-func coldTill(now int64, coldFor time.Duration) int64 {
-	return now + int64(min(max(coldFor, 0), longestCold))
+// coldEnd is until when a backend server is cold that says so for a time.
+func coldEnd(now int64, coldFor time.Duration) int64 {
+	return now + int64(min(max(coldFor, 0), maxColdTime))
 }
 
 // RecordDeparturesKnown notes that all departures that could matter are known.
 func (l *Lifecycle) RecordDeparturesKnown() {
-	l.change(func() { l.informed = true })
+	l.update(func() { l.departuresKnown = true })
 }
 
 // DeparturesKnown is true once all departures that could matter are known.
 func (l *Lifecycle) DeparturesKnown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.informed
+	return l.departuresKnown
 }
 
-// change runs do under the lock and tells of what changed for others.
-func (l *Lifecycle) change(do func()) {
+// update runs do under the lock and tells of what changed for others.
+func (l *Lifecycle) update(do func()) {
 	l.mu.Lock()
-	was, oldState, oldInformed, oldVersion := l.current, l.state, l.informed, l.version()
+	was, oldState, oldInformed, oldVersion := l.current, l.state, l.departuresKnown, l.version()
 	do()
 	current, state := l.current, l.state
-	same := current == was && state == oldState && l.informed == oldInformed && l.version() == oldVersion
+	same := current == was && state == oldState && l.departuresKnown == oldInformed && l.version() == oldVersion
 	l.mu.Unlock()
 	if !same {
-		l.changed(current, state)
+		l.onChange(current, state)
 	}
 }
 
 // RecordHeartbeat takes an announcement. It returns true when the announcement says
 // for the first time that the incarnation leaves.
 func (l *Lifecycle) RecordHeartbeat(now int64, h Heartbeat) (departed bool) {
-	l.change(func() {
+	l.update(func() {
 		of := h.Incarnation()
-		late := l.hear(now, &h)
+		late := l.recordHistory(now, &h)
 		switch {
 		case h.Leaving:
-			departed = l.depart(now, of)
-		case !late && l.mayShow(now, of):
-			l.show(now, of)
-			l.takeColdHeartbeat(coldTill(now, h.ColdFor))
+			departed = l.markDeparted(now, of)
+		case !late && l.mayBecomeCurrent(now, of):
+			l.markSeen(now, of)
+			l.extendCold(coldEnd(now, h.ColdFor))
 		}
 	})
 	return departed
 }
 
-// takeColdHeartbeat takes over what a heartbeat says: it may only make the cold time
+// extendCold takes over what a heartbeat says: it may only make the cold time
 // longer.
-func (l *Lifecycle) takeColdHeartbeat(till int64) {
+func (l *Lifecycle) extendCold(till int64) {
 	if till > l.cold.LatestEnd {
 		l.cold.LatestEnd, l.cold.EarliestEnd, l.cold.FromHeartbeat = till, till, true
 	}
 }
 
-// mayShow is true where a heartbeat may make its sender the current incarnation.
-func (l *Lifecycle) mayShow(now int64, of Incarnation) bool {
+// mayBecomeCurrent is true where a heartbeat may make its sender the current incarnation.
+func (l *Lifecycle) mayBecomeCurrent(now int64, of Incarnation) bool {
 	switch {
-	case of.mayBe(l.current):
+	case of.mayEqual(l.current):
 		// A word without a start does not make that of the current one unknown.
 		return of.StartedAtMS != 0 || l.current.StartedAtMS == 0
 	case of.startedAfter(l.current):
 		return true
 	case of.ID == l.current.ID:
-		return l.isStepped(now, of)
+		return l.startedAfterClockStep(now, of)
 	}
 	gone, replaced := l.replaced[of.ID]
-	return !(replaced && gone.has(of)) && !l.confirmed(now)
+	return !(replaced && gone.covers(of)) && !l.recentlySeen(now)
 }
 
-// confirmed is true while the current incarnation has shown itself lately.
-func (l *Lifecycle) confirmed(now int64) bool {
-	return l.state == Live && now-l.seenAt < int64(confirmedFor)
+// recentlySeen is true while the current incarnation has shown itself lately.
+func (l *Lifecycle) recentlySeen(now int64) bool {
+	return l.state == Live && now-l.lastSeenAt < int64(confirmationPeriod)
 }
 
-// show notes a sign of life. An incarnation that said it leaves stays so.
-func (l *Lifecycle) show(now int64, of Incarnation) {
+// markSeen notes a sign of life. An incarnation that said it leaves stays so.
+func (l *Lifecycle) markSeen(now int64, of Incarnation) {
 	if of.ID == "" {
 		return
 	}
-	if gone, known := l.departed[of.ID]; known && gone.has(of) {
+	if gone, known := l.departed[of.ID]; known && gone.covers(of) {
 		if l.current.ID == "" || l.current.ID == of.ID {
 			l.current, l.state = of, Leaving
 		}
 		return
 	}
-	if !of.mayBe(l.current) {
+	if !of.mayEqual(l.current) {
 		l.cold = ColdPeriod{}
 	}
-	l.current, l.state, l.seenAt, l.refusals = of, Live, now, 0
+	l.current, l.state, l.lastSeenAt, l.connectFailures = of, Live, now, 0
 }
 
-// replace notes a first-hand sign of life, which ends any other id at the address. It
+// confirmInstanceID notes a first-hand sign of life, which ends any other id at the address. It
 // names an id only: the life under it is the newest that was heard of.
-func (l *Lifecycle) replace(now int64, id string) {
+func (l *Lifecycle) confirmInstanceID(now int64, id string) {
 	if id == l.current.ID {
-		l.show(now, l.current)
+		l.markSeen(now, l.current)
 		return
 	}
 	if id != "" {
-		l.replaced[l.current.ID] = end{born: l.current.StartedAtMS, at: now}
+		l.replaced[l.current.ID] = endRecord{startedAtMS: l.current.StartedAtMS, recordedAt: now}
 	}
-	l.show(now, l.newestOf(id))
+	l.markSeen(now, l.newestIncarnation(id))
 }
 
 // RecordInstanceID takes an answer that names the incarnation's id, as that of the health path
 // does: it is first-hand, so it goes before any heartbeat.
 func (l *Lifecycle) RecordInstanceID(now int64, id string) {
-	l.change(func() { l.replace(now, id) })
+	l.update(func() { l.confirmInstanceID(now, id) })
 }
 
 // RecordAnswer notes a sign of life of the current incarnation.
 func (l *Lifecycle) RecordAnswer(now int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.seenAt, l.refusals = now, 0
+	l.lastSeenAt, l.connectFailures = now, 0
 }
 
 // RecordDeparture takes the word that an incarnation leaves, from itself or from a peer
 // that knows. It returns true the first time.
 func (l *Lifecycle) RecordDeparture(now int64, of Incarnation) (first bool) {
-	l.change(func() { first = l.depart(now, of) })
+	l.update(func() { first = l.markDeparted(now, of) })
 	return first
 }
 
-// depart notes that the lives under an id up to one have said that they leave. A word
+// markDeparted notes that the lives under an id up to one have said that they leave. A word
 // without a start is of the current one, where that has the id.
-func (l *Lifecycle) depart(now int64, of Incarnation) (first bool) {
-	l.forgetOld(now)
+func (l *Lifecycle) markDeparted(now int64, of Incarnation) (first bool) {
+	l.dropOldEnds(now)
 	if of.StartedAtMS == 0 && of.ID == l.current.ID {
 		of = l.current
 	}
 	known, was := l.departed[of.ID]
-	if was && (known.born == 0 || of.StartedAtMS != 0 && of.StartedAtMS <= known.born) {
+	if was && (known.startedAtMS == 0 || of.StartedAtMS != 0 && of.StartedAtMS <= known.startedAtMS) {
 		return false
 	}
-	gone := end{born: of.StartedAtMS, at: now}
+	gone := endRecord{startedAtMS: of.StartedAtMS, recordedAt: now}
 	l.departed[of.ID] = gone
-	if l.current.ID == of.ID && gone.has(l.current) {
+	if l.current.ID == of.ID && gone.covers(l.current) {
 		l.state = Leaving
 	}
 	return true
 }
 
-func (l *Lifecycle) forgetOld(now int64) {
-	for _, ends := range []map[string]end{l.departed, l.replaced} {
+func (l *Lifecycle) dropOldEnds(now int64) {
+	for _, ends := range []map[string]endRecord{l.departed, l.replaced} {
 		for id, gone := range ends {
-			if now-gone.at > int64(rememberDepartures) {
+			if now-gone.recordedAt > int64(endRetention) {
 				delete(ends, id)
 			}
 		}
@@ -321,30 +321,30 @@
 
 // RecordReplacement notes that another incarnation answers at the address.
 func (l *Lifecycle) RecordReplacement(now int64, by string) {
-	l.change(func() {
+	l.update(func() {
 		if by == "" {
 			l.state = Unknown
 			return
 		}
-		l.replace(now, by)
+		l.confirmInstanceID(now, by)
 	})
 }
 
 // RecordProcessEnd notes that the process of an incarnation has ended: it is down until something
 // shows itself at the address.
 func (l *Lifecycle) RecordProcessEnd(of Incarnation) {
-	l.change(func() {
+	l.update(func() {
 		if l.current == of && l.state == Live {
 			l.state = Down
 		}
 	})
 }
 
-// RecordRefusedConnection notes a refused connection.
-func (l *Lifecycle) RecordRefusedConnection() {
-	l.change(func() {
-		l.refusals++
-		if l.refusals >= downAfter && l.state == Live {
+// RecordConnectFailure notes a refused connection.
+func (l *Lifecycle) RecordConnectFailure() {
+	l.update(func() {
+		l.connectFailures++
+		if l.connectFailures >= connectFailuresUntilDown && l.state == Live {
 			l.state = Down
 		}
 	})
--- a/pkg/backend/lifecycle_test.go
+++ b/pkg/backend/lifecycle_test.go
@@ -13,7 +13,7 @@
 
 const second = int64(time.Second)
 
-func accepting(t *testing.T, l *Lifecycle, want string) {
+func expectAccepting(t *testing.T, l *Lifecycle, want string) {
 	t.Helper()
 	got, ok := l.Accepting()
 	if want == "" {
@@ -26,19 +26,19 @@
 
 func TestAnIncarnationThatSaidItLeavesGetsNothingMore(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", Sequence: 1})
-	accepting(t, l, "a")
+	expectAccepting(t, l, "a")
 	must.True(t, l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", Sequence: 3, Leaving: true}))
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	// A heartbeat that was sent before, and a health answer that misleads.
 	l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", Sequence: 2})
 	l.RecordHeartbeat(30*second, Heartbeat{InstanceID: "a", Sequence: 4})
 	l.RecordInstanceID(31*second, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	must.False(t, l.RecordDeparture(32*second, Incarnation{ID: "a"}))
 	l.RecordInstanceID(33*second, "b")
-	accepting(t, l, "b")
+	expectAccepting(t, l, "b")
 }
 
 func TestADepartureIsBindingBeforeTheIncarnationIsSeen(t *testing.T) {
@@ -46,16 +46,16 @@
 	must.True(t, l.RecordDeparture(1, Incarnation{ID: "a"}))
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", Sequence: 9})
 	l.RecordInstanceID(3, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 }
 
 func TestARestartedDaemonWaitsUntilItIsInformed(t *testing.T) {
 	var told []State
 	l := NewLifecycle(false, func(_ Incarnation, s State) { told = append(told, s) })
 	l.RecordInstanceID(1, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordDeparturesKnown()
-	accepting(t, l, "a")
+	expectAccepting(t, l, "a")
 	test.Len(t, 2, told)
 }
 
@@ -64,27 +64,27 @@
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "old", Sequence: 7})
 	l.RecordInstanceID(5*second, "new")
 	l.RecordHeartbeat(6*second, Heartbeat{InstanceID: "old", Sequence: 8})
-	accepting(t, l, "new")
+	expectAccepting(t, l, "new")
 }
 
 func TestAnotherIncarnationAtTheAddress(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
 	l.RecordReplacement(2, "b")
-	accepting(t, l, "b")
+	expectAccepting(t, l, "b")
 	l.RecordReplacement(3, "")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 }
 
 func TestRefusedConnectionsTakeItDownUntilItShowsItself(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
-	l.RecordRefusedConnection()
-	accepting(t, l, "a")
-	l.RecordRefusedConnection()
-	accepting(t, l, "")
+	l.RecordConnectFailure()
+	expectAccepting(t, l, "a")
+	l.RecordConnectFailure()
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", Sequence: 1})
-	accepting(t, l, "a")
+	expectAccepting(t, l, "a")
 }
 
 func TestReports(t *testing.T) {
@@ -108,12 +108,12 @@
 	l.RecordInstanceID(2*second, "new")
 	l.RecordCold(2*second, 2*second, "new", 3*time.Second)
 	l.RecordHeartbeat(30*second, Heartbeat{InstanceID: "old", Sequence: 2, ColdFor: 9 * time.Second})
-	accepting(t, l, "new")
+	expectAccepting(t, l, "new")
 	test.Eq(t, ColdPeriod{LatestEnd: 5 * second, EarliestEnd: 5 * second, CheckedAt: 2 * second}, l.ColdPeriod())
 	l.RecordHeartbeat(31*second, Heartbeat{InstanceID: "old", Sequence: 3, Leaving: true})
-	accepting(t, l, "new")
+	expectAccepting(t, l, "new")
 	l.RecordHeartbeat(32*second, Heartbeat{InstanceID: "next", Sequence: 1})
-	accepting(t, l, "next")
+	expectAccepting(t, l, "next")
 }
 
 // TestHowLongABackendServerIsCold: its health path goes before heartbeats, which
@@ -138,12 +138,12 @@
 func TestAWrongWordOnBeingColdIsBounded(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1*second, "a")
-	for text, want := range map[string]int64{"1e300": 0, "NaN": 0, "-5": 0, "": 0, "x": 0, "3000": 3 * second, "99999999": int64(longestCold)} {
-		l.RecordCold(2*second, 2*second, "a", coldFor(text))
+	for text, want := range map[string]int64{"1e300": 0, "NaN": 0, "-5": 0, "": 0, "x": 0, "3000": 3 * second, "99999999": int64(maxColdTime)} {
+		l.RecordCold(2*second, 2*second, "a", parseColdFor(text))
 		test.Eq(t, 2*second+want, l.ColdPeriod().LatestEnd, test.Sprint(text))
 	}
 	l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", Sequence: 1, ColdFor: 1 << 62})
-	test.Eq(t, 3*second+int64(longestCold), l.ColdPeriod().LatestEnd)
+	test.Eq(t, 3*second+int64(maxColdTime), l.ColdPeriod().LatestEnd)
 }
 
 // TestAnAnswerThatWasOnItsWayForLong: what it says held at some time since the
@@ -167,9 +167,9 @@
 	test.Eq(t, "", l.Version())
 	l.RecordHeartbeat(4, Heartbeat{InstanceID: "b", Sequence: 1, Version: "v2"})
 	test.Eq(t, "v2", l.Version())
-	for n := range 3 * mostLives {
+	for n := range 3 * maxHistories {
 		l.RecordHeartbeat(5, Heartbeat{InstanceID: fmt.Sprint("late", n), Sequence: 1, Version: "v1"})
 	}
 	test.Eq(t, "v2", l.Version())
-	test.LessEq(t, mostLives, len(l.lives))
+	test.LessEq(t, maxHistories, len(l.histories))
 }
--- a/pkg/backend/load.go
+++ b/pkg/backend/load.go
@@ -15,8 +15,8 @@
 	// slowdown is in percent; 0: never told.
 	slowdown atomic.Int64
 	slots    atomic.Int64
-	// at is when it was told, in nanoseconds of the daemon's clock.
-	at atomic.Int64
+	// updatedAt is when it was told, in nanoseconds of the daemon's clock.
+	updatedAt atomic.Int64
 }
 
 // LoadReport is one report of a backend server's load.
@@ -56,7 +56,7 @@
 	if r.Slots > 0 {
 		l.slots.Store(int64(r.Slots))
 	}
-	l.at.Store(now)
+	l.updatedAt.Store(now)
 }
 
 // SetSlots notes how many requests run at once; 0 is passed over.
@@ -74,7 +74,7 @@
 
 // Age is how old the newest figure is; the longest duration when there is none.
 func (l *Load) Age(now int64) time.Duration {
-	at := l.at.Load()
+	at := l.updatedAt.Load()
 	if at == 0 {
 		return time.Duration(1<<63 - 1)
 	}
--- a/pkg/backend/prober.go
+++ b/pkg/backend/prober.go
@@ -18,12 +18,12 @@
 	client  *http.Client
 }
 
-// maxHealthBody bounds what is read of a health answer.
-const maxHealthBody = 4 << 10
+// maxHealthBodyBytes bounds what is read of a health answer.
+const maxHealthBodyBytes = 4 << 10
 
 // NewProber makes a prober. One connection is kept.
 func NewProber(address string, headers Headers, timeout time.Duration) *Prober {
-	dialer := netdial.New(timeout, unacknowledgedFor)
+	dialer := netdial.New(timeout, unacknowledgedTimeout)
 	return &Prober{
 		address: address, headers: headers,
 		client: &http.Client{Timeout: timeout, Transport: &http.Transport{
@@ -55,17 +55,17 @@
 		return Health{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBody))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBodyBytes))
 	return Health{
 		Healthy:    resp.StatusCode == http.StatusOK,
 		InstanceID: resp.Header.Get(p.headers.InstanceID),
 		LoadHeader: resp.Header.Get(p.headers.Load),
-		ColdFor:    coldFor(resp.Header.Get(p.headers.ColdMS)),
+		ColdFor:    parseColdFor(resp.Header.Get(p.headers.ColdMS)),
 	}, nil
 }
 
-// coldFor reads the text of the cold header. One that cannot be read says nothing.
-func coldFor(text string) time.Duration {
+// parseColdFor reads the text of the cold header. One that cannot be read says nothing.
+func parseColdFor(text string) time.Duration {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || ms < 0 {
 		return 0
--- a/pkg/backend/transport.go
+++ b/pkg/backend/transport.go
@@ -18,20 +18,20 @@
 )
 
 const (
-	// freshFor is how long a connection may have rested before a request that
+	// maxIdleNonRepeatable is how long a connection may have rested before a request that
 	// may not be repeated goes on a new one: the backend server may be about
 	// to close it, and a request lost in that moment is a "maybe".
-	freshFor = time.Second
-	// unacknowledgedFor is how long bytes to the backend server may stay without an
+	maxIdleNonRepeatable = time.Second
+	// unacknowledgedTimeout is how long bytes to the backend server may stay without an
 	// acknowledgement. Both are on one VM, where a round trip takes microseconds: a
 	// request that was written into a silent connection ends after it, and may go
 	// elsewhere, rather than at its deadline.
-	unacknowledgedFor = 300 * time.Millisecond
-	// keepIdle is how long a resting connection is kept.
-	keepIdle = 8 * time.Second
-	// inlineBytes is the largest body that is written before the answer is
+	unacknowledgedTimeout = 300 * time.Millisecond
+	// maxIdle is how long a resting connection is kept.
+	maxIdle = 8 * time.Second
+	// maxInlineBodyBytes is the largest body that is written before the answer is
 	// awaited; a longer one is written beside it.
-	inlineBytes = 2 << 10
+	maxInlineBodyBytes = 2 << 10
 )
 
 // TransportOptions say how the backend server is reached.
@@ -54,7 +54,7 @@
 	mu sync.Mutex
 	// idle are the resting connections, the one used last at the end.
 	idle   []*conn
-	opened int64
+	connectionsOpened int64
 }
 
 // NewTransport makes a transport; it opens connections as requests need them.
@@ -91,7 +91,7 @@
 	LoadHeader string
 }
 
-func refused(kind errkind.Kind, offered bool, format string, args ...any) Reply {
+func newRefusal(kind errkind.Kind, offered bool, format string, args ...any) Reply {
 	return Reply{Refusal: errkind.New(kind, format, args...), Offered: offered}
 }
 
@@ -99,46 +99,46 @@
 // first, the connection is closed, which tells the backend server to stop.
 func (t *Transport) Do(ctx context.Context, req *Request) Reply {
 	ex := &exchange{
-		id: req.ID, head: &http.Request{Method: req.Method},
-		answers: make(chan *http.Response, 1), failed: make(chan error, 1),
+		id: req.ID, request: &http.Request{Method: req.Method},
+		response: make(chan *http.Response, 1), failure: make(chan error, 1),
 	}
-	c, err := t.take(ctx, ex, req.Repeatable)
+	c, err := t.acquire(ctx, ex, req.Repeatable)
 	if err != nil {
-		return refused(errkind.BackendUnreachable, false, "%v", err)
+		return newRefusal(errkind.BackendUnreachable, false, "%v", err)
 	}
-	return t.exchange(ctx, c, ex, req)
+	return t.roundTrip(ctx, c, ex, req)
 }
 
-// exchange writes the request and waits for the answer.
-func (t *Transport) exchange(ctx context.Context, c *conn, ex *exchange, req *Request) Reply {
+// roundTrip writes the request and waits for the answer.
+func (t *Transport) roundTrip(ctx context.Context, c *conn, ex *exchange, req *Request) Reply {
 	written := make(chan error, 1)
-	head := t.head(ctx, req)
-	if len(req.Body) <= inlineBytes {
-		written <- write(c, head, req.Body)
+	head := t.buildHead(ctx, req)
+	if len(req.Body) <= maxInlineBodyBytes {
+		written <- writeRequest(c, head, req.Body)
 	} else {
-		go func() { written <- write(c, head, req.Body) }()
+		go func() { written <- writeRequest(c, head, req.Body) }()
 	}
 	select {
-	case resp := <-ex.answers:
+	case resp := <-ex.response:
 		t.release(c, written)
-		return t.reply(resp)
-	case err := <-ex.failed:
-		return refused(errkind.BackendFailed, true, "%v", err)
+		return t.classify(resp)
+	case err := <-ex.failure:
+		return newRefusal(errkind.BackendFailed, true, "%v", err)
 	case <-ctx.Done():
-		c.fail(ctx.Err())
+		c.closeWithError(ctx.Err())
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return refused(errkind.DeadlineWhileRunning, true, "no answer in time")
+			return newRefusal(errkind.DeadlineWhileRunning, true, "no answer in time")
 		}
-		out := refused(errkind.CallerGone, true, "the caller left")
+		out := newRefusal(errkind.CallerGone, true, "the caller left")
 		out.Refusal = out.Refusal.Maybe()
 		return out
 	}
 }
 
-// head writes the request's head as it goes over the connection. The method, the
+// buildHead writes the request's buildHead as it goes over the connection. The method, the
 // path and the headers came through the standard library's parser, so that none
 // of them holds a line break.
-func (t *Transport) head(ctx context.Context, req *Request) []byte {
+func (t *Transport) buildHead(ctx context.Context, req *Request) []byte {
 	h := t.opts.Headers
 	header := make(http.Header, len(req.Headers)+6)
 	for _, field := range req.Headers {
@@ -157,7 +157,7 @@
 	if deadline, ok := ctx.Deadline(); ok {
 		header.Set(h.TimeoutMS, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	}
-	if len(req.Body) > 0 || takesBody(req.Method) {
+	if len(req.Body) > 0 || needsContentLength(req.Method) {
 		header.Set("Content-Length", strconv.Itoa(len(req.Body)))
 	}
 	var out bytes.Buffer
@@ -168,14 +168,14 @@
 	return out.Bytes()
 }
 
-// takesBody is true for methods whose requests say a length even without a body.
-func takesBody(method string) bool {
+// needsContentLength is true for methods whose requests say a length even without a body.
+func needsContentLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// write sends the request; a short one in one piece.
-func write(w io.Writer, head, body []byte) error {
-	if len(body) <= inlineBytes {
+// writeRequest sends the request; a short one in one piece.
+func writeRequest(w io.Writer, head, body []byte) error {
+	if len(body) <= maxInlineBodyBytes {
 		_, err := w.Write(append(head, body...))
 		return err
 	}
@@ -186,28 +186,28 @@
 	return err
 }
 
-// take returns a connection with ex begun on it: the resting one that was used
+// acquire returns a connection with ex begun on it: the resting one that was used
 // last, or a new one.
-func (t *Transport) take(ctx context.Context, ex *exchange, repeatable bool) (*conn, error) {
+func (t *Transport) acquire(ctx context.Context, ex *exchange, repeatable bool) (*conn, error) {
 	for {
 		c := t.popIdle(repeatable)
 		if c == nil {
 			break
 		}
-		if c.begin(ex) {
+		if c.startExchange(ex) {
 			return c, nil
 		}
 	}
-	raw, err := netdial.New(t.opts.DialTimeout, unacknowledgedFor).DialContext(ctx, "tcp", t.opts.Address)
+	raw, err := netdial.New(t.opts.DialTimeout, unacknowledgedTimeout).DialContext(ctx, "tcp", t.opts.Address)
 	if err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
-	t.opened++
+	t.connectionsOpened++
 	t.mu.Unlock()
 	c := newConn(raw, t.opts.Headers.RequestID, t.opts.MaxBodyBytes)
 	c.lastUsed = t.opts.Now()
-	if !c.begin(ex) {
+	if !c.startExchange(ex) {
 		return nil, errors.New("the backend server closed the new connection")
 	}
 	return c, nil
@@ -222,13 +222,13 @@
 		last := len(t.idle) - 1
 		c := t.idle[last]
 		rested := time.Duration(t.opts.Now() - c.lastUsed)
-		if rested > keepIdle || !c.usable() {
+		if rested > maxIdle || !c.isOpen() {
 			t.idle[last] = nil
 			t.idle = t.idle[:last]
 			_ = c.Close()
 			continue
 		}
-		if !repeatable && rested > freshFor {
+		if !repeatable && rested > maxIdleNonRepeatable {
 			return nil
 		}
 		t.idle[last] = nil
@@ -243,7 +243,7 @@
 func (t *Transport) release(c *conn, written <-chan error) {
 	select {
 	case err := <-written:
-		if err == nil && c.usable() {
+		if err == nil && c.isOpen() {
 			c.lastUsed = t.opts.Now()
 			t.mu.Lock()
 			t.idle = append(t.idle, c)
@@ -255,26 +255,26 @@
 	_ = c.Close()
 }
 
-// reply classifies an answer. Only the backend server's own mark proves that a
+// classify classifies an answer. Only the backend server's own mark proves that a
 // request did not run.
-func (t *Transport) reply(resp *http.Response) Reply {
+func (t *Transport) classify(resp *http.Response) Reply {
 	h := t.opts.Headers
 	load := resp.Header.Get(h.Load)
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		out := refused(errkind.BackendReplaced, false, "another incarnation has the address")
+		out := newRefusal(errkind.BackendReplaced, false, "another incarnation has the address")
 		out.InstanceID = resp.Header.Get(h.InstanceID)
 		out.LoadHeader = load
 		return out
 	case resp.Header.Get(h.NotExecuted) != "":
-		out := refused(errkind.BackendRefused, true, "the backend server refused with status %d", resp.StatusCode)
+		out := newRefusal(errkind.BackendRefused, true, "the backend server refused with status %d", resp.StatusCode)
 		out.LoadHeader = load
 		return out
 	}
 	body, _ := io.ReadAll(resp.Body)
 	answer := &call.Answer{Status: resp.StatusCode, Body: body}
 	for name, values := range resp.Header {
-		if t.spent(name) {
+		if t.dropsHeader(name) {
 			continue
 		}
 		for _, v := range values {
@@ -284,9 +284,9 @@
 	return Reply{Answer: answer, Offered: true, LoadHeader: load}
 }
 
-// spent is true for headers of an answer that end here: the daemon has taken
+// dropsHeader is true for headers of an answer that end here: the daemon has taken
 // them over, or the entry writes them anew.
-func (t *Transport) spent(name string) bool {
+func (t *Transport) dropsHeader(name string) bool {
 	switch name {
 	case http.CanonicalHeaderKey(t.opts.Headers.Load), http.CanonicalHeaderKey(t.opts.Headers.RequestID),
 		"Content-Length", "Connection", "Keep-Alive":
@@ -299,7 +299,7 @@
 func (t *Transport) ConnectionsOpened() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.opened
+	return t.connectionsOpened
 }
 
 // CloseIdle closes the resting connections.
--- a/pkg/backend/transport_test.go
+++ b/pkg/backend/transport_test.go
@@ -19,11 +19,11 @@
 	"github.com/rushramp/rushramp/pkg/errkind"
 )
 
-// script answers each request on each connection by hand.
-type script func(conn net.Conn, req *http.Request)
+// responder answers each request on each connection by hand.
+type responder func(conn net.Conn, req *http.Request)
 
 // serve runs a backend server that follows a script, and counts connections.
-func serve(t *testing.T, answer script) (address string, connections *atomic.Int64) {
+func serve(t *testing.T, answer responder) (address string, connections *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -55,11 +55,11 @@
 	return NewTransport(TransportOptions{Address: address, Headers: DefaultHeaders(), DialTimeout: time.Second, MaxBodyBytes: 1 << 20, Now: clock.New().Now})
 }
 
-func get(id string) *Request {
+func newGetRequest(id string) *Request {
 	return &Request{ID: id, Method: "GET", URI: "/a/b?c=%2f", Host: "h.example", InstanceID: "i-1", Caller: "front", Repeatable: true}
 }
 
-func reply(conn net.Conn, id, body string) {
+func writeOK(conn net.Conn, id, body string) {
 	_, _ = fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nRushramp-Request-Id: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -75,9 +75,9 @@
 		body, _ := io.ReadAll(req.Body)
 		req.Body = io.NopCloser(strings.NewReader(string(body)))
 		seen <- req
-		reply(c, req.Header.Get("Rushramp-Request-Id"), "done")
+		writeOK(c, req.Header.Get("Rushramp-Request-Id"), "done")
 	})
-	req := get("r1")
+	req := newGetRequest("r1")
 	req.Method, req.Body = "POST", []byte("payload")
 	got := do(t, newTestTransport(address), req)
 	must.Nil(t, got.Refusal)
@@ -95,15 +95,15 @@
 func TestALateAnswerOfAnOlderRequestIsDropped(t *testing.T) {
 	address, connections := serve(t, func(c net.Conn, req *http.Request) {
 		if id := req.Header.Get("Rushramp-Request-Id"); id == "r2" {
-			reply(c, "r1", "late")
-			reply(c, id, "right")
+			writeOK(c, "r1", "late")
+			writeOK(c, id, "right")
 		} else {
-			reply(c, id, "first")
+			writeOK(c, id, "first")
 		}
 	})
 	tr := newTestTransport(address)
-	must.Eq(t, "first", string(do(t, tr, get("r1")).Answer.Body))
-	must.Eq(t, "right", string(do(t, tr, get("r2")).Answer.Body))
+	must.Eq(t, "first", string(do(t, tr, newGetRequest("r1")).Answer.Body))
+	must.Eq(t, "right", string(do(t, tr, newGetRequest("r2")).Answer.Body))
 	test.Eq(t, 1, connections.Load())
 }
 
@@ -115,7 +115,7 @@
 	})
 	tr := newTestTransport(address)
 	for i := range 3 {
-		must.Eq(t, "ok", string(do(t, tr, get(fmt.Sprint(i))).Answer.Body))
+		must.Eq(t, "ok", string(do(t, tr, newGetRequest(fmt.Sprint(i))).Answer.Body))
 	}
 	test.Eq(t, 3, connections.Load())
 }
@@ -135,7 +135,7 @@
 				_, _ = io.WriteString(c, text)
 				_ = c.Close()
 			})
-			got := do(t, newTestTransport(address), get("r"))
+			got := do(t, newTestTransport(address), newGetRequest("r"))
 			must.NotNil(t, got.Refusal)
 			test.Eq(t, errkind.BackendFailed, got.Refusal.Kind)
 			test.Eq(t, errkind.RanMaybe, got.Refusal.Ran)
@@ -155,7 +155,7 @@
 				}
 				_ = c.Close()
 			})
-			got := do(t, newTestTransport(address), get("r"))
+			got := do(t, newTestTransport(address), newGetRequest("r"))
 			if reset {
 				must.NotNil(t, got.Refusal)
 				test.Eq(t, errkind.RanMaybe, got.Refusal.Ran)
@@ -180,7 +180,7 @@
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			address, _ := serve(t, func(c net.Conn, _ *http.Request) { _, _ = io.WriteString(c, s.text) })
-			got := do(t, newTestTransport(address), get("r"))
+			got := do(t, newTestTransport(address), newGetRequest("r"))
 			if s.kind == errkind.None {
 				must.NotNil(t, got.Answer)
 				test.Eq(t, 503, got.Answer.Status)
@@ -197,7 +197,7 @@
 func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
 	readOn := make(chan struct{})
 	address, connections := serve(t, func(c net.Conn, req *http.Request) {
-		reply(c, req.Header.Get("Rushramp-Request-Id"), "no")
+		writeOK(c, req.Header.Get("Rushramp-Request-Id"), "no")
 		if req.ContentLength > 0 {
 			<-readOn
 		}
@@ -205,11 +205,11 @@
 	})
 	defer close(readOn)
 	tr := newTestTransport(address)
-	big := get("r1")
+	big := newGetRequest("r1")
 	// More than the buffers of both ends hold: it can't be written to its end.
 	big.Method, big.Body = "POST", make([]byte, 32<<20)
 	must.Eq(t, "no", string(do(t, tr, big).Answer.Body))
-	must.Eq(t, "no", string(do(t, tr, get("r2")).Answer.Body))
+	must.Eq(t, "no", string(do(t, tr, newGetRequest("r2")).Answer.Body))
 	test.Eq(t, 2, connections.Load())
 }
 
@@ -225,7 +225,7 @@
 		<-came
 		cancel()
 	}()
-	got := newTestTransport(address).Do(ctx, get("r"))
+	got := newTestTransport(address).Do(ctx, newGetRequest("r"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.CallerGone, got.Refusal.Kind)
 	test.Eq(t, errkind.RanMaybe, got.Refusal.Ran)
@@ -234,23 +234,23 @@
 
 func TestANotRepeatableRequestAvoidsAConnectionThatRested(t *testing.T) {
 	address, connections := serve(t, func(c net.Conn, req *http.Request) {
-		reply(c, req.Header.Get("Rushramp-Request-Id"), "ok")
+		writeOK(c, req.Header.Get("Rushramp-Request-Id"), "ok")
 	})
 	tr := newTestTransport(address)
-	must.NotNil(t, do(t, tr, get("r1")).Answer)
+	must.NotNil(t, do(t, tr, newGetRequest("r1")).Answer)
 	tr.mu.Lock()
-	tr.idle[0].lastUsed -= int64(2 * freshFor)
+	tr.idle[0].lastUsed -= int64(2 * maxIdleNonRepeatable)
 	tr.mu.Unlock()
-	once := get("r2")
+	once := newGetRequest("r2")
 	once.Repeatable = false
 	must.NotNil(t, do(t, tr, once).Answer)
 	must.Eq(t, 2, connections.Load())
-	must.NotNil(t, do(t, tr, get("r3")).Answer)
+	must.NotNil(t, do(t, tr, newGetRequest("r3")).Answer)
 	test.Eq(t, 2, connections.Load())
 }
 
 func TestNobodyListens(t *testing.T) {
-	got := do(t, newTestTransport("127.0.0.1:1"), get("r"))
+	got := do(t, newTestTransport("127.0.0.1:1"), newGetRequest("r"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.BackendUnreachable, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
--- a/pkg/runner/accepting.go
+++ b/pkg/runner/accepting.go
@@ -18,9 +18,9 @@
 // Trial is the backend server's part in a roll-out.
 func (r *Runner) Trial() *trial.Trial { return r.trial }
 
-// accepting returns the incarnation that requests may be handed to now, or why
+// acceptingIncarnation returns the incarnation that requests may be handed to now, or why
 // there is none.
-func (r *Runner) accepting() (instance backend.Incarnation, refusal *errkind.Error) {
+func (r *Runner) acceptingIncarnation() (instance backend.Incarnation, refusal *errkind.Error) {
 	if r.evacuated.Load() {
 		return backend.Incarnation{}, errkind.New(errkind.DataCentreEvacuated, "%s is evacuated", r.Settings.VM.DataCentre)
 	}
@@ -34,30 +34,30 @@
 	return instance, nil
 }
 
-// heldBack refuses a request whose content ends the backend servers that run it: the
+// quarantineRefusal refuses a request whose content ends the backend servers that run it: the
 // entry may not have heard of it yet.
-func (r *Runner) heldBack(c *wire.Call, body []byte) *errkind.Error {
+func (r *Runner) quarantineRefusal(c *wire.Call, body []byte) *errkind.Error {
 	refusal, _ := r.Quarantine.Refusal(r.Now(), func() quarantine.Fingerprint { return c.Fingerprint(body) })
 	return refusal
 }
 
-// check refuses what this runner must not take, whatever the entry believed.
-func (r *Runner) check(c *wire.Call, body []byte) *errkind.Error {
+// checkCall refuses what this runner must not take, whatever the entry believed.
+func (r *Runner) checkCall(c *wire.Call, body []byte) *errkind.Error {
 	if r.leaving.Load() {
 		return errkind.New(errkind.Leaving, "the daemon is leaving")
 	}
-	if !r.coldTold.Load() && !r.UpdateCold() {
+	if !r.coldLimitSet.Load() && !r.UpdateCold() {
 		return errkind.New(errkind.PlacementUnknown, "the executor has no placement yet")
 	}
 	if c.Service != r.Settings.BackendServer.Service {
 		return errkind.New(errkind.BackendReplaced, "this backend server runs another service")
 	}
-	if refusal := r.misplaced(c); refusal != nil {
+	if refusal := r.placementRefusal(c); refusal != nil {
 		return refusal
 	}
-	if refusal := r.heldBack(c, body); refusal != nil {
+	if refusal := r.quarantineRefusal(c, body); refusal != nil {
 		return refusal
 	}
-	_, refusal := r.accepting()
+	_, refusal := r.acceptingIncarnation()
 	return refusal
 }
--- a/pkg/runner/cold.go
+++ b/pkg/runner/cold.go
@@ -8,9 +8,9 @@
 	"github.com/rushramp/rushramp/pkg/gate"
 )
 
-// coldSlack is by how much a backend server may have been cold for longer than its
+// coldReportSlack is by how much a backend server may have been cold for longer than its
 // words tell, in nanoseconds: they travel, and are said in whole milliseconds.
-const coldSlack = int64(50 * time.Millisecond)
+const coldReportSlack = int64(50 * time.Millisecond)
 
 // UpdateCold takes over what the backend server last said of its being cold, and
 // what the placement in force says it bears then. It returns false while there is
@@ -21,17 +21,17 @@
 		return false
 	}
 	said, s := r.lifecycle.ColdPeriod(), &r.Settings.Routing
-	cold := gate.ColdState{Since: said.CheckedAt - coldSlack, Until: said.LatestEnd}
+	cold := gate.ColdState{Since: said.CheckedAt - coldReportSlack, Until: said.LatestEnd}
 	if service.ColdRate > 0 {
 		cold.MaxStartsPerSecond = max(int(s.ColdFactor*service.ColdRate+s.ColdSlack), 1)
 	}
 	now := r.Now()
 	if now < said.LatestEnd {
-		cold.Since = coldSince(now, &said, service.ColdFor) - coldSlack
+		cold.Since = coldSince(now, &said, service.ColdFor) - coldReportSlack
 	}
-	r.noteCold(now, cold)
+	r.logColdChange(now, cold)
 	r.startAll(r.gate.SetColdState(now, cold))
-	r.coldTold.Store(true)
+	r.coldLimitSet.Store(true)
 	return true
 }
 
@@ -49,16 +49,16 @@
 	return since
 }
 
-// lookForCold has the backend server asked whether it is still warm, where many
+// recheckCold has the backend server asked whether it is still warm, where many
 // requests have started since it said so.
-func (r *Runner) lookForCold(now int64) {
+func (r *Runner) recheckCold(now int64) {
 	if r.checker != nil && r.gate.NeedsColdCheck(now) {
 		r.checker.Check(func() {})
 	}
 }
 
-// noteCold logs when the backend server becomes cold, or warm again.
-func (r *Runner) noteCold(now int64, cold gate.ColdState) {
+// logColdChange logs when the backend server becomes cold, or warm again.
+func (r *Runner) logColdChange(now int64, cold gate.ColdState) {
 	isCold := now < cold.Until
 	if r.cold.Swap(isCold) == isCold {
 		return
--- a/pkg/runner/cold_reports_test.go
+++ b/pkg/runner/cold_reports_test.go
@@ -10,14 +10,14 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// coldRate is how many starts a second the services below bear while they are cold.
-const coldRate = 20
+// testColdRate is how many starts a second the services below bear while they are cold.
+const testColdRate = 20
 
 func withColdRate(r *Runner) (most int) {
 	r.service = func() (routing.Service, bool) {
-		return routing.Service{ColdFor: 3 * time.Second, ColdRate: coldRate}, true
+		return routing.Service{ColdFor: 3 * time.Second, ColdRate: testColdRate}, true
 	}
-	return int(r.Settings.Routing.ColdFactor*coldRate + r.Settings.Routing.ColdSlack)
+	return int(r.Settings.Routing.ColdFactor*testColdRate + r.Settings.Routing.ColdSlack)
 }
 
 // executeMany hands requests over that go on until the test ends.
@@ -32,9 +32,9 @@
 // a few requests start on its last warm word, too few for the next question. Its first
 // heartbeat of the cold time comes late.
 func TestAHeartbeatHeldBackCountsWhatStartedMeanwhile(t *testing.T) {
-	r, lifecycle := newTestRunner(t, newHeld(), 100)
+	r, lifecycle := newTestRunner(t, newHoldingServer(), 100)
 	most := withColdRate(r)
-	const longerThanSlack = 2 * time.Duration(coldSlack)
+	const longerThanSlack = 2 * time.Duration(coldReportSlack)
 	time.Sleep(longerThanSlack) // what the process before started is out of the question
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
 	r.UpdateCold()
@@ -50,7 +50,7 @@
 // hears the cold word after another one, as of a request that came before any word.
 func TestStartsOfTheProcessBeforeCountWhateverComesFirst(t *testing.T) {
 	for _, early := range []int{0, 1} {
-		r, lifecycle := newTestRunner(t, newHeld(), 100)
+		r, lifecycle := newTestRunner(t, newHoldingServer(), 100)
 		withColdRate(r)
 		executeMany(t, r, early) // it takes over that nothing was said yet
 		lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 2*time.Second)
--- a/pkg/runner/cold_test.go
+++ b/pkg/runner/cold_test.go
@@ -23,14 +23,14 @@
 // TestAColdBackendServerIsNotOverrun: what comes after its two requests waits, or
 // is refused where it could not end in time.
 func TestAColdBackendServerIsNotOverrun(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
 	r.UpdateCold()
 	for range 2 {
 		_, _ = execute(r, routedCall("runs"))
-		test.Eq(t, "runs", <-h.came)
+		test.Eq(t, "runs", <-h.arrived)
 	}
 	_, cancel := execute(r, routedCall("waits"))
 	hasty := routedCall("hasty")
@@ -41,14 +41,14 @@
 	test.Eq(t, errkind.Overloaded, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 	r.Tick()
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 	cancel()
 }
 
 // TestAnOldWordIsAskedForBeforeMoreThanAColdOneBearsStart: the backend server has
 // become cold meanwhile, as when its data centre was taken back.
 func TestAnOldWordIsAskedForBeforeMoreThanAColdOneBearsStart(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
 	asked := make(chan struct{}, 100)
@@ -66,9 +66,9 @@
 		cancels = append(cancels, cancel)
 	}
 	<-asked
-	<-h.came
-	<-h.came
-	test.Eq(t, 0, len(h.came))
+	<-h.arrived
+	<-h.arrived
+	test.Eq(t, 0, len(h.arrived))
 	for _, cancel := range cancels {
 		cancel()
 	}
@@ -76,26 +76,26 @@
 
 // TestCallsAreHeldToTheirTargetWhileColdStartsAreScarce, and to their deadline else.
 func TestCallsAreHeldToTheirTargetWhileColdStartsAreScarce(t *testing.T) {
-	r, lifecycle := newTestRunner(t, newHeld(), 10)
+	r, lifecycle := newTestRunner(t, newHoldingServer(), 10)
 	withColdService(r)
 	c := routedCall("call")
 	c.Routed.Target = 120 * time.Millisecond
 	const now = int64(time.Second)
-	run := &routedRun{owner: r, call: c, deadline: now + int64(time.Minute)}
-	test.Eq(t, run.deadline, r.endBy(now, run, true))
-	test.Eq(t, now+int64(120*time.Millisecond), r.endBy(now, run, false))
+	run := &routedRun{runner: r, call: c, deadline: now + int64(time.Minute)}
+	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
+	test.Eq(t, now+int64(120*time.Millisecond), r.latestEnd(now, run, false))
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
 	r.UpdateCold()
-	test.Eq(t, now+int64(120*time.Millisecond), r.endBy(now, run, true))
+	test.Eq(t, now+int64(120*time.Millisecond), r.latestEnd(now, run, true))
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
 	r.UpdateCold()
-	test.Eq(t, run.deadline, r.endBy(now, run, true))
+	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
 }
 
 // TestWhatAColdBackendServerBearsIsKnownBeforeTheFirstStart: its word came before
 // the placement.
 func TestWhatAColdBackendServerBearsIsKnownBeforeTheFirstStart(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	service := r.service
 	r.service = func() (routing.Service, bool) { return routing.Service{}, false }
@@ -105,17 +105,17 @@
 	withColdService(r)
 	for range 2 {
 		_, _ = execute(r, routedCall("runs"))
-		test.Eq(t, "runs", <-h.came)
+		test.Eq(t, "runs", <-h.arrived)
 	}
 	_, cancel := execute(r, routedCall("waits"))
 	r.Tick()
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 	cancel()
 }
 
 // TestWithoutAPlacementNothingRuns: nobody knows yet what the backend server bears.
 func TestWithoutAPlacementNothingRuns(t *testing.T) {
-	r, _ := newTestRunner(t, newHeld(), 10)
+	r, _ := newTestRunner(t, newHoldingServer(), 10)
 	r.service = func() (routing.Service, bool) { return routing.Service{}, false }
 	results, _ := execute(r, routedCall("a"))
 	got := <-results
--- a/pkg/runner/crash_test.go
+++ b/pkg/runner/crash_test.go
@@ -19,22 +19,22 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// endable is a backend server whose process the test ends.
-type endable struct {
-	*held
+// crashFixture is a backend server whose process the test ends.
+type crashFixture struct {
+	*holdingServer
 	server    *httptest.Server
 	runner    *Runner
 	lifecycle *backend.Lifecycle
 	results   chan call.Result
 }
 
-func newEndable(t *testing.T) *endable {
-	out := &endable{held: newHeld(), results: make(chan call.Result, 10)}
+func newCrashFixture(t *testing.T) *crashFixture {
+	out := &crashFixture{holdingServer: newHoldingServer(), results: make(chan call.Result, 10)}
 	out.server = httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/break" {
 			panic(http.ErrAbortHandler)
 		}
-		out.held.ServeHTTP(w, r)
+		out.holdingServer.ServeHTTP(w, r)
 	}))
 	s := settings.Default()
 	s.BackendServer.Address = strings.TrimPrefix(out.server.URL, "http://")
@@ -56,29 +56,29 @@
 	return out
 }
 
-// run begins runs at the backend server and waits until they are there.
-func (e *endable) run(ids ...string) {
+// startAndWait begins runs at the backend server and waits until they are there.
+func (e *crashFixture) startAndWait(ids ...string) {
 	for _, id := range ids {
 		e.runner.Execute(routedCall(id), nil, func(r call.Result) { e.results <- r })
-		<-e.came
+		<-e.arrived
 	}
 }
 
 // endProcess closes the listener and all connections at once, as the system does when
 // a process ends.
-func (e *endable) endProcess() {
+func (e *crashFixture) endProcess() {
 	_ = e.server.Listener.Close()
 	e.server.CloseClientConnections()
 }
 
-func (e *endable) crashes() uint64 {
+func (e *crashFixture) crashes() uint64 {
 	return e.runner.Metrics.GetOrCreateCounter("rushramp_backend_crashes_total").Get()
 }
 
 // TestAnEndOfTheProcessIsToldFromABreak: all runs broke and nobody listens.
 func TestAnEndOfTheProcessIsToldFromABreak(t *testing.T) {
-	e := newEndable(t)
-	e.run("1", "2", "3")
+	e := newCrashFixture(t)
+	e.startAndWait("1", "2", "3")
 	broken := routedCall("4")
 	broken.URI = "/break"
 	e.runner.Execute(broken, nil, func(r call.Result) { e.results <- r })
@@ -94,8 +94,8 @@
 
 // TestAFullBackendServerHasNotEnded: it refuses connections while runs go on.
 func TestAFullBackendServerHasNotEnded(t *testing.T) {
-	e := newEndable(t)
-	e.run("1", "2")
+	e := newCrashFixture(t)
+	e.startAndWait("1", "2")
 	_ = e.server.Listener.Close()
 	e.server.Config.SetKeepAlivesEnabled(false)
 	broken := routedCall("3")
@@ -107,22 +107,22 @@
 
 // TestAPlannedEndIsNoCrash: the backend server said before that it leaves.
 func TestAPlannedEndIsNoCrash(t *testing.T) {
-	e := newEndable(t)
-	e.run("1")
+	e := newCrashFixture(t)
+	e.startAndWait("1")
 	e.lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Leaving: true})
 	e.endProcess()
 	must.NotNil(t, (<-e.results).Refusal)
 	test.Eq(t, 0, e.crashes())
 }
 
-// begin begins a request of a content without waiting for it.
-func (e *endable) begin(id, uri string, repeatable bool) {
+// start begins a request of a content without waiting for it.
+func (e *crashFixture) start(id, uri string, repeatable bool) {
 	c := routedCall(id)
 	c.URI, c.Routed.Repeatable = uri, repeatable
 	e.runner.Execute(c, nil, func(r call.Result) { e.results <- r })
 }
 
-func contentOf(uri string) quarantine.Fingerprint {
+func fingerprintOf(uri string) quarantine.Fingerprint {
 	c := routedCall("any")
 	c.URI = uri
 	return c.Fingerprint(nil)
@@ -131,16 +131,16 @@
 // TestACrashIsTold with each content that ran, before the ends of the runs are, and the
 // backend server counts as down at once.
 func TestACrashIsTold(t *testing.T) {
-	e := newEndable(t)
+	e := newCrashFixture(t)
 	for _, uri := range []string{"/a", "/a", "/b"} {
-		e.begin("id"+uri, uri, true)
-		<-e.came
+		e.start("id"+uri, uri, true)
+		<-e.arrived
 	}
 	e.endProcess()
 	<-e.results
 	told := e.runner.Quarantine.TakePending()
 	must.Len(t, 1, told.Crashes)
-	test.SliceContainsAll(t, told.Crashes[0].Requests, []quarantine.Fingerprint{contentOf("/a"), contentOf("/b")})
+	test.SliceContainsAll(t, told.Crashes[0].Requests, []quarantine.Fingerprint{fingerprintOf("/a"), fingerprintOf("/b")})
 	_, state := e.lifecycle.Current()
 	test.Eq(t, backend.Down, state)
 	<-e.results
@@ -151,15 +151,15 @@
 // TestAHeldContentIsNotRun: neither one that comes, nor one that waits, and one that runs
 // already is ended where it may be repeated.
 func TestAHeldContentIsNotRun(t *testing.T) {
-	e := newEndable(t)
-	e.begin("repeatable", "/held", true)
-	<-e.came
-	e.begin("once", "/held", false)
-	<-e.came
-	e.begin("other", "/other", true)
-	<-e.came
+	e := newCrashFixture(t)
+	e.start("repeatable", "/held", true)
+	<-e.arrived
+	e.start("once", "/held", false)
+	<-e.arrived
+	e.start("other", "/other", true)
+	<-e.arrived
 	for id := range uint64(2) {
-		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{contentOf("/held")})
+		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{fingerprintOf("/held")})
 	}
 	e.runner.Tick()
 	got := <-e.results
@@ -167,35 +167,35 @@
 	test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
 	test.Eq(t, errkind.RanMaybe, got.Refusal.Ran)
 	test.True(t, got.Offered)
-	test.Eq(t, "repeatable", <-e.left)
+	test.Eq(t, "repeatable", <-e.abandoned)
 
-	e.begin("comes", "/held", true)
+	e.start("comes", "/held", true)
 	got = <-e.results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 	test.False(t, got.Refusal.RetryElsewhere())
 
-	e.goOn <- struct{}{}
-	e.goOn <- struct{}{}
+	e.proceed <- struct{}{}
+	e.proceed <- struct{}{}
 	must.NotNil(t, (<-e.results).Answer)
 	must.NotNil(t, (<-e.results).Answer)
-	test.Eq(t, 0, len(e.came))
-	e.begin("free", "/held", true)
-	test.Eq(t, "free", <-e.came, test.Sprint("the one that must run once has ended well"))
+	test.Eq(t, 0, len(e.arrived))
+	e.start("free", "/held", true)
+	test.Eq(t, "free", <-e.arrived, test.Sprint("the one that must run once has ended well"))
 }
 
 // TestWhatWaitsIsNotRunOnceItIsHeld at the gate.
 func TestWhatWaitsIsNotRunOnceItIsHeld(t *testing.T) {
-	e := newEndable(t)
+	e := newCrashFixture(t)
 	e.runner.gate.SetSlots(1)
-	e.begin("first", "/first", true)
-	<-e.came
-	e.begin("waits", "/held", true)
+	e.start("first", "/first", true)
+	<-e.arrived
+	e.start("waits", "/held", true)
 	for id := range uint64(2) {
-		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{contentOf("/held")})
+		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{fingerprintOf("/held")})
 	}
-	e.goOn <- struct{}{}
+	e.proceed <- struct{}{}
 	refused := 0
 	for range 2 {
 		if got := <-e.results; got.Refusal != nil {
@@ -204,5 +204,5 @@
 		}
 	}
 	test.Eq(t, 1, refused)
-	test.Eq(t, 0, len(e.came))
+	test.Eq(t, 0, len(e.arrived))
 }
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -8,11 +8,11 @@
 	"github.com/rushramp/rushramp/pkg/events"
 )
 
-// logEnd writes the line of how a request ended at this executor, with what the
+// logOutcome writes the line of how a request ended at this executor, with what the
 // gate knew.
-func (run *routedRun) logEnd(result *call.Result) {
-	id := eventOf(result)
-	log := run.owner.Log
+func (run *routedRun) logOutcome(result *call.Result) {
+	id := outcomeEvent(result)
+	log := run.runner.Log
 	if !log.Wants(id) {
 		return
 	}
@@ -23,10 +23,10 @@
 		events.F("left", events.Milliseconds(c.Remaining)), events.F("target_left", events.Milliseconds(c.Routed.Target)),
 		events.F("expected_work", events.Milliseconds(run.job.Work)), events.F("called", run.job.Nested), events.F("held", run.job.Held()),
 		events.F("gate", strconv.Itoa(int(result.Stamp.Running))+"+"+strconv.Itoa(int(result.Stamp.Queued))+"/"+strconv.Itoa(int(result.Stamp.Limit))),
-		events.F("slowdown", result.Stamp.Slowdown), events.F("load_age", events.Milliseconds(run.owner.load.Age(run.owner.Now()))),
+		events.F("slowdown", result.Stamp.Slowdown), events.F("load_age", events.Milliseconds(run.runner.load.Age(run.runner.Now()))),
 	}
-	if revision, is := run.owner.trial.UnderWay(); is {
-		fields = append(fields, events.F("backend_version", run.owner.lifecycle.Version()), events.F("plan", revision))
+	if revision, is := run.runner.trial.UnderWay(); is {
+		fields = append(fields, events.F("backend_version", run.runner.lifecycle.Version()), events.F("plan", revision))
 	}
 	if refusal := result.Refusal; refusal != nil {
 		fields = append(fields, events.F("outcome", refusal.Kind), events.F("ran", refusal.Ran), events.F("detail", refusal.Detail))
@@ -37,13 +37,13 @@
 	if answer := result.Answer; answer != nil {
 		fields = append(fields, events.F("outcome", "answered"), events.F("status", answer.Status),
 			events.F("queued", events.Milliseconds(answer.Queued)),
-			events.F("start_slowdown", answer.Slowdown), events.F("at_once", run.job.ConcurrencyAtStart()), events.F("run", events.Milliseconds(answer.Run)), events.F("instance", run.instance))
+			events.F("start_slowdown", answer.Slowdown), events.F("at_once", run.job.ConcurrencyAtStart()), events.F("run", events.Milliseconds(answer.Run)), events.F("instance", run.incarnation))
 	}
 	log.Event(id, fields...)
 }
 
-// eventOf tells a run from a request that never reached the backend server.
-func eventOf(result *call.Result) events.ID {
+// outcomeEvent tells a run from a request that never reached the backend server.
+func outcomeEvent(result *call.Result) events.ID {
 	switch {
 	case result.Refusal == nil || result.Offered:
 		return events.RunEnded
--- a/pkg/runner/log_test.go
+++ b/pkg/runner/log_test.go
@@ -21,7 +21,7 @@
 // TestEachDecisionOfTheExecutorHasItsLine: runs, refusals and what nobody waits
 // for any more, each with the gate's figures.
 func TestEachDecisionOfTheExecutorHasItsLine(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 1)
 	lines := make(lineReader, 100)
 	r.Log = events.NewLog(lines, events.Info)
@@ -33,7 +33,7 @@
 		}
 	}
 	_, _ = execute(r, routedCall("runs"))
-	<-h.came
+	<-h.arrived
 	_, cancel := execute(r, routedCall("waits"))
 	soft := routedCall("soft")
 	soft.Routed.Soft = true
@@ -41,7 +41,7 @@
 	expect("event=508", "request=soft", "outcome=gate_busier", "ran=no", "gate=1+1/1")
 	cancel()
 	expect("event=509", "request=waits", "outcome=caller_gone", "ran=no")
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	// The answer says that the backend server has two slots.
 	expect("event=511", "slots=2", "before=1")
 	expect("event=507", "request=runs", "status=200", "instance=i-1", "gate=0+0/2")
--- a/pkg/runner/origins_test.go
+++ b/pkg/runner/origins_test.go
@@ -9,8 +9,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// shares are the shares of the VMs beside the services of a fleet.
-func shares(services []string) float64 {
+// fleetShares are the fleetShares of the VMs beside the services of a fleet.
+func fleetShares(services []string) float64 {
 	of := map[string]float64{"desk": 0.52, "returns": 0.34, "field": 0.14}
 	share := 0.0
 	for _, name := range services {
@@ -23,20 +23,20 @@
 // runs make the calls. They were taken for requests of callers from then on, which go
 // behind others and are refused where they would end after their target.
 func TestARouteThatTwoServicesCall(t *testing.T) {
-	o := newOrigins(shares)
-	for range originsEnough {
-		o.note("check", "returns")
+	o := newOriginTracker(fleetShares)
+	for range minServiceRequests {
+		o.record("check", "returns")
 	}
-	test.Eq(t, wire.OriginService, o.note("check", "returns"))
-	test.Eq(t, wire.OriginCallers, o.note("check", "desk"), test.Sprint("not clear yet"))
+	test.Eq(t, wire.OriginService, o.record("check", "returns"))
+	test.Eq(t, wire.OriginCallers, o.record("check", "desk"), test.Sprint("not clear yet"))
 	var got wire.Origin
 	for i := range 60 {
-		got = o.note("check", []string{"returns", "desk"}[i%2])
+		got = o.record("check", []string{"returns", "desk"}[i%2])
 	}
 	test.Eq(t, wire.OriginService, got)
-	test.Eq(t, wire.OriginCallers, o.note("check", "field"))
+	test.Eq(t, wire.OriginCallers, o.record("check", "field"))
 	for range 1000 {
-		got = o.note("check", "returns")
+		got = o.record("check", "returns")
 	}
 	test.Eq(t, wire.OriginCallers, got, test.Sprint("all services have made some"))
 }
@@ -46,7 +46,7 @@
 	random := rand.New(rand.NewPCG(1, 1))
 	wrong := 0
 	for range 1000 {
-		o := newOrigins(shares)
+		o := newOriginTracker(fleetShares)
 		last := wire.OriginUnknown
 		for range 200 {
 			service := "field"
@@ -56,7 +56,7 @@
 			case at < 0.86:
 				service = "returns"
 			}
-			last = o.note("load", service)
+			last = o.record("load", service)
 			if last == wire.OriginService {
 				wrong++
 			}
@@ -68,14 +68,14 @@
 
 // TestServicesThatCallARouteAreBounded.
 func TestServicesThatCallARouteAreBounded(t *testing.T) {
-	o := newOrigins(func([]string) float64 { return 0.5 })
-	for i := range 3 * mostCallers {
-		o.note("check", string(rune('a'+i)))
+	o := newOriginTracker(func([]string) float64 { return 0.5 })
+	for i := range 3 * maxServicesPerRoute {
+		o.record("check", string(rune('a'+i)))
 	}
 	for range 100 {
-		test.Eq(t, wire.OriginCallers, o.note("check", "a"))
+		test.Eq(t, wire.OriginCallers, o.record("check", "a"))
 	}
-	test.SliceLen(t, mostCallers, o.byRoute["check"].services)
+	test.SliceLen(t, maxServicesPerRoute, o.routes["check"].services)
 }
 
 // TestOutsideCallersOfALargeFleet: its services differ much in size, and a route that
@@ -85,7 +85,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	wrong, runs := 0, 0
 	for range 300 {
-		o := newOrigins(func(services []string) float64 {
+		o := newOriginTracker(func(services []string) float64 {
 			sum := 0.0
 			for _, s := range services {
 				sum += vms[s]
@@ -100,7 +100,7 @@
 				service = "b"
 			}
 			runs++
-			if o.note("r", service) == wire.OriginService {
+			if o.record("r", service) == wire.OriginService {
 				wrong++
 			}
 		}
@@ -111,10 +111,10 @@
 // TestAShareThatIsNotKnownMakesNoRouteCalled, and once it is known, it counts.
 func TestAShareThatIsNotKnownMakesNoRouteCalled(t *testing.T) {
 	share := 0.0
-	o := newOrigins(func([]string) float64 { return share })
-	for range 3 * originsEnough {
-		test.Eq(t, wire.OriginUnknown, o.note("r", "a"))
+	o := newOriginTracker(func([]string) float64 { return share })
+	for range 3 * minServiceRequests {
+		test.Eq(t, wire.OriginUnknown, o.record("r", "a"))
 	}
 	share = 0.1
-	test.Eq(t, wire.OriginService, o.note("r", "a"))
+	test.Eq(t, wire.OriginService, o.record("r", "a"))
 }
--- a/pkg/runner/placement_test.go
+++ b/pkg/runner/placement_test.go
@@ -11,14 +11,14 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// place has a runner stand in data centre n1 of the north, with a version in force
+// setPlacement has a runner stand in data centre n1 of the north, with a version in force
 // in which a route is bound to regions and their data centres.
-func place(r *Runner, version uint64, regions, dataCentres []string) {
+func setPlacement(r *Runner, version uint64, regions, dataCentres []string) {
 	r.Settings.VM.DataCentre, r.Settings.VM.Region = "n1", "north"
 	compiled := placement.Compile(&placement.Document{Version: version, Routes: []routing.Route{{
 		Name: "route", Host: "h", Prefix: "/bound/", Parts: []routing.Part{{Service: "s", Weight: 1}}, Regions: regions, DataCentres: dataCentres,
 	}}})
-	r.route = func(host, path string) (*routing.CompiledRoute, uint64) {
+	r.findRoute = func(host, path string) (*routing.CompiledRoute, uint64) {
 		return compiled.Routes.Match(host, path), version
 	}
 }
@@ -45,10 +45,10 @@
 		{"an entry with a newer version knows better", south, []string{"s1"}, "/bound/x", 6, true},
 		{"another route", south, []string{"s1"}, "/free/x", 5, true},
 	} {
-		h := newHeld()
+		h := newHoldingServer()
 		r, _ := newTestRunner(t, h, 2)
-		place(r, 5, s.regions, s.dataCentres)
-		h.goOn <- struct{}{}
+		setPlacement(r, 5, s.regions, s.dataCentres)
+		h.proceed <- struct{}{}
 		c := routedCall("a")
 		c.URI, c.Placement = s.uri, s.decidedOn
 		results, _ := execute(r, c)
@@ -62,28 +62,28 @@
 		test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 		test.False(t, got.Offered)
 		test.True(t, got.Refusal.RetryElsewhere(), test.Sprint("another executor may run it"))
-		test.Eq(t, 0, len(h.came), test.Sprint(s.name))
+		test.Eq(t, 0, len(h.arrived), test.Sprint(s.name))
 	}
 }
 
 // TestAChangeOfTheRulesBindsWhatWaits at the gate.
 func TestAChangeOfTheRulesBindsWhatWaits(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
-	place(r, 5, []string{"north"}, []string{"n1"})
+	setPlacement(r, 5, []string{"north"}, []string{"n1"})
 	bound := routedCall("first")
 	bound.URI, bound.Placement = "/bound/1", 5
 	first, _ := execute(r, bound)
-	test.Eq(t, "first", <-h.came)
+	test.Eq(t, "first", <-h.arrived)
 	waits := *bound
 	waits.Routed.ID = "second"
 	second, _ := execute(r, &waits)
-	place(r, 6, []string{"south"}, []string{"s1"})
-	h.goOn <- struct{}{}
+	setPlacement(r, 6, []string{"south"}, []string{"s1"})
+	h.proceed <- struct{}{}
 	must.NotNil(t, (<-first).Answer, must.Sprint("what runs already ends"))
 	got := <-second
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.PlacementStale, got.Refusal.Kind)
 	test.False(t, got.Offered)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 }
--- a/pkg/runner/rollout.go
+++ b/pkg/runner/rollout.go
@@ -9,46 +9,46 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// record counts how a run ended, as evidence on its version.
-func (run *routedRun) record(reply *backend.Reply, began int64, took time.Duration, slowdown int) {
-	failed, counts := verdictOf(reply)
+// recordOutcome counts how a run ended, as evidence on its version.
+func (run *routedRun) recordOutcome(reply *backend.Reply, began int64, took time.Duration, slowdown int) {
+	failed, counts := classifyReply(reply)
 	if !counts {
 		return
 	}
-	run.owner.trial.Record(rollout.Outcome{
+	run.runner.trial.Record(rollout.Outcome{
 		Route: run.call.Kind, Failed: failed, Run: took, Slowdown: uint32(max(slowdown, 0)),
-		Worst: uint32(max(slowdown, run.owner.slowdowns.worst(began))), Cold: run.owner.cold.Load(),
+		Worst: uint32(max(slowdown, run.runner.slowdowns.maxSince(began))), Cold: run.runner.cold.Load(),
 	})
 }
 
-// slowdownsKept is how many words on the backend server's speed are kept: more than
+// slowdownHistorySize is how many words on the backend server's speed are kept: more than
 // come during a run of a second with ten answers a second beside the checks.
-const slowdownsKept = 64
+const slowdownHistorySize = 64
 
-// slowdowns are the last words on the backend server's speed.
-type slowdowns struct {
+// slowdownHistory are the last words on the backend server's speed.
+type slowdownHistory struct {
 	mu   sync.Mutex
-	ring [slowdownsKept]slowdownWord
+	samples [slowdownHistorySize]slowdownSample
 	next int
 }
 
-type slowdownWord struct {
+type slowdownSample struct {
 	at      int64
 	percent int
 }
 
-func (s *slowdowns) note(now int64, percent int) {
+func (s *slowdownHistory) record(now int64, percent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.ring[s.next] = slowdownWord{now, percent}
-	s.next = (s.next + 1) % slowdownsKept
+	s.samples[s.next] = slowdownSample{now, percent}
+	s.next = (s.next + 1) % slowdownHistorySize
 }
 
-// worst is the highest slowdown that was told since a time; 0: none was.
-func (s *slowdowns) worst(since int64) (percent int) {
+// maxSince is the highest slowdown that was told since a time; 0: none was.
+func (s *slowdownHistory) maxSince(since int64) (percent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, word := range s.ring {
+	for _, word := range s.samples {
 		if word.at >= since {
 			percent = max(percent, word.percent)
 		}
@@ -56,9 +56,9 @@
 	return percent
 }
 
-// verdictOf says whether a run failed, and whether it tells anything of the version:
+// classifyReply says whether a run failed, and whether it tells anything of the version:
 // one that the caller left, whose time was over, or that never began, does not.
-func verdictOf(reply *backend.Reply) (failed, counts bool) {
+func classifyReply(reply *backend.Reply) (failed, counts bool) {
 	if reply.Answer != nil {
 		return reply.Answer.Status >= 500, true
 	}
--- a/pkg/runner/rollout_test.go
+++ b/pkg/runner/rollout_test.go
@@ -12,8 +12,8 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// switching is the traffic of a plan that moves all requests to version v2.
-func switching() *rollout.Traffic {
+// switchingTraffic is the traffic of a plan that moves all requests to version v2.
+func switchingTraffic() *rollout.Traffic {
 	book := rollout.NewBook()
 	book.Take(rollout.News{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
 	return book.Traffic("s")
@@ -22,13 +22,13 @@
 // TestAnOldBackendServerBecomesEmpty: what runs ends and counts until then, what waits
 // and what comes is refused as not run.
 func TestAnOldBackendServerBecomesEmpty(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 1)
 	lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: "v1"})
 	runs, _ := execute(r, routedCall("runs"))
-	test.Eq(t, "runs", <-h.came)
+	test.Eq(t, "runs", <-h.arrived)
 	waits, _ := execute(r, routedCall("waits"))
-	r.Trial().SetGuard(&rollout.Guard{Traffic: switching(), Revision: 6})
+	r.Trial().SetGuard(&rollout.Guard{Traffic: switchingTraffic(), Revision: 6})
 	comes, _ := execute(r, routedCall("comes"))
 	r.Tick()
 	for _, refused := range []chan call.Result{waits, comes} {
@@ -39,9 +39,9 @@
 		test.True(t, got.Refusal.RetryElsewhere())
 	}
 	test.Eq(t, 1, r.InFlight())
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	must.NotNil(t, (<-runs).Answer)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 }
 
 // TestWhoAGuardLetsRun is the table of the guard.
@@ -53,17 +53,17 @@
 	}{
 		"no roll-out was ever known":        {nil, "", true},
 		"none of this service":              {&rollout.Guard{}, "v1", true},
-		"the new version while switching":   {&rollout.Guard{Traffic: switching()}, "v2", true},
-		"the old version while switching":   {&rollout.Guard{Traffic: switching()}, "v1", false},
-		"a version that is not known yet":   {&rollout.Guard{Traffic: switching()}, "", false},
+		"the new version while switching":   {&rollout.Guard{Traffic: switchingTraffic()}, "v2", true},
+		"the old version while switching":   {&rollout.Guard{Traffic: switchingTraffic()}, "v1", false},
+		"a version that is not known yet":   {&rollout.Guard{Traffic: switchingTraffic()}, "", false},
 		"one that must wait":                {&rollout.Guard{Why: "it is new"}, "v2", false},
 		"the incarnation that was admitted": {&rollout.Guard{Instance: "i-1"}, "v1", true},
 		"one that has just taken its place": {&rollout.Guard{Instance: "i-0"}, "v1", false},
 	} {
-		r, lifecycle := newTestRunner(t, newHeld(), 1)
+		r, lifecycle := newTestRunner(t, newHoldingServer(), 1)
 		lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: c.version})
 		r.Trial().SetGuard(c.guard)
-		_, refusal := r.accepting()
+		_, refusal := r.acceptingIncarnation()
 		test.Eq(t, c.runs, refusal == nil, test.Sprint(name))
 	}
 }
@@ -88,7 +88,7 @@
 		"not reached":       {refused(errkind.BackendUnreachable, false), false, false},
 		"another one there": {refused(errkind.BackendReplaced, false), false, false},
 	} {
-		failed, counts := verdictOf(&c.reply)
+		failed, counts := classifyReply(&c.reply)
 		test.Eq(t, c.failed, failed, test.Sprint(name))
 		test.Eq(t, c.counts, counts, test.Sprint(name))
 	}
@@ -96,16 +96,16 @@
 
 // TestTheWorstSlowdownOfARun is that of the words that came while it ran.
 func TestTheWorstSlowdownOfARun(t *testing.T) {
-	var s slowdowns
-	test.Eq(t, 0, s.worst(1))
+	var s slowdownHistory
+	test.Eq(t, 0, s.maxSince(1))
 	for at, percent := range []int{500, 100, 300, 100} {
-		s.note(int64(at+1), percent)
+		s.record(int64(at+1), percent)
 	}
-	test.Eq(t, 500, s.worst(1))
-	test.Eq(t, 300, s.worst(2))
-	test.Eq(t, 0, s.worst(5))
-	for range slowdownsKept {
-		s.note(6, 200)
+	test.Eq(t, 500, s.maxSince(1))
+	test.Eq(t, 300, s.maxSince(2))
+	test.Eq(t, 0, s.maxSince(5))
+	for range slowdownHistorySize {
+		s.record(6, 200)
 	}
-	test.Eq(t, 200, s.worst(1))
+	test.Eq(t, 200, s.maxSince(1))
 }
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -25,9 +25,9 @@
 	"github.com/rushramp/rushramp/pkg/worktime"
 )
 
-// poolShare is how many goroutines the pool holds a slot: one that runs and one
+// goroutinesPerSlot is how many goroutines the pool holds a slot: one that runs and one
 // that is on its way back.
-const poolShare = 2
+const goroutinesPerSlot = 2
 
 // Runner runs requests that are routed by host and path at the backend server
 // beside this daemon. Source: docs/design/platform.md, "Executor and backend
@@ -40,38 +40,38 @@
 	transport *backend.Transport
 	lifecycle *backend.Lifecycle
 	load      *backend.Load
-	work      *worktime.Times
-	origins   *origins
+	workTimes      *worktime.Times
+	origins   *originTracker
 	service   func() (s routing.Service, ok bool)
-	route     func(host, path string) (route *routing.CompiledRoute, version uint64)
+	findRoute     func(host, path string) (route *routing.CompiledRoute, version uint64)
 	// checker is nil where the backend server has no health path.
 	checker *backend.HealthChecker
-	// lookDue is true while a look for the end of a slow spell is due.
-	lookDue atomic.Bool
+	// speedCheckDue is true while a look for the end of a slow spell is due.
+	speedCheckDue atomic.Bool
 	leaving atomic.Bool
 	// evacuated is true while the data centre of this VM is.
 	evacuated atomic.Bool
 	// trial is the backend server's part in a roll-out.
 	trial *trial.Trial
 	// slowdowns are kept while a roll-out is known.
-	slowdowns slowdowns
-	// cold is true while the backend server says that it is; coldTold once the gate
+	slowdowns slowdownHistory
+	// cold is true while the backend server says that it is; coldLimitSet once the gate
 	// knows what the backend server bears then.
-	cold, coldTold atomic.Bool
-	// usable is how many requests ran at once when that was logged last.
-	usable atomic.Int64
+	cold, coldLimitSet atomic.Bool
+	// loggedLimit is how many requests ran at once when that was logged last.
+	loggedLimit atomic.Int64
 	// slowed is true while the backend server is too slow for soft attempts.
 	slowed   atomic.Bool
 	inFlight atomic.Int64
 	// callFailedAt is when a call of the backend server last failed, in nanoseconds.
 	callFailedAt atomic.Int64
-	// quarantineSeen is what the runs under way were last held against; only Tick
+	// checkedQuarantine is what the runs under way were last held against; only Tick
 	// touches it.
-	quarantineSeen uint64
-	runs           runs
-	crashes        *crash.Detector
-	// askedAt is when a request last came, in nanoseconds.
-	askedAt atomic.Int64
+	checkedQuarantine uint64
+	activeRuns           runSet
+	crashDetector        *crash.Detector
+	// lastRequestAt is when a request last came, in nanoseconds.
+	lastRequestAt atomic.Int64
 }
 
 // Deps is what a runner works with besides the shared dependencies.
@@ -95,8 +95,8 @@
 	VMShare func(services []string) float64
 }
 
-// shareOf takes all VMs for those of the services where nothing is known.
-func (d *Deps) shareOf() func([]string) float64 {
+// vmShare takes all VMs for those of the services where nothing is known.
+func (d *Deps) vmShare() func([]string) float64 {
 	if d.VMShare == nil {
 		return func([]string) float64 { return 1 }
 	}
@@ -106,7 +106,7 @@
 // NewRunner makes a runner.
 func NewRunner(c *common.Common, deps Deps) (*Runner, error) {
 	s := c.Settings
-	pool, err := ants.NewPool(poolShare*s.BackendServer.Slots, ants.WithNonblocking(true))
+	pool, err := ants.NewPool(goroutinesPerSlot*s.BackendServer.Slots, ants.WithNonblocking(true))
 	if err != nil {
 		return nil, errors.Wrap(err, "runner pool")
 	}
@@ -116,9 +116,9 @@
 		lifecycle: deps.Lifecycle,
 		load:      deps.Load,
 		service:   deps.Service,
-		route:     deps.FindRoute,
-		work:      worktime.NewTimes(),
-		origins:   newOrigins(deps.shareOf()),
+		findRoute:     deps.FindRoute,
+		workTimes:      worktime.NewTimes(),
+		origins:   newOriginTracker(deps.vmShare()),
 		checker:   deps.Checker,
 		trial:     trial.New(c, deps.Lifecycle, deps.Recorder),
 		transport: backend.NewTransport(backend.TransportOptions{
@@ -132,7 +132,7 @@
 		}),
 	}
 	r.counters = newCounters(r)
-	r.crashes = crash.NewDetector(c, crash.Deps{Running: r.runs.count, Instance: r.incarnation, OnCrash: r.ended})
+	r.crashDetector = crash.NewDetector(c, crash.Deps{Running: r.activeRuns.count, Instance: r.incarnation, OnCrash: r.processEnded})
 	return r, nil
 }
 
@@ -142,8 +142,8 @@
 	return current.String(), state == backend.Leaving
 }
 
-// ended notes that the process of an incarnation has ended.
-func (r *Runner) ended(instance string) {
+// processEnded notes that the process of an incarnation has processEnded.
+func (r *Runner) processEnded(instance string) {
 	r.lifecycle.RecordProcessEnd(backend.ParseIncarnation(instance))
 }
 
@@ -151,7 +151,7 @@
 func (r *Runner) InFlight() int64 { return r.inFlight.Load() }
 
 // IdleFor is how long no request has come.
-func (r *Runner) IdleFor(now int64) time.Duration { return time.Duration(now - r.askedAt.Load()) }
+func (r *Runner) IdleFor(now int64) time.Duration { return time.Duration(now - r.lastRequestAt.Load()) }
 
 // Close frees the pool and the connections.
 func (r *Runner) Close() {
@@ -168,9 +168,9 @@
 // Tick starts waiting requests when there are more slots than before, and refuses
 // all that wait when the backend server takes no more.
 func (r *Runner) Tick() {
-	r.recallHeld()
-	if _, refusal := r.accepting(); refusal != nil {
-		r.dismiss(refusal)
+	r.recallQuarantined()
+	if _, refusal := r.acceptingIncarnation(); refusal != nil {
+		r.refuseWaiting(refusal)
 		return
 	}
 	start, sendBack := r.gate.Tick(r.Now())
@@ -180,8 +180,8 @@
 	}
 }
 
-// dismiss refuses all that wait: another backend server may still run it in time.
-func (r *Runner) dismiss(why *errkind.Error) {
+// refuseWaiting refuses all that wait: another backend server may still run it in time.
+func (r *Runner) refuseWaiting(why *errkind.Error) {
 	for _, job := range r.gate.DrainQueue() {
 		job.Dismiss(why)
 	}
@@ -206,17 +206,17 @@
 	r.UpdateSlots(r.load.Slots())
 	if slowdown := r.load.Slowdown(); slowdown > 0 {
 		if _, is := r.trial.UnderWay(); is {
-			r.slowdowns.note(r.Now(), slowdown)
+			r.slowdowns.record(r.Now(), slowdown)
 		}
-		r.noteSpeed(slowdown)
+		r.logSpeedChange(slowdown)
 		r.startAll(r.gate.ObserveSlowdown(r.Now(), speed.FromPercent(int64(slowdown))))
-		r.lookForEnd()
+		r.scheduleSpeedCheck()
 	}
 }
 
-// noteSpeed logs when the backend server becomes too slow for soft attempts, or
+// logSpeedChange logs when the backend server becomes too slow for soft attempts, or
 // as fast as usual again.
-func (r *Runner) noteSpeed(slowdown int) {
+func (r *Runner) logSpeedChange(slowdown int) {
 	slowed := speed.FromPercent(int64(slowdown)) > r.Settings.Routing.SoftSlowdown
 	if r.slowed.Swap(slowed) == slowed {
 		return
@@ -224,10 +224,10 @@
 	r.Log.Event(events.SpeedChanged, events.F("slowed", slowed), events.F("slowdown", slowdown), events.F("in_flight", r.gate.InFlight()))
 }
 
-// noteLimit logs when the gate has learnt another number of runs at once.
-func (r *Runner) noteLimit() {
+// logLimitChange logs when the gate has learnt another number of runs at once.
+func (r *Runner) logLimitChange() {
 	usable := int64(r.gate.UsableSlots())
-	before := r.usable.Swap(usable)
+	before := r.loggedLimit.Swap(usable)
 	if before == usable || before == 0 {
 		return
 	}
@@ -238,19 +238,19 @@
 func (r *Runner) Execute(c *wire.Call, body []byte, done func(call.Result)) (cancel func()) {
 	r.inFlight.Add(1)
 	now := r.Now()
-	r.askedAt.Store(now)
-	run := &routedRun{owner: r, call: c, body: body, done: done, deadline: now + int64(c.Remaining)}
-	if refusal := r.check(c, body); refusal != nil {
+	r.lastRequestAt.Store(now)
+	run := &routedRun{runner: r, call: c, body: body, done: done, deadline: now + int64(c.Remaining)}
+	if refusal := r.checkCall(c, body); refusal != nil {
 		run.refuse(refusal)
 		return func() {}
 	}
-	run.origin = r.origins.note(c.Kind, c.Routed.Caller)
+	run.origin = r.origins.record(c.Kind, c.Routed.Caller)
 	called := run.origin == wire.OriginService
 	run.job = gate.Job{
-		Rank: rankOf(c), Team: c.Routed.Team, Nested: called, Deadline: run.deadline, Work: r.work.LookupOrEstimate(c.Kind, c.Routed.Target),
-		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.endBy(now, run, called), Start: run.start, SendBack: run.sendBack, Dismiss: run.dismiss,
+		Rank: rankOf(c), Team: c.Routed.Team, Nested: called, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.Target),
+		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.latestEnd(now, run, called), Start: run.start, SendBack: run.refuseSlowed, Dismiss: run.dismiss,
 	}
-	if !r.looksFirst(now, run) {
+	if !r.checkSpeedFirst(now, run) {
 		run.admit()
 	}
 	return run.cancel
@@ -274,14 +274,14 @@
 	}
 }
 
-// note takes over what a reply tells of the backend server.
-func (r *Runner) note(reply *backend.Reply) {
+// applyReply takes over what a reply tells of the backend server.
+func (r *Runner) applyReply(reply *backend.Reply) {
 	r.UpdateLoad(reply.LoadHeader)
 	switch {
 	case reply.Refusal == nil || reply.Refusal.Kind == errkind.BackendRefused:
 		r.lifecycle.RecordAnswer(r.Now())
 	case reply.Refusal.Kind == errkind.BackendUnreachable:
-		r.lifecycle.RecordRefusedConnection()
+		r.lifecycle.RecordConnectFailure()
 		r.Log.Event(events.BackendDown, events.F("address", r.Settings.BackendServer.Address), events.F("cause", reply.Refusal.Detail))
 	case reply.Refusal.Kind == errkind.BackendReplaced:
 		r.lifecycle.RecordReplacement(r.Now(), reply.InstanceID)
--- a/pkg/runner/runner_test.go
+++ b/pkg/runner/runner_test.go
@@ -22,23 +22,23 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// held is a backend server that keeps requests until it is told to go on.
-type held struct {
+// holdingServer is a backend server that keeps requests until it is told to go on.
+type holdingServer struct {
 	mu   sync.Mutex
-	came chan string
-	goOn chan struct{}
-	left chan string
+	arrived chan string
+	proceed chan struct{}
+	abandoned chan string
 	load string
 }
 
-func (h *held) ServeHTTP(w http.ResponseWriter, r *http.Request) {
+func (h *holdingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get("Rushramp-Request-Id")
 	_, _ = io.ReadAll(r.Body)
-	h.came <- id
+	h.arrived <- id
 	select {
-	case <-h.goOn:
+	case <-h.proceed:
 	case <-r.Context().Done():
-		h.left <- id
+		h.abandoned <- id
 		return
 	}
 	w.Header().Set("Rushramp-Request-Id", id)
@@ -47,8 +47,8 @@
 	h.mu.Unlock()
 }
 
-func newHeld() *held {
-	return &held{came: make(chan string, 100), goOn: make(chan struct{}, 100), left: make(chan string, 100), load: "0,0,2,100"}
+func newHoldingServer() *holdingServer {
+	return &holdingServer{arrived: make(chan string, 100), proceed: make(chan struct{}, 100), abandoned: make(chan string, 100), load: "0,0,2,100"}
 }
 
 func newTestRunner(t *testing.T, h http.Handler, slots int) (*Runner, *backend.Lifecycle) {
@@ -85,10 +85,10 @@
 }
 
 func TestARequestRunsAndItsLoadIsTakenOver(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	h.load = "1,0,5,400"
 	r, _ := newTestRunner(t, h, 2)
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	results, _ := execute(r, routedCall("a"))
 	got := <-results
 	must.NotNil(t, got.Answer)
@@ -104,7 +104,7 @@
 }
 
 func TestWhoMayNotRun(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 2)
 	refused := func(c *wire.Call, want errkind.Kind) {
 		t.Helper()
@@ -123,32 +123,32 @@
 	refused(routedCall("b"), errkind.BackendAbsent)
 	r.StopAccepting()
 	refused(routedCall("c"), errkind.Leaving)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 	test.Eq(t, 0, r.InFlight())
 }
 
 func TestADepartureStopsWhatWaitsAtTheGate(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 1)
 	first, _ := execute(r, routedCall("a"))
-	test.Eq(t, "a", <-h.came)
+	test.Eq(t, "a", <-h.arrived)
 	second, _ := execute(r, routedCall("b"))
 	lifecycle.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	must.NotNil(t, (<-first).Answer)
 	got := <-second
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.BackendAbsent, got.Refusal.Kind)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 }
 
 // TestAnEvacuatedDataCentreTakesNothingNew: the run under way ends, what waits and
 // what comes is refused as not run, until the data centre is taken back.
 func TestAnEvacuatedDataCentreTakesNothingNew(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
 	runs, _ := execute(r, routedCall("runs"))
-	test.Eq(t, "runs", <-h.came)
+	test.Eq(t, "runs", <-h.arrived)
 	waits, _ := execute(r, routedCall("waits"))
 	r.SetEvacuated(true)
 	comes, _ := execute(r, routedCall("comes"))
@@ -160,19 +160,19 @@
 		test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 		test.True(t, got.Refusal.RetryElsewhere())
 	}
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	must.NotNil(t, (<-runs).Answer)
 	r.SetEvacuated(false)
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	back, _ := execute(r, routedCall("back"))
 	must.NotNil(t, (<-back).Answer)
 }
 
 func TestACancelledRequestLeavesTheBackendServer(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
 	first, cancelFirst := execute(r, routedCall("a"))
-	<-h.came
+	<-h.arrived
 	second, cancelSecond := execute(r, routedCall("b"))
 	cancelSecond()
 	got := <-second
@@ -180,42 +180,42 @@
 	cancelFirst()
 	got = <-first
 	test.Eq(t, errkind.RanMaybe, got.Refusal.Ran)
-	test.Eq(t, "a", <-h.left)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, "a", <-h.abandoned)
+	test.Eq(t, 0, len(h.arrived))
 }
 
 func TestWhatCannotEndInTimeIsRefusedAtOnce(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
-	r.work.Record("route", time.Second, 0)
+	r.workTimes.Record("route", time.Second, 0)
 	busy, _ := execute(r, routedCall("a"))
-	<-h.came
+	<-h.arrived
 	late := routedCall("b")
 	late.Routed.Target = 1500 * time.Millisecond
 	results, _ := execute(r, late)
 	got := <-results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.Overloaded, got.Refusal.Kind)
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	<-busy
 }
 
 func TestRoutesThatServicesCallAreTold(t *testing.T) {
-	o := newOrigins((&Deps{}).shareOf())
-	for range originsEnough {
-		test.Eq(t, wire.OriginUnknown, o.note("called", "a"))
-		test.Eq(t, wire.OriginUnknown, o.note("outside", "a"))
+	o := newOriginTracker((&Deps{}).vmShare())
+	for range minServiceRequests {
+		test.Eq(t, wire.OriginUnknown, o.record("called", "a"))
+		test.Eq(t, wire.OriginUnknown, o.record("outside", "a"))
 	}
-	test.Eq(t, wire.OriginService, o.note("called", "a"))
-	test.Eq(t, wire.OriginCallers, o.note("outside", "b"))
-	test.Eq(t, wire.OriginCallers, o.note("outside", "a"))
-	test.Eq(t, wire.OriginCallers, o.note("called", "b"))
+	test.Eq(t, wire.OriginService, o.record("called", "a"))
+	test.Eq(t, wire.OriginCallers, o.record("outside", "b"))
+	test.Eq(t, wire.OriginCallers, o.record("outside", "a"))
+	test.Eq(t, wire.OriginCallers, o.record("called", "b"))
 }
 
 // TestSlotsOfABackendServerThatTellsNoLoad: not all put a load header into
 // their answers; their heartbeats say how many slots they have.
 func TestSlotsOfABackendServerThatTellsNoLoad(t *testing.T) {
-	r, _ := newTestRunner(t, newHeld(), 12)
+	r, _ := newTestRunner(t, newHoldingServer(), 12)
 	r.UpdateSlots(6)
 	test.Eq(t, 6, r.Gate().Slots())
 	r.UpdateSlots(0)
@@ -224,18 +224,18 @@
 
 // TestTheShareOfRepeatedRunsIsKnown: entries tell which runs repeat one elsewhere.
 func TestTheShareOfRepeatedRunsIsKnown(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 4)
 	test.Eq(t, 0.0, r.RepeatShare())
 	first, again := routedCall("a"), routedCall("b")
 	again.Claim.Generation = 1
 	one, _ := execute(r, first)
 	two, _ := execute(r, again)
-	<-h.came
-	<-h.came
+	<-h.arrived
+	<-h.arrived
 	test.Eq(t, 0.5, r.RepeatShare())
-	h.goOn <- struct{}{}
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
+	h.proceed <- struct{}{}
 	<-one
 	<-two
 	test.Eq(t, 0.0, r.RepeatShare())
@@ -243,17 +243,17 @@
 
 // TestAnAnswerSaysWhetherCallsFailedDuringItsRun.
 func TestAnAnswerSaysWhetherCallsFailedDuringItsRun(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 2)
 	r.CallFailed()
 	time.Sleep(time.Millisecond)
 	for _, fails := range []bool{false, true} {
 		results, _ := execute(r, routedCall("a"))
-		<-h.came
+		<-h.arrived
 		if fails {
 			r.CallFailed()
 		}
-		h.goOn <- struct{}{}
+		h.proceed <- struct{}{}
 		got := <-results
 		must.NotNil(t, got.Answer)
 		test.Eq(t, fails, got.Answer.CallsFailed)
--- a/pkg/runner/runs.go
+++ b/pkg/runner/runs.go
@@ -2,50 +2,50 @@
 
 import "sync"
 
-// runs are those under way at the backend server. It is safe for concurrent use.
-type runs struct {
+// runSet are those under way at the backend server. It is safe for concurrent use.
+type runSet struct {
 	mu sync.Mutex
-	// all says of each whether it repeats a run elsewhere, repeating counts those.
-	all       map[*routedRun]bool
+	// repeats says of each whether it repeats a run elsewhere, repeating counts those.
+	repeats       map[*routedRun]bool
 	repeating int
 }
 
 // add notes a run until the returned function is called.
-func (r *runs) add(run *routedRun, repeats bool) (ended func()) {
+func (r *runSet) add(run *routedRun, repeats bool) (ended func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.all == nil {
-		r.all = map[*routedRun]bool{}
+	if r.repeats == nil {
+		r.repeats = map[*routedRun]bool{}
 	}
-	r.all[run] = repeats
+	r.repeats[run] = repeats
 	if repeats {
 		r.repeating++
 	}
 	return func() { r.remove(run) }
 }
 
-func (r *runs) remove(run *routedRun) {
+func (r *runSet) remove(run *routedRun) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.all[run] {
+	if r.repeats[run] {
 		r.repeating--
 	}
-	delete(r.all, run)
+	delete(r.repeats, run)
 }
 
 // count is how many there are.
-func (r *runs) count() int {
+func (r *runSet) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.all)
+	return len(r.repeats)
 }
 
 // list returns those that there are.
-func (r *runs) list() []*routedRun {
+func (r *runSet) list() []*routedRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]*routedRun, 0, len(r.all))
-	for run := range r.all {
+	out := make([]*routedRun, 0, len(r.repeats))
+	for run := range r.repeats {
 		out = append(out, run)
 	}
 	return out
@@ -54,29 +54,29 @@
 // RepeatShare is the share of the runs at the backend server that repeat a run
 // elsewhere: calls that these make count as repeats at the service they call.
 func (r *Runner) RepeatShare() float64 {
-	r.runs.mu.Lock()
-	defer r.runs.mu.Unlock()
-	if len(r.runs.all) == 0 {
+	r.activeRuns.mu.Lock()
+	defer r.activeRuns.mu.Unlock()
+	if len(r.activeRuns.repeats) == 0 {
 		return 0
 	}
-	return float64(r.runs.repeating) / float64(len(r.runs.all))
+	return float64(r.activeRuns.repeating) / float64(len(r.activeRuns.repeats))
 }
 
 // CallFailed notes that a call of the backend server failed: a run under way may fail
 // because of it.
 func (r *Runner) CallFailed() { r.callFailedAt.Store(r.Now()) }
 
-// recallHeld ends the runs of contents that are held back by now, so that the backend
+// recallQuarantined ends the runs of contents that are held back by now, so that the backend
 // server may outlive them. Those that must not be repeated run on: they may be in the
 // middle of what they do.
-func (r *Runner) recallHeld() {
+func (r *Runner) recallQuarantined() {
 	version := r.Quarantine.Version()
-	if r.quarantineSeen == version {
+	if r.checkedQuarantine == version {
 		return
 	}
-	r.quarantineSeen = version
-	for _, run := range r.runs.list() {
-		if why := r.heldBack(run.call, run.body); why != nil && run.call.Routed.Repeatable {
+	r.checkedQuarantine = version
+	for _, run := range r.activeRuns.list() {
+		if why := r.quarantineRefusal(run.call, run.body); why != nil && run.call.Routed.Repeatable {
 			run.recall(why)
 		}
 	}
--- a/pkg/runner/speed_check_test.go
+++ b/pkg/runner/speed_check_test.go
@@ -27,7 +27,7 @@
 // TestARequestStartsOnFreshWord: what the backend server said of its speed is
 // old, so it is asked before the gate decides.
 func TestARequestStartsOnFreshWord(t *testing.T) {
-	r, _ := newTestRunner(t, newHeld(), 2)
+	r, _ := newTestRunner(t, newHoldingServer(), 2)
 	withHealthPath(r, func() string { return "0,0,2,400" })
 	soft := routedCall("soft")
 	soft.Routed.Soft = true
@@ -40,7 +40,7 @@
 
 // TestACallerThatLeavesDuringALook: the request never reaches the gate.
 func TestACallerThatLeavesDuringALook(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 2)
 	asked, answer := make(chan struct{}), make(chan struct{})
 	r.Settings.Routing.LookWithin = 1 << 40
@@ -57,12 +57,12 @@
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.CallerGone, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 }
 
-// slowSpells makes the gate hold starts: spells of 100 ms came again and again,
+// reportSlowSpells makes the gate hold starts: spells of 100 ms came again and again,
 // and one goes on.
-func slowSpells(r *Runner) {
+func reportSlowSpells(r *Runner) {
 	const second, step = int64(time.Second), int64(10 * time.Millisecond)
 	now := r.Now() - 40*second
 	for ; now < r.Now(); now += step {
@@ -79,19 +79,19 @@
 	r.gate.ObserveSlowdown(r.Now(), 5)
 }
 
-// heldCall is a call that a gate holds in a slow spell.
-func heldCall(id string) *wire.Call {
+// newHeldCall is a call that a gate holds in a slow spell.
+func newHeldCall(id string) *wire.Call {
 	c := routedCall(id)
 	c.Routed.Target = time.Second
 	return c
 }
 
-// holding makes a runner that holds one start for the end of a slow spell.
-func holding(t *testing.T) (*Runner, *backend.Lifecycle, *held, chan call.Result) {
-	h := newHeld()
+// newHoldingRunner makes a runner that holds one start for the end of a slow spell.
+func newHoldingRunner(t *testing.T) (*Runner, *backend.Lifecycle, *holdingServer, chan call.Result) {
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 2)
-	slowSpells(r)
-	results, _ := execute(r, heldCall("a"))
+	reportSlowSpells(r)
+	results, _ := execute(r, newHeldCall("a"))
 	must.True(t, r.gate.AwaitsReport(r.Now()))
 	return r, lifecycle, h, results
 }
@@ -99,40 +99,40 @@
 // TestAHeldStartOutlastsThePlannedStop: it was taken, so it runs when the spell
 // ends, though nothing new is taken any more.
 func TestAHeldStartOutlastsThePlannedStop(t *testing.T) {
-	r, _, h, results := holding(t)
+	r, _, h, results := newHoldingRunner(t)
 	r.StopAccepting()
-	late, _ := execute(r, heldCall("b"))
+	late, _ := execute(r, newHeldCall("b"))
 	got := <-late
 	test.Eq(t, errkind.Leaving, got.Refusal.Kind)
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	r.UpdateLoad("0,0,2,100")
 	got = <-results
 	must.NotNil(t, got.Answer)
-	test.Eq(t, 1, r.held.Get())
+	test.Eq(t, 1, r.heldStarts.Get())
 }
 
 // TestAHeldStartIsRefusedWhenItsBackendServerLeaves: at once, as not run, so that
 // it goes elsewhere while it has time.
 func TestAHeldStartIsRefusedWhenItsBackendServerLeaves(t *testing.T) {
-	r, lifecycle, h, results := holding(t)
+	r, lifecycle, h, results := newHoldingRunner(t)
 	lifecycle.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
 	r.Tick()
 	got := <-results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.BackendAbsent, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 	test.Eq(t, 0, r.gate.InFlight())
 }
 
 // TestAnAnswerTellsTheSlowdownAtItsStart: not the one that came with it, since a
 // run keeps the speed of its start; entries learn work times from it.
 func TestAnAnswerTellsTheSlowdownAtItsStart(t *testing.T) {
-	h := newHeld()
+	h := newHoldingServer()
 	h.load = "1,0,2,100"
 	r, _ := newTestRunner(t, h, 2)
 	r.UpdateLoad("0,0,2,300")
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	results, _ := execute(r, routedCall("a"))
 	got := <-results
 	must.NotNil(t, got.Answer)
--- a/pkg/runner/suspended_test.go
+++ b/pkg/runner/suspended_test.go
@@ -16,16 +16,16 @@
 // suspended for longer than it had is refused as not run, and one that comes after is
 // run.
 func TestARequestDoesNotOutliveASuspension(t *testing.T) {
-	e := newEndable(t)
+	e := newCrashFixture(t)
 	var vm *clock.Manual
 	e.runner.Clock, vm = clock.NewManual()
 	e.runner.gate.SetSlots(1)
-	e.run("runs")
+	e.startAndWait("runs")
 	waits := routedCall("waits")
 	waits.Remaining = 5 * time.Second
 	e.runner.Execute(waits, nil, func(r call.Result) { e.results <- r })
 	vm.Suspend(10 * time.Second)
-	e.goOn <- struct{}{}
+	e.proceed <- struct{}{}
 	refused := 0
 	for range 2 {
 		if got := <-e.results; got.Refusal != nil {
@@ -34,7 +34,7 @@
 		}
 	}
 	must.Eq(t, 1, refused)
-	e.run("after")
-	e.goOn <- struct{}{}
+	e.startAndWait("after")
+	e.proceed <- struct{}{}
 	must.NotNil(t, (<-e.results).Answer)
 }
