--- a/pkg/backend/announcements.go
+++ b/pkg/backend/announcements.go
@@ -2,12 +2,14 @@
 
 import "context"
 
-// AnnouncementHandler takes what a backend server announces of itself. A call returns
-// when the announcement may be acknowledged.
+// AnnouncementHandler processes what a backend server announces about itself. Each
+// method returns once the announcement may be acknowledged.
 type AnnouncementHandler interface {
+	// HandleHeartbeat processes a heartbeat.
 	HandleHeartbeat(ctx context.Context, h Heartbeat)
-	// HandleDeparture says that an incarnation leaves, or has ended.
-	HandleDeparture(ctx context.Context, of Incarnation)
-	// HandleInvalid takes an announcement that cannot be understood: who it names, and why.
-	HandleInvalid(id string, why error)
+	// HandleDeparture processes the message that an incarnation is leaving or has ended.
+	HandleDeparture(ctx context.Context, incarnation Incarnation)
+	// HandleInvalid processes an announcement that cannot be parsed: instanceID is the
+	// instance that it names, err the reason.
+	HandleInvalid(instanceID string, err error)
 }
--- a/pkg/backend/conn.go
+++ b/pkg/backend/conn.go
@@ -11,45 +11,45 @@
 	"github.com/pkg/errors"
 )
 
-// errUnexpectedBytes ends a connection on which bytes came while no request was waiting:
-// they belong to no request.
-var errUnexpectedBytes = errors.New("bytes that belong to no request")
+// errUnexpectedBytes closes a connection that received bytes which belong to no pending
+// request.
+var errUnexpectedBytes = errors.New("received bytes that belong to no pending request")
 
-// errBodyTooLarge ends a connection whose answer is over the bound.
-var errBodyTooLarge = errors.New("the answer is over the bound")
+// errBodyTooLarge closes a connection whose response body exceeds the limit.
+var errBodyTooLarge = errors.New("response body exceeds the size limit")
 
-// exchange is one request on its connection.
+// exchange is one request and its pending response on a connection.
 type exchange struct {
-	id   string
+	id      string
 	request *http.Request
-	// response has room for the one answer, failed for the one error.
+	// Each channel has a buffer of one; at most one of them receives a value.
 	response chan *http.Response
 	failure  chan error
 }
 
-// conn is one connection to the backend server. It carries one request at a
-// time. A goroutine of its own reads, so that a close is seen at once, and an
-// answer that comes before a long body is written, too.
+// conn is one connection to the backend server and carries one request at a time. Its
+// own goroutine reads from it, so that a close is noticed at once, and so is a response
+// that arrives before a long request body is written.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader
-	idHeader string
-	maxBodyBytes  int64
-	lastUsed int64
+	reader       *bufio.Reader
+	idHeader     string
+	maxBodyBytes int64
+	lastUsed     int64
 
-	mu      sync.Mutex
-	current *exchange
-	closeErr  error
+	mu       sync.Mutex
+	current  *exchange
+	closeErr error
 }
 
-func newConn(c net.Conn, idHeader string, maxBody int) *conn {
-	out := &conn{Conn: c, reader: bufio.NewReader(c), idHeader: idHeader, maxBodyBytes: int64(maxBody)}
+func newConn(c net.Conn, idHeader string, maxBodyBytes int) *conn {
+	out := &conn{Conn: c, reader: bufio.NewReader(c), idHeader: idHeader, maxBodyBytes: int64(maxBodyBytes)}
 	go out.readLoop()
 	return out
 }
 
-// startExchange makes ex the request that the next answer belongs to; false when the
-// connection has ended: then nothing of the request was sent.
+// startExchange makes ex the exchange that the next response belongs to. It returns
+// false if the connection is closed; nothing of the request has been sent then.
 func (c *conn) startExchange(ex *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -60,14 +60,14 @@
 	return true
 }
 
-// isOpen is true for an idle connection that has not ended.
+// isOpen is true until the connection has failed or must not be reused.
 func (c *conn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.closeErr == nil
 }
 
-// closeWithError ends the connection and the request that waits on it.
+// closeWithError closes the connection and fails the pending exchange with cause.
 func (c *conn) closeWithError(cause error) {
 	c.mu.Lock()
 	if c.closeErr == nil {
@@ -97,8 +97,8 @@
 	}
 }
 
-// readResponse reads one answer. An answer to an older request, which may come late
-// in the place of the next one, is read to its end and dropped.
+// readResponse reads one response. A late response to an earlier request, which its ID
+// header tells, is read to its end and dropped; so is an interim (1xx) response.
 func (c *conn) readResponse() error {
 	if _, err := c.reader.Peek(1); err != nil {
 		return err
@@ -114,16 +114,16 @@
 	if resp.StatusCode < http.StatusOK {
 		return nil
 	}
-	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	closeDelimited := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err != nil {
-		return errors.Wrap(err, "answer cut")
+		return errors.Wrap(err, "response truncated")
 	}
 	if int64(len(body)) > c.maxBodyBytes {
 		return errBodyTooLarge
 	}
 	resp.Body = io.NopCloser(bytes.NewReader(body))
-	last := resp.Close || unframed
+	last := resp.Close || closeDelimited
 	if resp.Header.Get(c.idHeader) != ex.id {
 		if last {
 			return errUnexpectedBytes
@@ -133,17 +133,18 @@
 	return c.deliver(ex, resp, last)
 }
 
-// deliver hands the answer over. What follows it on the connection belongs to
-// no request, so the connection is not used again then.
+// deliver hands the response to its exchange. It returns an error, which closes the
+// connection, if this was the last response or if further bytes have arrived: those
+// belong to no request.
 func (c *conn) deliver(ex *exchange, resp *http.Response, last bool) error {
 	c.mu.Lock()
 	c.current = nil
-	var end error
+	var err error
 	if last || c.reader.Buffered() > 0 {
-		end = errUnexpectedBytes
-		c.closeErr = end
+		err = errUnexpectedBytes
+		c.closeErr = err
 	}
 	c.mu.Unlock()
 	ex.response <- resp
-	return end
+	return err
 }
--- a/pkg/backend/headers.go
+++ b/pkg/backend/headers.go
@@ -1,33 +1,34 @@
-// Package backend speaks to the one backend server beside the daemon: it hands
-// requests over, follows what the backend server says of its load, and knows
-// whether it lives, leaves or is gone. Source: docs/design/platform.md,
+// Package backend talks to the one backend server beside the daemon: it sends
+// requests, tracks the load that the backend server reports, and tracks whether its
+// process is live, leaving or down. Source: docs/design/platform.md,
 // "Executor and backend server".
 package backend
 
-// Headers names the headers that daemon and backend server exchange. Platforms
-// spell them differently; nothing here depends on a spelling.
+// Headers holds the names of the HTTP headers that daemon and backend server exchange.
+// They differ between platforms.
 type Headers struct {
-	// RequestID carries the caller's id to the backend server and back.
+	// RequestID carries the request's ID to the backend server and back.
 	RequestID string
-	// TimeoutMS carries the time left, in milliseconds.
+	// TimeoutMS carries the time left until the deadline, in milliseconds.
 	TimeoutMS string
-	// ExpectedInstanceID names the incarnation that alone may run the request.
+	// ExpectedInstanceID names the only instance that may run the request.
 	ExpectedInstanceID string
 	// Caller names the service on whose VM the request began.
 	Caller string
 	// Team names the team whose key the request carried.
 	Team string
-	// InstanceID is how a backend server names its incarnation in answers.
+	// InstanceID names the instance that answers.
 	InstanceID string
-	// Load carries running, waiting and slots, and the slowdown in percent.
+	// Load carries running, waiting, slots and the slowdown in percent; see
+	// ParseLoadReport.
 	Load string
-	// NotExecuted marks the only answers that prove that a request did not run.
+	// NotExecuted marks a response to a request that the backend server did not run.
 	NotExecuted string
-	// ColdMS is how much longer the backend server is cold, in milliseconds.
+	// ColdMS carries how much longer the backend server is cold, in milliseconds.
 	ColdMS string
 }
 
-// DefaultHeaders are the names that the product itself uses.
+// DefaultHeaders returns rushramp's own header names.
 func DefaultHeaders() Headers {
 	return Headers{
 		RequestID: "Rushramp-Request-Id", TimeoutMS: "Rushramp-Timeout", ExpectedInstanceID: "Rushramp-Expected-Instance",
--- a/pkg/backend/health_checker.go
+++ b/pkg/backend/health_checker.go
@@ -9,52 +9,49 @@
 )
 
 const (
-	// minCheckPause is how long nothing is asked after a check that failed or that
-	// outlasted CheckerOptions.Within; it doubles up to longestCheckPause while
-	// checks go on failing, and ends with the first that does not: the watch goes
-	// on asking. A backend server that hangs costs each starting
-	// request Within once a pause.
-	minCheckPause        = 500 * time.Millisecond
+	// minCheckPause is how long Check refuses further checks after one that failed or
+	// took longer than HealthCheckerOptions.MaxWait. The pause doubles with each further
+	// such check, up to maxCheckPause, and the first good check ends it. A backend server
+	// that hangs therefore delays starting requests by MaxWait once per pause only.
+	minCheckPause = 500 * time.Millisecond
 	maxCheckPause = 8 * time.Second
-	// checkBurstSeconds is how many seconds of checks may be saved up: spells of noise
-	// come in groups.
+	// checkBurstSeconds is how many seconds' worth of unused checks may be saved up:
+	// slow periods of a backend server come in groups.
 	checkBurstSeconds = 2
 )
 
-// HealthCheckerOptions bound what health checks cost.
+// HealthCheckerOptions limit the cost of health checks.
 type HealthCheckerOptions struct {
-	// MaxWait is how long those who wait for a check are held up at most.
+	// MaxWait is the longest time that a caller waits for a check.
 	MaxWait time.Duration
-	// MaxPerSecond is how many checks a second are made in the mean at most.
+	// MaxPerSecond is the highest average rate of checks that Check makes.
 	MaxPerSecond int
-	// OnPauseChange is told when checks begin to be paused, with what the last one took
-	// and its error, and when one succeeds again, with a pause of 0. It may be
-	// nil.
+	// OnPauseChange is called when checks are paused, with the duration and the error of
+	// the last one, and when a check succeeds again, with a pause of 0. It may be nil.
 	OnPauseChange func(pause, took time.Duration, err error)
 }
 
-// HealthChecker makes the health checks of one backend server for all who need its
-// word on its speed: those who ask while a check is under way share its answer,
-// and a backend server that does not answer holds nobody up for long. It is safe
-// for concurrent use.
+// HealthChecker makes the health checks of one backend server. Callers that ask while
+// a check is running share its result, and a backend server that does not answer
+// delays nobody for longer than MaxWait. It is safe for concurrent use.
 type HealthChecker struct {
-	opts  HealthCheckerOptions
-	check func(context.Context) error
+	opts    HealthCheckerOptions
+	check   func(context.Context) error
 	limiter *rate.Limiter
 
 	mu sync.Mutex
-	// waiters are those who wait for the check under way.
+	// waiters are called when the running check ends or times out.
 	waiters []func()
-	// running is true while a check is under way, late once it outlasted Within.
-	running bool
+	// running is true while a check runs, timedOut once it took longer than MaxWait.
+	running  bool
 	timedOut bool
-	// nextPause is the length of the next nextPause; resumeAt ends the present one.
-	nextPause    time.Duration
-	resumeAt time.Time
+	// nextPause is the duration of the next pause; resumeAt is the end of the current one.
+	nextPause time.Duration
+	resumeAt  time.Time
 }
 
-// NewHealthChecker makes a checker. check asks once, and takes the answer over before
-// it returns.
+// NewHealthChecker returns a checker. check makes one health check and applies its
+// result before it returns.
 func NewHealthChecker(opts HealthCheckerOptions, check func(context.Context) error) *HealthChecker {
 	return &HealthChecker{
 		opts: opts, check: check, nextPause: minCheckPause,
@@ -62,10 +59,10 @@
 	}
 }
 
-// Check has the backend server asked, unless that is under way, and calls done
-// when the answer was taken over or Within has passed. It returns false, and
-// never calls done, where a check is not allowed now: the rate is used up, or
-// checks have just failed.
+// Check starts a health check, or joins the running one, and calls done when its
+// result is applied or MaxWait has passed. It returns false and never calls done when
+// no check is allowed: the rate limit is reached, checks are paused after a failure, or
+// the running check has already exceeded MaxWait.
 func (c *HealthChecker) Check(done func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -80,18 +77,17 @@
 	return true
 }
 
-// ForceCheck has the backend server asked by those who follow whether it lives, at
-// a pace of their own: no pause and no rate holds for them. done is called when
-// the answer was taken over or Within has passed; for one who joins a check that
-// has outlasted Within, when that check ends.
+// ForceCheck is Check without the pause and the rate limit, for the periodic liveness
+// check. done is called when the result is applied or MaxWait has passed; a caller that
+// joins a check which has already exceeded MaxWait waits for the end of that check.
 func (c *HealthChecker) ForceCheck(done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.addWaiter(done)
 }
 
-// addWaiter adds one who waits, and begins a check where none is under way; the lock
-// is held.
+// addWaiter adds a waiter and starts a check unless one is running. The caller holds
+// the lock.
 func (c *HealthChecker) addWaiter(done func()) {
 	c.waiters = append(c.waiters, done)
 	if c.running {
@@ -101,54 +97,54 @@
 	go c.run()
 }
 
-// run makes one check.
+// run makes one check and releases its waiters.
 func (c *HealthChecker) run() {
-	began := time.Now()
+	start := time.Now()
 	timer := time.AfterFunc(c.opts.MaxWait, c.onTimeout)
 	err := c.check(context.Background())
 	timer.Stop()
 	c.mu.Lock()
 	c.running = false
-	pause, turned := c.updatePause(err != nil || c.timedOut)
-	waiting := c.takeWaiters()
+	pause, changed := c.updatePause(err != nil || c.timedOut)
+	waiters := c.takeWaiters()
 	c.mu.Unlock()
-	if turned && c.opts.OnPauseChange != nil {
-		c.opts.OnPauseChange(pause, time.Since(began), err)
+	if changed && c.opts.OnPauseChange != nil {
+		c.opts.OnPauseChange(pause, time.Since(start), err)
 	}
-	callAll(waiting)
+	callAll(waiters)
 }
 
-// onTimeout lets those go on who wait for a check that outlasts its time.
+// onTimeout releases the waiters of a check that has exceeded MaxWait.
 func (c *HealthChecker) onTimeout() {
 	c.mu.Lock()
 	c.timedOut = c.running
-	waiting := c.takeWaiters()
+	waiters := c.takeWaiters()
 	c.mu.Unlock()
-	callAll(waiting)
+	callAll(waiters)
 }
 
-// updatePause sets the pause that follows a check; the lock is held. turned is true
-// when checks begin to be paused, or are no longer.
-func (c *HealthChecker) updatePause(failed bool) (pause time.Duration, turned bool) {
-	before := c.nextPause
+// updatePause sets the pause that follows a check. changed is true when checks become
+// paused or are resumed. The caller holds the lock.
+func (c *HealthChecker) updatePause(failed bool) (pause time.Duration, changed bool) {
+	current := c.nextPause
 	if !failed {
 		c.nextPause, c.resumeAt = minCheckPause, time.Time{}
-		return 0, before != minCheckPause
+		return 0, current != minCheckPause
 	}
 	c.resumeAt = time.Now().Add(c.nextPause)
 	c.nextPause = min(2*c.nextPause, maxCheckPause)
-	return before, before == minCheckPause
+	return current, current == minCheckPause
 }
 
-// takeWaiters empties the list of those who wait; the lock is held.
+// takeWaiters empties the list of waiters and returns it. The caller holds the lock.
 func (c *HealthChecker) takeWaiters() []func() {
 	out := c.waiters
 	c.waiters = nil
 	return out
 }
 
-func callAll(all []func()) {
-	for _, done := range all {
-		done()
+func callAll(callbacks []func()) {
+	for _, callback := range callbacks {
+		callback()
 	}
 }
--- a/pkg/backend/health_checker_test.go
+++ b/pkg/backend/health_checker_test.go
@@ -12,40 +12,40 @@
 	"github.com/shoenig/test"
 )
 
-// fakeHealthPath is a health path that answers after a while, or fails.
+// fakeHealthPath is a health path that takes some time to answer, or fails.
 type fakeHealthPath struct {
-	calls  atomic.Int64
+	calls atomic.Int64
 	delay time.Duration
 	err   error
 }
 
-func (c *fakeHealthPath) check(context.Context) error {
-	c.calls.Add(1)
-	time.Sleep(c.delay)
-	return c.err
+func (p *fakeHealthPath) check(context.Context) error {
+	p.calls.Add(1)
+	time.Sleep(p.delay)
+	return p.err
 }
 
 const maxWait = 8 * time.Millisecond
 
-func newTestChecker(c *fakeHealthPath, perSecond int) *HealthChecker {
-	return NewHealthChecker(HealthCheckerOptions{MaxWait: maxWait, MaxPerSecond: perSecond}, c.check)
+func newTestChecker(path *fakeHealthPath, maxPerSecond int) *HealthChecker {
+	return NewHealthChecker(HealthCheckerOptions{MaxWait: maxWait, MaxPerSecond: maxPerSecond}, path.check)
 }
 
-func TestAChecksAnswerIsShared(t *testing.T) {
+func TestConcurrentCallersShareOneCheck(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := &fakeHealthPath{delay: time.Millisecond}
 		checker := newTestChecker(path, 40)
-		var told atomic.Int64
+		var released atomic.Int64
 		for range 5 {
-			test.True(t, checker.Check(func() { told.Add(1) }))
+			test.True(t, checker.Check(func() { released.Add(1) }))
 		}
 		time.Sleep(2 * time.Millisecond)
 		test.Eq(t, 1, path.calls.Load())
-		test.Eq(t, 5, told.Load())
+		test.Eq(t, 5, released.Load())
 	})
 }
 
-func TestChecksKeepToTheirRate(t *testing.T) {
+func TestCheckKeepsToTheRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := &fakeHealthPath{}
 		checker := newTestChecker(path, 40)
@@ -58,21 +58,21 @@
 	})
 }
 
-// TestAHungHealthPathHoldsNobodyUp: those who wait go on after a few
-// milliseconds, and nobody waits again before a pause, which grows.
-func TestAHungHealthPathHoldsNobodyUp(t *testing.T) {
+// TestHangingHealthPathDelaysCallersByMaxWaitOnly also checks that nobody waits again
+// until a pause has passed, and that pauses grow.
+func TestHangingHealthPathDelaysCallersByMaxWaitOnly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := &fakeHealthPath{delay: 400 * time.Millisecond}
 		checker := newTestChecker(path, 40)
-		began := time.Now()
+		start := time.Now()
 		var mu sync.Mutex
 		var waited []time.Duration
-		for time.Since(began) < 4*time.Second {
-			asked := time.Now()
+		for time.Since(start) < 4*time.Second {
+			askedAt := time.Now()
 			checker.Check(func() {
 				mu.Lock()
 				defer mu.Unlock()
-				waited = append(waited, time.Since(asked))
+				waited = append(waited, time.Since(askedAt))
 			})
 			time.Sleep(3 * time.Millisecond)
 		}
@@ -81,37 +81,36 @@
 		for _, w := range waited {
 			test.LessEq(t, maxWait, w)
 		}
-		// Begun at 0, 0.9 and 2.3 s; three callers each came before it was late.
+		// Checks began at 0, 0.9 and 2.3 s; three callers joined each before it timed out.
 		test.Eq(t, 3, path.calls.Load())
 		test.Len(t, 9, waited)
 	})
 }
 
-func TestAFailedCheckPausesAndAGoodOneEndsThat(t *testing.T) {
+func TestFailedCheckPausesAndGoodCheckResumes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := &fakeHealthPath{err: errors.New("reset")}
 		checker := newTestChecker(path, 40)
-		ask := func() bool {
+		check := func() bool {
 			allowed := checker.Check(func() {})
 			synctest.Wait()
 			return allowed
 		}
-		test.True(t, ask())
-		test.False(t, ask())
+		test.True(t, check())
+		test.False(t, check())
 		time.Sleep(minCheckPause)
 		path.err = nil
-		test.True(t, ask())
-		test.True(t, ask())
+		test.True(t, check())
+		test.True(t, check())
 	})
 }
 
-// TestTheWatchIsNotPaused: whether the backend server lives is asked at another
-// pace than how fast it is.
-func TestTheWatchIsNotPaused(t *testing.T) {
+// TestForceCheckIgnoresPauseAndRateLimit: the liveness check has a pace of its own.
+func TestForceCheckIgnoresPauseAndRateLimit(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := &fakeHealthPath{err: errors.New("refused")}
 		checker := newTestChecker(path, 0)
-		test.False(t, checker.Check(func() {}), test.Sprint("no rate is allowed"))
+		test.False(t, checker.Check(func() {}), test.Sprint("the rate limit is 0"))
 		for range 3 {
 			checker.ForceCheck(func() {})
 			synctest.Wait()
@@ -120,9 +119,9 @@
 	})
 }
 
-// TestTheWatchEndsAPause: a backend server that has just started refused
-// connections for a second, and answers now.
-func TestTheWatchEndsAPause(t *testing.T) {
+// TestGoodForceCheckEndsPause: a backend server refuses connections while it starts, and
+// answers then.
+func TestGoodForceCheckEndsPause(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		path := &fakeHealthPath{err: errors.New("refused")}
 		var pauses []time.Duration
@@ -130,16 +129,16 @@
 			MaxWait: maxWait, MaxPerSecond: 40,
 			OnPauseChange: func(pause, _ time.Duration, _ error) { pauses = append(pauses, pause) },
 		}, path.check)
-		watch := func() {
+		forceCheck := func() {
 			checker.ForceCheck(func() {})
 			synctest.Wait()
 		}
 		for range 10 {
-			watch()
+			forceCheck()
 		}
 		test.False(t, checker.Check(func() {}))
 		path.err = nil
-		watch()
+		forceCheck()
 		test.True(t, checker.Check(func() {}))
 		test.Eq(t, []time.Duration{minCheckPause, 0}, pauses)
 	})
--- a/pkg/backend/heartbeat_history.go
+++ b/pkg/backend/heartbeat_history.go
@@ -3,81 +3,87 @@
 import "time"
 
 const (
-	// maxHistories bounds the incarnations whose heartbeats are remembered: one that is
-	// seen by its health path first has said its version before, or will soon.
+	// maxHistories is how many incarnations' heartbeat histories are kept. Those of
+	// incarnations other than the current one are needed only briefly: a health check may
+	// confirm an incarnation whose version came with an earlier heartbeat.
 	maxHistories = 16
-	// silenceBeforeClockStep is how long a life must have said nothing for another one under its id
-	// to be taken for newer, though its start is earlier by its clock, and that has said
-	// so more than once: the clock was set back. It is over twice the time between two
-	// heartbeats on the users' sites.
+	// silenceBeforeClockStep is how long the current incarnation must have sent no
+	// heartbeat before another one with the same ID and an earlier start time can replace
+	// it: the clock was set back between the two starts. It is over twice the heartbeat
+	// interval of the users' sites.
 	silenceBeforeClockStep = 4 * time.Second
 )
 
-// heartbeatHistory is what an incarnation has said of itself.
+// heartbeatHistory summarises the heartbeats of one incarnation.
 type heartbeatHistory struct {
 	lastSequence uint64
-	version  string
-	// firstAt and lastAt are when its first and its newest heartbeat came.
+	version      string
+	// firstAt and lastAt are when the first and the newest heartbeat arrived.
 	firstAt, lastAt int64
 }
 
-// version is the one that the current incarnation has said; the lock is held.
+// version returns the version that the current incarnation has reported, or an empty
+// string. The caller holds the lock.
 func (l *Lifecycle) version() string {
-	if known := l.histories[l.current]; known != nil {
-		return known.version
+	if history := l.histories[l.current]; history != nil {
+		return history.version
 	}
 	return ""
 }
 
-// recordHistory notes a heartbeat, and is true for a late one. The version of an incarnation never
-// changes.
+// recordHistory adds a heartbeat to the history of its incarnation. late is true if a
+// newer heartbeat of the same incarnation arrived before. The first version reported is
+// kept: it never changes while a process runs.
 func (l *Lifecycle) recordHistory(now int64, h *Heartbeat) (late bool) {
-	of := h.Incarnation()
-	known := l.histories[of]
-	if known == nil {
+	incarnation := h.Incarnation()
+	history := l.histories[incarnation]
+	if history == nil {
 		l.evictSilent()
-		known = &heartbeatHistory{firstAt: now}
-		l.histories[of] = known
+		history = &heartbeatHistory{firstAt: now}
+		l.histories[incarnation] = history
 	}
-	late = h.Sequence <= known.lastSequence
-	known.lastSequence = max(h.Sequence, known.lastSequence)
+	late = h.Sequence <= history.lastSequence
+	history.lastSequence = max(h.Sequence, history.lastSequence)
 	if !late {
-		known.lastAt = now
+		history.lastAt = now
 	}
-	if known.version == "" {
-		known.version = h.Version
+	if history.version == "" {
+		history.version = h.Version
 	}
 	return late
 }
 
-// evictSilent forgets the life that said nothing for the longest time.
+// evictSilent makes room for one history by removing that of the incarnation whose last
+// heartbeat is the oldest. It never removes that of the current incarnation.
 func (l *Lifecycle) evictSilent() {
 	if len(l.histories) < maxHistories {
 		return
 	}
 	oldest, found := Incarnation{}, false
-	for of, known := range l.histories {
-		if of != l.current && (!found || known.lastAt < l.histories[oldest].lastAt) {
-			oldest, found = of, true
+	for incarnation, history := range l.histories {
+		if incarnation != l.current && (!found || history.lastAt < l.histories[oldest].lastAt) {
+			oldest, found = incarnation, true
 		}
 	}
 	delete(l.histories, oldest)
 }
 
-// startedAfterClockStep is true for a life under the current one's id that goes on sending heartbeats
-// while the current one says nothing: it began later, by a clock that was set back.
-func (l *Lifecycle) startedAfterClockStep(now int64, of Incarnation) bool {
-	current, other := l.histories[l.current], l.histories[of]
+// startedAfterClockStep is true if an incarnation with the current one's ID is newer
+// although its start time is earlier: it keeps sending heartbeats and the current one
+// does not, so the clock was set back between the two starts.
+func (l *Lifecycle) startedAfterClockStep(now int64, incarnation Incarnation) bool {
+	current, other := l.histories[l.current], l.histories[incarnation]
 	silent := current == nil || now-current.lastAt > int64(silenceBeforeClockStep)
 	return silent && other != nil && now-other.firstAt > int64(confirmationPeriod)
 }
 
-// newestIncarnation is the life under an id that began last, of those that were heard of.
+// newestIncarnation returns the incarnation with the given ID and the latest start time
+// among those that have sent heartbeats; the start time is 0 if none has.
 func (l *Lifecycle) newestIncarnation(id string) Incarnation {
 	out := Incarnation{ID: id}
-	for of := range l.histories {
-		if of.ID == id {
-			out.StartedAtMS = max(out.StartedAtMS, of.StartedAtMS)
+	for incarnation := range l.histories {
+		if incarnation.ID == id {
+			out.StartedAtMS = max(out.StartedAtMS, incarnation.StartedAtMS)
 		}
 	}
 	return out
--- a/pkg/backend/incarnation.go
+++ b/pkg/backend/incarnation.go
@@ -5,21 +5,23 @@
 	"strings"
 )
 
-// Incarnation is one life of a backend server's process. A process may start again under
-// the id that it had; it then knows nothing of the life before. Source:
+// Incarnation identifies one process of a backend server. A process that is restarted
+// may reuse the instance ID of its predecessor, but shares no state with it. Source:
 // docs/design/incarnations.md.
 type Incarnation struct {
+	// ID is the instance ID.
 	ID string
-	// StartedAtMS is the Unix millisecond of its start, which tells the lives under one id
-	// apart; 0: not known, as of one that only an answer has named.
+	// StartedAtMS is the Unix time of the process start in milliseconds, which tells
+	// processes with the same ID apart; 0: unknown, as for one known only from a
+	// response header.
 	StartedAtMS int64
 }
 
-// startSeparator stands between id and start in the text of an incarnation.
+// startSeparator separates ID and start time in the text of an incarnation.
 const startSeparator = "@"
 
-// String is the incarnation as it stands in log lines, frames and keys of the store: the
-// id alone where the start is not known, as daemons of the release before have it.
+// String returns the incarnation as written in log lines, frames and store keys. It is
+// the ID alone if the start time is unknown, as daemons of the previous release write it.
 func (i Incarnation) String() string {
 	if i.StartedAtMS == 0 {
 		return i.ID
@@ -27,25 +29,26 @@
 	return i.ID + startSeparator + strconv.FormatInt(i.StartedAtMS, 10)
 }
 
-// ParseIncarnation reads the text of an incarnation. One whose end is no start is an id.
+// ParseIncarnation parses the text that String returns. A text that does not end in a
+// valid start time is an ID as a whole.
 func ParseIncarnation(text string) Incarnation {
-	at := strings.LastIndex(text, startSeparator)
-	if at < 0 {
+	separator := strings.LastIndex(text, startSeparator)
+	if separator < 0 {
 		return Incarnation{ID: text}
 	}
-	born, err := strconv.ParseInt(text[at+len(startSeparator):], 10, 64)
-	if err != nil || born <= 0 {
+	startedAtMS, err := strconv.ParseInt(text[separator+len(startSeparator):], 10, 64)
+	if err != nil || startedAtMS <= 0 {
 		return Incarnation{ID: text}
 	}
-	return Incarnation{ID: text[:at], StartedAtMS: born}
+	return Incarnation{ID: text[:separator], StartedAtMS: startedAtMS}
 }
 
-// mayEqual is true where two words may be of one life: one that says no start may be of any.
+// mayEqual is true if both may be the same process: an unknown start time matches any.
 func (i Incarnation) mayEqual(other Incarnation) bool {
 	return i.ID == other.ID && (i.StartedAtMS == other.StartedAtMS || i.StartedAtMS == 0 || other.StartedAtMS == 0)
 }
 
-// startedAfter is true for a life under the same id that is known to have begun later.
+// startedAfter is true if both have the same ID and i is known to have started later.
 func (i Incarnation) startedAfter(other Incarnation) bool {
 	return i.ID == other.ID && other.StartedAtMS != 0 && i.StartedAtMS > other.StartedAtMS
 }
--- a/pkg/backend/incarnation_test.go
+++ b/pkg/backend/incarnation_test.go
@@ -9,7 +9,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestTheTextOfAnIncarnation(t *testing.T) {
+func TestIncarnationText(t *testing.T) {
 	for text, want := range map[string]Incarnation{
 		"i-1": {ID: "i-1"}, "i-1@1760000000000": {ID: "i-1", StartedAtMS: 1760000000000}, "i@x": {ID: "i@x"},
 		"i@-4": {ID: "i@-4"}, "i@0": {ID: "i@0"}, "a@b@7": {ID: "a@b", StartedAtMS: 7}, "": {}, "i@9999999999999999999999": {ID: "i@9999999999999999999999"},
@@ -19,16 +19,16 @@
 		test.Eq(t, text, got.String())
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		in := Incarnation{ID: rapid.StringMatching(`[a-z0-9-]*`).Draw(t, "id"), StartedAtMS: rapid.Int64Range(0, 1<<50).Draw(t, "born")}
+		in := Incarnation{ID: rapid.StringMatching(`[a-z0-9-]*`).Draw(t, "id"), StartedAtMS: rapid.Int64Range(0, 1<<50).Draw(t, "startedAtMS")}
 		if got := ParseIncarnation(in.String()); got != in {
-			t.Fatalf("%v became %v", in, got)
+			t.Fatalf("parsed the text of %v as %v", in, got)
 		}
 	})
 }
 
-// TestALifeThatBeganLaterTakesRequests: its start ends the life before under its id,
-// whatever that has said, and its heartbeats are counted anew.
-func TestALifeThatBeganLaterTakesRequests(t *testing.T) {
+// TestLaterStartReplacesIncarnation: a heartbeat with the same ID and a later start time
+// makes its sender current, even after a departure, and starts a new sequence.
+func TestLaterStartReplacesIncarnation(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 40, Version: "v1", ColdFor: time.Second})
 	must.True(t, l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 41, Version: "v1", Leaving: true}))
@@ -39,13 +39,13 @@
 	expectAccepting(t, l, "a@200")
 	test.Eq(t, "v2", l.Version())
 	test.Eq(t, 7*second, l.ColdPeriod().LatestEnd)
-	// A health answer names the id only.
+	// A health check names the ID only.
 	l.RecordInstanceID(5*second, "a")
 	expectAccepting(t, l, "a@200")
 }
 
-// TestALateWordOfTheLifeBeforeEndsNothing: from itself, a peer or the store.
-func TestALateWordOfTheLifeBeforeEndsNothing(t *testing.T) {
+// TestLateMessagesOfPreviousIncarnationAreIgnored covers heartbeats and departures.
+func TestLateMessagesOfPreviousIncarnationAreIgnored(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 40})
 	l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1})
@@ -60,8 +60,9 @@
 	expectAccepting(t, l, "")
 }
 
-// TestTwoStartsInASecond in whatever order their words come.
-func TestTwoStartsInASecond(t *testing.T) {
+// TestTwoRestartsWithHeartbeatsOutOfOrder: the process started at 400 was replaced by
+// that of 700 before its first heartbeat arrived.
+func TestTwoRestartsWithHeartbeatsOutOfOrder(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 9})
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 700, Sequence: 1})
@@ -71,9 +72,9 @@
 	expectAccepting(t, l, "a@700")
 }
 
-// TestAStartThatGoesBack: the clock was set back before the process started again. It is
-// taken for what it is once it has gone on for a while and the other one has not.
-func TestAStartThatGoesBack(t *testing.T) {
+// TestStartTimeThatGoesBack: the clock was set back before the process was restarted. The
+// new process becomes current once the old one has sent no heartbeat for a while.
+func TestStartTimeThatGoesBack(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(0, Heartbeat{InstanceID: "a", StartedAtMS: 500, Sequence: 9})
 	for n := range 4 {
@@ -84,7 +85,7 @@
 	expectAccepting(t, l, "a@300")
 	must.True(t, l.RecordHeartbeat(7*second, Heartbeat{InstanceID: "a", StartedAtMS: 300, Sequence: 6, Leaving: true}))
 	expectAccepting(t, l, "")
-	// While the other one speaks, it stays.
+	// While both send heartbeats, the one with the later start time stays current.
 	l = NewLifecycle(true, nil)
 	for n := range 20 {
 		l.RecordHeartbeat(int64(n)*second, Heartbeat{InstanceID: "a", StartedAtMS: 500, Sequence: uint64(n + 1)})
@@ -93,9 +94,9 @@
 	}
 }
 
-// TestAWordWithoutAStart is of the life that is current, where it says that this leaves,
-// and else tells nothing of one whose start is known.
-func TestAWordWithoutAStart(t *testing.T) {
+// TestMessagesWithoutStartTime: a departure without a start time is that of the current
+// incarnation. A heartbeat without one does not erase the known start time.
+func TestMessagesWithoutStartTime(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
 	expectAccepting(t, l, "a")
@@ -108,7 +109,7 @@
 	l.RecordHeartbeat(5, Heartbeat{InstanceID: "a", StartedAtMS: 200, Sequence: 1})
 	expectAccepting(t, l, "a@200")
 
-	// A daemon that knows neither life keeps to a departure until a later one shows itself.
+	// A departure of an unknown incarnation holds until one with a later start is seen.
 	l = NewLifecycle(true, nil)
 	l.RecordDeparture(1, Incarnation{ID: "a", StartedAtMS: 100})
 	l.RecordInstanceID(2, "a")
@@ -117,15 +118,16 @@
 	expectAccepting(t, l, "")
 	l.RecordHeartbeat(4, Heartbeat{InstanceID: "a", StartedAtMS: 101, Sequence: 1})
 	expectAccepting(t, l, "a@101")
-	// That of a daemon of the release before is of any life.
+	// A departure from a daemon of the previous release has no start time: it holds for any.
 	l = NewLifecycle(true, nil)
 	l.RecordDeparture(1, Incarnation{ID: "a"})
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 1})
 	expectAccepting(t, l, "")
 }
 
-// TestALifeUnderAnIdThatWasReplaced: another id was seen at the address in between.
-func TestALifeUnderAnIdThatWasReplaced(t *testing.T) {
+// TestReplacedInstanceIDReturnsWithLaterStart: another ID was seen at the address in
+// between.
+func TestReplacedInstanceIDReturnsWithLaterStart(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", StartedAtMS: 100, Sequence: 9})
 	l.RecordInstanceID(2*second, "b")
@@ -135,30 +137,30 @@
 	expectAccepting(t, l, "a@300")
 }
 
-// TestNoLifeThatSaidItLeavesIsUsed, whatever words come in whatever order, while no clock
-// is set back.
-func TestNoLifeThatSaidItLeavesIsUsed(t *testing.T) {
+// TestDepartedIncarnationsGetNoRequests, whatever messages arrive in whatever order, as
+// long as no clock is set back.
+func TestDepartedIncarnationsGetNoRequests(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := NewLifecycle(true, nil)
-		left := map[Incarnation]bool{}
+		departed := map[Incarnation]bool{}
 		now := int64(0)
-		for range rapid.IntRange(1, 40).Draw(t, "words") {
+		for range rapid.IntRange(1, 40).Draw(t, "messages") {
 			now += rapid.Int64Range(0, second/2).Draw(t, "pause")
-			of := Incarnation{ID: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), StartedAtMS: rapid.Int64Range(1, 3).Draw(t, "born")}
-			switch rapid.IntRange(0, 3).Draw(t, "word") {
+			incarnation := Incarnation{ID: rapid.SampledFrom([]string{"a", "b"}).Draw(t, "id"), StartedAtMS: rapid.Int64Range(1, 3).Draw(t, "startedAtMS")}
+			switch rapid.IntRange(0, 3).Draw(t, "message") {
 			case 0:
-				l.RecordHeartbeat(now, Heartbeat{InstanceID: of.ID, StartedAtMS: of.StartedAtMS, Sequence: rapid.Uint64Range(1, 9).Draw(t, "sequence")})
+				l.RecordHeartbeat(now, Heartbeat{InstanceID: incarnation.ID, StartedAtMS: incarnation.StartedAtMS, Sequence: rapid.Uint64Range(1, 9).Draw(t, "sequence")})
 			case 1:
-				l.RecordHeartbeat(now, Heartbeat{InstanceID: of.ID, StartedAtMS: of.StartedAtMS, Sequence: 9, Leaving: true})
-				left[of] = true
+				l.RecordHeartbeat(now, Heartbeat{InstanceID: incarnation.ID, StartedAtMS: incarnation.StartedAtMS, Sequence: 9, Leaving: true})
+				departed[incarnation] = true
 			case 2:
-				l.RecordDeparture(now, of)
-				left[of] = true
+				l.RecordDeparture(now, incarnation)
+				departed[incarnation] = true
 			case 3:
-				l.RecordInstanceID(now, of.ID)
+				l.RecordInstanceID(now, incarnation.ID)
 			}
-			if current, ok := l.Accepting(); ok && current.StartedAtMS != 0 && left[current] {
-				t.Fatalf("%s gets requests", current)
+			if current, ok := l.Accepting(); ok && current.StartedAtMS != 0 && departed[current] {
+				t.Fatalf("departed incarnation %s gets requests", current)
 			}
 		}
 	})
--- a/pkg/backend/lifecycle.go
+++ b/pkg/backend/lifecycle.go
@@ -6,259 +6,267 @@
 )
 
 const (
-	// endRetention is how long the id of a process that said it leaves is
-	// remembered. It is far longer than any such process lives on.
+	// endRetention is how long departed and replaced instance IDs are remembered. It is
+	// far longer than a process runs on after either.
 	endRetention = 5 * time.Minute
-	// confirmationPeriod is how long a sign of life of one incarnation outweighs a
-	// heartbeat of another one, which may come seconds late.
+	// confirmationPeriod is how long a sign of life of the current incarnation outweighs
+	// heartbeats of others, which may arrive seconds late.
 	confirmationPeriod = 2 * time.Second
-	// maxColdTime bounds what a backend server says of its being cold: one that is
-	// wrong by more must not be held to few starts for long. Those of the users' sites
-	// are cold for three seconds.
+	// maxColdTime caps the remaining cold time that a backend server reports, so that a
+	// wrong value does not restrict its starts for long. Backend servers of the users'
+	// sites are cold for three seconds.
 	maxColdTime = time.Minute
 	// connectFailuresUntilDown is how many connections in a row must be refused before the
 	// backend server counts as down.
 	connectFailuresUntilDown = 2
 )
 
-// State is what the daemon believes of its backend server.
+// State is the state of the backend server as far as the daemon knows.
 type State uint8
 
 // The states of a backend server.
 const (
-	// Unknown: no incarnation has shown itself yet.
+	// Unknown means that no incarnation has been seen yet.
 	Unknown State = iota
-	// Live: the incarnation takes requests.
+	// Live means that the current incarnation takes requests.
 	Live
-	// Leaving: the incarnation said that it leaves; it gets nothing more.
+	// Leaving means that the current incarnation has announced its departure; it gets no
+	// further requests.
 	Leaving
-	// Down: connections are refused.
+	// Down means that connections are refused or that the process has ended.
 	Down
 )
 
-// String returns the state's word in log lines.
+// String returns the state as written in log lines.
 func (s State) String() string {
 	return [...]string{"unknown", "live", "leaving", "down"}[s]
 }
 
-// Heartbeat is a backend server's announcement of itself.
+// Heartbeat is a backend server's periodic announcement of its state.
 type Heartbeat struct {
 	InstanceID string
-	// StartedAtMS is the Unix millisecond of the incarnation's start; 0: it does not say.
+	// StartedAtMS is the Unix time of the process start in milliseconds; 0: not reported.
 	StartedAtMS int64
-	// Sequence rises with each call of one incarnation, so that a late one is
-	// known.
+	// Sequence increases with each heartbeat of an incarnation, so that late ones are
+	// recognised.
 	Sequence uint64
 	Slots    int
 	Leaving  bool
-	// Version is the one of the service's program that it runs; empty: it does not
-	// say.
+	// Version is the version of the service's program that it runs; empty: not reported.
 	Version string
-	// ColdFor is how much longer it is cold from its start.
+	// ColdFor is how much longer it is cold after its start.
 	ColdFor time.Duration
 }
 
-// Incarnation is the one that the heartbeat is of.
+// Incarnation returns the incarnation that sent the heartbeat.
 func (h *Heartbeat) Incarnation() Incarnation {
 	return Incarnation{ID: h.InstanceID, StartedAtMS: h.StartedAtMS}
 }
 
-// ColdPeriod is what the current incarnation said of its being cold.
+// ColdPeriod is the period in which the current incarnation is cold, as it reported: it
+// is slow and tolerates few starts. Times are nanoseconds of the daemon's clock.
 type ColdPeriod struct {
-	// LatestEnd is until when it is cold at the latest; in the past for one that is warm.
+	// LatestEnd is the latest time at which the period can end; it is in the past for a
+	// warm backend server.
 	LatestEnd int64
-	// EarliestEnd is until when it is cold at least: an answer may have been on its way
-	// for as long as the question took.
+	// EarliestEnd is the earliest time at which it can end: the report may have been
+	// under way for as long as the health check took.
 	EarliestEnd int64
-	// CheckedAt is when its health path was last asked for what it then said. Heartbeats may come seconds late,
-	// so that none proves that a backend server is warm.
+	// CheckedAt is when the last health check that reported on the period began.
+	// Heartbeats do not count: they may arrive seconds late, so that none proves a backend
+	// server warm.
 	CheckedAt int64
-	// FromHeartbeat is true where a heartbeat told the longest time: it may have been on
-	// its way for seconds, so that the cold time may have begun at any time since ToldAt.
+	// FromHeartbeat is true if the end comes from a heartbeat. As it may be seconds old,
+	// the period may have begun at any time since CheckedAt.
 	FromHeartbeat bool
 }
 
-// Lifecycle knows which incarnation of the backend server may get requests.
-// Times are nanoseconds of a steady clock, handed in. It is safe for
-// concurrent use.
+// Lifecycle tracks which incarnation of the backend server is current, its state, and
+// whether it may get requests. Callers pass times in nanoseconds of a monotonic clock.
+// It is safe for concurrent use.
 type Lifecycle struct {
 	mu      sync.Mutex
 	current Incarnation
 	state   State
-	// departuresKnown is true once all departures that could matter are known: a
-	// daemon that was started again may have acknowledged one before.
+	// departuresKnown is true once all departures that may matter are known: a daemon that
+	// was restarted may have acknowledged one before.
 	departuresKnown bool
-	// lastSeenAt is the last sign of life of the current incarnation.
+	// lastSeenAt is the time of the last sign of life of the current incarnation.
 	lastSeenAt int64
-	cold   ColdPeriod
-	// histories are the incarnations that have sent heartbeats.
+	cold       ColdPeriod
+	// histories holds the heartbeat history of each incarnation.
 	histories map[Incarnation]*heartbeatHistory
-	// departed and replaced are by id. The first have said that they leave; after the
-	// others another id was seen at the address, and a heartbeat that a cut held back
-	// does not bring one of them back.
-	departed map[string]endRecord
-	replaced map[string]endRecord
+	// departed and replaced map instance IDs to the end of their incarnations. Departed
+	// ones have announced that they leave. For replaced ones another ID was seen at the
+	// address later, so that heartbeats delayed by a network failure do not make them
+	// current again.
+	departed        map[string]endRecord
+	replaced        map[string]endRecord
 	connectFailures int
-	// onChange is called without the lock after each change of the belief.
-	onChange func(of Incarnation, state State)
+	// onChange is called without the lock after each change of the current incarnation,
+	// its state or version, or departuresKnown.
+	onChange func(current Incarnation, state State)
 }
 
-// endRecord is that of the lives under an id, up to the one that began at born; 0: of any of
-// them.
+// endRecord marks the incarnations of one instance ID that have ended: those that
+// started no later than startedAtMS, or all of them if it is 0.
 type endRecord struct {
 	startedAtMS int64
-	recordedAt   int64
+	recordedAt  int64
 }
 
-// covers is true for an incarnation that may be one of those which have ended.
+// covers is true if the incarnation may be one that has ended. Its ID is that of the
+// record.
 func (e endRecord) covers(i Incarnation) bool {
 	return e.startedAtMS == 0 || i.StartedAtMS == 0 || i.StartedAtMS <= e.startedAtMS
 }
 
-// NewLifecycle makes the lifecycle of a backend server that has not been seen.
-// informed is true when no departure can have been acknowledged before, as at
-// the first start of the whole system. changed may be nil.
-func NewLifecycle(informed bool, changed func(of Incarnation, state State)) *Lifecycle {
-	if changed == nil {
-		changed = func(Incarnation, State) {}
+// NewLifecycle returns the lifecycle of a backend server that has not been seen yet.
+// departuresKnown is true if no departure can have been acknowledged before, as at the
+// first start of the whole system. onChange may be nil.
+func NewLifecycle(departuresKnown bool, onChange func(current Incarnation, state State)) *Lifecycle {
+	if onChange == nil {
+		onChange = func(Incarnation, State) {}
 	}
-	return &Lifecycle{departuresKnown: informed, onChange: changed, histories: map[Incarnation]*heartbeatHistory{}, departed: map[string]endRecord{}, replaced: map[string]endRecord{}}
+	return &Lifecycle{departuresKnown: departuresKnown, onChange: onChange, histories: map[Incarnation]*heartbeatHistory{}, departed: map[string]endRecord{}, replaced: map[string]endRecord{}}
 }
 
-// Accepting returns the incarnation that may get requests now; ok is false when
-// there is none.
+// Accepting returns the current incarnation; ok is true if it may get requests now.
 func (l *Lifecycle) Accepting() (current Incarnation, ok bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current, l.departuresKnown && l.state == Live
 }
 
-// Current returns the incarnation and what is believed of it.
+// Current returns the current incarnation and its state.
 func (l *Lifecycle) Current() (current Incarnation, state State) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.current, l.state
 }
 
-// Version returns the version that the current incarnation has said; empty: it has
-// said none yet.
+// Version returns the version that the current incarnation has reported, or an empty
+// string if it has reported none yet.
 func (l *Lifecycle) Version() string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.version()
 }
 
-// ColdPeriod returns what the current incarnation said of its being cold.
+// ColdPeriod returns the cold period that the current incarnation reported.
 func (l *Lifecycle) ColdPeriod() ColdPeriod {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.cold
 }
 
-// RecordCold takes over what the health path of an incarnation says of its being
-// cold, which goes before any heartbeat. asked is when it was asked.
-func (l *Lifecycle) RecordCold(asked, now int64, id string, coldFor time.Duration) {
+// RecordCold records the remaining cold time from a health check of an instance, which
+// takes precedence over heartbeats. askedAt is when the check began.
+func (l *Lifecycle) RecordCold(askedAt, now int64, instanceID string, coldFor time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if id == l.current.ID {
-		l.cold = ColdPeriod{LatestEnd: coldEnd(now, coldFor), EarliestEnd: coldEnd(asked, coldFor), CheckedAt: asked}
+	if instanceID == l.current.ID {
+		l.cold = ColdPeriod{LatestEnd: coldEnd(now, coldFor), EarliestEnd: coldEnd(askedAt, coldFor), CheckedAt: askedAt}
 	}
 }
 
-// coldEnd is until when a backend server is cold that says so for a time.
+// coldEnd returns the end of a cold period with the reported time left, which it caps.
 func coldEnd(now int64, coldFor time.Duration) int64 {
 	return now + int64(min(max(coldFor, 0), maxColdTime))
 }
 
-// RecordDeparturesKnown notes that all departures that could matter are known.
+// RecordDeparturesKnown records that all departures that may matter are known.
 func (l *Lifecycle) RecordDeparturesKnown() {
 	l.update(func() { l.departuresKnown = true })
 }
 
-// DeparturesKnown is true once all departures that could matter are known.
+// DeparturesKnown is true once all departures that may matter are known.
 func (l *Lifecycle) DeparturesKnown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.departuresKnown
 }
 
-// update runs do under the lock and tells of what changed for others.
-func (l *Lifecycle) update(do func()) {
+// update calls apply under the lock, and onChange without it if apply changed anything
+// that others see.
+func (l *Lifecycle) update(apply func()) {
 	l.mu.Lock()
-	was, oldState, oldInformed, oldVersion := l.current, l.state, l.departuresKnown, l.version()
-	do()
+	oldCurrent, oldState, oldDeparturesKnown, oldVersion := l.current, l.state, l.departuresKnown, l.version()
+	apply()
 	current, state := l.current, l.state
-	same := current == was && state == oldState && l.departuresKnown == oldInformed && l.version() == oldVersion
+	same := current == oldCurrent && state == oldState && l.departuresKnown == oldDeparturesKnown && l.version() == oldVersion
 	l.mu.Unlock()
 	if !same {
 		l.onChange(current, state)
 	}
 }
 
-// RecordHeartbeat takes an announcement. It returns true when the announcement says
-// for the first time that the incarnation leaves.
+// RecordHeartbeat records a heartbeat. departed is true if it is the first to announce
+// that its incarnation leaves.
 func (l *Lifecycle) RecordHeartbeat(now int64, h Heartbeat) (departed bool) {
 	l.update(func() {
-		of := h.Incarnation()
+		incarnation := h.Incarnation()
 		late := l.recordHistory(now, &h)
 		switch {
 		case h.Leaving:
-			departed = l.markDeparted(now, of)
-		case !late && l.mayBecomeCurrent(now, of):
-			l.markSeen(now, of)
+			departed = l.markDeparted(now, incarnation)
+		case !late && l.mayBecomeCurrent(now, incarnation):
+			l.markSeen(now, incarnation)
 			l.extendCold(coldEnd(now, h.ColdFor))
 		}
 	})
 	return departed
 }
 
-// extendCold takes over what a heartbeat says: it may only make the cold time
-// longer.
-func (l *Lifecycle) extendCold(till int64) {
-	if till > l.cold.LatestEnd {
-		l.cold.LatestEnd, l.cold.EarliestEnd, l.cold.FromHeartbeat = till, till, true
+// extendCold applies the end of the cold period from a heartbeat, which can only extend
+// the period.
+func (l *Lifecycle) extendCold(end int64) {
+	if end > l.cold.LatestEnd {
+		l.cold.LatestEnd, l.cold.EarliestEnd, l.cold.FromHeartbeat = end, end, true
 	}
 }
 
-// mayBecomeCurrent is true where a heartbeat may make its sender the current incarnation.
-func (l *Lifecycle) mayBecomeCurrent(now int64, of Incarnation) bool {
+// mayBecomeCurrent is true if a heartbeat may make its sender the current incarnation.
+func (l *Lifecycle) mayBecomeCurrent(now int64, incarnation Incarnation) bool {
 	switch {
-	case of.mayEqual(l.current):
-		// A word without a start does not make that of the current one unknown.
-		return of.StartedAtMS != 0 || l.current.StartedAtMS == 0
-	case of.startedAfter(l.current):
+	case incarnation.mayEqual(l.current):
+		// A heartbeat without a start time must not erase the known one.
+		return incarnation.StartedAtMS != 0 || l.current.StartedAtMS == 0
+	case incarnation.startedAfter(l.current):
 		return true
-	case of.ID == l.current.ID:
-		return l.startedAfterClockStep(now, of)
+	case incarnation.ID == l.current.ID:
+		return l.startedAfterClockStep(now, incarnation)
 	}
-	gone, replaced := l.replaced[of.ID]
-	return !(replaced && gone.covers(of)) && !l.recentlySeen(now)
+	end, replaced := l.replaced[incarnation.ID]
+	return !(replaced && end.covers(incarnation)) && !l.recentlySeen(now)
 }
 
-// recentlySeen is true while the current incarnation has shown itself lately.
+// recentlySeen is true if the current incarnation is live and has given a sign of life
+// within the confirmation period.
 func (l *Lifecycle) recentlySeen(now int64) bool {
 	return l.state == Live && now-l.lastSeenAt < int64(confirmationPeriod)
 }
 
-// markSeen notes a sign of life. An incarnation that said it leaves stays so.
-func (l *Lifecycle) markSeen(now int64, of Incarnation) {
-	if of.ID == "" {
+// markSeen records a sign of life, which makes the incarnation current and live. One
+// that has departed stays in the state Leaving.
+func (l *Lifecycle) markSeen(now int64, incarnation Incarnation) {
+	if incarnation.ID == "" {
 		return
 	}
-	if gone, known := l.departed[of.ID]; known && gone.covers(of) {
-		if l.current.ID == "" || l.current.ID == of.ID {
-			l.current, l.state = of, Leaving
+	if end, departed := l.departed[incarnation.ID]; departed && end.covers(incarnation) {
+		if l.current.ID == "" || l.current.ID == incarnation.ID {
+			l.current, l.state = incarnation, Leaving
 		}
 		return
 	}
-	if !of.mayEqual(l.current) {
+	if !incarnation.mayEqual(l.current) {
 		l.cold = ColdPeriod{}
 	}
-	l.current, l.state, l.lastSeenAt, l.connectFailures = of, Live, now, 0
+	l.current, l.state, l.lastSeenAt, l.connectFailures = incarnation, Live, now, 0
 }
 
-// confirmInstanceID notes a first-hand sign of life, which ends any other id at the address. It
-// names an id only: the life under it is the newest that was heard of.
+// confirmInstanceID records which instance ID answers at the backend server's address,
+// which replaces any other ID. The incarnation is the newest known one with that ID.
 func (l *Lifecycle) confirmInstanceID(now int64, id string) {
 	if id == l.current.ID {
 		l.markSeen(now, l.current)
@@ -270,77 +278,81 @@
 	l.markSeen(now, l.newestIncarnation(id))
 }
 
-// RecordInstanceID takes an answer that names the incarnation's id, as that of the health path
-// does: it is first-hand, so it goes before any heartbeat.
+// RecordInstanceID records a response, such as one to a health check, that names the
+// instance ID. As it comes from the backend server's address itself, it takes precedence
+// over heartbeats.
 func (l *Lifecycle) RecordInstanceID(now int64, id string) {
 	l.update(func() { l.confirmInstanceID(now, id) })
 }
 
-// RecordAnswer notes a sign of life of the current incarnation.
+// RecordAnswer records a response of the current incarnation as a sign of life.
 func (l *Lifecycle) RecordAnswer(now int64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.lastSeenAt, l.connectFailures = now, 0
 }
 
-// RecordDeparture takes the word that an incarnation leaves, from itself or from a peer
-// that knows. It returns true the first time.
-func (l *Lifecycle) RecordDeparture(now int64, of Incarnation) (first bool) {
-	l.update(func() { first = l.markDeparted(now, of) })
+// RecordDeparture records that an incarnation leaves, as announced by itself or reported
+// by a peer. first is true if this was not known before.
+func (l *Lifecycle) RecordDeparture(now int64, incarnation Incarnation) (first bool) {
+	l.update(func() { first = l.markDeparted(now, incarnation) })
 	return first
 }
 
-// markDeparted notes that the lives under an id up to one have said that they leave. A word
-// without a start is of the current one, where that has the id.
-func (l *Lifecycle) markDeparted(now int64, of Incarnation) (first bool) {
+// markDeparted records that the incarnations with the given ID have departed, up to and
+// including the given one. Without a start time it stands for the current incarnation
+// if that has the ID. first is true if this was not known before.
+func (l *Lifecycle) markDeparted(now int64, incarnation Incarnation) (first bool) {
 	l.dropOldEnds(now)
-	if of.StartedAtMS == 0 && of.ID == l.current.ID {
-		of = l.current
+	if incarnation.StartedAtMS == 0 && incarnation.ID == l.current.ID {
+		incarnation = l.current
 	}
-	known, was := l.departed[of.ID]
-	if was && (known.startedAtMS == 0 || of.StartedAtMS != 0 && of.StartedAtMS <= known.startedAtMS) {
+	known, departed := l.departed[incarnation.ID]
+	if departed && (known.startedAtMS == 0 || incarnation.StartedAtMS != 0 && incarnation.StartedAtMS <= known.startedAtMS) {
 		return false
 	}
-	gone := endRecord{startedAtMS: of.StartedAtMS, recordedAt: now}
-	l.departed[of.ID] = gone
-	if l.current.ID == of.ID && gone.covers(l.current) {
+	end := endRecord{startedAtMS: incarnation.StartedAtMS, recordedAt: now}
+	l.departed[incarnation.ID] = end
+	if l.current.ID == incarnation.ID && end.covers(l.current) {
 		l.state = Leaving
 	}
 	return true
 }
 
+// dropOldEnds removes end records that are older than endRetention.
 func (l *Lifecycle) dropOldEnds(now int64) {
 	for _, ends := range []map[string]endRecord{l.departed, l.replaced} {
-		for id, gone := range ends {
-			if now-gone.recordedAt > int64(endRetention) {
+		for id, end := range ends {
+			if now-end.recordedAt > int64(endRetention) {
 				delete(ends, id)
 			}
 		}
 	}
 }
 
-// RecordReplacement notes that another incarnation answers at the address.
-func (l *Lifecycle) RecordReplacement(now int64, by string) {
+// RecordReplacement records that another instance answers at the address. With an empty
+// ID the state becomes Unknown.
+func (l *Lifecycle) RecordReplacement(now int64, id string) {
 	l.update(func() {
-		if by == "" {
+		if id == "" {
 			l.state = Unknown
 			return
 		}
-		l.confirmInstanceID(now, by)
+		l.confirmInstanceID(now, id)
 	})
 }
 
-// RecordProcessEnd notes that the process of an incarnation has ended: it is down until something
-// shows itself at the address.
-func (l *Lifecycle) RecordProcessEnd(of Incarnation) {
+// RecordProcessEnd records that the process of an incarnation has ended: the backend
+// server is down until the next sign of life.
+func (l *Lifecycle) RecordProcessEnd(incarnation Incarnation) {
 	l.update(func() {
-		if l.current == of && l.state == Live {
+		if l.current == incarnation && l.state == Live {
 			l.state = Down
 		}
 	})
 }
 
-// RecordConnectFailure notes a refused connection.
+// RecordConnectFailure records that the backend server refused a connection.
 func (l *Lifecycle) RecordConnectFailure() {
 	l.update(func() {
 		l.connectFailures++
--- a/pkg/backend/lifecycle_test.go
+++ b/pkg/backend/lifecycle_test.go
@@ -13,6 +13,7 @@
 
 const second = int64(time.Second)
 
+// expectAccepting checks which incarnation may get requests; want "": none.
 func expectAccepting(t *testing.T, l *Lifecycle, want string) {
 	t.Helper()
 	got, ok := l.Accepting()
@@ -24,14 +25,14 @@
 	test.Eq(t, want, got.String())
 }
 
-func TestAnIncarnationThatSaidItLeavesGetsNothingMore(t *testing.T) {
+func TestDepartedIncarnationStaysDeparted(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	expectAccepting(t, l, "")
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", Sequence: 1})
 	expectAccepting(t, l, "a")
 	must.True(t, l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", Sequence: 3, Leaving: true}))
 	expectAccepting(t, l, "")
-	// A heartbeat that was sent before, and a health answer that misleads.
+	// A late heartbeat, a new one without the leaving mark, and a health check.
 	l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", Sequence: 2})
 	l.RecordHeartbeat(30*second, Heartbeat{InstanceID: "a", Sequence: 4})
 	l.RecordInstanceID(31*second, "a")
@@ -41,7 +42,7 @@
 	expectAccepting(t, l, "b")
 }
 
-func TestADepartureIsBindingBeforeTheIncarnationIsSeen(t *testing.T) {
+func TestDepartureBeforeFirstSignOfLife(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	must.True(t, l.RecordDeparture(1, Incarnation{ID: "a"}))
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", Sequence: 9})
@@ -49,17 +50,17 @@
 	expectAccepting(t, l, "")
 }
 
-func TestARestartedDaemonWaitsUntilItIsInformed(t *testing.T) {
-	var told []State
-	l := NewLifecycle(false, func(_ Incarnation, s State) { told = append(told, s) })
+func TestRestartedDaemonWaitsUntilDeparturesAreKnown(t *testing.T) {
+	var states []State
+	l := NewLifecycle(false, func(_ Incarnation, s State) { states = append(states, s) })
 	l.RecordInstanceID(1, "a")
 	expectAccepting(t, l, "")
 	l.RecordDeparturesKnown()
 	expectAccepting(t, l, "a")
-	test.Len(t, 2, told)
+	test.Len(t, 2, states)
 }
 
-func TestALateHeartbeatOfAnOlderIncarnationChangesNothing(t *testing.T) {
+func TestLateHeartbeatOfReplacedIncarnationIsIgnored(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "old", Sequence: 7})
 	l.RecordInstanceID(5*second, "new")
@@ -67,7 +68,7 @@
 	expectAccepting(t, l, "new")
 }
 
-func TestAnotherIncarnationAtTheAddress(t *testing.T) {
+func TestReplacementAtTheAddress(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
 	l.RecordReplacement(2, "b")
@@ -76,7 +77,7 @@
 	expectAccepting(t, l, "")
 }
 
-func TestRefusedConnectionsTakeItDownUntilItShowsItself(t *testing.T) {
+func TestConnectFailuresTakeItDownUntilNextHeartbeat(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
 	l.RecordConnectFailure()
@@ -87,7 +88,7 @@
 	expectAccepting(t, l, "a")
 }
 
-func TestReports(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	r, ok := ParseLoadReport("3, 0,12,400")
 	must.True(t, ok)
 	test.Eq(t, LoadReport{Running: 3, Waiting: 0, Slots: 12, Slowdown: 400}, r)
@@ -100,9 +101,9 @@
 	}
 }
 
-// TestAHeartbeatThatACutHeldBackChangesNothing: its sender has crashed, and a new
-// incarnation was seen at the address, which may be silent for a while itself.
-func TestAHeartbeatThatACutHeldBackChangesNothing(t *testing.T) {
+// TestHeartbeatDelayedByNetworkFailureIsIgnored: its sender has crashed and a new
+// incarnation was seen at the address, even if that has been silent for a while.
+func TestHeartbeatDelayedByNetworkFailureIsIgnored(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "old", Sequence: 1})
 	l.RecordInstanceID(2*second, "new")
@@ -116,9 +117,9 @@
 	expectAccepting(t, l, "next")
 }
 
-// TestHowLongABackendServerIsCold: its health path goes before heartbeats, which
-// may be late, and each incarnation counts by itself.
-func TestHowLongABackendServerIsCold(t *testing.T) {
+// TestColdPeriod: health checks take precedence over heartbeats, which may be late, and
+// a new incarnation starts without a cold period.
+func TestColdPeriod(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", Sequence: 1, ColdFor: 3 * time.Second})
 	test.Eq(t, ColdPeriod{LatestEnd: 4 * second, EarliestEnd: 4 * second, FromHeartbeat: true}, l.ColdPeriod())
@@ -126,16 +127,15 @@
 	test.Eq(t, ColdPeriod{LatestEnd: 3 * second, EarliestEnd: 3 * second, CheckedAt: 2 * second}, l.ColdPeriod())
 	l.RecordCold(2*second, 2*second, "other", 9*time.Second)
 	test.Eq(t, 3*second, l.ColdPeriod().LatestEnd)
-	// Cold again, as after its data centre was taken back.
+	// It becomes cold again, as when the evacuation of its data centre ends.
 	l.RecordCold(20*second, 20*second, "a", 3*time.Second)
 	test.Eq(t, 23*second, l.ColdPeriod().LatestEnd)
 	l.RecordInstanceID(21*second, "b")
 	test.Eq(t, ColdPeriod{}, l.ColdPeriod())
 }
 
-// TestAWrongWordOnBeingColdIsBounded: the text of a header or heartbeat may hold
-// anything.
-func TestAWrongWordOnBeingColdIsBounded(t *testing.T) {
+// TestInvalidColdTimesAreCapped covers the header and heartbeats.
+func TestInvalidColdTimesAreCapped(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1*second, "a")
 	for text, want := range map[string]int64{"1e300": 0, "NaN": 0, "-5": 0, "": 0, "x": 0, "3000": 3 * second, "99999999": int64(maxColdTime)} {
@@ -146,18 +146,18 @@
 	test.Eq(t, 3*second+int64(maxColdTime), l.ColdPeriod().LatestEnd)
 }
 
-// TestAnAnswerThatWasOnItsWayForLong: what it says held at some time since the
-// question, so that the backend server may have been cold, or become so, since then.
-func TestAnAnswerThatWasOnItsWayForLong(t *testing.T) {
+// TestSlowHealthCheckWidensColdPeriod: the reported time left was true at some time
+// between the request and the response.
+func TestSlowHealthCheckWidensColdPeriod(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1*second, "a")
 	l.RecordCold(2*second, 3*second, "a", 2*time.Second)
 	test.Eq(t, ColdPeriod{LatestEnd: 5 * second, EarliestEnd: 4 * second, CheckedAt: 2 * second}, l.ColdPeriod())
 }
 
-// TestTheVersionIsThatOfTheCurrentIncarnation: its health path may show it before its
-// first heartbeat, and a late heartbeat of the one before changes nothing.
-func TestTheVersionIsThatOfTheCurrentIncarnation(t *testing.T) {
+// TestVersionIsThatOfCurrentIncarnation: a health check may reveal a new incarnation
+// before its first heartbeat, and late heartbeats of the previous one change nothing.
+func TestVersionIsThatOfCurrentIncarnation(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1, Heartbeat{InstanceID: "a", Sequence: 1, Version: "v1"})
 	test.Eq(t, "v1", l.Version())
--- a/pkg/backend/load.go
+++ b/pkg/backend/load.go
@@ -9,31 +9,34 @@
 	"github.com/rushramp/rushramp/pkg/speed"
 )
 
-// Load is what the backend server said of itself last. It is safe for
+// Load holds the newest load that the backend server reported. It is safe for
 // concurrent use.
 type Load struct {
-	// slowdown is in percent; 0: never told.
+	// slowdown is in percent; 0: never reported.
 	slowdown atomic.Int64
 	slots    atomic.Int64
-	// updatedAt is when it was told, in nanoseconds of the daemon's clock.
+	// updatedAt is the time of the last load report, in nanoseconds of the daemon's
+	// clock; 0: none yet.
 	updatedAt atomic.Int64
 }
 
-// LoadReport is one report of a backend server's load.
+// LoadReport is a parsed load header.
 type LoadReport struct {
+	// Running and Waiting count requests. Slots is how many run at once.
 	Running, Waiting, Slots int
-	// Slowdown is how long work takes now, in percent of what is usual.
+	// Slowdown is how long work takes now, in percent of the usual time.
 	Slowdown int
 }
 
-// ParseLoadReport reads the text of a load header; ok is false for other texts.
+// ParseLoadReport parses a load header: running, waiting, slots and, optionally, the
+// slowdown in percent, separated by commas. ok is false for any other text.
 func ParseLoadReport(text string) (r LoadReport, ok bool) {
 	fields := strings.Split(text, ",")
 	if len(fields) < 3 {
 		return LoadReport{}, false
 	}
 	r.Slowdown = speed.NormalPercent
-	for i, into := range []*int{&r.Running, &r.Waiting, &r.Slots, &r.Slowdown} {
+	for i, dst := range []*int{&r.Running, &r.Waiting, &r.Slots, &r.Slowdown} {
 		if i >= len(fields) {
 			break
 		}
@@ -41,12 +44,13 @@
 		if err != nil || n < 0 {
 			return LoadReport{}, false
 		}
-		*into = n
+		*dst = n
 	}
 	return r, true
 }
 
-// Update notes a load header's text that came at now.
+// Update applies the text of a load header that arrived at now. It ignores invalid
+// texts.
 func (l *Load) Update(now int64, text string) {
 	r, ok := ParseLoadReport(text)
 	if !ok {
@@ -59,24 +63,25 @@
 	l.updatedAt.Store(now)
 }
 
-// SetSlots notes how many requests run at once; 0 is passed over.
+// SetSlots sets how many requests run at once; 0 is ignored.
 func (l *Load) SetSlots(n int) {
 	if n > 0 {
 		l.slots.Store(int64(n))
 	}
 }
 
-// Slots returns how many requests run at once; 0: not known.
+// Slots returns how many requests run at once; 0: unknown.
 func (l *Load) Slots() int { return int(l.slots.Load()) }
 
-// Slowdown returns the newest figure in percent; 0: never told.
+// Slowdown returns the newest slowdown in percent; 0: never reported.
 func (l *Load) Slowdown() int { return int(l.slowdown.Load()) }
 
-// Age is how old the newest figure is; the longest duration when there is none.
+// Age returns the time since the last load report, or the longest duration if there is
+// none.
 func (l *Load) Age(now int64) time.Duration {
-	at := l.updatedAt.Load()
-	if at == 0 {
+	updatedAt := l.updatedAt.Load()
+	if updatedAt == 0 {
 		return time.Duration(1<<63 - 1)
 	}
-	return time.Duration(now - at)
+	return time.Duration(now - updatedAt)
 }
--- a/pkg/backend/prober.go
+++ b/pkg/backend/prober.go
@@ -10,18 +10,19 @@
 	"github.com/rushramp/rushramp/pkg/netdial"
 )
 
-// Prober asks the backend server's health path. Its answer comes at once and
-// takes no slot; the load header in it is what the daemon is after.
+// Prober sends health checks to the backend server. A backend server answers them at
+// once and without using a slot; the load header of the response is their main purpose.
 type Prober struct {
 	address string
 	headers Headers
 	client  *http.Client
 }
 
-// maxHealthBodyBytes bounds what is read of a health answer.
+// maxHealthBodyBytes limits how much of a health response's body is read.
 const maxHealthBodyBytes = 4 << 10
 
-// NewProber makes a prober. One connection is kept.
+// NewProber returns a prober, which keeps one idle connection. timeout limits each
+// health check.
 func NewProber(address string, headers Headers, timeout time.Duration) *Prober {
 	dialer := netdial.New(timeout, unacknowledgedTimeout)
 	return &Prober{
@@ -32,19 +33,19 @@
 	}
 }
 
-// Health is one answer of the health path.
+// Health is the result of a health check.
 type Health struct {
-	// Healthy is the backend server's own opinion.
+	// Healthy is true if the backend server answered with status 200.
 	Healthy    bool
 	InstanceID string
 	// LoadHeader is the text of the load header.
 	LoadHeader string
-	// ColdFor is how much longer the backend server is cold; 0 where it does not
-	// say that it is.
+	// ColdFor is how much longer the backend server is cold; 0: it does not report that
+	// it is.
 	ColdFor time.Duration
 }
 
-// Probe asks once.
+// Probe makes one health check. An error means that there was no response.
 func (p *Prober) Probe(ctx context.Context, path string) (Health, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.address+path, nil)
 	if err != nil {
@@ -64,7 +65,8 @@
 	}, nil
 }
 
-// parseColdFor reads the text of the cold header. One that cannot be read says nothing.
+// parseColdFor parses the cold header, a number of milliseconds. It returns 0 for any
+// other text.
 func parseColdFor(text string) time.Duration {
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || ms < 0 {
@@ -73,5 +75,5 @@
 	return time.Duration(ms * float64(time.Millisecond))
 }
 
-// Close ends the kept connection.
+// Close closes the idle connection.
 func (p *Prober) Close() { p.client.CloseIdleConnections() }
--- a/pkg/backend/transport.go
+++ b/pkg/backend/transport.go
@@ -18,49 +18,48 @@
 )
 
 const (
-	// maxIdleNonRepeatable is how long a connection may have rested before a request that
-	// may not be repeated goes on a new one: the backend server may be about
-	// to close it, and a request lost in that moment is a "maybe".
+	// maxIdleNonRepeatable is how long a connection may have been idle to carry a request
+	// that must not be repeated. The backend server may be about to close an older one,
+	// and nobody could tell then whether the request ran.
 	maxIdleNonRepeatable = time.Second
-	// unacknowledgedTimeout is how long bytes to the backend server may stay without an
-	// acknowledgement. Both are on one VM, where a round trip takes microseconds: a
-	// request that was written into a silent connection ends after it, and may go
-	// elsewhere, rather than at its deadline.
+	// unacknowledgedTimeout is how long data sent to the backend server may stay
+	// unacknowledged. Both ends are on one VM, where a round trip takes microseconds. A
+	// request on a dead connection thus fails early enough to be sent elsewhere.
 	unacknowledgedTimeout = 300 * time.Millisecond
-	// maxIdle is how long a resting connection is kept.
+	// maxIdle is how long an idle connection is kept.
 	maxIdle = 8 * time.Second
-	// maxInlineBodyBytes is the largest body that is written before the answer is
-	// awaited; a longer one is written beside it.
+	// maxInlineBodyBytes is the largest request body that is written before the response
+	// is awaited. A larger one is written concurrently.
 	maxInlineBodyBytes = 2 << 10
 )
 
-// TransportOptions say how the backend server is reached.
+// TransportOptions are the settings of a Transport.
 type TransportOptions struct {
 	Address     string
 	Headers     Headers
 	DialTimeout time.Duration
-	// MaxBodyBytes bounds the body of an answer, in bytes.
+	// MaxBodyBytes limits the body of a response, in bytes.
 	MaxBodyBytes int
-	// Now is the daemon's clock, in nanoseconds: a connection rests on while the VM is
-	// suspended.
+	// Now returns the daemon's clock in nanoseconds, which advances while the VM is
+	// suspended, so that connections age in that time.
 	Now func() int64
 }
 
-// Transport hands requests to the backend server, one at a time a connection.
-// It never repeats anything by itself. It is safe for concurrent use.
+// Transport sends requests to the backend server over HTTP/1.1, one at a time per
+// connection. It never repeats a request. It is safe for concurrent use.
 type Transport struct {
 	opts TransportOptions
 
 	mu sync.Mutex
-	// idle are the resting connections, the one used last at the end.
-	idle   []*conn
+	// idle holds the idle connections, the most recently used one last.
+	idle              []*conn
 	connectionsOpened int64
 }
 
-// NewTransport makes a transport; it opens connections as requests need them.
+// NewTransport returns a transport, which opens connections on demand.
 func NewTransport(opts TransportOptions) *Transport { return &Transport{opts: opts} }
 
-// Request is one request for the backend server.
+// Request is one request to the backend server.
 type Request struct {
 	ID      string
 	Method  string
@@ -68,26 +67,26 @@
 	Host    string
 	Headers []wire.Header
 	Body    []byte
-	// InstanceID is the incarnation that alone may run the request.
+	// InstanceID is the only instance that may run the request; empty: any.
 	InstanceID string
 	// Caller is the service on whose VM the request began.
 	Caller string
-	// Team is the one whose key the request carried; empty: it carried none.
+	// Team is the team whose key the request carried; empty: it carried none.
 	Team string
-	// Repeatable allows a connection that has rested for long.
+	// Repeatable allows the use of a connection that was idle for longer than
+	// maxIdleNonRepeatable.
 	Repeatable bool
 }
 
-// Reply is how a request ended at the backend server: one of Answer and Refusal
-// is set.
+// Reply is the result of a request: either Answer or Refusal is set.
 type Reply struct {
 	Answer  *call.Answer
 	Refusal *errkind.Error
-	// Offered is true when the request reached the backend server, or may have.
+	// Offered is true if the request reached the backend server, or may have.
 	Offered bool
-	// InstanceID is the incarnation that answered that it is another one.
+	// InstanceID is the instance at the address if that was not the expected one.
 	InstanceID string
-	// LoadHeader is the text of the answer's load header.
+	// LoadHeader is the text of the response's load header.
 	LoadHeader string
 }
 
@@ -95,8 +94,8 @@
 	return Reply{Refusal: errkind.New(kind, format, args...), Offered: offered}
 }
 
-// Do hands the request over and waits for its whole answer. When ctx ends
-// first, the connection is closed, which tells the backend server to stop.
+// Do sends the request and waits for the whole response. If ctx ends first, Do closes
+// the connection, which tells the backend server to stop.
 func (t *Transport) Do(ctx context.Context, req *Request) Reply {
 	ex := &exchange{
 		id: req.ID, request: &http.Request{Method: req.Method},
@@ -109,7 +108,7 @@
 	return t.roundTrip(ctx, c, ex, req)
 }
 
-// roundTrip writes the request and waits for the answer.
+// roundTrip writes the request and waits for the response.
 func (t *Transport) roundTrip(ctx context.Context, c *conn, ex *exchange, req *Request) Reply {
 	written := make(chan error, 1)
 	head := t.buildHead(ctx, req)
@@ -127,53 +126,53 @@
 	case <-ctx.Done():
 		c.closeWithError(ctx.Err())
 		if errors.Is(ctx.Err(), context.DeadlineExceeded) {
-			return newRefusal(errkind.DeadlineWhileRunning, true, "no answer in time")
+			return newRefusal(errkind.DeadlineWhileRunning, true, "no response before the deadline")
 		}
-		out := newRefusal(errkind.CallerGone, true, "the caller left")
+		out := newRefusal(errkind.CallerGone, true, "the caller cancelled the request")
 		out.Refusal = out.Refusal.Maybe()
 		return out
 	}
 }
 
-// buildHead writes the request's buildHead as it goes over the connection. The method, the
-// path and the headers came through the standard library's parser, so that none
-// of them holds a line break.
+// buildHead returns the request line and the header as sent. Method, URI and header
+// fields have passed the standard library's HTTP parser, so none contains a line break.
 func (t *Transport) buildHead(ctx context.Context, req *Request) []byte {
-	h := t.opts.Headers
+	names := t.opts.Headers
 	header := make(http.Header, len(req.Headers)+6)
 	for _, field := range req.Headers {
 		header.Add(field.Name, field.Value)
 	}
-	header.Set(h.RequestID, req.ID)
-	header.Set(h.Caller, req.Caller)
-	header.Del(h.Team)
+	header.Set(names.RequestID, req.ID)
+	header.Set(names.Caller, req.Caller)
+	header.Del(names.Team)
 	if req.Team != "" {
-		header.Set(h.Team, req.Team)
+		header.Set(names.Team, req.Team)
 	}
-	header.Del(h.ExpectedInstanceID)
+	header.Del(names.ExpectedInstanceID)
 	if req.InstanceID != "" {
-		header.Set(h.ExpectedInstanceID, req.InstanceID)
+		header.Set(names.ExpectedInstanceID, req.InstanceID)
 	}
 	if deadline, ok := ctx.Deadline(); ok {
-		header.Set(h.TimeoutMS, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
+		header.Set(names.TimeoutMS, strconv.FormatInt(max(time.Until(deadline).Milliseconds(), 1), 10))
 	}
 	if len(req.Body) > 0 || needsContentLength(req.Method) {
 		header.Set("Content-Length", strconv.Itoa(len(req.Body)))
 	}
 	var out bytes.Buffer
 	out.WriteString(req.Method + " " + req.URI + " HTTP/1.1\r\nHost: " + req.Host + "\r\n")
-	// Writing to a buffer has no error to give.
+	// Writing to a bytes.Buffer cannot fail.
 	_ = header.Write(&out)
 	out.WriteString("\r\n")
 	return out.Bytes()
 }
 
-// needsContentLength is true for methods whose requests say a length even without a body.
+// needsContentLength is true for methods whose requests carry a Content-Length header
+// even without a body.
 func needsContentLength(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
-// writeRequest sends the request; a short one in one piece.
+// writeRequest writes head and body, in one call to w if the body is small.
 func writeRequest(w io.Writer, head, body []byte) error {
 	if len(body) <= maxInlineBodyBytes {
 		_, err := w.Write(append(head, body...))
@@ -186,8 +185,8 @@
 	return err
 }
 
-// acquire returns a connection with ex begun on it: the resting one that was used
-// last, or a new one.
+// acquire returns a connection on which ex has started: the most recently used idle one
+// that is open, or a new one.
 func (t *Transport) acquire(ctx context.Context, ex *exchange, repeatable bool) (*conn, error) {
 	for {
 		c := t.popIdle(repeatable)
@@ -198,14 +197,14 @@
 			return c, nil
 		}
 	}
-	raw, err := netdial.New(t.opts.DialTimeout, unacknowledgedTimeout).DialContext(ctx, "tcp", t.opts.Address)
+	netConn, err := netdial.New(t.opts.DialTimeout, unacknowledgedTimeout).DialContext(ctx, "tcp", t.opts.Address)
 	if err != nil {
 		return nil, err
 	}
 	t.mu.Lock()
 	t.connectionsOpened++
 	t.mu.Unlock()
-	c := newConn(raw, t.opts.Headers.RequestID, t.opts.MaxBodyBytes)
+	c := newConn(netConn, t.opts.Headers.RequestID, t.opts.MaxBodyBytes)
 	c.lastUsed = t.opts.Now()
 	if !c.startExchange(ex) {
 		return nil, errors.New("the backend server closed the new connection")
@@ -213,22 +212,23 @@
 	return c, nil
 }
 
-// popIdle takes the connection that was used last; those that rested for too
-// long are closed.
+// popIdle removes and returns the most recently used idle connection; nil if there is
+// none that the request may use. It closes those that were idle for too long or have
+// failed.
 func (t *Transport) popIdle(repeatable bool) *conn {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(t.idle) > 0 {
 		last := len(t.idle) - 1
 		c := t.idle[last]
-		rested := time.Duration(t.opts.Now() - c.lastUsed)
-		if rested > maxIdle || !c.isOpen() {
+		idleFor := time.Duration(t.opts.Now() - c.lastUsed)
+		if idleFor > maxIdle || !c.isOpen() {
 			t.idle[last] = nil
 			t.idle = t.idle[:last]
 			_ = c.Close()
 			continue
 		}
-		if !repeatable && rested > maxIdleNonRepeatable {
+		if !repeatable && idleFor > maxIdleNonRepeatable {
 			return nil
 		}
 		t.idle[last] = nil
@@ -238,8 +238,9 @@
 	return nil
 }
 
-// release keeps the connection for the next request, unless the request's body
-// was not written to its end: then other bytes would come where it is due.
+// release keeps the connection for further requests. It closes the connection instead
+// if the request's body was not fully written: the rest of it would be read as the next
+// request.
 func (t *Transport) release(c *conn, written <-chan error) {
 	select {
 	case err := <-written:
@@ -255,20 +256,20 @@
 	_ = c.Close()
 }
 
-// classify classifies an answer. Only the backend server's own mark proves that a
-// request did not run.
+// classify turns a response into a reply. Only status 421 and the NotExecuted header
+// prove that the request did not run.
 func (t *Transport) classify(resp *http.Response) Reply {
-	h := t.opts.Headers
-	load := resp.Header.Get(h.Load)
+	names := t.opts.Headers
+	loadHeader := resp.Header.Get(names.Load)
 	switch {
 	case resp.StatusCode == http.StatusMisdirectedRequest:
-		out := newRefusal(errkind.BackendReplaced, false, "another incarnation has the address")
-		out.InstanceID = resp.Header.Get(h.InstanceID)
-		out.LoadHeader = load
+		out := newRefusal(errkind.BackendReplaced, false, "another instance answers at the backend server's address")
+		out.InstanceID = resp.Header.Get(names.InstanceID)
+		out.LoadHeader = loadHeader
 		return out
-	case resp.Header.Get(h.NotExecuted) != "":
+	case resp.Header.Get(names.NotExecuted) != "":
 		out := newRefusal(errkind.BackendRefused, true, "the backend server refused with status %d", resp.StatusCode)
-		out.LoadHeader = load
+		out.LoadHeader = loadHeader
 		return out
 	}
 	body, _ := io.ReadAll(resp.Body)
@@ -281,11 +282,11 @@
 			answer.Headers = append(answer.Headers, wire.Header{Name: name, Value: v})
 		}
 	}
-	return Reply{Answer: answer, Offered: true, LoadHeader: load}
+	return Reply{Answer: answer, Offered: true, LoadHeader: loadHeader}
 }
 
-// dropsHeader is true for headers of an answer that end here: the daemon has taken
-// them over, or the entry writes them anew.
+// dropsHeader is true for response headers that are not passed on: the daemon has
+// evaluated them, or the entry sets them itself.
 func (t *Transport) dropsHeader(name string) bool {
 	switch name {
 	case http.CanonicalHeaderKey(t.opts.Headers.Load), http.CanonicalHeaderKey(t.opts.Headers.RequestID),
@@ -295,14 +296,14 @@
 	return false
 }
 
-// ConnectionsOpened counts the connections that were opened.
+// ConnectionsOpened returns how many connections were opened.
 func (t *Transport) ConnectionsOpened() int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.connectionsOpened
 }
 
-// CloseIdle closes the resting connections.
+// CloseIdle closes the idle connections.
 func (t *Transport) CloseIdle() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/pkg/backend/transport_test.go
+++ b/pkg/backend/transport_test.go
@@ -19,11 +19,12 @@
 	"github.com/rushramp/rushramp/pkg/errkind"
 )
 
-// responder answers each request on each connection by hand.
+// responder writes the response to one request on a raw connection.
 type responder func(conn net.Conn, req *http.Request)
 
-// serve runs a backend server that follows a script, and counts connections.
-func serve(t *testing.T, answer responder) (address string, connections *atomic.Int64) {
+// serve runs a backend server that answers each request with respond, and counts its
+// connections.
+func serve(t *testing.T, respond responder) (address string, connections *atomic.Int64) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
@@ -43,7 +44,7 @@
 					if err != nil {
 						return
 					}
-					answer(c, req)
+					respond(c, req)
 				}
 			}()
 		}
@@ -69,7 +70,7 @@
 	return tr.Do(ctx, req)
 }
 
-func TestARequestGoesOnUnchanged(t *testing.T) {
+func TestRequestIsSentUnchanged(t *testing.T) {
 	seen := make(chan *http.Request, 1)
 	address, _ := serve(t, func(c net.Conn, req *http.Request) {
 		body, _ := io.ReadAll(req.Body)
@@ -82,17 +83,17 @@
 	got := do(t, newTestTransport(address), req)
 	must.Nil(t, got.Refusal)
 	test.Eq(t, "done", string(got.Answer.Body))
-	at := <-seen
-	body, _ := io.ReadAll(at.Body)
+	received := <-seen
+	body, _ := io.ReadAll(received.Body)
 	test.Eq(t, "payload", string(body))
-	test.Eq(t, "/a/b?c=%2f", at.RequestURI)
-	test.Eq(t, "h.example", at.Host)
-	test.Eq(t, "i-1", at.Header.Get("Rushramp-Expected-Instance"))
-	test.Eq(t, "front", at.Header.Get("Rushramp-Caller"))
-	test.NotEq(t, "", at.Header.Get("Rushramp-Timeout"))
+	test.Eq(t, "/a/b?c=%2f", received.RequestURI)
+	test.Eq(t, "h.example", received.Host)
+	test.Eq(t, "i-1", received.Header.Get("Rushramp-Expected-Instance"))
+	test.Eq(t, "front", received.Header.Get("Rushramp-Caller"))
+	test.NotEq(t, "", received.Header.Get("Rushramp-Timeout"))
 }
 
-func TestALateAnswerOfAnOlderRequestIsDropped(t *testing.T) {
+func TestLateResponseToEarlierRequestIsDropped(t *testing.T) {
 	address, connections := serve(t, func(c net.Conn, req *http.Request) {
 		if id := req.Header.Get("Rushramp-Request-Id"); id == "r2" {
 			writeOK(c, "r1", "late")
@@ -107,7 +108,7 @@
 	test.Eq(t, 1, connections.Load())
 }
 
-func TestSurplusBytesEndTheConnection(t *testing.T) {
+func TestUnexpectedBytesCloseTheConnection(t *testing.T) {
 	address, connections := serve(t, func(c net.Conn, req *http.Request) {
 		id := req.Header.Get("Rushramp-Request-Id")
 		text := fmt.Sprintf("HTTP/1.1 200 OK\r\nRushramp-Request-Id: %s\r\nContent-Length: 2\r\n\r\nok", id)
@@ -120,14 +121,14 @@
 	test.Eq(t, 3, connections.Load())
 }
 
-func TestAnswersThatAreCutAreMaybe(t *testing.T) {
+func TestTruncatedResponseMeansMayHaveRun(t *testing.T) {
 	texts := map[string]string{
-		"body short":     "HTTP/1.1 200 OK\r\nRushramp-Request-Id: r\r\nContent-Length: 10\r\n\r\nabc",
-		"head cut":       "HTTP/1.1 200 OK\r\nRushramp-Req",
-		"no answer":      "",
-		"not HTTP":       "\x00\x01\x02 nonsense\r\n\r\n",
-		"chunk cut":      "HTTP/1.1 200 OK\r\nRushramp-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
-		"another's only": "HTTP/1.1 200 OK\r\nRushramp-Request-Id: x\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab",
+		"truncated body":                       "HTTP/1.1 200 OK\r\nRushramp-Request-Id: r\r\nContent-Length: 10\r\n\r\nabc",
+		"truncated head":                       "HTTP/1.1 200 OK\r\nRushramp-Req",
+		"no response":                          "",
+		"not HTTP":                             "\x00\x01\x02 nonsense\r\n\r\n",
+		"truncated chunk":                      "HTTP/1.1 200 OK\r\nRushramp-Request-Id: r\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab",
+		"only the response to another request": "HTTP/1.1 200 OK\r\nRushramp-Request-Id: x\r\nConnection: close\r\nContent-Length: 2\r\n\r\nab",
 	}
 	for name, text := range texts {
 		t.Run(name, func(t *testing.T) {
@@ -144,7 +145,7 @@
 	}
 }
 
-func TestAnAnswerWithoutLengthIsWholeOnlyAfterAClose(t *testing.T) {
+func TestCloseDelimitedResponseNeedsCleanClose(t *testing.T) {
 	const head = "HTTP/1.1 200 OK\r\nRushramp-Request-Id: r\r\n\r\n"
 	for name, reset := range map[string]bool{"closed": false, "reset": true} {
 		t.Run(name, func(t *testing.T) {
@@ -167,11 +168,11 @@
 	}
 }
 
-func TestOnlyTheBackendServersMarkSaysNotRun(t *testing.T) {
+func TestOnlyMarkedResponsesProveNotRun(t *testing.T) {
 	scenarios := []struct {
 		name, text string
 		kind       errkind.Kind
-		instance   string
+		instanceID string
 	}{
 		{"marked", "HTTP/1.1 503 X\r\nRushramp-Request-Id: r\r\nRushramp-Not-Run: 1\r\nContent-Length: 0\r\n\r\n", errkind.BackendRefused, ""},
 		{"replaced", "HTTP/1.1 421 X\r\nRushramp-Request-Id: r\r\nRushramp-Instance: i-2\r\nContent-Length: 0\r\n\r\n", errkind.BackendReplaced, "i-2"},
@@ -189,40 +190,40 @@
 			must.NotNil(t, got.Refusal)
 			test.Eq(t, s.kind, got.Refusal.Kind)
 			test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-			test.Eq(t, s.instance, got.InstanceID)
+			test.Eq(t, s.instanceID, got.InstanceID)
 		})
 	}
 }
 
-func TestAnEarlyAnswerEndsTheConnection(t *testing.T) {
-	readOn := make(chan struct{})
+func TestEarlyResponseClosesTheConnection(t *testing.T) {
+	readBody := make(chan struct{})
 	address, connections := serve(t, func(c net.Conn, req *http.Request) {
 		writeOK(c, req.Header.Get("Rushramp-Request-Id"), "no")
 		if req.ContentLength > 0 {
-			<-readOn
+			<-readBody
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 	})
-	defer close(readOn)
+	defer close(readBody)
 	tr := newTestTransport(address)
 	big := newGetRequest("r1")
-	// More than the buffers of both ends hold: it can't be written to its end.
+	// The body exceeds the socket buffers of both ends, so it cannot be fully written.
 	big.Method, big.Body = "POST", make([]byte, 32<<20)
 	must.Eq(t, "no", string(do(t, tr, big).Answer.Body))
 	must.Eq(t, "no", string(do(t, tr, newGetRequest("r2")).Answer.Body))
 	test.Eq(t, 2, connections.Load())
 }
 
-func TestACallerThatLeavesEndsTheConnection(t *testing.T) {
-	came, closed := make(chan struct{}), make(chan struct{})
+func TestCancelledRequestClosesTheConnection(t *testing.T) {
+	arrived, closed := make(chan struct{}), make(chan struct{})
 	address, _ := serve(t, func(c net.Conn, _ *http.Request) {
-		close(came)
+		close(arrived)
 		_, _ = c.Read(make([]byte, 1))
 		close(closed)
 	})
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() {
-		<-came
+		<-arrived
 		cancel()
 	}()
 	got := newTestTransport(address).Do(ctx, newGetRequest("r"))
@@ -232,7 +233,7 @@
 	<-closed
 }
 
-func TestANotRepeatableRequestAvoidsAConnectionThatRested(t *testing.T) {
+func TestNonRepeatableRequestAvoidsIdleConnection(t *testing.T) {
 	address, connections := serve(t, func(c net.Conn, req *http.Request) {
 		writeOK(c, req.Header.Get("Rushramp-Request-Id"), "ok")
 	})
@@ -241,15 +242,15 @@
 	tr.mu.Lock()
 	tr.idle[0].lastUsed -= int64(2 * maxIdleNonRepeatable)
 	tr.mu.Unlock()
-	once := newGetRequest("r2")
-	once.Repeatable = false
-	must.NotNil(t, do(t, tr, once).Answer)
+	nonRepeatable := newGetRequest("r2")
+	nonRepeatable.Repeatable = false
+	must.NotNil(t, do(t, tr, nonRepeatable).Answer)
 	must.Eq(t, 2, connections.Load())
 	must.NotNil(t, do(t, tr, newGetRequest("r3")).Answer)
 	test.Eq(t, 2, connections.Load())
 }
 
-func TestNobodyListens(t *testing.T) {
+func TestNoListener(t *testing.T) {
 	got := do(t, newTestTransport("127.0.0.1:1"), newGetRequest("r"))
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.BackendUnreachable, got.Refusal.Kind)
--- a/pkg/runner/accepting.go
+++ b/pkg/runner/accepting.go
@@ -8,40 +8,42 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// StopAccepting makes the runner refuse new requests from now on.
+// StopAccepting makes the runner refuse new requests from now on. Waiting and running
+// ones go on.
 func (r *Runner) StopAccepting() { r.leaving.Store(true) }
 
-// SetEvacuated makes the runner refuse new requests, and those that wait, while
-// its data centre is evacuated.
+// SetEvacuated sets whether the data centre is evacuated. While it is, the runner
+// refuses new and waiting requests.
 func (r *Runner) SetEvacuated(evacuated bool) { r.evacuated.Store(evacuated) }
 
-// Trial is the backend server's part in a roll-out.
+// Trial returns the part of the backend server in a roll-out.
 func (r *Runner) Trial() *trial.Trial { return r.trial }
 
-// acceptingIncarnation returns the incarnation that requests may be handed to now, or why
-// there is none.
-func (r *Runner) acceptingIncarnation() (instance backend.Incarnation, refusal *errkind.Error) {
+// acceptingIncarnation returns the incarnation that requests may be sent to now, or a
+// refusal if there is none.
+func (r *Runner) acceptingIncarnation() (incarnation backend.Incarnation, refusal *errkind.Error) {
 	if r.evacuated.Load() {
-		return backend.Incarnation{}, errkind.New(errkind.DataCentreEvacuated, "%s is evacuated", r.Settings.VM.DataCentre)
+		return backend.Incarnation{}, errkind.New(errkind.DataCentreEvacuated, "data centre %s is evacuated", r.Settings.VM.DataCentre)
 	}
-	instance, ok := r.lifecycle.Accepting()
+	incarnation, ok := r.lifecycle.Accepting()
 	if !ok {
-		return backend.Incarnation{}, errkind.New(errkind.BackendAbsent, "the backend server takes no requests now")
+		return backend.Incarnation{}, errkind.New(errkind.BackendAbsent, "the backend server is leaving, down or not known yet")
 	}
-	if why := r.trial.Bars(instance.String()); why != "" {
-		return backend.Incarnation{}, errkind.New(errkind.VersionHeld, "%s", why)
+	if reason := r.trial.Bars(incarnation.String()); reason != "" {
+		return backend.Incarnation{}, errkind.New(errkind.VersionHeld, "%s", reason)
 	}
-	return instance, nil
+	return incarnation, nil
 }
 
-// quarantineRefusal refuses a request whose content ends the backend servers that run it: the
-// entry may not have heard of it yet.
+// quarantineRefusal refuses a request whose content is quarantined because it crashes
+// backend servers. The entry may not know of the quarantine yet.
 func (r *Runner) quarantineRefusal(c *wire.Call, body []byte) *errkind.Error {
 	refusal, _ := r.Quarantine.Refusal(r.Now(), func() quarantine.Fingerprint { return c.Fingerprint(body) })
 	return refusal
 }
 
-// checkCall refuses what this runner must not take, whatever the entry believed.
+// checkCall refuses a call that this runner must not take. The entry may have decided
+// on older data.
 func (r *Runner) checkCall(c *wire.Call, body []byte) *errkind.Error {
 	if r.leaving.Load() {
 		return errkind.New(errkind.Leaving, "the daemon is leaving")
--- a/pkg/runner/cold_reports_test.go
+++ b/pkg/runner/cold_reports_test.go
@@ -10,17 +10,19 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// testColdRate is how many starts a second the services below bear while they are cold.
+// testColdRate is how many starts a second a cold backend server tolerates in these tests.
 const testColdRate = 20
 
-func withColdRate(r *Runner) (most int) {
+// withColdRate sets a placement with testColdRate and returns how many starts the gate
+// allows in a second.
+func withColdRate(r *Runner) (maxStarts int) {
 	r.service = func() (routing.Service, bool) {
 		return routing.Service{ColdFor: 3 * time.Second, ColdRate: testColdRate}, true
 	}
 	return int(r.Settings.Routing.ColdFactor*testColdRate + r.Settings.Routing.ColdSlack)
 }
 
-// executeMany hands requests over that go on until the test ends.
+// executeMany executes n requests, which run or wait until the test ends.
 func executeMany(t *testing.T, r *Runner, n int) {
 	for range n {
 		_, cancel := execute(r, routedCall("a"))
@@ -28,34 +30,35 @@
 	}
 }
 
-// TestAHeartbeatHeldBackCountsWhatStartedMeanwhile: a backend server becomes cold, and
-// a few requests start on its last warm word, too few for the next question. Its first
-// heartbeat of the cold time comes late.
-func TestAHeartbeatHeldBackCountsWhatStartedMeanwhile(t *testing.T) {
+// TestDelayedColdHeartbeatCountsEarlierStarts: a backend server becomes cold, and a few
+// requests start because it was last reported warm, too few to cause a health check. The
+// first heartbeat that reports it cold arrives late: the gate must count these starts.
+func TestDelayedColdHeartbeatCountsEarlierStarts(t *testing.T) {
 	r, lifecycle := newTestRunner(t, newHoldingServer(), 100)
-	most := withColdRate(r)
+	maxStarts := withColdRate(r)
 	const longerThanSlack = 2 * time.Duration(coldReportSlack)
-	time.Sleep(longerThanSlack) // what the process before started is out of the question
+	time.Sleep(longerThanSlack) // so that starts of a previous process do not count
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
 	r.UpdateCold()
-	executeMany(t, r, most/2)
+	executeMany(t, r, maxStarts/2)
 	time.Sleep(longerThanSlack)
 	lifecycle.RecordHeartbeat(r.Now(), backend.Heartbeat{InstanceID: "i-1", Sequence: 1, ColdFor: 3 * time.Second})
 	r.UpdateCold()
-	executeMany(t, r, 3*most)
-	test.Eq(t, uint32(most), r.gate.Stamp(r.Now()).Running)
+	executeMany(t, r, 3*maxStarts)
+	test.Eq(t, uint32(maxStarts), r.gate.Stamp(r.Now()).Running)
 }
 
-// TestStartsOfTheProcessBeforeCountWhateverComesFirst: a daemon that was started again
-// hears the cold word after another one, as of a request that came before any word.
-func TestStartsOfTheProcessBeforeCountWhateverComesFirst(t *testing.T) {
+// TestStartsOfPreviousProcessCount: a restarted daemon learns that the backend server is
+// cold, before or after its first request. The previous process may have used up the
+// starts of this second.
+func TestStartsOfPreviousProcessCount(t *testing.T) {
 	for _, early := range []int{0, 1} {
 		r, lifecycle := newTestRunner(t, newHoldingServer(), 100)
 		withColdRate(r)
-		executeMany(t, r, early) // it takes over that nothing was said yet
+		executeMany(t, r, early) // sets the gate's limit without any report
 		lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 2*time.Second)
 		r.UpdateCold()
 		executeMany(t, r, 100)
-		test.LessEq(t, uint32(early), r.gate.Stamp(r.Now()).Running, test.Sprint("the process before may have started all that a second bears"))
+		test.LessEq(t, uint32(early), r.gate.Stamp(r.Now()).Running, test.Sprint("the previous process may have made all starts of this second"))
 	}
 }
--- a/pkg/runner/cold_test.go
+++ b/pkg/runner/cold_test.go
@@ -14,15 +14,15 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// withColdService makes the placement say that a cold backend server bears two
-// requests a second.
+// withColdService sets a placement by which a cold backend server tolerates two starts
+// a second.
 func withColdService(r *Runner) {
 	r.service = func() (routing.Service, bool) { return routing.Service{ColdFor: 3 * time.Second, ColdRate: 2}, true }
 }
 
-// TestAColdBackendServerIsNotOverrun: what comes after its two requests waits, or
-// is refused where it could not end in time.
-func TestAColdBackendServerIsNotOverrun(t *testing.T) {
+// TestColdBackendServerGetsFewStarts: after the two starts that it tolerates, requests
+// wait, or are refused if they could not end in time.
+func TestColdBackendServerGetsFewStarts(t *testing.T) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
@@ -33,9 +33,9 @@
 		test.Eq(t, "runs", <-h.arrived)
 	}
 	_, cancel := execute(r, routedCall("waits"))
-	hasty := routedCall("hasty")
-	hasty.Routed.Target = 500 * time.Millisecond
-	results, _ := execute(r, hasty)
+	urgent := routedCall("urgent")
+	urgent.Routed.Target = 500 * time.Millisecond
+	results, _ := execute(r, urgent)
 	got := <-results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.Overloaded, got.Refusal.Kind)
@@ -45,9 +45,9 @@
 	cancel()
 }
 
-// TestAnOldWordIsAskedForBeforeMoreThanAColdOneBearsStart: the backend server has
-// become cold meanwhile, as when its data centre was taken back.
-func TestAnOldWordIsAskedForBeforeMoreThanAColdOneBearsStart(t *testing.T) {
+// TestWarmBackendServerIsRecheckedBeforeColdLimitIsExceeded: the backend server has
+// become cold since the last report, as when the evacuation of its data centre ends.
+func TestWarmBackendServerIsRecheckedBeforeColdLimitIsExceeded(t *testing.T) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
@@ -74,8 +74,8 @@
 	}
 }
 
-// TestCallsAreHeldToTheirTargetWhileColdStartsAreScarce, and to their deadline else.
-func TestCallsAreHeldToTheirTargetWhileColdStartsAreScarce(t *testing.T) {
+// TestServiceCallsAreHeldToTheirTargetWhileCold, and to their deadline otherwise.
+func TestServiceCallsAreHeldToTheirTargetWhileCold(t *testing.T) {
 	r, lifecycle := newTestRunner(t, newHoldingServer(), 10)
 	withColdService(r)
 	c := routedCall("call")
@@ -92,9 +92,8 @@
 	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
 }
 
-// TestWhatAColdBackendServerBearsIsKnownBeforeTheFirstStart: its word came before
-// the placement.
-func TestWhatAColdBackendServerBearsIsKnownBeforeTheFirstStart(t *testing.T) {
+// TestColdLimitIsSetBeforeTheFirstStart: the cold report arrives before the placement.
+func TestColdLimitIsSetBeforeTheFirstStart(t *testing.T) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	service := r.service
@@ -113,8 +112,9 @@
 	cancel()
 }
 
-// TestWithoutAPlacementNothingRuns: nobody knows yet what the backend server bears.
-func TestWithoutAPlacementNothingRuns(t *testing.T) {
+// TestNothingRunsWithoutPlacement: it is not known yet how many starts a cold backend
+// server tolerates.
+func TestNothingRunsWithoutPlacement(t *testing.T) {
 	r, _ := newTestRunner(t, newHoldingServer(), 10)
 	r.service = func() (routing.Service, bool) { return routing.Service{}, false }
 	results, _ := execute(r, routedCall("a"))
--- a/pkg/runner/crash_test.go
+++ b/pkg/runner/crash_test.go
@@ -19,7 +19,7 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// crashFixture is a backend server whose process the test ends.
+// crashFixture is a runner with a backend server whose process the test can end.
 type crashFixture struct {
 	*holdingServer
 	server    *httptest.Server
@@ -56,70 +56,72 @@
 	return out
 }
 
-// startAndWait begins runs at the backend server and waits until they are there.
-func (e *crashFixture) startAndWait(ids ...string) {
+// startAndWait starts requests and waits until each has reached the backend server.
+func (f *crashFixture) startAndWait(ids ...string) {
 	for _, id := range ids {
-		e.runner.Execute(routedCall(id), nil, func(r call.Result) { e.results <- r })
-		<-e.arrived
+		f.runner.Execute(routedCall(id), nil, func(r call.Result) { f.results <- r })
+		<-f.arrived
 	}
 }
 
-// endProcess closes the listener and all connections at once, as the system does when
-// a process ends.
-func (e *crashFixture) endProcess() {
-	_ = e.server.Listener.Close()
-	e.server.CloseClientConnections()
+// endProcess closes the listener and all connections at once, as the operating system
+// does when a process ends.
+func (f *crashFixture) endProcess() {
+	_ = f.server.Listener.Close()
+	f.server.CloseClientConnections()
 }
 
-func (e *crashFixture) crashes() uint64 {
-	return e.runner.Metrics.GetOrCreateCounter("rushramp_backend_crashes_total").Get()
+func (f *crashFixture) crashes() uint64 {
+	return f.runner.Metrics.GetOrCreateCounter("rushramp_backend_crashes_total").Get()
 }
 
-// TestAnEndOfTheProcessIsToldFromABreak: all runs broke and nobody listens.
-func TestAnEndOfTheProcessIsToldFromABreak(t *testing.T) {
-	e := newCrashFixture(t)
-	e.startAndWait("1", "2", "3")
+// TestCrashIsDistinguishedFromBrokenRun: in a crash all runs break off and nobody listens
+// any more.
+func TestCrashIsDistinguishedFromBrokenRun(t *testing.T) {
+	f := newCrashFixture(t)
+	f.startAndWait("1", "2", "3")
 	broken := routedCall("4")
 	broken.URI = "/break"
-	e.runner.Execute(broken, nil, func(r call.Result) { e.results <- r })
-	must.NotNil(t, (<-e.results).Refusal)
-	test.Eq(t, 0, e.crashes(), test.Sprint("one run broke, others go on"))
+	f.runner.Execute(broken, nil, func(r call.Result) { f.results <- r })
+	must.NotNil(t, (<-f.results).Refusal)
+	test.Eq(t, 0, f.crashes(), test.Sprint("one run broke off, others go on"))
 
-	e.endProcess()
+	f.endProcess()
 	for range 3 {
-		must.NotNil(t, (<-e.results).Refusal)
+		must.NotNil(t, (<-f.results).Refusal)
 	}
-	test.Eq(t, 1, e.crashes(), test.Sprint("one end for all three runs"))
+	test.Eq(t, 1, f.crashes(), test.Sprint("one crash for all three runs"))
 }
 
-// TestAFullBackendServerHasNotEnded: it refuses connections while runs go on.
-func TestAFullBackendServerHasNotEnded(t *testing.T) {
-	e := newCrashFixture(t)
-	e.startAndWait("1", "2")
-	_ = e.server.Listener.Close()
-	e.server.Config.SetKeepAlivesEnabled(false)
+// TestFullBackendServerIsNoCrash: a full backend server refuses connections while runs
+// go on.
+func TestFullBackendServerIsNoCrash(t *testing.T) {
+	f := newCrashFixture(t)
+	f.startAndWait("1", "2")
+	_ = f.server.Listener.Close()
+	f.server.Config.SetKeepAlivesEnabled(false)
 	broken := routedCall("3")
 	broken.URI = "/break"
-	e.runner.Execute(broken, nil, func(r call.Result) { e.results <- r })
-	must.NotNil(t, (<-e.results).Refusal)
-	test.Eq(t, 0, e.crashes())
+	f.runner.Execute(broken, nil, func(r call.Result) { f.results <- r })
+	must.NotNil(t, (<-f.results).Refusal)
+	test.Eq(t, 0, f.crashes())
 }
 
-// TestAPlannedEndIsNoCrash: the backend server said before that it leaves.
-func TestAPlannedEndIsNoCrash(t *testing.T) {
-	e := newCrashFixture(t)
-	e.startAndWait("1")
-	e.lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Leaving: true})
-	e.endProcess()
-	must.NotNil(t, (<-e.results).Refusal)
-	test.Eq(t, 0, e.crashes())
+// TestAnnouncedDepartureIsNoCrash: the backend server announced that it leaves.
+func TestAnnouncedDepartureIsNoCrash(t *testing.T) {
+	f := newCrashFixture(t)
+	f.startAndWait("1")
+	f.lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Leaving: true})
+	f.endProcess()
+	must.NotNil(t, (<-f.results).Refusal)
+	test.Eq(t, 0, f.crashes())
 }
 
-// start begins a request of a content without waiting for it.
-func (e *crashFixture) start(id, uri string, repeatable bool) {
+// start starts a request without waiting for it.
+func (f *crashFixture) start(id, uri string, repeatable bool) {
 	c := routedCall(id)
 	c.URI, c.Routed.Repeatable = uri, repeatable
-	e.runner.Execute(c, nil, func(r call.Result) { e.results <- r })
+	f.runner.Execute(c, nil, func(r call.Result) { f.results <- r })
 }
 
 func fingerprintOf(uri string) quarantine.Fingerprint {
@@ -128,81 +130,80 @@
 	return c.Fingerprint(nil)
 }
 
-// TestACrashIsTold with each content that ran, before the ends of the runs are, and the
-// backend server counts as down at once.
-func TestACrashIsTold(t *testing.T) {
-	e := newCrashFixture(t)
+// TestCrashIsReported with the content of each run, before the results of the runs are
+// reported, and the backend server counts as down at once.
+func TestCrashIsReported(t *testing.T) {
+	f := newCrashFixture(t)
 	for _, uri := range []string{"/a", "/a", "/b"} {
-		e.start("id"+uri, uri, true)
-		<-e.arrived
+		f.start("id"+uri, uri, true)
+		<-f.arrived
 	}
-	e.endProcess()
-	<-e.results
-	told := e.runner.Quarantine.TakePending()
-	must.Len(t, 1, told.Crashes)
-	test.SliceContainsAll(t, told.Crashes[0].Requests, []quarantine.Fingerprint{fingerprintOf("/a"), fingerprintOf("/b")})
-	_, state := e.lifecycle.Current()
+	f.endProcess()
+	<-f.results
+	reported := f.runner.Quarantine.TakePending()
+	must.Len(t, 1, reported.Crashes)
+	test.SliceContainsAll(t, reported.Crashes[0].Requests, []quarantine.Fingerprint{fingerprintOf("/a"), fingerprintOf("/b")})
+	_, state := f.lifecycle.Current()
 	test.Eq(t, backend.Down, state)
-	<-e.results
-	<-e.results
-	test.Len(t, 0, e.runner.Quarantine.TakePending().Crashes)
+	<-f.results
+	<-f.results
+	test.Len(t, 0, f.runner.Quarantine.TakePending().Crashes)
 }
 
-// TestAHeldContentIsNotRun: neither one that comes, nor one that waits, and one that runs
-// already is ended where it may be repeated.
-func TestAHeldContentIsNotRun(t *testing.T) {
-	e := newCrashFixture(t)
-	e.start("repeatable", "/held", true)
-	<-e.arrived
-	e.start("once", "/held", false)
-	<-e.arrived
-	e.start("other", "/other", true)
-	<-e.arrived
+// TestQuarantinedContentIsNotRun: new requests are refused, and runs are ended if they
+// may be repeated.
+func TestQuarantinedContentIsNotRun(t *testing.T) {
+	f := newCrashFixture(t)
+	f.start("repeatable", "/held", true)
+	<-f.arrived
+	f.start("once", "/held", false)
+	<-f.arrived
+	f.start("other", "/other", true)
+	<-f.arrived
 	for id := range uint64(2) {
-		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{fingerprintOf("/held")})
+		f.runner.Quarantine.RecordCrash(f.runner.Now(), id+1, []quarantine.Fingerprint{fingerprintOf("/held")})
 	}
-	e.runner.Tick()
-	got := <-e.results
+	f.runner.Tick()
+	got := <-f.results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
 	test.Eq(t, errkind.RanMaybe, got.Refusal.Ran)
 	test.True(t, got.Offered)
-	test.Eq(t, "repeatable", <-e.abandoned)
+	test.Eq(t, "repeatable", <-f.abandoned)
 
-	e.start("comes", "/held", true)
-	got = <-e.results
+	f.start("comes", "/held", true)
+	got = <-f.results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 	test.False(t, got.Refusal.RetryElsewhere())
 
-	e.proceed <- struct{}{}
-	e.proceed <- struct{}{}
-	must.NotNil(t, (<-e.results).Answer)
-	must.NotNil(t, (<-e.results).Answer)
-	test.Eq(t, 0, len(e.arrived))
-	e.start("free", "/held", true)
-	test.Eq(t, "free", <-e.arrived, test.Sprint("the one that must run once has ended well"))
+	f.proceed <- struct{}{}
+	f.proceed <- struct{}{}
+	must.NotNil(t, (<-f.results).Answer)
+	must.NotNil(t, (<-f.results).Answer)
+	test.Eq(t, 0, len(f.arrived))
+	f.start("free", "/held", true)
+	test.Eq(t, "free", <-f.arrived, test.Sprint("the non-repeatable run has ended well, which ends the quarantine"))
 }
 
-// TestWhatWaitsIsNotRunOnceItIsHeld at the gate.
-func TestWhatWaitsIsNotRunOnceItIsHeld(t *testing.T) {
-	e := newCrashFixture(t)
-	e.runner.gate.SetSlots(1)
-	e.start("first", "/first", true)
-	<-e.arrived
-	e.start("waits", "/held", true)
+func TestWaitingRequestIsNotRunOnceQuarantined(t *testing.T) {
+	f := newCrashFixture(t)
+	f.runner.gate.SetSlots(1)
+	f.start("first", "/first", true)
+	<-f.arrived
+	f.start("waits", "/held", true)
 	for id := range uint64(2) {
-		e.runner.Quarantine.RecordCrash(e.runner.Now(), id+1, []quarantine.Fingerprint{fingerprintOf("/held")})
+		f.runner.Quarantine.RecordCrash(f.runner.Now(), id+1, []quarantine.Fingerprint{fingerprintOf("/held")})
 	}
-	e.proceed <- struct{}{}
+	f.proceed <- struct{}{}
 	refused := 0
 	for range 2 {
-		if got := <-e.results; got.Refusal != nil {
+		if got := <-f.results; got.Refusal != nil {
 			test.Eq(t, errkind.RequestHeld, got.Refusal.Kind)
 			refused++
 		}
 	}
 	test.Eq(t, 1, refused)
-	test.Eq(t, 0, len(e.arrived))
+	test.Eq(t, 0, len(f.arrived))
 }
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -8,8 +8,7 @@
 	"github.com/rushramp/rushramp/pkg/events"
 )
 
-// logOutcome writes the line of how a request ended at this executor, with what the
-// gate knew.
+// logOutcome logs how a request ended at this executor, with the state of the gate.
 func (run *routedRun) logOutcome(result *call.Result) {
 	id := outcomeEvent(result)
 	log := run.runner.Log
@@ -25,7 +24,7 @@
 		events.F("gate", strconv.Itoa(int(result.Stamp.Running))+"+"+strconv.Itoa(int(result.Stamp.Queued))+"/"+strconv.Itoa(int(result.Stamp.Limit))),
 		events.F("slowdown", result.Stamp.Slowdown), events.F("load_age", events.Milliseconds(run.runner.load.Age(run.runner.Now()))),
 	}
-	if revision, is := run.runner.trial.UnderWay(); is {
+	if revision, underWay := run.runner.trial.UnderWay(); underWay {
 		fields = append(fields, events.F("backend_version", run.runner.lifecycle.Version()), events.F("plan", revision))
 	}
 	if refusal := result.Refusal; refusal != nil {
@@ -42,7 +41,8 @@
 	log.Event(id, fields...)
 }
 
-// outcomeEvent tells a run from a request that never reached the backend server.
+// outcomeEvent returns the event that a result is logged as. A request that reached the
+// backend server, or may have, counts as a run.
 func outcomeEvent(result *call.Result) events.ID {
 	switch {
 	case result.Refusal == nil || result.Offered:
--- a/pkg/runner/log_test.go
+++ b/pkg/runner/log_test.go
@@ -10,7 +10,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// lineReader hands out the lines of a log one by one.
+// lineReader is a log writer from which the test receives the lines.
 type lineReader chan string
 
 func (l lineReader) Write(line []byte) (int, error) {
@@ -18,9 +18,9 @@
 	return len(line), nil
 }
 
-// TestEachDecisionOfTheExecutorHasItsLine: runs, refusals and what nobody waits
-// for any more, each with the gate's figures.
-func TestEachDecisionOfTheExecutorHasItsLine(t *testing.T) {
+// TestEachOutcomeIsLogged: runs, refusals and cancelled requests are logged with the
+// state of the gate.
+func TestEachOutcomeIsLogged(t *testing.T) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 1)
 	lines := make(lineReader, 100)
@@ -42,7 +42,7 @@
 	cancel()
 	expect("event=509", "request=waits", "outcome=caller_gone", "ran=no")
 	h.proceed <- struct{}{}
-	// The answer says that the backend server has two slots.
+	// The response reports two slots.
 	expect("event=511", "slots=2", "before=1")
 	expect("event=507", "request=runs", "status=200", "instance=i-1", "gate=0+0/2")
 	other := routedCall("other")
--- a/pkg/runner/origins.go
+++ b/pkg/runner/origins.go
@@ -9,81 +9,81 @@
 )
 
 const (
-	// minServiceRequests is how many requests of a route must have come from one
-	// service, and from no other, before the route counts as called by it.
-	// Callers from outside use all VMs alike, so that so many of theirs on the
-	// VMs of one service are unlikely.
+	// minServiceRequests is how many requests of a route in a row must begin beside one
+	// service before the route counts as called by it. External callers use all VMs
+	// alike, so that this many of theirs beside one service are unlikely.
 	minServiceRequests = 12
-	// maxChanceProbability are the odds that so many requests of callers from outside begin
-	// beside the same few services by chance, below which the route counts as called
-	// by these. One that does wrongly is known for what it is from the next request
-	// on that begins beside another service.
+	// maxChanceProbability is the highest probability that a route counts as called by a
+	// few services although the requests are those of external callers, which began beside
+	// these services by chance. The next request that begins beside another service
+	// corrects it.
 	maxChanceProbability = 0.001
-	// maxServicesPerRoute bounds the services that call one route.
+	// maxServicesPerRoute limits the calling services that are tracked per route.
 	maxServicesPerRoute = 8
-	// maxRoutes bounds the routes that are followed.
+	// maxRoutes limits the routes that are tracked.
 	maxRoutes = 4096
 )
 
-// originTracker tells routes that services call in the middle of a run from those
-// that callers from outside use, by where their requests begin. The requests of a
-// route may be handled by two services, as while one takes over from the other, so
-// that the calls of their runs come from both.
+// originTracker finds out which routes are called by services, in the middle of a run,
+// and which by external callers. Requests of external callers begin beside all services
+// alike, calls of services only beside the VMs of these. A route may be called by more
+// than one service, as while one takes over from another.
 type originTracker struct {
-	// vmShare is which share of the VMs stands beside certain services.
+	// vmShare returns the share of the VMs that stand beside the given services, from 0 to
+	// 1; 0: unknown.
 	vmShare func(services []string) float64
 
-	mu      sync.Mutex
+	mu     sync.Mutex
 	routes map[string]*routeOrigin
 }
 
-// routeOrigin is what is known of one route.
+// routeOrigin is what is known about the requests of one route.
 type routeOrigin struct {
-	// services are those beside which its requests began, and count is how many
-	// began since the newest of them was first seen.
+	// services are those beside which requests began. count is the number of requests
+	// since the newest of them was added.
 	services []string
 	count    int
-	// threshold is how many show that services call it; 0: none do, or their share of the
-	// VMs is not known yet.
+	// threshold is the count above which the route counts as called by services; 0: it
+	// does not at any count, or the share of the VMs is not known yet.
 	threshold int
-	// tooManyServices is true once its requests began beside more services than are followed.
+	// tooManyServices is true once requests began beside more services than are tracked.
 	tooManyServices bool
 }
 
-func newOriginTracker(shareOf func(services []string) float64) *originTracker {
-	return &originTracker{vmShare: shareOf, routes: map[string]*routeOrigin{}}
+func newOriginTracker(vmShare func(services []string) float64) *originTracker {
+	return &originTracker{vmShare: vmShare, routes: map[string]*routeOrigin{}}
 }
 
-// record takes one request of a route over, which began beside a service, and
-// returns what is believed of the route now.
+// record counts a request of a route that began beside a service, and returns the
+// origin of the route's requests as known now.
 func (o *originTracker) record(route, service string) wire.Origin {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	found := o.routes[route]
-	if found == nil {
+	origin := o.routes[route]
+	if origin == nil {
 		if len(o.routes) >= maxRoutes {
 			return wire.OriginUnknown
 		}
-		found = &routeOrigin{services: []string{service}}
-		o.routes[route] = found
+		origin = &routeOrigin{services: []string{service}}
+		o.routes[route] = origin
 	}
-	if !slices.Contains(found.services, service) {
-		found.addService(service)
+	if !slices.Contains(origin.services, service) {
+		origin.addService(service)
 	}
-	if found.threshold == 0 {
-		found.updateThreshold(o.vmShare)
+	if origin.threshold == 0 {
+		origin.updateThreshold(o.vmShare)
 	}
-	found.count++
+	origin.count++
 	switch {
-	case found.threshold > 0 && found.count > found.threshold:
+	case origin.threshold > 0 && origin.count > origin.threshold:
 		return wire.OriginService
-	case len(found.services) > 1:
+	case len(origin.services) > 1:
 		return wire.OriginCallers
 	}
 	return wire.OriginUnknown
 }
 
-// addService takes over that requests begin beside another service, too.
+// addService adds a service and restarts the count.
 func (o *routeOrigin) addService(service string) {
 	o.count, o.threshold = 0, 0
 	if len(o.services) >= maxServicesPerRoute {
@@ -93,13 +93,13 @@
 	o.services = append(o.services, service)
 }
 
-// updateThreshold works out how many requests are enough. The VMs beside the services may not be
-// known yet, so that it is asked again until they are.
-func (o *routeOrigin) updateThreshold(shareOf func([]string) float64) {
+// updateThreshold computes the threshold, which stays 0 while the share of the VMs is
+// unknown.
+func (o *routeOrigin) updateThreshold(vmShare func([]string) float64) {
 	if o.tooManyServices {
 		return
 	}
-	share := shareOf(o.services)
+	share := vmShare(o.services)
 	if len(o.services) == 1 && share >= 1 {
 		o.threshold = minServiceRequests
 		return
@@ -107,8 +107,9 @@
 	o.threshold = thresholdFor(share)
 }
 
-// thresholdFor is how many requests in a row begin beside a share of the VMs by chance
-// with the odds that are left to it; 0: any number may.
+// thresholdFor returns how many requests of external callers in a row begin beside the
+// given share of the VMs with a probability of at most maxChanceProbability, and at least
+// minServiceRequests; 0: there is no such number.
 func thresholdFor(share float64) int {
 	if share <= 0 || share >= 1 {
 		return 0
--- a/pkg/runner/origins_test.go
+++ b/pkg/runner/origins_test.go
@@ -9,26 +9,26 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// fleetShares are the fleetShares of the VMs beside the services of a fleet.
+// fleetShares is the vmShare function of a fleet with three services.
 func fleetShares(services []string) float64 {
-	of := map[string]float64{"desk": 0.52, "returns": 0.34, "field": 0.14}
+	shares := map[string]float64{"desk": 0.52, "returns": 0.34, "field": 0.14}
 	share := 0.0
 	for _, name := range services {
-		share += of[name]
+		share += shares[name]
 	}
 	return share
 }
 
-// TestARouteThatTwoServicesCall: a version lets two services handle the requests whose
-// runs make the calls. They were taken for requests of callers from then on, which go
-// behind others and are refused where they would end after their target.
-func TestARouteThatTwoServicesCall(t *testing.T) {
+// TestRouteCalledByTwoServices: a placement version split requests between two services,
+// whose runs call the same route. These calls were then taken for external requests,
+// which have lower priority and are refused if they would end after their target.
+func TestRouteCalledByTwoServices(t *testing.T) {
 	o := newOriginTracker(fleetShares)
 	for range minServiceRequests {
 		o.record("check", "returns")
 	}
 	test.Eq(t, wire.OriginService, o.record("check", "returns"))
-	test.Eq(t, wire.OriginCallers, o.record("check", "desk"), test.Sprint("not clear yet"))
+	test.Eq(t, wire.OriginCallers, o.record("check", "desk"), test.Sprint("too few requests to tell"))
 	var got wire.Origin
 	for i := range 60 {
 		got = o.record("check", []string{"returns", "desk"}[i%2])
@@ -38,11 +38,12 @@
 	for range 1000 {
 		got = o.record("check", "returns")
 	}
-	test.Eq(t, wire.OriginCallers, got, test.Sprint("all services have made some"))
+	test.Eq(t, wire.OriginCallers, got, test.Sprint("requests have begun beside all services"))
 }
 
-// TestRequestsOfCallersAreNotTakenForCalls: they begin beside all services alike.
-func TestRequestsOfCallersAreNotTakenForCalls(t *testing.T) {
+// TestExternalRequestsAreNotTakenForServiceCalls: they begin beside all services, in
+// proportion to the VMs.
+func TestExternalRequestsAreNotTakenForServiceCalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	wrong := 0
 	for range 1000 {
@@ -66,8 +67,7 @@
 	test.Less(t, 200, wrong, test.Sprint("of 200,000 requests"))
 }
 
-// TestServicesThatCallARouteAreBounded.
-func TestServicesThatCallARouteAreBounded(t *testing.T) {
+func TestTrackedServicesPerRouteAreLimited(t *testing.T) {
 	o := newOriginTracker(func([]string) float64 { return 0.5 })
 	for i := range 3 * maxServicesPerRoute {
 		o.record("check", string(rune('a'+i)))
@@ -78,9 +78,9 @@
 	test.SliceLen(t, maxServicesPerRoute, o.routes["check"].services)
 }
 
-// TestOutsideCallersOfALargeFleet: its services differ much in size, and a route that
-// callers from outside use alike is rarely taken for a called one.
-func TestOutsideCallersOfALargeFleet(t *testing.T) {
+// TestExternalCallersOfFleetWithUnequalServices: a route of external callers is rarely
+// taken for one that services call, even if the services differ much in size.
+func TestExternalCallersOfFleetWithUnequalServices(t *testing.T) {
 	vms := map[string]float64{"a": 15, "b": 5, "c": 1}
 	random := rand.New(rand.NewPCG(1, 2))
 	wrong, runs := 0, 0
@@ -108,8 +108,8 @@
 	test.Less(t, runs/100, wrong, test.Sprint("of ", runs))
 }
 
-// TestAShareThatIsNotKnownMakesNoRouteCalled, and once it is known, it counts.
-func TestAShareThatIsNotKnownMakesNoRouteCalled(t *testing.T) {
+// TestUnknownVMShareClassifiesNoRoute until the share becomes known.
+func TestUnknownVMShareClassifiesNoRoute(t *testing.T) {
 	share := 0.0
 	o := newOriginTracker(func([]string) float64 { return share })
 	for range 3 * minServiceRequests {
--- a/pkg/runner/placement_test.go
+++ b/pkg/runner/placement_test.go
@@ -11,8 +11,8 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// setPlacement has a runner stand in data centre n1 of the north, with a version in force
-// in which a route is bound to regions and their data centres.
+// setPlacement places the runner in data centre n1 of region north, with a placement
+// version in force that restricts a route to regions and data centres.
 func setPlacement(r *Runner, version uint64, regions, dataCentres []string) {
 	r.Settings.VM.DataCentre, r.Settings.VM.Region = "n1", "north"
 	compiled := placement.Compile(&placement.Document{Version: version, Routes: []routing.Route{{
@@ -23,26 +23,26 @@
 	}
 }
 
-func TestTheExecutorIsTheLastGuardOfAllowedRegions(t *testing.T) {
+func TestExecutorRefusesDisallowedRegions(t *testing.T) {
 	north, south := []string{"north"}, []string{"south"}
 	for _, s := range []struct {
-		name        string
-		regions     []string
-		dataCentres []string
-		uri         string
-		decidedOn   uint64
-		runs        bool
+		name         string
+		regions      []string
+		dataCentres  []string
+		uri          string
+		entryVersion uint64
+		runs         bool
 	}{
 		{"the own region", north, []string{"n1"}, "/bound/x?y=/", 5, true},
 		{"another region", south, []string{"s1"}, "/bound/x?y=/", 5, false},
 		{"a target in absolute form", south, []string{"s1"}, "http://h/bound/x?y=/", 5, false},
-		{"a target in absolute form, and another route", south, []string{"s1"}, "http://h/free/bound/x", 5, true},
+		{"a target in absolute form of another route", south, []string{"s1"}, "http://h/free/bound/x", 5, true},
 		{"a path that begins with two slashes", south, []string{"s1"}, "//bound/x", 5, true},
 		{"nowhere", []string{"west"}, []string{routing.NoDataCentre}, "/bound/x", 5, false},
-		{"a translation by a wrong map", south, []string{"n1", "s1"}, "/bound/x", 5, false},
+		{"data centres that do not match the regions", south, []string{"n1", "s1"}, "/bound/x", 5, false},
 		{"data centres without regions", nil, []string{"s1"}, "/bound/x", 5, false},
 		{"an entry with an older version", south, []string{"s1"}, "/bound/x", 4, false},
-		{"an entry with a newer version knows better", south, []string{"s1"}, "/bound/x", 6, true},
+		{"an entry with a newer version", south, []string{"s1"}, "/bound/x", 6, true},
 		{"another route", south, []string{"s1"}, "/free/x", 5, true},
 	} {
 		h := newHoldingServer()
@@ -50,7 +50,7 @@
 		setPlacement(r, 5, s.regions, s.dataCentres)
 		h.proceed <- struct{}{}
 		c := routedCall("a")
-		c.URI, c.Placement = s.uri, s.decidedOn
+		c.URI, c.Placement = s.uri, s.entryVersion
 		results, _ := execute(r, c)
 		got := <-results
 		if s.runs {
@@ -66,8 +66,7 @@
 	}
 }
 
-// TestAChangeOfTheRulesBindsWhatWaits at the gate.
-func TestAChangeOfTheRulesBindsWhatWaits(t *testing.T) {
+func TestPlacementChangeAppliesToWaitingRequests(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
 	setPlacement(r, 5, []string{"north"}, []string{"n1"})
@@ -75,12 +74,12 @@
 	bound.URI, bound.Placement = "/bound/1", 5
 	first, _ := execute(r, bound)
 	test.Eq(t, "first", <-h.arrived)
-	waits := *bound
-	waits.Routed.ID = "second"
-	second, _ := execute(r, &waits)
+	next := *bound
+	next.Routed.ID = "second"
+	second, _ := execute(r, &next)
 	setPlacement(r, 6, []string{"south"}, []string{"s1"})
 	h.proceed <- struct{}{}
-	must.NotNil(t, (<-first).Answer, must.Sprint("what runs already ends"))
+	must.NotNil(t, (<-first).Answer, must.Sprint("the run under way ends"))
 	got := <-second
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.PlacementStale, got.Refusal.Kind)
--- a/pkg/runner/rollout.go
+++ b/pkg/runner/rollout.go
@@ -9,27 +9,28 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// recordOutcome counts how a run ended, as evidence on its version.
-func (run *routedRun) recordOutcome(reply *backend.Reply, began int64, took time.Duration, slowdown int) {
+// recordOutcome records the outcome of a run for the roll-out of the backend server's
+// version.
+func (run *routedRun) recordOutcome(reply *backend.Reply, start int64, took time.Duration, slowdown int) {
 	failed, counts := classifyReply(reply)
 	if !counts {
 		return
 	}
 	run.runner.trial.Record(rollout.Outcome{
 		Route: run.call.Kind, Failed: failed, Run: took, Slowdown: uint32(max(slowdown, 0)),
-		Worst: uint32(max(slowdown, run.runner.slowdowns.maxSince(began))), Cold: run.runner.cold.Load(),
+		Worst: uint32(max(slowdown, run.runner.slowdowns.maxSince(start))), Cold: run.runner.cold.Load(),
 	})
 }
 
-// slowdownHistorySize is how many words on the backend server's speed are kept: more than
-// come during a run of a second with ten answers a second beside the checks.
+// slowdownHistorySize is how many slowdown reports are kept. At ten responses a second
+// besides the health checks, it is more than arrive during a run of a second.
 const slowdownHistorySize = 64
 
-// slowdownHistory are the last words on the backend server's speed.
+// slowdownHistory is a ring buffer of the latest slowdown reports of the backend server.
 type slowdownHistory struct {
-	mu   sync.Mutex
+	mu      sync.Mutex
 	samples [slowdownHistorySize]slowdownSample
-	next int
+	next    int
 }
 
 type slowdownSample struct {
@@ -44,20 +45,22 @@
 	s.next = (s.next + 1) % slowdownHistorySize
 }
 
-// maxSince is the highest slowdown that was told since a time; 0: none was.
+// maxSince returns the highest slowdown reported since a time, in percent; 0: none was
+// reported.
 func (s *slowdownHistory) maxSince(since int64) (percent int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, word := range s.samples {
-		if word.at >= since {
-			percent = max(percent, word.percent)
+	for _, sample := range s.samples {
+		if sample.at >= since {
+			percent = max(percent, sample.percent)
 		}
 	}
 	return percent
 }
 
-// classifyReply says whether a run failed, and whether it tells anything of the version:
-// one that the caller left, whose time was over, or that never began, does not.
+// classifyReply returns whether a run failed, and whether it counts as evidence on the
+// version: one that the caller cancelled, that exceeded its deadline or that never
+// started does not.
 func classifyReply(reply *backend.Reply) (failed, counts bool) {
 	if reply.Answer != nil {
 		return reply.Answer.Status >= 500, true
--- a/pkg/runner/rollout_test.go
+++ b/pkg/runner/rollout_test.go
@@ -12,26 +12,26 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// switchingTraffic is the traffic of a plan that moves all requests to version v2.
+// switchingTraffic returns the traffic of a plan that moves all requests to version v2.
 func switchingTraffic() *rollout.Traffic {
 	book := rollout.NewBook()
 	book.Take(rollout.News{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
 	return book.Traffic("s")
 }
 
-// TestAnOldBackendServerBecomesEmpty: what runs ends and counts until then, what waits
-// and what comes is refused as not run.
-func TestAnOldBackendServerBecomesEmpty(t *testing.T) {
+// TestOldVersionIsDrained: the run under way ends and counts as in flight until then.
+// Waiting and new requests are refused as not run.
+func TestOldVersionIsDrained(t *testing.T) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 1)
 	lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: "v1"})
-	runs, _ := execute(r, routedCall("runs"))
+	running, _ := execute(r, routedCall("runs"))
 	test.Eq(t, "runs", <-h.arrived)
-	waits, _ := execute(r, routedCall("waits"))
+	waiting, _ := execute(r, routedCall("waits"))
 	r.Trial().SetGuard(&rollout.Guard{Traffic: switchingTraffic(), Revision: 6})
-	comes, _ := execute(r, routedCall("comes"))
+	arriving, _ := execute(r, routedCall("comes"))
 	r.Tick()
-	for _, refused := range []chan call.Result{waits, comes} {
+	for _, refused := range []chan call.Result{waiting, arriving} {
 		got := <-refused
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.VersionHeld, got.Refusal.Kind)
@@ -40,25 +40,24 @@
 	}
 	test.Eq(t, 1, r.InFlight())
 	h.proceed <- struct{}{}
-	must.NotNil(t, (<-runs).Answer)
+	must.NotNil(t, (<-running).Answer)
 	test.Eq(t, 0, len(h.arrived))
 }
 
-// TestWhoAGuardLetsRun is the table of the guard.
-func TestWhoAGuardLetsRun(t *testing.T) {
+func TestGuardAllowsRuns(t *testing.T) {
 	for name, c := range map[string]struct {
 		guard   *rollout.Guard
 		version string
 		runs    bool
 	}{
 		"no roll-out was ever known":        {nil, "", true},
-		"none of this service":              {&rollout.Guard{}, "v1", true},
+		"no roll-out of this service":       {&rollout.Guard{}, "v1", true},
 		"the new version while switching":   {&rollout.Guard{Traffic: switchingTraffic()}, "v2", true},
 		"the old version while switching":   {&rollout.Guard{Traffic: switchingTraffic()}, "v1", false},
 		"a version that is not known yet":   {&rollout.Guard{Traffic: switchingTraffic()}, "", false},
-		"one that must wait":                {&rollout.Guard{Why: "it is new"}, "v2", false},
+		"a version that must wait":          {&rollout.Guard{Why: "it is new"}, "v2", false},
 		"the incarnation that was admitted": {&rollout.Guard{Instance: "i-1"}, "v1", true},
-		"one that has just taken its place": {&rollout.Guard{Instance: "i-0"}, "v1", false},
+		"another incarnation":               {&rollout.Guard{Instance: "i-0"}, "v1", false},
 	} {
 		r, lifecycle := newTestRunner(t, newHoldingServer(), 1)
 		lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: c.version})
@@ -68,9 +67,9 @@
 	}
 }
 
-// TestWhatTellsOfAVersion: an answer and what broke off do; what never ran, and what the
-// caller left, do not.
-func TestWhatTellsOfAVersion(t *testing.T) {
+// TestClassifyReply: answers and broken runs count as evidence on a version. Requests
+// that never ran, that were cancelled or that exceeded their deadline do not.
+func TestClassifyReply(t *testing.T) {
 	refused := func(kind errkind.Kind, offered bool) backend.Reply {
 		return backend.Reply{Refusal: errkind.New(kind, ""), Offered: offered}
 	}
@@ -78,15 +77,15 @@
 		reply          backend.Reply
 		failed, counts bool
 	}{
-		"answered":          {backend.Reply{Answer: &call.Answer{Status: 200}}, false, true},
-		"not found":         {backend.Reply{Answer: &call.Answer{Status: 404}}, false, true},
-		"failed":            {backend.Reply{Answer: &call.Answer{Status: 500}}, true, true},
-		"broke off":         {refused(errkind.BackendFailed, true), true, true},
-		"its time was over": {refused(errkind.DeadlineWhileRunning, true), false, false},
-		"left":              {refused(errkind.CallerGone, true), false, false},
-		"full":              {refused(errkind.BackendRefused, true), false, false},
-		"not reached":       {refused(errkind.BackendUnreachable, false), false, false},
-		"another one there": {refused(errkind.BackendReplaced, false), false, false},
+		"answered":                 {backend.Reply{Answer: &call.Answer{Status: 200}}, false, true},
+		"not found":                {backend.Reply{Answer: &call.Answer{Status: 404}}, false, true},
+		"failed":                   {backend.Reply{Answer: &call.Answer{Status: 500}}, true, true},
+		"broke off":                {refused(errkind.BackendFailed, true), true, true},
+		"deadline exceeded":        {refused(errkind.DeadlineWhileRunning, true), false, false},
+		"cancelled":                {refused(errkind.CallerGone, true), false, false},
+		"full":                     {refused(errkind.BackendRefused, true), false, false},
+		"not reached":              {refused(errkind.BackendUnreachable, false), false, false},
+		"another instance answers": {refused(errkind.BackendReplaced, false), false, false},
 	} {
 		failed, counts := classifyReply(&c.reply)
 		test.Eq(t, c.failed, failed, test.Sprint(name))
@@ -94,8 +93,8 @@
 	}
 }
 
-// TestTheWorstSlowdownOfARun is that of the words that came while it ran.
-func TestTheWorstSlowdownOfARun(t *testing.T) {
+// TestHighestSlowdownDuringRun takes the reports since the start of the run.
+func TestHighestSlowdownDuringRun(t *testing.T) {
 	var s slowdownHistory
 	test.Eq(t, 0, s.maxSince(1))
 	for at, percent := range []int{500, 100, 300, 100} {
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -15,48 +15,46 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// routedRun is one request on its way through the runner.
+// routedRun is one request in the runner, from its arrival to its result.
 type routedRun struct {
-	runner    *Runner
-	call     *wire.Call
-	body     []byte
+	runner *Runner
+	call   *wire.Call
+	body   []byte
+	// deadline is in nanoseconds of the daemon's clock.
 	deadline int64
 	origin   wire.Origin
-	// incarnation is the incarnation that the request was handed to.
+	// incarnation is the one that the request was sent to.
 	incarnation backend.Incarnation
-	job      gate.Job
-	done     func(call.Result)
-	expiryTimer   atomic.Pointer[time.Timer]
-	ended    atomic.Bool
+	job         gate.Job
+	done        func(call.Result)
+	expiryTimer atomic.Pointer[time.Timer]
+	ended       atomic.Bool
 
 	mu sync.Mutex
-	// cancelled is true once nobody waits for the request any more, recalled is set once its
-	// content is held back; stop ends its run at the backend server.
-	cancelled     bool
+	// cancelled is true once the caller has cancelled the request. recallReason is set
+	// when its content is quarantined while it runs. stop ends its run at the backend
+	// server.
+	cancelled    bool
 	recallReason *errkind.Error
-	stop     context.CancelFunc
-}
-
-// latestEnd is until when the request's run should have ended: within its target,
-// or, for calls that services make, within their deadline. A call that is
-// refused fails the request that made it, which has run already. While the backend
-// server is cold, calls are held to their target, too: what can wait for long takes
-// the scarce starts from requests that cannot, and a call that has waited makes its
-// request late. After a loss of power that was worth 0.01 to 0.03 of the day on the
-// users' sites with scarce starts.
-func (r *Runner) latestEnd(now int64, run *routedRun, called bool) int64 {
-	if called && !r.cold.Load() {
+	stop         context.CancelFunc
+}
+
+// latestEnd returns when the request's run must have ended, in nanoseconds: by its target,
+// or by its deadline if a service made the call, since refusing that fails a request
+// which has already run in part. While the backend server is cold, calls of services are
+// held to their target, too: starts are scarce then, and go to requests that cannot wait.
+func (r *Runner) latestEnd(now int64, run *routedRun, nested bool) int64 {
+	if nested && !r.cold.Load() {
 		return run.deadline
 	}
 	return min(run.deadline, now+int64(run.call.Routed.Target))
 }
 
-// admit takes the request to the gate, which starts it, lets it wait or refuses
-// it.
+// admit passes the request to the gate, which starts it, queues it or refuses it.
 func (run *routedRun) admit() {
 	r := run.runner
 	if run.isCancelled() {
-		run.refuse(errkind.New(errkind.CallerGone, "the caller left before the gate was asked"))
+		run.refuse(errkind.New(errkind.CallerGone, "the caller cancelled the request before its admission"))
 		return
 	}
 	now := r.Now()
@@ -82,9 +80,13 @@
 	return run.cancelled
 }
 
-// expire refuses a request that waited for as long as it may.
-func (run *routedRun) expire() { run.withdraw(errkind.Overloaded, "it waited as long as it may") }
+// expire refuses a request that has waited at the gate for as long as it may.
+func (run *routedRun) expire() {
+	run.withdraw(errkind.Overloaded, "the request has waited at the gate for as long as it may")
+}
 
+// start runs the request, frees its slot, and starts the requests that the gate admits
+// next.
 func (run *routedRun) start() {
 	run.stopExpiryTimer()
 	if run.job.Held() {
@@ -97,52 +99,53 @@
 	run.finish(result)
 }
 
-// execute runs the request at the backend server. The belief in it is looked
-// at once more: the request may have waited, and the process been paused.
+// execute runs the request at the backend server. It repeats the checks made at arrival,
+// as the request may have waited or the VM may have been suspended. counts is true if the
+// gate may learn the service time from the run.
 func (run *routedRun) execute() (result call.Result, counts bool) {
 	r := run.runner
-	began := r.Now()
-	left := time.Duration(run.deadline - began)
+	startedAt := r.Now()
+	left := time.Duration(run.deadline - startedAt)
 	if left <= 0 {
-		return call.Refused(errkind.DeadlineBeforeRun, "the time ran out before hand-over"), false
+		return call.Refused(errkind.DeadlineBeforeRun, "the deadline passed before the request was sent to the backend server"), false
 	}
-	instance, refusal := r.acceptingIncarnation()
+	incarnation, refusal := r.acceptingIncarnation()
 	if refusal != nil {
 		return call.Result{Refusal: refusal}, false
 	}
-	// The rules may have changed while the request waited.
+	// The placement and the quarantine may have changed while the request waited.
 	if refusal := r.placementRefusal(run.call); refusal != nil {
 		return call.Result{Refusal: refusal}, false
 	}
 	if refusal := r.quarantineRefusal(run.call, run.body); refusal != nil {
 		return call.Result{Refusal: refusal}, false
 	}
-	run.incarnation = instance
+	run.incarnation = incarnation
 	slowdown := r.load.Slowdown()
 	ctx, stop := context.WithTimeout(context.Background(), left)
 	defer stop()
 	if !run.setStop(stop) {
-		return call.Refused(errkind.CallerGone, "the caller left before hand-over"), false
+		return call.Refused(errkind.CallerGone, "the caller cancelled the request before it was sent to the backend server"), false
 	}
-	ended := r.activeRuns.add(run, run.call.Claim.Generation > 0)
-	reply := r.transport.Do(ctx, run.backendRequest(instance))
+	done := r.activeRuns.add(run, run.call.Claim.Generation > 0)
+	reply := r.transport.Do(ctx, run.backendRequest(incarnation))
 	if reply.Refusal != nil && reply.Refusal.Kind == errkind.BackendFailed {
 		r.crashDetector.ReportAborted(crash.AbortedRun{ID: run.call.Routed.ID, Content: run.fingerprint()})
 	}
-	ended()
-	if why := run.recalledBy(); why != nil && reply.Answer == nil {
-		reply.Refusal = why.Maybe()
+	done()
+	if reason := run.recalledBy(); reason != nil && reply.Answer == nil {
+		reply.Refusal = reason.Maybe()
 	}
 	r.applyReply(&reply)
-	took := time.Duration(r.Now() - began)
-	run.recordOutcome(&reply, began, took, slowdown)
+	took := time.Duration(r.Now() - startedAt)
+	run.recordOutcome(&reply, startedAt, took, slowdown)
 	if reply.Refusal != nil {
 		return call.Result{Refusal: reply.Refusal, Offered: reply.Offered}, false
 	}
 	reply.Answer.Queued = run.job.WaitTime()
 	reply.Answer.Run = took
 	reply.Answer.Slowdown = slowdown
-	reply.Answer.CallsFailed = r.callFailedAt.Load() >= began
+	reply.Answer.CallsFailed = r.callFailedAt.Load() >= startedAt
 	r.Quarantine.RecordAnswer(r.Now(), run.fingerprint, reply.Answer.Status)
 	worked := reply.Answer.Status < 500
 	if worked {
@@ -151,15 +154,16 @@
 	return call.Result{Answer: reply.Answer, Offered: true}, worked
 }
 
-func (run *routedRun) backendRequest(instance backend.Incarnation) *backend.Request {
+func (run *routedRun) backendRequest(incarnation backend.Incarnation) *backend.Request {
 	c := run.call
 	return &backend.Request{
 		ID: c.Routed.ID, Method: c.Method, URI: c.URI, Host: c.Routed.Host, Headers: c.Headers, Body: run.body,
-		InstanceID: instance.ID, Caller: c.Routed.Caller, Team: c.Routed.Team, Repeatable: c.Routed.Repeatable,
+		InstanceID: incarnation.ID, Caller: c.Routed.Caller, Team: c.Routed.Team, Repeatable: c.Routed.Repeatable,
 	}
 }
 
-// setStop makes the run one that cancel can stop; false when the caller has left.
+// setStop sets the function by which cancel and recall end the run. It returns false if
+// the caller has already cancelled the request.
 func (run *routedRun) setStop(stop context.CancelFunc) bool {
 	run.mu.Lock()
 	defer run.mu.Unlock()
@@ -173,20 +177,22 @@
 	}
 }
 
+// refuseSlowed refuses a request that waited while the backend server became slower.
 func (run *routedRun) refuseSlowed() {
 	run.stopExpiryTimer()
-	run.refuse(errkind.New(errkind.Overloaded, "the backend server has slowed since the request came"))
+	run.refuse(errkind.New(errkind.Overloaded, "the backend server has become slower since the request arrived"))
 }
 
 // dismiss refuses a request that waited while the backend server stopped taking
 // requests.
-func (run *routedRun) dismiss(why *errkind.Error) {
+func (run *routedRun) dismiss(reason *errkind.Error) {
 	run.stopExpiryTimer()
-	run.refuse(why)
+	run.refuse(reason)
 }
 
 func (run *routedRun) refuse(refusal *errkind.Error) { run.finish(call.Result{Refusal: refusal}) }
 
+// finish reports and logs the result of the request. Only the first call has an effect.
 func (run *routedRun) finish(result call.Result) {
 	if !run.ended.CompareAndSwap(false, true) {
 		return
@@ -199,16 +205,19 @@
 	run.runner.inFlight.Add(-1)
 }
 
-func (run *routedRun) withdraw(kind errkind.Kind, why string) bool {
+// withdraw removes the request from the gate's queue and refuses it. It returns false if
+// the request is not waiting there.
+func (run *routedRun) withdraw(kind errkind.Kind, reason string) bool {
 	if !run.runner.gate.Withdraw(&run.job) {
 		return false
 	}
-	run.refuse(errkind.New(kind, "%s", why))
+	run.refuse(errkind.New(kind, "%s", reason))
 	return true
 }
 
+// cancel ends the request, waiting or running, because its caller has cancelled it.
 func (run *routedRun) cancel() {
-	if run.ended.Load() || run.withdraw(errkind.CallerGone, "the caller left while the request waited") {
+	if run.ended.Load() || run.withdraw(errkind.CallerGone, "the caller cancelled the request while it waited at the gate") {
 		return
 	}
 	run.mu.Lock()
@@ -220,10 +229,10 @@
 	}
 }
 
-// recall ends the run at the backend server.
-func (run *routedRun) recall(why *errkind.Error) {
+// recall ends the run at the backend server because its content is quarantined.
+func (run *routedRun) recall(reason *errkind.Error) {
 	run.mu.Lock()
-	run.recallReason = why
+	run.recallReason = reason
 	stop := run.stop
 	run.mu.Unlock()
 	if stop != nil {
@@ -231,11 +240,12 @@
 	}
 }
 
+// recalledBy returns the reason for which the run was recalled; nil: it was not.
 func (run *routedRun) recalledBy() *errkind.Error {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return run.recallReason
 }
 
-// fingerprint is that of the request.
+// fingerprint returns the fingerprint of the request's content.
 func (run *routedRun) fingerprint() quarantine.Fingerprint { return run.call.Fingerprint(run.body) }
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -1,6 +1,6 @@
 // Package runner runs routed requests at the backend server beside the daemon: it
-// asks the gate, hands over, and says of each refusal whether the request ran.
-// Source: docs/design/platform.md, "Executor and backend server".
+// passes them through the gate, sends them, and reports of each refusal whether the
+// request ran. Source: docs/design/platform.md, "Executor and backend server".
 package runner
 
 import (
@@ -25,13 +25,12 @@
 	"github.com/rushramp/rushramp/pkg/worktime"
 )
 
-// goroutinesPerSlot is how many goroutines the pool holds a slot: one that runs and one
-// that is on its way back.
+// goroutinesPerSlot is the size of the goroutine pool per slot: one goroutine for the
+// run and one for the previous run, which is just ending.
 const goroutinesPerSlot = 2
 
-// Runner runs requests that are routed by host and path at the backend server
-// beside this daemon. Source: docs/design/platform.md, "Executor and backend
-// server".
+// Runner runs requests that are routed by host and path at the backend server beside
+// this daemon. Source: docs/design/platform.md, "Executor and backend server".
 type Runner struct {
 	*common.Common
 	counters
@@ -40,62 +39,62 @@
 	transport *backend.Transport
 	lifecycle *backend.Lifecycle
 	load      *backend.Load
-	workTimes      *worktime.Times
+	workTimes *worktime.Times
 	origins   *originTracker
 	service   func() (s routing.Service, ok bool)
-	findRoute     func(host, path string) (route *routing.CompiledRoute, version uint64)
-	// checker is nil where the backend server has no health path.
+	findRoute func(host, path string) (route *routing.CompiledRoute, version uint64)
+	// checker is nil if the backend server has no health path.
 	checker *backend.HealthChecker
-	// speedCheckDue is true while a look for the end of a slow spell is due.
+	// speedCheckDue is true while a health check is scheduled for held starts.
 	speedCheckDue atomic.Bool
-	leaving atomic.Bool
-	// evacuated is true while the data centre of this VM is.
+	leaving       atomic.Bool
+	// evacuated is true while this VM's data centre is evacuated.
 	evacuated atomic.Bool
-	// trial is the backend server's part in a roll-out.
+	// trial is the part of the backend server in a roll-out.
 	trial *trial.Trial
-	// slowdowns are kept while a roll-out is known.
+	// slowdowns are recorded while a roll-out is under way.
 	slowdowns slowdownHistory
-	// cold is true while the backend server says that it is; coldLimitSet once the gate
-	// knows what the backend server bears then.
+	// cold is true while the backend server reports that it is cold. coldLimitSet is true
+	// once the gate knows how many starts it tolerates then.
 	cold, coldLimitSet atomic.Bool
-	// loggedLimit is how many requests ran at once when that was logged last.
+	// loggedLimit is the number of concurrent runs that was logged last; 0: none yet.
 	loggedLimit atomic.Int64
 	// slowed is true while the backend server is too slow for soft attempts.
 	slowed   atomic.Bool
 	inFlight atomic.Int64
-	// callFailedAt is when a call of the backend server last failed, in nanoseconds.
+	// callFailedAt is when a call made by the backend server last failed, in nanoseconds.
 	callFailedAt atomic.Int64
-	// checkedQuarantine is what the runs under way were last held against; only Tick
-	// touches it.
+	// checkedQuarantine is the version of the quarantine that the active runs were last
+	// checked against; only Tick uses it.
 	checkedQuarantine uint64
-	activeRuns           runSet
-	crashDetector        *crash.Detector
-	// lastRequestAt is when a request last came, in nanoseconds.
+	activeRuns        runSet
+	crashDetector     *crash.Detector
+	// lastRequestAt is when the last request arrived, in nanoseconds.
 	lastRequestAt atomic.Int64
 }
 
-// Deps is what a runner works with besides the shared dependencies.
+// Deps are the dependencies of a runner besides the shared ones.
 type Deps struct {
 	Headers backend.Headers
-	// Lifecycle and Load are kept by those who watch the backend server.
+	// Lifecycle and Load are also updated by the daemon's health checks and by heartbeats.
 	Lifecycle *backend.Lifecycle
 	Load      *backend.Load
-	// Recorder counts the outcomes of runs while a roll-out is under way; it may be nil.
+	// Recorder counts the outcomes of runs during a roll-out; it may be nil.
 	Recorder *rollout.Recorder
-	// Checker asks the backend server's health path; it may be nil.
+	// Checker makes health checks; it may be nil.
 	Checker *backend.HealthChecker
-	// Service is what the placement says of the backend server's service; ok is
-	// false while there is no placement.
+	// Service returns the backend server's service in the placement in force; ok is false
+	// if there is no placement.
 	Service func() (s routing.Service, ok bool)
-	// FindRoute finds a request's route in the placement in force; nil where that has
-	// none.
+	// FindRoute returns the route of a request in the placement in force, and the version
+	// of that placement; the route is nil if none matches.
 	FindRoute func(host, path string) (route *routing.CompiledRoute, version uint64)
-	// VMShare is which share of the VMs stands beside certain services, from 0 to 1;
-	// nil: not known.
+	// VMShare returns the share of the VMs that stand beside the given services, from 0 to
+	// 1. If it is nil, the share counts as 1.
 	VMShare func(services []string) float64
 }
 
-// vmShare takes all VMs for those of the services where nothing is known.
+// vmShare returns VMShare, or a function that always returns 1.
 func (d *Deps) vmShare() func([]string) float64 {
 	if d.VMShare == nil {
 		return func([]string) float64 { return 1 }
@@ -103,12 +102,12 @@
 	return d.VMShare
 }
 
-// NewRunner makes a runner.
+// NewRunner returns a runner. An error means that its goroutine pool cannot be created.
 func NewRunner(c *common.Common, deps Deps) (*Runner, error) {
 	s := c.Settings
 	pool, err := ants.NewPool(goroutinesPerSlot*s.BackendServer.Slots, ants.WithNonblocking(true))
 	if err != nil {
-		return nil, errors.Wrap(err, "runner pool")
+		return nil, errors.Wrap(err, "create the runner's goroutine pool")
 	}
 	r := &Runner{
 		Common:    c,
@@ -116,8 +115,8 @@
 		lifecycle: deps.Lifecycle,
 		load:      deps.Load,
 		service:   deps.Service,
-		findRoute:     deps.FindRoute,
-		workTimes:      worktime.NewTimes(),
+		findRoute: deps.FindRoute,
+		workTimes: worktime.NewTimes(),
 		origins:   newOriginTracker(deps.vmShare()),
 		checker:   deps.Checker,
 		trial:     trial.New(c, deps.Lifecycle, deps.Recorder),
@@ -136,37 +135,39 @@
 	return r, nil
 }
 
-// incarnation is the backend server's, and whether it has said that it leaves.
-func (r *Runner) incarnation() (instance string, leaving bool) {
+// incarnation returns the current incarnation of the backend server, and whether it has
+// announced its departure.
+func (r *Runner) incarnation() (name string, leaving bool) {
 	current, state := r.lifecycle.Current()
 	return current.String(), state == backend.Leaving
 }
 
-// processEnded notes that the process of an incarnation has processEnded.
-func (r *Runner) processEnded(instance string) {
-	r.lifecycle.RecordProcessEnd(backend.ParseIncarnation(instance))
+// processEnded records that the process of an incarnation has ended.
+func (r *Runner) processEnded(incarnation string) {
+	r.lifecycle.RecordProcessEnd(backend.ParseIncarnation(incarnation))
 }
 
-// InFlight counts requests that were taken in and have not ended.
+// InFlight returns the number of requests that have arrived and not ended.
 func (r *Runner) InFlight() int64 { return r.inFlight.Load() }
 
-// IdleFor is how long no request has come.
+// IdleFor returns the time since the last request arrived.
 func (r *Runner) IdleFor(now int64) time.Duration { return time.Duration(now - r.lastRequestAt.Load()) }
 
-// Close frees the pool and the connections.
+// Close releases the goroutine pool and closes idle connections.
 func (r *Runner) Close() {
 	r.pool.Release()
 	r.transport.CloseIdle()
 }
 
-// Stamp reports the load now.
+// Stamp returns the current load of the gate.
 func (r *Runner) Stamp() wire.Stamp { return r.gate.Stamp(r.Now()) }
 
 // Gate returns the gate.
 func (r *Runner) Gate() *gate.Gate { return r.gate }
 
-// Tick starts waiting requests when there are more slots than before, and refuses
-// all that wait when the backend server takes no more.
+// Tick does the periodic work: it recalls runs of quarantined content, and starts
+// waiting requests if there are more slots than before, or refuses all of them if the
+// backend server takes none any more.
 func (r *Runner) Tick() {
 	r.recallQuarantined()
 	if _, refusal := r.acceptingIncarnation(); refusal != nil {
@@ -180,15 +181,15 @@
 	}
 }
 
-// refuseWaiting refuses all that wait: another backend server may still run it in time.
-func (r *Runner) refuseWaiting(why *errkind.Error) {
+// refuseWaiting refuses all waiting requests, so that other backend servers may still
+// run them in time.
+func (r *Runner) refuseWaiting(reason *errkind.Error) {
 	for _, job := range r.gate.DrainQueue() {
-		job.Dismiss(why)
+		job.Dismiss(reason)
 	}
 }
 
-// UpdateSlots takes over how many requests the backend server runs at once; 0 is
-// passed over.
+// UpdateSlots sets how many requests the backend server runs at once; 0 is ignored.
 func (r *Runner) UpdateSlots(slots int) {
 	r.load.SetSlots(slots)
 	if before := r.gate.Slots(); slots > 0 && slots != before {
@@ -197,7 +198,8 @@
 	}
 }
 
-// UpdateLoad takes over a load header's text that came now.
+// UpdateLoad applies the text of a load header that has just arrived; an empty text is
+// ignored.
 func (r *Runner) UpdateLoad(text string) {
 	if text == "" {
 		return
@@ -205,7 +207,7 @@
 	r.load.Update(r.Now(), text)
 	r.UpdateSlots(r.load.Slots())
 	if slowdown := r.load.Slowdown(); slowdown > 0 {
-		if _, is := r.trial.UnderWay(); is {
+		if _, underWay := r.trial.UnderWay(); underWay {
 			r.slowdowns.record(r.Now(), slowdown)
 		}
 		r.logSpeedChange(slowdown)
@@ -215,7 +217,7 @@
 }
 
 // logSpeedChange logs when the backend server becomes too slow for soft attempts, or
-// as fast as usual again.
+// fast enough again. slowdown is in percent.
 func (r *Runner) logSpeedChange(slowdown int) {
 	slowed := speed.FromPercent(int64(slowdown)) > r.Settings.Routing.SoftSlowdown
 	if r.slowed.Swap(slowed) == slowed {
@@ -224,7 +226,7 @@
 	r.Log.Event(events.SpeedChanged, events.F("slowed", slowed), events.F("slowdown", slowdown), events.F("in_flight", r.gate.InFlight()))
 }
 
-// logLimitChange logs when the gate has learnt another number of runs at once.
+// logLimitChange logs when the gate has changed its limit of concurrent runs.
 func (r *Runner) logLimitChange() {
 	usable := int64(r.gate.UsableSlots())
 	before := r.loggedLimit.Swap(usable)
@@ -245,10 +247,10 @@
 		return func() {}
 	}
 	run.origin = r.origins.record(c.Kind, c.Routed.Caller)
-	called := run.origin == wire.OriginService
+	nested := run.origin == wire.OriginService
 	run.job = gate.Job{
-		Rank: rankOf(c), Team: c.Routed.Team, Nested: called, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.Target),
-		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.latestEnd(now, run, called), Start: run.start, SendBack: run.refuseSlowed, Dismiss: run.dismiss,
+		Rank: rankOf(c), Team: c.Routed.Team, Nested: nested, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.Target),
+		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, SendBack: run.refuseSlowed, Dismiss: run.dismiss,
 	}
 	if !r.checkSpeedFirst(now, run) {
 		run.admit()
@@ -256,8 +258,9 @@
 	return run.cancel
 }
 
-// rankOf puts the priority of the team before that of the route. Calls of backend servers
-// have no team and go first: a run waits for each of them with its slot held.
+// rankOf returns the rank of a call at the gate, lowest first: the priority of its team,
+// then that of its route. Calls made by backend servers have no team and come first: a
+// run that occupies a slot waits for each of them.
 func rankOf(c *wire.Call) uint16 {
 	return uint16(c.Routed.TeamPriority)<<8 | uint16(c.Routed.Priority)
 }
@@ -268,13 +271,14 @@
 	}
 }
 
+// start runs a job in the pool, or in a goroutine of its own if the pool is full.
 func (r *Runner) start(job *gate.Job) {
 	if err := r.pool.Submit(job.Start); err != nil {
 		go job.Start()
 	}
 }
 
-// applyReply takes over what a reply tells of the backend server.
+// applyReply updates the load and the lifecycle of the backend server from a reply.
 func (r *Runner) applyReply(reply *backend.Reply) {
 	r.UpdateLoad(reply.LoadHeader)
 	switch {
--- a/pkg/runner/runner_test.go
+++ b/pkg/runner/runner_test.go
@@ -22,13 +22,14 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// holdingServer is a backend server that keeps requests until it is told to go on.
+// holdingServer is a backend server that holds each request until the test lets one
+// proceed.
 type holdingServer struct {
-	mu   sync.Mutex
-	arrived chan string
-	proceed chan struct{}
+	mu        sync.Mutex
+	arrived   chan string
+	proceed   chan struct{}
 	abandoned chan string
-	load string
+	load      string
 }
 
 func (h *holdingServer) ServeHTTP(w http.ResponseWriter, r *http.Request) {
@@ -84,7 +85,7 @@
 	return results, r.Execute(c, nil, func(result call.Result) { results <- result })
 }
 
-func TestARequestRunsAndItsLoadIsTakenOver(t *testing.T) {
+func TestRequestRunsAndLoadIsUpdated(t *testing.T) {
 	h := newHoldingServer()
 	h.load = "1,0,5,400"
 	r, _ := newTestRunner(t, h, 2)
@@ -103,7 +104,7 @@
 	test.Eq(t, errkind.GateBusier, got.Refusal.Kind)
 }
 
-func TestWhoMayNotRun(t *testing.T) {
+func TestRefusalsBeforeTheGate(t *testing.T) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 2)
 	refused := func(c *wire.Call, want errkind.Kind) {
@@ -127,7 +128,7 @@
 	test.Eq(t, 0, r.InFlight())
 }
 
-func TestADepartureStopsWhatWaitsAtTheGate(t *testing.T) {
+func TestDepartureRefusesWaitingRequests(t *testing.T) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 1)
 	first, _ := execute(r, routedCall("a"))
@@ -142,18 +143,18 @@
 	test.Eq(t, 0, len(h.arrived))
 }
 
-// TestAnEvacuatedDataCentreTakesNothingNew: the run under way ends, what waits and
-// what comes is refused as not run, until the data centre is taken back.
-func TestAnEvacuatedDataCentreTakesNothingNew(t *testing.T) {
+// TestEvacuatedDataCentreRefusesRequests: the run under way ends. Waiting and new
+// requests are refused as not run until the evacuation ends.
+func TestEvacuatedDataCentreRefusesRequests(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
-	runs, _ := execute(r, routedCall("runs"))
+	running, _ := execute(r, routedCall("runs"))
 	test.Eq(t, "runs", <-h.arrived)
-	waits, _ := execute(r, routedCall("waits"))
+	waiting, _ := execute(r, routedCall("waits"))
 	r.SetEvacuated(true)
-	comes, _ := execute(r, routedCall("comes"))
+	arriving, _ := execute(r, routedCall("comes"))
 	r.Tick()
-	for _, results := range []chan call.Result{comes, waits} {
+	for _, results := range []chan call.Result{arriving, waiting} {
 		got := <-results
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.DataCentreEvacuated, got.Refusal.Kind)
@@ -161,14 +162,14 @@
 		test.True(t, got.Refusal.RetryElsewhere())
 	}
 	h.proceed <- struct{}{}
-	must.NotNil(t, (<-runs).Answer)
+	must.NotNil(t, (<-running).Answer)
 	r.SetEvacuated(false)
 	h.proceed <- struct{}{}
 	back, _ := execute(r, routedCall("back"))
 	must.NotNil(t, (<-back).Answer)
 }
 
-func TestACancelledRequestLeavesTheBackendServer(t *testing.T) {
+func TestCancelEndsTheRunAtTheBackendServer(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
 	first, cancelFirst := execute(r, routedCall("a"))
@@ -184,7 +185,7 @@
 	test.Eq(t, 0, len(h.arrived))
 }
 
-func TestWhatCannotEndInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatWouldBeLateIsRefused(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 1)
 	r.workTimes.Record("route", time.Second, 0)
@@ -200,7 +201,7 @@
 	<-busy
 }
 
-func TestRoutesThatServicesCallAreTold(t *testing.T) {
+func TestRoutesCalledByServicesAreDetected(t *testing.T) {
 	o := newOriginTracker((&Deps{}).vmShare())
 	for range minServiceRequests {
 		test.Eq(t, wire.OriginUnknown, o.record("called", "a"))
@@ -212,9 +213,9 @@
 	test.Eq(t, wire.OriginCallers, o.record("called", "b"))
 }
 
-// TestSlotsOfABackendServerThatTellsNoLoad: not all put a load header into
-// their answers; their heartbeats say how many slots they have.
-func TestSlotsOfABackendServerThatTellsNoLoad(t *testing.T) {
+// TestUpdateSlots: backend servers that send no load header report their slots in
+// heartbeats.
+func TestUpdateSlots(t *testing.T) {
 	r, _ := newTestRunner(t, newHoldingServer(), 12)
 	r.UpdateSlots(6)
 	test.Eq(t, 6, r.Gate().Slots())
@@ -222,8 +223,8 @@
 	test.Eq(t, 6, r.Gate().Slots())
 }
 
-// TestTheShareOfRepeatedRunsIsKnown: entries tell which runs repeat one elsewhere.
-func TestTheShareOfRepeatedRunsIsKnown(t *testing.T) {
+// TestRepeatShare: a call's claim tells whether its run repeats one elsewhere.
+func TestRepeatShare(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 4)
 	test.Eq(t, 0.0, r.RepeatShare())
@@ -241,8 +242,8 @@
 	test.Eq(t, 0.0, r.RepeatShare())
 }
 
-// TestAnAnswerSaysWhetherCallsFailedDuringItsRun.
-func TestAnAnswerSaysWhetherCallsFailedDuringItsRun(t *testing.T) {
+// TestAnswerReportsFailedCalls: only calls that failed during the run count.
+func TestAnswerReportsFailedCalls(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 2)
 	r.CallFailed()
--- a/pkg/runner/runs.go
+++ b/pkg/runner/runs.go
@@ -2,22 +2,24 @@
 
 import "sync"
 
-// runSet are those under way at the backend server. It is safe for concurrent use.
+// runSet is the set of runs that are under way at the backend server. It is safe for
+// concurrent use.
 type runSet struct {
 	mu sync.Mutex
-	// repeats says of each whether it repeats a run elsewhere, repeating counts those.
-	repeats       map[*routedRun]bool
+	// isRepeat maps each run to whether it repeats one at another backend server;
+	// repeating is the number of those that do.
+	isRepeat  map[*routedRun]bool
 	repeating int
 }
 
-// add notes a run until the returned function is called.
-func (r *runSet) add(run *routedRun, repeats bool) (ended func()) {
+// add adds a run and returns the function to call when it has ended, which removes it.
+func (r *runSet) add(run *routedRun, repeats bool) (done func()) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.repeats == nil {
-		r.repeats = map[*routedRun]bool{}
+	if r.isRepeat == nil {
+		r.isRepeat = map[*routedRun]bool{}
 	}
-	r.repeats[run] = repeats
+	r.isRepeat[run] = repeats
 	if repeats {
 		r.repeating++
 	}
@@ -27,48 +29,48 @@
 func (r *runSet) remove(run *routedRun) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.repeats[run] {
+	if r.isRepeat[run] {
 		r.repeating--
 	}
-	delete(r.repeats, run)
+	delete(r.isRepeat, run)
 }
 
-// count is how many there are.
+// count returns the number of runs.
 func (r *runSet) count() int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return len(r.repeats)
+	return len(r.isRepeat)
 }
 
-// list returns those that there are.
+// list returns the runs.
 func (r *runSet) list() []*routedRun {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	out := make([]*routedRun, 0, len(r.repeats))
-	for run := range r.repeats {
+	out := make([]*routedRun, 0, len(r.isRepeat))
+	for run := range r.isRepeat {
 		out = append(out, run)
 	}
 	return out
 }
 
-// RepeatShare is the share of the runs at the backend server that repeat a run
-// elsewhere: calls that these make count as repeats at the service they call.
+// RepeatShare returns the share of the runs at the backend server that repeat a run at
+// another one, from 0 to 1. Calls that such runs make count as repeats at the service
+// they call.
 func (r *Runner) RepeatShare() float64 {
 	r.activeRuns.mu.Lock()
 	defer r.activeRuns.mu.Unlock()
-	if len(r.activeRuns.repeats) == 0 {
+	if len(r.activeRuns.isRepeat) == 0 {
 		return 0
 	}
-	return float64(r.activeRuns.repeating) / float64(len(r.activeRuns.repeats))
+	return float64(r.activeRuns.repeating) / float64(len(r.activeRuns.isRepeat))
 }
 
-// CallFailed notes that a call of the backend server failed: a run under way may fail
-// because of it.
+// CallFailed records that a call made by the backend server failed: the runs under way
+// may fail because of it.
 func (r *Runner) CallFailed() { r.callFailedAt.Store(r.Now()) }
 
-// recallQuarantined ends the runs of contents that are held back by now, so that the backend
-// server may outlive them. Those that must not be repeated run on: they may be in the
-// middle of what they do.
+// recallQuarantined ends the runs whose content has been quarantined since they
+// started, before they crash the backend server. Those that must not be repeated run on.
 func (r *Runner) recallQuarantined() {
 	version := r.Quarantine.Version()
 	if r.checkedQuarantine == version {
@@ -76,8 +78,8 @@
 	}
 	r.checkedQuarantine = version
 	for _, run := range r.activeRuns.list() {
-		if why := r.quarantineRefusal(run.call, run.body); why != nil && run.call.Routed.Repeatable {
-			run.recall(why)
+		if refusal := r.quarantineRefusal(run.call, run.body); refusal != nil && run.call.Routed.Repeatable {
+			run.recall(refusal)
 		}
 	}
 }
--- a/pkg/runner/speed_check.go
+++ b/pkg/runner/speed_check.go
@@ -6,16 +6,15 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// heldCheckInterval is how often the backend server is asked whether a slow spell
-// has ended while starts are held for that: the delay of half of it is a tenth
-// of the shortest work on the users' sites, and more often costs more checks.
+// heldCheckInterval is the time between health checks while starts are held until a
+// slow period of the backend server ends. On average they delay a start by half of it,
+// a tenth of the shortest work on the users' sites.
 const heldCheckInterval = 15 * time.Millisecond
 
-// checkSpeedFirst has the backend server asked how fast it is now, where the request
-// could start and may run longer than expected since the newest word on that is
-// old: a run keeps the speed of the moment at which it starts. The request is
-// admitted when the answer is there; false: nothing is asked, and the caller
-// admits it.
+// checkSpeedFirst starts a health check before the admission of a request that could
+// start at once, if the last known speed of the backend server is so old that the run
+// may take longer than expected: a run keeps the speed that it starts with. It returns
+// true if the request is admitted after the check; if false, the caller admits it.
 func (r *Runner) checkSpeedFirst(now int64, run *routedRun) bool {
 	if r.checker == nil || r.gate.StalenessCost(now, &run.job) < r.Settings.Routing.LookCost {
 		return false
@@ -27,8 +26,8 @@
 	return true
 }
 
-// scheduleSpeedCheck has the backend server asked again soon while starts are held for
-// the end of a slow spell. Its answer starts them, or makes the next look due.
+// scheduleSpeedCheck schedules a health check if starts are held until a slow period
+// ends. Its result starts them or schedules the next check.
 func (r *Runner) scheduleSpeedCheck() {
 	if r.checker == nil || !r.gate.AwaitsReport(r.Now()) || r.speedCheckDue.Swap(true) {
 		return
@@ -42,23 +41,23 @@
 	})
 }
 
-// counters are the metrics of this package.
+// counters are the counter metrics of a runner.
 type counters struct {
-	// speedChecks counts the requests that waited for a look before the gate decided.
+	// speedChecks counts requests that waited for a health check before their admission.
 	speedChecks *metrics.Counter
-	// heldStarts counts the starts that waited for the end of a slow spell.
+	// heldStarts counts starts that were held until a slow period ended.
 	heldStarts *metrics.Counter
 }
 
-// boolToFloat is 1 for true, as metrics have it.
-func boolToFloat(is bool) float64 {
-	if is {
+// boolToFloat returns 1 for true and 0 for false.
+func boolToFloat(b bool) float64 {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// newCounters registers the metrics of a runner.
+// newCounters registers the metrics of a runner and returns its counters.
 func newCounters(r *Runner) counters {
 	r.Metrics.GetOrCreateGauge("rushramp_routed_runs_allowed", func() float64 { return float64(r.gate.UsableSlots()) })
 	r.Metrics.GetOrCreateGauge("rushramp_routed_cold", func() float64 { return boolToFloat(r.cold.Load()) })
--- a/pkg/runner/speed_check_test.go
+++ b/pkg/runner/speed_check_test.go
@@ -14,7 +14,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// withHealthPath makes the runner ask a health path that says load.
+// withHealthPath gives the runner a health checker. load returns the load header of each
+// check.
 func withHealthPath(r *Runner, load func() string) {
 	s := r.Settings.Routing
 	r.checker = backend.NewHealthChecker(backend.HealthCheckerOptions{MaxWait: s.LookWithin, MaxPerSecond: s.LooksPerSecond},
@@ -24,9 +25,9 @@
 		})
 }
 
-// TestARequestStartsOnFreshWord: what the backend server said of its speed is
-// old, so it is asked before the gate decides.
-func TestARequestStartsOnFreshWord(t *testing.T) {
+// TestSpeedIsCheckedBeforeAdmission: the last known speed of the backend server is old,
+// so that it is checked before the gate decides.
+func TestSpeedIsCheckedBeforeAdmission(t *testing.T) {
 	r, _ := newTestRunner(t, newHoldingServer(), 2)
 	withHealthPath(r, func() string { return "0,0,2,400" })
 	soft := routedCall("soft")
@@ -38,8 +39,8 @@
 	test.Eq(t, 400, got.Stamp.Slowdown)
 }
 
-// TestACallerThatLeavesDuringALook: the request never reaches the gate.
-func TestACallerThatLeavesDuringALook(t *testing.T) {
+// TestRequestCancelledDuringSpeedCheck: the request does not reach the gate.
+func TestRequestCancelledDuringSpeedCheck(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 2)
 	asked, answer := make(chan struct{}), make(chan struct{})
@@ -60,9 +61,9 @@
 	test.Eq(t, 0, len(h.arrived))
 }
 
-// reportSlowSpells makes the gate hold starts: spells of 100 ms came again and again,
-// and one goes on.
-func reportSlowSpells(r *Runner) {
+// reportSlowPeriods makes the gate hold starts: it reports recurring slow periods of
+// 100 ms, the last of which has not ended.
+func reportSlowPeriods(r *Runner) {
 	const second, step = int64(time.Second), int64(10 * time.Millisecond)
 	now := r.Now() - 40*second
 	for ; now < r.Now(); now += step {
@@ -79,26 +80,26 @@
 	r.gate.ObserveSlowdown(r.Now(), 5)
 }
 
-// newHeldCall is a call that a gate holds in a slow spell.
+// newHeldCall returns a call that the gate holds during a slow period.
 func newHeldCall(id string) *wire.Call {
 	c := routedCall(id)
 	c.Routed.Target = time.Second
 	return c
 }
 
-// newHoldingRunner makes a runner that holds one start for the end of a slow spell.
+// newHoldingRunner returns a runner that holds one start until a slow period ends.
 func newHoldingRunner(t *testing.T) (*Runner, *backend.Lifecycle, *holdingServer, chan call.Result) {
 	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 2)
-	reportSlowSpells(r)
+	reportSlowPeriods(r)
 	results, _ := execute(r, newHeldCall("a"))
 	must.True(t, r.gate.AwaitsReport(r.Now()))
 	return r, lifecycle, h, results
 }
 
-// TestAHeldStartOutlastsThePlannedStop: it was taken, so it runs when the spell
-// ends, though nothing new is taken any more.
-func TestAHeldStartOutlastsThePlannedStop(t *testing.T) {
+// TestHeldStartRunsAfterStopAccepting: an accepted request runs when the slow period
+// ends, although new ones are refused by then.
+func TestHeldStartRunsAfterStopAccepting(t *testing.T) {
 	r, _, h, results := newHoldingRunner(t)
 	r.StopAccepting()
 	late, _ := execute(r, newHeldCall("b"))
@@ -111,9 +112,9 @@
 	test.Eq(t, 1, r.heldStarts.Get())
 }
 
-// TestAHeldStartIsRefusedWhenItsBackendServerLeaves: at once, as not run, so that
-// it goes elsewhere while it has time.
-func TestAHeldStartIsRefusedWhenItsBackendServerLeaves(t *testing.T) {
+// TestHeldStartIsRefusedWhenBackendServerLeaves: it is refused at once as not run, so
+// that it can run elsewhere in time.
+func TestHeldStartIsRefusedWhenBackendServerLeaves(t *testing.T) {
 	r, lifecycle, h, results := newHoldingRunner(t)
 	lifecycle.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
 	r.Tick()
@@ -125,9 +126,9 @@
 	test.Eq(t, 0, r.gate.InFlight())
 }
 
-// TestAnAnswerTellsTheSlowdownAtItsStart: not the one that came with it, since a
-// run keeps the speed of its start; entries learn work times from it.
-func TestAnAnswerTellsTheSlowdownAtItsStart(t *testing.T) {
+// TestAnswerReportsSlowdownAtStart rather than that in the response's load header: a run
+// keeps the speed that it starts with, and entries learn work times from it.
+func TestAnswerReportsSlowdownAtStart(t *testing.T) {
 	h := newHoldingServer()
 	h.load = "1,0,2,100"
 	r, _ := newTestRunner(t, h, 2)
--- a/pkg/runner/suspended_test.go
+++ b/pkg/runner/suspended_test.go
@@ -12,29 +12,28 @@
 	"github.com/rushramp/rushramp/pkg/errkind"
 )
 
-// TestARequestDoesNotOutliveASuspension: one that waited at the gate while the VM was
-// suspended for longer than it had is refused as not run, and one that comes after is
-// run.
-func TestARequestDoesNotOutliveASuspension(t *testing.T) {
-	e := newCrashFixture(t)
+// TestWaitingRequestExpiresDuringSuspension: a request that waits at the gate while the VM
+// is suspended past its deadline is refused as not run. Later requests run.
+func TestWaitingRequestExpiresDuringSuspension(t *testing.T) {
+	f := newCrashFixture(t)
 	var vm *clock.Manual
-	e.runner.Clock, vm = clock.NewManual()
-	e.runner.gate.SetSlots(1)
-	e.startAndWait("runs")
-	waits := routedCall("waits")
-	waits.Remaining = 5 * time.Second
-	e.runner.Execute(waits, nil, func(r call.Result) { e.results <- r })
+	f.runner.Clock, vm = clock.NewManual()
+	f.runner.gate.SetSlots(1)
+	f.startAndWait("runs")
+	waiting := routedCall("waits")
+	waiting.Remaining = 5 * time.Second
+	f.runner.Execute(waiting, nil, func(r call.Result) { f.results <- r })
 	vm.Suspend(10 * time.Second)
-	e.proceed <- struct{}{}
+	f.proceed <- struct{}{}
 	refused := 0
 	for range 2 {
-		if got := <-e.results; got.Refusal != nil {
+		if got := <-f.results; got.Refusal != nil {
 			refused++
 			test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 		}
 	}
 	must.Eq(t, 1, refused)
-	e.startAndWait("after")
-	e.proceed <- struct{}{}
-	must.NotNil(t, (<-e.results).Answer)
+	f.startAndWait("after")
+	f.proceed <- struct{}{}
+	must.NotNil(t, (<-f.results).Answer)
 }
