--- a/pkg/backend/conn.go
+++ b/pkg/backend/conn.go
@@ -32,13 +32,17 @@
 // that arrives before a long request body is written.
 type conn struct {
 	net.Conn
-	reader       *bufio.Reader
+	reader *bufio.Reader
+	// idHeader is the name of the header that carries the request ID.
 	idHeader     string
 	maxBodyBytes int64
-	lastUsed     int64
+	// lastUsed is in nanoseconds of the daemon's clock; Transport sets it.
+	lastUsed int64
 
-	mu       sync.Mutex
-	current  *exchange
+	mu sync.Mutex
+	// current is the pending exchange; nil if there is none.
+	current *exchange
+	// closeErr is why the connection must not be used any more; nil while it may.
 	closeErr error
 }
 
--- a/pkg/backend/lifecycle.go
+++ b/pkg/backend/lifecycle.go
@@ -16,7 +16,7 @@
 	// wrong value does not restrict its starts for long. Backend servers of the users'
 	// sites are cold for three seconds.
 	maxColdTime = time.Minute
-	// connectFailuresUntilDown is how many connections in a row must be refused before the
+	// connectFailuresUntilDown is how many attempts to connect must fail in a row before the
 	// backend server counts as down.
 	connectFailuresUntilDown = 2
 )
@@ -33,7 +33,7 @@
 	// Leaving means that the current incarnation has announced its departure; it gets no
 	// further requests.
 	Leaving
-	// Down means that connections are refused or that the process has ended.
+	// Down means that connections fail or that the process has ended.
 	Down
 )
 
@@ -63,8 +63,8 @@
 	return Incarnation{ID: h.InstanceID, StartedAtMS: h.StartedAtMS}
 }
 
-// ColdPeriod is the period in which the current incarnation is cold, as it reported: it
-// is slow and tolerates few starts. Times are nanoseconds of the daemon's clock.
+// ColdPeriod is the period in which the current incarnation is cold, by its own report:
+// it works slowly and tolerates few starts. Times are nanoseconds of the daemon's clock.
 type ColdPeriod struct {
 	// LatestEnd is the latest time at which the period can end; it is in the past for a
 	// warm backend server.
@@ -94,7 +94,7 @@
 	// lastSeenAt is the time of the last sign of life of the current incarnation.
 	lastSeenAt int64
 	cold       ColdPeriod
-	// histories holds the heartbeat history of each incarnation.
+	// histories holds the heartbeat histories of up to maxHistories incarnations.
 	histories map[Incarnation]*heartbeatHistory
 	// departed and replaced map instance IDs to the end of their incarnations. Departed
 	// ones have announced that they leave. For replaced ones another ID was seen at the
@@ -352,7 +352,8 @@
 	})
 }
 
-// RecordConnectFailure records that the backend server refused a connection.
+// RecordConnectFailure records that a connection to the backend server could not be
+// opened.
 func (l *Lifecycle) RecordConnectFailure() {
 	l.update(func() {
 		l.connectFailures++
--- a/pkg/runner/origins.go
+++ b/pkg/runner/origins.go
@@ -9,14 +9,14 @@
 )
 
 const (
-	// minServiceRequests is how many requests of a route in a row must begin beside one
+	// minServiceRequests is how many requests of a route in a row must begin on VMs of one
 	// service before the route counts as called by it. External callers use all VMs
-	// alike, so that this many of theirs beside one service are unlikely.
+	// alike, so that this many of theirs on the VMs of one service are unlikely.
 	minServiceRequests = 12
 	// maxChanceProbability is the highest probability that a route counts as called by a
-	// few services although the requests are those of external callers, which began beside
-	// these services by chance. The next request that begins beside another service
-	// corrects it.
+	// few services although the requests are those of external callers, which began on the
+	// VMs of these services by chance. The next request that begins on a VM of another
+	// service corrects it.
 	maxChanceProbability = 0.001
 	// maxServicesPerRoute limits the calling services that are tracked per route.
 	maxServicesPerRoute = 8
@@ -25,12 +25,12 @@
 )
 
 // originTracker finds out which routes are called by services, in the middle of a run,
-// and which by external callers. Requests of external callers begin beside all services
-// alike, calls of services only beside the VMs of these. A route may be called by more
-// than one service, as while one takes over from another.
+// and which by external callers. Requests of external callers begin on all VMs alike,
+// calls of services only on the VMs of these services. A route may be called by more than
+// one service, as while one takes over from another.
 type originTracker struct {
-	// vmShare returns the share of the VMs that stand beside the given services, from 0 to
-	// 1; 0: unknown.
+	// vmShare returns the share of the VMs that run the given services, from 0 to 1; 0:
+	// unknown.
 	vmShare func(services []string) float64
 
 	mu     sync.Mutex
@@ -39,14 +39,14 @@
 
 // routeOrigin is what is known about the requests of one route.
 type routeOrigin struct {
-	// services are those beside which requests began. count is the number of requests
+	// services are those on whose VMs requests began. count is the number of requests
 	// since the newest of them was added.
 	services []string
 	count    int
 	// threshold is the count above which the route counts as called by services; 0: it
 	// does not at any count, or the share of the VMs is not known yet.
 	threshold int
-	// tooManyServices is true once requests began beside more services than are tracked.
+	// tooManyServices is true once requests began on VMs of more services than are tracked.
 	tooManyServices bool
 }
 
@@ -54,7 +54,7 @@
 	return &originTracker{vmShare: vmShare, routes: map[string]*routeOrigin{}}
 }
 
-// record counts a request of a route that began beside a service, and returns the
+// record counts a request of a route that began on a VM of a service, and returns the
 // origin of the route's requests as known now.
 func (o *originTracker) record(route, service string) wire.Origin {
 	o.mu.Lock()
@@ -107,8 +107,8 @@
 	o.threshold = thresholdFor(share)
 }
 
-// thresholdFor returns how many requests of external callers in a row begin beside the
-// given share of the VMs with a probability of at most maxChanceProbability, and at least
+// thresholdFor returns how many requests of external callers in a row begin on a given
+// share of the VMs with a probability of at most maxChanceProbability, and at least
 // minServiceRequests; 0: there is no such number.
 func thresholdFor(share float64) int {
 	if share <= 0 || share >= 1 {
--- a/pkg/runner/origins_test.go
+++ b/pkg/runner/origins_test.go
@@ -38,11 +38,11 @@
 	for range 1000 {
 		got = o.record("check", "returns")
 	}
-	test.Eq(t, wire.OriginCallers, got, test.Sprint("requests have begun beside all services"))
+	test.Eq(t, wire.OriginCallers, got, test.Sprint("requests have begun on VMs of all services"))
 }
 
-// TestExternalRequestsAreNotTakenForServiceCalls: they begin beside all services, in
-// proportion to the VMs.
+// TestExternalRequestsAreNotTakenForServiceCalls: they begin on VMs of all services, in
+// proportion to their number.
 func TestExternalRequestsAreNotTakenForServiceCalls(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 1))
 	wrong := 0
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -57,8 +57,9 @@
 	// cold is true while the backend server reports that it is cold. coldLimitSet is true
 	// once the gate knows how many starts it tolerates then.
 	cold, coldLimitSet atomic.Bool
-	// loggedLimit is the number of concurrent runs that was logged last; 0: none yet.
-	loggedLimit atomic.Int64
+	// lastLimit is the gate's limit of concurrent runs after the last run; 0: none has
+	// ended yet.
+	lastLimit atomic.Int64
 	// slowed is true while the backend server is too slow for soft attempts.
 	slowed   atomic.Bool
 	inFlight atomic.Int64
@@ -89,8 +90,8 @@
 	// FindRoute returns the route of a request in the placement in force, and the version
 	// of that placement; the route is nil if none matches.
 	FindRoute func(host, path string) (route *routing.CompiledRoute, version uint64)
-	// VMShare returns the share of the VMs that stand beside the given services, from 0 to
-	// 1. If it is nil, the share counts as 1.
+	// VMShare returns the share of the VMs that run the given services, from 0 to 1; 0:
+	// unknown. If VMShare is nil, the share counts as 1.
 	VMShare func(services []string) float64
 }
 
@@ -229,7 +230,7 @@
 // logLimitChange logs when the gate has changed its limit of concurrent runs.
 func (r *Runner) logLimitChange() {
 	usable := int64(r.gate.UsableSlots())
-	before := r.loggedLimit.Swap(usable)
+	before := r.lastLimit.Swap(usable)
 	if before == usable || before == 0 {
 		return
 	}
