--- a/pkg/backend/conn.go
+++ b/pkg/backend/conn.go
@@ -11,78 +11,82 @@
 	"github.com/pkg/errors"
 )
 
-// errStray ends a connection on which bytes came while no request was waiting:
-// they belong to no request.
-var errStray = errors.New("bytes that belong to no request")
+// errUnexpectedBytes closes a connection that received bytes which belong to no pending
+// request.
+var errUnexpectedBytes = errors.New("received bytes that belong to no pending request")
 
-// errTooLarge ends a connection whose answer is over the bound.
-var errTooLarge = errors.New("the answer is over the bound")
+// errBodyTooLarge closes a connection whose response body exceeds the limit.
+var errBodyTooLarge = errors.New("response body exceeds the size limit")
 
-// exchange is one request on its connection.
+// exchange is one request and its pending response on a connection.
 type exchange struct {
-	id   string
-	head *http.Request
-	// answers has room for the one answer, failed for the one error.
-	answers chan *http.Response
-	failed  chan error
+	id      string
+	request *http.Request
+	// Each channel has a buffer of one; at most one of them receives a value.
+	response chan *http.Response
+	failure  chan error
 }
 
-// conn is one connection to the backend server. It carries one request at a
-// time. A goroutine of its own reads, so that a close is seen at once, and an
-// answer that comes before a long body is written, too.
+// conn is one connection to the backend server and carries one request at a time. Its
+// own goroutine reads from it, so that a close is noticed at once, and so is a response
+// that arrives before a long request body is written.
 type conn struct {
 	net.Conn
-	reader   *bufio.Reader
-	idHeader string
-	maxBody  int64
+	reader *bufio.Reader
+	// idHeader is the name of the header that carries the request ID.
+	idHeader     string
+	maxBodyBytes int64
+	// lastUsed is in nanoseconds of the daemon's clock; Transport sets it.
 	lastUsed int64
 
-	mu      sync.Mutex
+	mu sync.Mutex
+	// current is the pending exchange; nil if there is none.
 	current *exchange
-	broken  error
+	// closeErr is why the connection must not be used any more; nil while it may.
+	closeErr error
 }
 
-func newConn(c net.Conn, idHeader string, maxBody int) *conn {
-	out := &conn{Conn: c, reader: bufio.NewReader(c), idHeader: idHeader, maxBody: int64(maxBody)}
+func newConn(c net.Conn, idHeader string, maxBodyBytes int) *conn {
+	out := &conn{Conn: c, reader: bufio.NewReader(c), idHeader: idHeader, maxBodyBytes: int64(maxBodyBytes)}
 	go out.readLoop()
 	return out
 }
 
-// begin makes ex the request that the next answer belongs to; false when the
-// connection has ended: then nothing of the request was sent.
-func (c *conn) begin(ex *exchange) bool {
+// startExchange makes ex the exchange that the next response belongs to. It returns
+// false if the connection is closed; nothing of the request has been sent then.
+func (c *conn) startExchange(ex *exchange) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.broken != nil {
+	if c.closeErr != nil {
 		return false
 	}
 	c.current = ex
 	return true
 }
 
-// usable is true for an idle connection that has not ended.
-func (c *conn) usable() bool {
+// isOpen is true until the connection has failed or must not be reused.
+func (c *conn) isOpen() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.broken == nil
+	return c.closeErr == nil
 }
 
-// fail ends the connection and the request that waits on it.
-func (c *conn) fail(cause error) {
+// closeWithError closes the connection and fails the pending exchange with cause.
+func (c *conn) closeWithError(cause error) {
 	c.mu.Lock()
-	if c.broken == nil {
-		c.broken = cause
+	if c.closeErr == nil {
+		c.closeErr = cause
 	}
 	ex := c.current
 	c.current = nil
 	c.mu.Unlock()
 	_ = c.Close()
 	if ex != nil {
-		ex.failed <- cause
+		ex.failure <- cause
 	}
 }
 
-func (c *conn) waiting() *exchange {
+func (c *conn) currentExchange() *exchange {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.current
@@ -90,60 +94,61 @@
 
 func (c *conn) readLoop() {
 	for {
-		if err := c.readOne(); err != nil {
-			c.fail(err)
+		if err := c.readResponse(); err != nil {
+			c.closeWithError(err)
 			return
 		}
 	}
 }
 
-// readOne reads one answer. An answer to an older request, which may come late
-// in the place of the next one, is read to its end and dropped.
-func (c *conn) readOne() error {
+// readResponse reads one response. A late response to an earlier request, which its ID
+// header tells, is read to its end and dropped; so is an interim (1xx) response.
+func (c *conn) readResponse() error {
 	if _, err := c.reader.Peek(1); err != nil {
 		return err
 	}
-	ex := c.waiting()
+	ex := c.currentExchange()
 	if ex == nil {
-		return errStray
+		return errUnexpectedBytes
 	}
-	resp, err := http.ReadResponse(c.reader, ex.head)
+	resp, err := http.ReadResponse(c.reader, ex.request)
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode < http.StatusOK {
 		return nil
 	}
-	unframed := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBody+1))
+	closeDelimited := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	body, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBodyBytes+1))
 	if err != nil {
-		return errors.Wrap(err, "answer cut")
+		return errors.Wrap(err, "response truncated")
 	}
-	if int64(len(body)) > c.maxBody {
-		return errTooLarge
+	if int64(len(body)) > c.maxBodyBytes {
+		return errBodyTooLarge
 	}
 	resp.Body = io.NopCloser(bytes.NewReader(body))
-	last := resp.Close || unframed
+	last := resp.Close || closeDelimited
 	if resp.Header.Get(c.idHeader) != ex.id {
 		if last {
-			return errStray
+			return errUnexpectedBytes
 		}
 		return nil
 	}
 	return c.deliver(ex, resp, last)
 }
 
-// deliver hands the answer over. What follows it on the connection belongs to
-// no request, so the connection is not used again then.
+// deliver hands the response to its exchange. It returns an error, which closes the
+// connection, if this was the last response or if further bytes have arrived: those
+// belong to no request.
 func (c *conn) deliver(ex *exchange, resp *http.Response, last bool) error {
 	c.mu.Lock()
 	c.current = nil
-	var end error
+	var err error
 	if last || c.reader.Buffered() > 0 {
-		end = errStray
-		c.broken = end
+		err = errUnexpectedBytes
+		c.closeErr = err
 	}
 	c.mu.Unlock()
-	ex.answers <- resp
-	return end
+	ex.response <- resp
+	return err
 }
--- a/pkg/backend/health_checker.go
+++ b/pkg/backend/health_checker.go
@@ -9,146 +9,142 @@
 )
 
 const (
-	// checkPause is how long nothing is asked after a check that failed or that
-	// outlasted CheckerOptions.Within; it doubles up to longestCheckPause while
-	// checks go on failing, and ends with the first that does not: the watch goes
-	// on asking. A backend server that hangs costs each starting
-	// request Within once a pause.
-	checkPause        = 500 * time.Millisecond
-	longestCheckPause = 8 * time.Second
-	// checkBurst is how many seconds of checks may be saved up: spells of noise
-	// come in groups.
-	checkBurst = 2
+	// minCheckPause is how long Check refuses further checks after one that failed or
+	// took longer than HealthCheckerOptions.MaxWait. The pause doubles with each further
+	// such check, up to maxCheckPause, and the first good check ends it. A backend server
+	// that hangs therefore delays starting requests by MaxWait once per pause only.
+	minCheckPause = 500 * time.Millisecond
+	maxCheckPause = 8 * time.Second
+	// checkBurstSeconds is how many seconds' worth of unused checks may be saved up:
+	// slow periods of a backend server come in groups.
+	checkBurstSeconds = 2
 )
 
-// HealthCheckerOptions bound what health checks cost.
+// HealthCheckerOptions limit the cost of health checks.
 type HealthCheckerOptions struct {
-	// MaxWait is how long those who wait for a check are held up at most.
+	// MaxWait is the longest time that a caller waits for a check.
 	MaxWait time.Duration
-	// MaxPerSecond is how many checks a second are made in the mean at most.
+	// MaxPerSecond is the highest average rate of checks that Check makes.
 	MaxPerSecond int
-	// OnPauseChange is told when checks begin to be paused, with what the last one took
-	// and its error, and when one succeeds again, with a pause of 0. It may be
-	// nil.
+	// OnPauseChange is called when checks are paused, with the duration and the error of
+	// the last one, and when a check succeeds again, with a pause of 0. It may be nil.
 	OnPauseChange func(pause, took time.Duration, err error)
 }
 
-// HealthChecker makes the health checks of one backend server for all who need its
-// word on its speed: those who ask while a check is under way share its answer,
-// and a backend server that does not answer holds nobody up for long. It is safe
-// for concurrent use.
+// HealthChecker makes the health checks of one backend server. Callers that ask while
+// a check is running share its result, and a backend server that does not answer
+// delays nobody for longer than MaxWait. It is safe for concurrent use.
 type HealthChecker struct {
-	opts  HealthCheckerOptions
-	check func(context.Context) error
-	limit *rate.Limiter
+	opts    HealthCheckerOptions
+	check   func(context.Context) error
+	limiter *rate.Limiter
 
 	mu sync.Mutex
-	// waiting are those who wait for the check under way.
-	waiting []func()
-	// busy is true while a check is under way, late once it outlasted Within.
-	busy bool
-	late bool
-	// pause is the length of the next pause; resumeAt ends the present one.
-	pause    time.Duration
-	resumeAt time.Time
+	// waiters are called when the running check ends or times out.
+	waiters []func()
+	// running is true while a check runs, timedOut once it took longer than MaxWait.
+	running  bool
+	timedOut bool
+	// nextPause is the duration of the next pause; resumeAt is the end of the current one.
+	nextPause time.Duration
+	resumeAt  time.Time
 }
 
-// NewHealthChecker makes a checker. check asks once, and takes the answer over before
-// it returns.
+// NewHealthChecker returns a checker. check makes one health check and applies its
+// result before it returns.
 func NewHealthChecker(opts HealthCheckerOptions, check func(context.Context) error) *HealthChecker {
 	return &HealthChecker{
-		opts: opts, check: check, pause: checkPause,
-		limit: rate.NewLimiter(rate.Limit(opts.MaxPerSecond), checkBurst*opts.MaxPerSecond),
+		opts: opts, check: check, nextPause: minCheckPause,
+		limiter: rate.NewLimiter(rate.Limit(opts.MaxPerSecond), checkBurstSeconds*opts.MaxPerSecond),
 	}
 }
 
-// Check has the backend server asked, unless that is under way, and calls done
-// when the answer was taken over or Within has passed. It returns false, and
-// never calls done, where a check is not allowed now: the rate is used up, or
-// checks have just failed.
+// Check starts a health check, or joins the running one, and calls done when its
+// result is applied or MaxWait has passed. It returns false and never calls done when
+// no check is allowed: the rate limit is reached, checks are paused after a failure, or
+// the running check has already exceeded MaxWait.
 func (c *HealthChecker) Check(done func()) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
 	switch {
-	case c.busy && c.late:
+	case c.running && c.timedOut:
 		return false
-	case !c.busy && (now.Before(c.resumeAt) || !c.limit.AllowN(now, 1)):
+	case !c.running && (now.Before(c.resumeAt) || !c.limiter.AllowN(now, 1)):
 		return false
 	}
-	c.join(done)
+	c.addWaiter(done)
 	return true
 }
 
-// ForceCheck has the backend server asked by those who follow whether it lives, at
-// a pace of their own: no pause and no rate holds for them. done is called when
-// the answer was taken over or Within has passed; for one who joins a check that
-// has outlasted Within, when that check ends.
+// ForceCheck is Check without the pause and the rate limit, for the periodic liveness
+// check. done is called when the result is applied or MaxWait has passed; a caller that
+// joins a check which has already exceeded MaxWait waits for the end of that check.
 func (c *HealthChecker) ForceCheck(done func()) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.join(done)
+	c.addWaiter(done)
 }
 
-// join adds one who waits, and begins a check where none is under way; the lock
-// is held.
-func (c *HealthChecker) join(done func()) {
-	c.waiting = append(c.waiting, done)
-	if c.busy {
+// addWaiter adds a waiter and starts a check unless one is running. The caller holds
+// the lock.
+func (c *HealthChecker) addWaiter(done func()) {
+	c.waiters = append(c.waiters, done)
+	if c.running {
 		return
 	}
-	c.busy, c.late = true, false
+	c.running, c.timedOut = true, false
 	go c.run()
 }
 
-// run makes one check.
+// run makes one check and releases its waiters.
 func (c *HealthChecker) run() {
-	began := time.Now()
-	timer := time.AfterFunc(c.opts.MaxWait, c.giveUp)
+	start := time.Now()
+	timer := time.AfterFunc(c.opts.MaxWait, c.onTimeout)
 	err := c.check(context.Background())
 	timer.Stop()
 	c.mu.Lock()
-	c.busy = false
-	pause, turned := c.notePause(err != nil || c.late)
-	waiting := c.take()
+	c.running = false
+	pause, changed := c.updatePause(err != nil || c.timedOut)
+	waiters := c.takeWaiters()
 	c.mu.Unlock()
-	if turned && c.opts.OnPauseChange != nil {
-		c.opts.OnPauseChange(pause, time.Since(began), err)
+	if changed && c.opts.OnPauseChange != nil {
+		c.opts.OnPauseChange(pause, time.Since(start), err)
 	}
-	callAll(waiting)
+	callAll(waiters)
 }
 
-// giveUp lets those go on who wait for a check that outlasts its time.
-func (c *HealthChecker) giveUp() {
+// onTimeout releases the waiters of a check that has exceeded MaxWait.
+func (c *HealthChecker) onTimeout() {
 	c.mu.Lock()
-	c.late = c.busy
-	waiting := c.take()
+	c.timedOut = c.running
+	waiters := c.takeWaiters()
 	c.mu.Unlock()
-	callAll(waiting)
+	callAll(waiters)
 }
 
-// notePause sets the pause that follows a check; the lock is held. turned is true
-// when checks begin to be paused, or are no longer.
-func (c *HealthChecker) notePause(failed bool) (pause time.Duration, turned bool) {
-	before := c.pause
+// updatePause sets the pause that follows a check. changed is true when checks become
+// paused or are resumed. The caller holds the lock.
+func (c *HealthChecker) updatePause(failed bool) (pause time.Duration, changed bool) {
+	current := c.nextPause
 	if !failed {
-		c.pause, c.resumeAt = checkPause, time.Time{}
-		return 0, before != checkPause
+		c.nextPause, c.resumeAt = minCheckPause, time.Time{}
+		return 0, current != minCheckPause
 	}
-	c.resumeAt = time.Now().Add(c.pause)
-	c.pause = min(2*c.pause, longestCheckPause)
-	return before, before == checkPause
+	c.resumeAt = time.Now().Add(c.nextPause)
+	c.nextPause = min(2*c.nextPause, maxCheckPause)
+	return current, current == minCheckPause
 }
 
-// take empties the list of those who wait; the lock is held.
-func (c *HealthChecker) take() []func() {
-	out := c.waiting
-	c.waiting = nil
+// takeWaiters empties the list of waiters and returns it. The caller holds the lock.
+func (c *HealthChecker) takeWaiters() []func() {
+	out := c.waiters
+	c.waiters = nil
 	return out
 }
 
-func callAll(all []func()) {
-	for _, done := range all {
-		done()
+func callAll(callbacks []func()) {
+	for _, callback := range callbacks {
+		callback()
 	}
 }
--- a/pkg/backend/lifecycle_test.go
+++ b/pkg/backend/lifecycle_test.go
@@ -13,7 +13,8 @@
 
 const second = int64(time.Second)
 
-func accepting(t *testing.T, l *Lifecycle, want string) {
+// expectAccepting checks which incarnation may get requests; want "": none.
+func expectAccepting(t *testing.T, l *Lifecycle, want string) {
 	t.Helper()
 	got, ok := l.Accepting()
 	if want == "" {
@@ -24,70 +25,70 @@
 	test.Eq(t, want, got.String())
 }
 
-func TestAnIncarnationThatSaidItLeavesGetsNothingMore(t *testing.T) {
+func TestDepartedIncarnationStaysDeparted(t *testing.T) {
 	l := NewLifecycle(true, nil)
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", Sequence: 1})
-	accepting(t, l, "a")
+	expectAccepting(t, l, "a")
 	must.True(t, l.RecordHeartbeat(2*second, Heartbeat{InstanceID: "a", Sequence: 3, Leaving: true}))
-	accepting(t, l, "")
-	// A heartbeat that was sent before, and a health answer that misleads.
+	expectAccepting(t, l, "")
+	// A late heartbeat, a new one without the leaving mark, and a health check.
 	l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", Sequence: 2})
 	l.RecordHeartbeat(30*second, Heartbeat{InstanceID: "a", Sequence: 4})
 	l.RecordInstanceID(31*second, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	must.False(t, l.RecordDeparture(32*second, Incarnation{ID: "a"}))
 	l.RecordInstanceID(33*second, "b")
-	accepting(t, l, "b")
+	expectAccepting(t, l, "b")
 }
 
-func TestADepartureIsBindingBeforeTheIncarnationIsSeen(t *testing.T) {
+func TestDepartureBeforeFirstSignOfLife(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	must.True(t, l.RecordDeparture(1, Incarnation{ID: "a"}))
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", Sequence: 9})
 	l.RecordInstanceID(3, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 }
 
-func TestARestartedDaemonWaitsUntilItIsInformed(t *testing.T) {
-	var told []State
-	l := NewLifecycle(false, func(_ Incarnation, s State) { told = append(told, s) })
+func TestRestartedDaemonWaitsUntilDeparturesAreKnown(t *testing.T) {
+	var states []State
+	l := NewLifecycle(false, func(_ Incarnation, s State) { states = append(states, s) })
 	l.RecordInstanceID(1, "a")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 	l.RecordDeparturesKnown()
-	accepting(t, l, "a")
-	test.Len(t, 2, told)
+	expectAccepting(t, l, "a")
+	test.Len(t, 2, states)
 }
 
-func TestALateHeartbeatOfAnOlderIncarnationChangesNothing(t *testing.T) {
+func TestLateHeartbeatOfReplacedIncarnationIsIgnored(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "old", Sequence: 7})
 	l.RecordInstanceID(5*second, "new")
 	l.RecordHeartbeat(6*second, Heartbeat{InstanceID: "old", Sequence: 8})
-	accepting(t, l, "new")
+	expectAccepting(t, l, "new")
 }
 
-func TestAnotherIncarnationAtTheAddress(t *testing.T) {
+func TestReplacementAtTheAddress(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
 	l.RecordReplacement(2, "b")
-	accepting(t, l, "b")
+	expectAccepting(t, l, "b")
 	l.RecordReplacement(3, "")
-	accepting(t, l, "")
+	expectAccepting(t, l, "")
 }
 
-func TestRefusedConnectionsTakeItDownUntilItShowsItself(t *testing.T) {
+func TestConnectFailuresTakeItDownUntilNextHeartbeat(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1, "a")
-	l.RecordRefusedConnection()
-	accepting(t, l, "a")
-	l.RecordRefusedConnection()
-	accepting(t, l, "")
+	l.RecordConnectFailure()
+	expectAccepting(t, l, "a")
+	l.RecordConnectFailure()
+	expectAccepting(t, l, "")
 	l.RecordHeartbeat(2, Heartbeat{InstanceID: "a", Sequence: 1})
-	accepting(t, l, "a")
+	expectAccepting(t, l, "a")
 }
 
-func TestReports(t *testing.T) {
+func TestParseLoadReport(t *testing.T) {
 	r, ok := ParseLoadReport("3, 0,12,400")
 	must.True(t, ok)
 	test.Eq(t, LoadReport{Running: 3, Waiting: 0, Slots: 12, Slowdown: 400}, r)
@@ -100,25 +101,25 @@
 	}
 }
 
-// TestAHeartbeatThatACutHeldBackChangesNothing: its sender has crashed, and a new
-// incarnation was seen at the address, which may be silent for a while itself.
-func TestAHeartbeatThatACutHeldBackChangesNothing(t *testing.T) {
+// TestHeartbeatDelayedByNetworkFailureIsIgnored: its sender has crashed and a new
+// incarnation was seen at the address, even if that has been silent for a while.
+func TestHeartbeatDelayedByNetworkFailureIsIgnored(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "old", Sequence: 1})
 	l.RecordInstanceID(2*second, "new")
 	l.RecordCold(2*second, 2*second, "new", 3*time.Second)
 	l.RecordHeartbeat(30*second, Heartbeat{InstanceID: "old", Sequence: 2, ColdFor: 9 * time.Second})
-	accepting(t, l, "new")
+	expectAccepting(t, l, "new")
 	test.Eq(t, ColdPeriod{LatestEnd: 5 * second, EarliestEnd: 5 * second, CheckedAt: 2 * second}, l.ColdPeriod())
 	l.RecordHeartbeat(31*second, Heartbeat{InstanceID: "old", Sequence: 3, Leaving: true})
-	accepting(t, l, "new")
+	expectAccepting(t, l, "new")
 	l.RecordHeartbeat(32*second, Heartbeat{InstanceID: "next", Sequence: 1})
-	accepting(t, l, "next")
+	expectAccepting(t, l, "next")
 }
 
-// TestHowLongABackendServerIsCold: its health path goes before heartbeats, which
-// may be late, and each incarnation counts by itself.
-func TestHowLongABackendServerIsCold(t *testing.T) {
+// TestColdPeriod: health checks take precedence over heartbeats, which may be late, and
+// a new incarnation starts without a cold period.
+func TestColdPeriod(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1*second, Heartbeat{InstanceID: "a", Sequence: 1, ColdFor: 3 * time.Second})
 	test.Eq(t, ColdPeriod{LatestEnd: 4 * second, EarliestEnd: 4 * second, FromHeartbeat: true}, l.ColdPeriod())
@@ -126,38 +127,37 @@
 	test.Eq(t, ColdPeriod{LatestEnd: 3 * second, EarliestEnd: 3 * second, CheckedAt: 2 * second}, l.ColdPeriod())
 	l.RecordCold(2*second, 2*second, "other", 9*time.Second)
 	test.Eq(t, 3*second, l.ColdPeriod().LatestEnd)
-	// Cold again, as after its data centre was taken back.
+	// It becomes cold again, as when the evacuation of its data centre ends.
 	l.RecordCold(20*second, 20*second, "a", 3*time.Second)
 	test.Eq(t, 23*second, l.ColdPeriod().LatestEnd)
 	l.RecordInstanceID(21*second, "b")
 	test.Eq(t, ColdPeriod{}, l.ColdPeriod())
 }
 
-// TestAWrongWordOnBeingColdIsBounded: the text of a header or heartbeat may hold
-// anything.
-func TestAWrongWordOnBeingColdIsBounded(t *testing.T) {
+// TestInvalidColdTimesAreCapped covers the header and heartbeats.
+func TestInvalidColdTimesAreCapped(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1*second, "a")
-	for text, want := range map[string]int64{"1e300": 0, "NaN": 0, "-5": 0, "": 0, "x": 0, "3000": 3 * second, "99999999": int64(longestCold)} {
-		l.RecordCold(2*second, 2*second, "a", coldFor(text))
+	for text, want := range map[string]int64{"1e300": 0, "NaN": 0, "-5": 0, "": 0, "x": 0, "3000": 3 * second, "99999999": int64(maxColdTime)} {
+		l.RecordCold(2*second, 2*second, "a", parseColdFor(text))
 		test.Eq(t, 2*second+want, l.ColdPeriod().LatestEnd, test.Sprint(text))
 	}
 	l.RecordHeartbeat(3*second, Heartbeat{InstanceID: "a", Sequence: 1, ColdFor: 1 << 62})
-	test.Eq(t, 3*second+int64(longestCold), l.ColdPeriod().LatestEnd)
+	test.Eq(t, 3*second+int64(maxColdTime), l.ColdPeriod().LatestEnd)
 }
 
-// TestAnAnswerThatWasOnItsWayForLong: what it says held at some time since the
-// question, so that the backend server may have been cold, or become so, since then.
-func TestAnAnswerThatWasOnItsWayForLong(t *testing.T) {
+// TestSlowHealthCheckWidensColdPeriod: the reported time left was true at some time
+// between the request and the response.
+func TestSlowHealthCheckWidensColdPeriod(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordInstanceID(1*second, "a")
 	l.RecordCold(2*second, 3*second, "a", 2*time.Second)
 	test.Eq(t, ColdPeriod{LatestEnd: 5 * second, EarliestEnd: 4 * second, CheckedAt: 2 * second}, l.ColdPeriod())
 }
 
-// TestTheVersionIsThatOfTheCurrentIncarnation: its health path may show it before its
-// first heartbeat, and a late heartbeat of the one before changes nothing.
-func TestTheVersionIsThatOfTheCurrentIncarnation(t *testing.T) {
+// TestVersionIsThatOfCurrentIncarnation: a health check may reveal a new incarnation
+// before its first heartbeat, and late heartbeats of the previous one change nothing.
+func TestVersionIsThatOfCurrentIncarnation(t *testing.T) {
 	l := NewLifecycle(true, nil)
 	l.RecordHeartbeat(1, Heartbeat{InstanceID: "a", Sequence: 1, Version: "v1"})
 	test.Eq(t, "v1", l.Version())
@@ -167,9 +167,9 @@
 	test.Eq(t, "", l.Version())
 	l.RecordHeartbeat(4, Heartbeat{InstanceID: "b", Sequence: 1, Version: "v2"})
 	test.Eq(t, "v2", l.Version())
-	for n := range 3 * mostLives {
+	for n := range 3 * maxHistories {
 		l.RecordHeartbeat(5, Heartbeat{InstanceID: fmt.Sprint("late", n), Sequence: 1, Version: "v1"})
 	}
 	test.Eq(t, "v2", l.Version())
-	test.LessEq(t, mostLives, len(l.lives))
+	test.LessEq(t, maxHistories, len(l.histories))
 }
--- a/pkg/runner/cold_test.go
+++ b/pkg/runner/cold_test.go
@@ -14,41 +14,41 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// withColdService makes the placement say that a cold backend server bears two
-// requests a second.
+// withColdService sets a placement by which a cold backend server tolerates two starts
+// a second.
 func withColdService(r *Runner) {
 	r.service = func() (routing.Service, bool) { return routing.Service{ColdFor: 3 * time.Second, ColdRate: 2}, true }
 }
 
-// TestAColdBackendServerIsNotOverrun: what comes after its two requests waits, or
-// is refused where it could not end in time.
-func TestAColdBackendServerIsNotOverrun(t *testing.T) {
-	h := newHeld()
+// TestColdBackendServerGetsFewStarts: after the two starts that it tolerates, requests
+// wait, or are refused if they could not end in time.
+func TestColdBackendServerGetsFewStarts(t *testing.T) {
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
 	r.UpdateCold()
 	for range 2 {
 		_, _ = execute(r, routedCall("runs"))
-		test.Eq(t, "runs", <-h.came)
+		test.Eq(t, "runs", <-h.arrived)
 	}
 	_, cancel := execute(r, routedCall("waits"))
-	hasty := routedCall("hasty")
-	hasty.Routed.Target = 500 * time.Millisecond
-	results, _ := execute(r, hasty)
+	urgent := routedCall("urgent")
+	urgent.Routed.Target = 500 * time.Millisecond
+	results, _ := execute(r, urgent)
 	got := <-results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.Overloaded, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
 	r.Tick()
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 	cancel()
 }
 
-// TestAnOldWordIsAskedForBeforeMoreThanAColdOneBearsStart: the backend server has
-// become cold meanwhile, as when its data centre was taken back.
-func TestAnOldWordIsAskedForBeforeMoreThanAColdOneBearsStart(t *testing.T) {
-	h := newHeld()
+// TestWarmBackendServerIsRecheckedBeforeColdLimitIsExceeded: the backend server has
+// become cold since the last report, as when the evacuation of its data centre ends.
+func TestWarmBackendServerIsRecheckedBeforeColdLimitIsExceeded(t *testing.T) {
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
 	asked := make(chan struct{}, 100)
@@ -66,36 +66,35 @@
 		cancels = append(cancels, cancel)
 	}
 	<-asked
-	<-h.came
-	<-h.came
-	test.Eq(t, 0, len(h.came))
+	<-h.arrived
+	<-h.arrived
+	test.Eq(t, 0, len(h.arrived))
 	for _, cancel := range cancels {
 		cancel()
 	}
 }
 
-// TestCallsAreHeldToTheirTargetWhileColdStartsAreScarce, and to their deadline else.
-func TestCallsAreHeldToTheirTargetWhileColdStartsAreScarce(t *testing.T) {
-	r, lifecycle := newTestRunner(t, newHeld(), 10)
+// TestServiceCallsAreHeldToTheirTargetWhileCold, and to their deadline otherwise.
+func TestServiceCallsAreHeldToTheirTargetWhileCold(t *testing.T) {
+	r, lifecycle := newTestRunner(t, newHoldingServer(), 10)
 	withColdService(r)
 	c := routedCall("call")
 	c.Routed.Target = 120 * time.Millisecond
 	const now = int64(time.Second)
-	run := &routedRun{owner: r, call: c, deadline: now + int64(time.Minute)}
-	test.Eq(t, run.deadline, r.endBy(now, run, true))
-	test.Eq(t, now+int64(120*time.Millisecond), r.endBy(now, run, false))
+	run := &routedRun{runner: r, call: c, deadline: now + int64(time.Minute)}
+	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
+	test.Eq(t, now+int64(120*time.Millisecond), r.latestEnd(now, run, false))
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
 	r.UpdateCold()
-	test.Eq(t, now+int64(120*time.Millisecond), r.endBy(now, run, true))
+	test.Eq(t, now+int64(120*time.Millisecond), r.latestEnd(now, run, true))
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
 	r.UpdateCold()
-	test.Eq(t, run.deadline, r.endBy(now, run, true))
+	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
 }
 
-// TestWhatAColdBackendServerBearsIsKnownBeforeTheFirstStart: its word came before
-// the placement.
-func TestWhatAColdBackendServerBearsIsKnownBeforeTheFirstStart(t *testing.T) {
-	h := newHeld()
+// TestColdLimitIsSetBeforeTheFirstStart: the cold report arrives before the placement.
+func TestColdLimitIsSetBeforeTheFirstStart(t *testing.T) {
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 10)
 	service := r.service
 	r.service = func() (routing.Service, bool) { return routing.Service{}, false }
@@ -105,17 +104,18 @@
 	withColdService(r)
 	for range 2 {
 		_, _ = execute(r, routedCall("runs"))
-		test.Eq(t, "runs", <-h.came)
+		test.Eq(t, "runs", <-h.arrived)
 	}
 	_, cancel := execute(r, routedCall("waits"))
 	r.Tick()
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 	cancel()
 }
 
-// TestWithoutAPlacementNothingRuns: nobody knows yet what the backend server bears.
-func TestWithoutAPlacementNothingRuns(t *testing.T) {
-	r, _ := newTestRunner(t, newHeld(), 10)
+// TestNothingRunsWithoutPlacement: it is not known yet how many starts a cold backend
+// server tolerates.
+func TestNothingRunsWithoutPlacement(t *testing.T) {
+	r, _ := newTestRunner(t, newHoldingServer(), 10)
 	r.service = func() (routing.Service, bool) { return routing.Service{}, false }
 	results, _ := execute(r, routedCall("a"))
 	got := <-results
--- a/pkg/runner/origins.go
+++ b/pkg/runner/origins.go
@@ -9,109 +9,110 @@
 )
 
 const (
-	// originsEnough is how many requests of a route must have come from one
-	// service, and from no other, before the route counts as called by it.
-	// Callers from outside use all VMs alike, so that so many of theirs on the
-	// VMs of one service are unlikely.
-	originsEnough = 12
-	// originsOdds are the odds that so many requests of callers from outside begin
-	// beside the same few services by chance, below which the route counts as called
-	// by these. One that does wrongly is known for what it is from the next request
-	// on that begins beside another service.
-	originsOdds = 0.001
-	// mostCallers bounds the services that call one route.
-	mostCallers = 8
-	// mostOrigins bounds the routes that are followed.
-	mostOrigins = 4096
+	// minServiceRequests is how many requests of a route in a row must begin on VMs of one
+	// service before the route counts as called by it. External callers use all VMs
+	// alike, so that this many of theirs on the VMs of one service are unlikely.
+	minServiceRequests = 12
+	// maxChanceProbability is the highest probability that a route counts as called by a
+	// few services although the requests are those of external callers, which began on the
+	// VMs of these services by chance. The next request that begins on a VM of another
+	// service corrects it.
+	maxChanceProbability = 0.001
+	// maxServicesPerRoute limits the calling services that are tracked per route.
+	maxServicesPerRoute = 8
+	// maxRoutes limits the routes that are tracked.
+	maxRoutes = 4096
 )
 
-// origins tells routes that services call in the middle of a run from those
-// that callers from outside use, by where their requests begin. The requests of a
-// route may be handled by two services, as while one takes over from the other, so
-// that the calls of their runs come from both.
-type origins struct {
-	// shareOf is which share of the VMs stands beside certain services.
-	shareOf func(services []string) float64
+// originTracker finds out which routes are called by services, in the middle of a run,
+// and which by external callers. Requests of external callers begin on all VMs alike,
+// calls of services only on the VMs of these services. A route may be called by more than
+// one service, as while one takes over from another.
+type originTracker struct {
+	// vmShare returns the share of the VMs that run the given services, from 0 to 1; 0:
+	// unknown.
+	vmShare func(services []string) float64
 
-	mu      sync.Mutex
-	byRoute map[string]*origin
+	mu     sync.Mutex
+	routes map[string]*routeOrigin
 }
 
-// origin is what is known of one route.
-type origin struct {
-	// services are those beside which its requests began, and count is how many
-	// began since the newest of them was first seen.
+// routeOrigin is what is known about the requests of one route.
+type routeOrigin struct {
+	// services are those on whose VMs requests began. count is the number of requests
+	// since the newest of them was added.
 	services []string
 	count    int
-	// enough is how many show that services call it; 0: none do, or their share of the
-	// VMs is not known yet.
-	enough int
-	// many is true once its requests began beside more services than are followed.
-	many bool
+	// threshold is the count above which the route counts as called by services; 0: it
+	// does not at any count, or the share of the VMs is not known yet.
+	threshold int
+	// tooManyServices is true once requests began on VMs of more services than are tracked.
+	tooManyServices bool
 }
 
-func newOrigins(shareOf func(services []string) float64) *origins {
-	return &origins{shareOf: shareOf, byRoute: map[string]*origin{}}
+func newOriginTracker(vmShare func(services []string) float64) *originTracker {
+	return &originTracker{vmShare: vmShare, routes: map[string]*routeOrigin{}}
 }
 
-// note takes one request of a route over, which began beside a service, and
-// returns what is believed of the route now.
-func (o *origins) note(route, service string) wire.Origin {
+// record counts a request of a route that began on a VM of a service, and returns the
+// origin of the route's requests as known now.
+func (o *originTracker) record(route, service string) wire.Origin {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	found := o.byRoute[route]
-	if found == nil {
-		if len(o.byRoute) >= mostOrigins {
+	origin := o.routes[route]
+	if origin == nil {
+		if len(o.routes) >= maxRoutes {
 			return wire.OriginUnknown
 		}
-		found = &origin{services: []string{service}}
-		o.byRoute[route] = found
+		origin = &routeOrigin{services: []string{service}}
+		o.routes[route] = origin
 	}
-	if !slices.Contains(found.services, service) {
-		found.add(service)
+	if !slices.Contains(origin.services, service) {
+		origin.addService(service)
 	}
-	if found.enough == 0 {
-		found.learn(o.shareOf)
+	if origin.threshold == 0 {
+		origin.updateThreshold(o.vmShare)
 	}
-	found.count++
+	origin.count++
 	switch {
-	case found.enough > 0 && found.count > found.enough:
+	case origin.threshold > 0 && origin.count > origin.threshold:
 		return wire.OriginService
-	case len(found.services) > 1:
+	case len(origin.services) > 1:
 		return wire.OriginCallers
 	}
 	return wire.OriginUnknown
 }
 
-// add takes over that requests begin beside another service, too.
-func (o *origin) add(service string) {
-	o.count, o.enough = 0, 0
-	if len(o.services) >= mostCallers {
-		o.many = true
+// addService adds a service and restarts the count.
+func (o *routeOrigin) addService(service string) {
+	o.count, o.threshold = 0, 0
+	if len(o.services) >= maxServicesPerRoute {
+		o.tooManyServices = true
 		return
 	}
 	o.services = append(o.services, service)
 }
 
-// learn works out how many requests are enough. The VMs beside the services may not be
-// known yet, so that it is asked again until they are.
-func (o *origin) learn(shareOf func([]string) float64) {
-	if o.many {
+// updateThreshold computes the threshold, which stays 0 while the share of the VMs is
+// unknown.
+func (o *routeOrigin) updateThreshold(vmShare func([]string) float64) {
+	if o.tooManyServices {
 		return
 	}
-	share := shareOf(o.services)
+	share := vmShare(o.services)
 	if len(o.services) == 1 && share >= 1 {
-		o.enough = originsEnough
+		o.threshold = minServiceRequests
 		return
 	}
-	o.enough = enoughOf(share)
+	o.threshold = thresholdFor(share)
 }
 
-// enoughOf is how many requests in a row begin beside a share of the VMs by chance
-// with the odds that are left to it; 0: any number may.
-func enoughOf(share float64) int {
+// thresholdFor returns how many requests of external callers in a row begin on a given
+// share of the VMs with a probability of at most maxChanceProbability, and at least
+// minServiceRequests; 0: there is no such number.
+func thresholdFor(share float64) int {
 	if share <= 0 || share >= 1 {
 		return 0
 	}
-	return max(originsEnough, int(math.Ceil(math.Log(originsOdds)/math.Log(share))))
+	return max(minServiceRequests, int(math.Ceil(math.Log(maxChanceProbability)/math.Log(share))))
 }
--- a/pkg/runner/rollout_test.go
+++ b/pkg/runner/rollout_test.go
@@ -12,26 +12,26 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// switching is the traffic of a plan that moves all requests to version v2.
-func switching() *rollout.TrafficPolicy {
+// switchingTraffic returns the traffic of a plan that moves all requests to version v2.
+func switchingTraffic() *rollout.TrafficPolicy {
 	book := rollout.NewReplica()
 	book.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
 	return book.Traffic("s")
 }
 
-// TestAnOldBackendServerBecomesEmpty: what runs ends and counts until then, what waits
-// and what comes is refused as not run.
-func TestAnOldBackendServerBecomesEmpty(t *testing.T) {
-	h := newHeld()
+// TestOldVersionIsDrained: the run under way ends and counts as in flight until then.
+// Waiting and new requests are refused as not run.
+func TestOldVersionIsDrained(t *testing.T) {
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 1)
 	lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: "v1"})
-	runs, _ := execute(r, routedCall("runs"))
-	test.Eq(t, "runs", <-h.came)
-	waits, _ := execute(r, routedCall("waits"))
-	r.Trial().SetGuard(&rollout.Guard{Traffic: switching(), Revision: 6})
-	comes, _ := execute(r, routedCall("comes"))
+	running, _ := execute(r, routedCall("runs"))
+	test.Eq(t, "runs", <-h.arrived)
+	waiting, _ := execute(r, routedCall("waits"))
+	r.Trial().SetGuard(&rollout.Guard{Traffic: switchingTraffic(), Revision: 6})
+	arriving, _ := execute(r, routedCall("comes"))
 	r.Tick()
-	for _, refused := range []chan call.Result{waits, comes} {
+	for _, refused := range []chan call.Result{waiting, arriving} {
 		got := <-refused
 		must.NotNil(t, got.Refusal)
 		test.Eq(t, errkind.VersionHeld, got.Refusal.Kind)
@@ -39,38 +39,37 @@
 		test.True(t, got.Refusal.RetryElsewhere())
 	}
 	test.Eq(t, 1, r.InFlight())
-	h.goOn <- struct{}{}
-	must.NotNil(t, (<-runs).Answer)
-	test.Eq(t, 0, len(h.came))
+	h.proceed <- struct{}{}
+	must.NotNil(t, (<-running).Answer)
+	test.Eq(t, 0, len(h.arrived))
 }
 
-// TestWhoAGuardLetsRun is the table of the guard.
-func TestWhoAGuardLetsRun(t *testing.T) {
+func TestGuardAllowsRuns(t *testing.T) {
 	for name, c := range map[string]struct {
 		guard   *rollout.Guard
 		version string
 		runs    bool
 	}{
 		"no roll-out was ever known":        {nil, "", true},
-		"none of this service":              {&rollout.Guard{}, "v1", true},
-		"the new version while switching":   {&rollout.Guard{Traffic: switching()}, "v2", true},
-		"the old version while switching":   {&rollout.Guard{Traffic: switching()}, "v1", false},
-		"a version that is not known yet":   {&rollout.Guard{Traffic: switching()}, "", false},
-		"one that must wait":                {&rollout.Guard{BlockReason: "it is new"}, "v2", false},
+		"no roll-out of this service":       {&rollout.Guard{}, "v1", true},
+		"the new version while switching":   {&rollout.Guard{Traffic: switchingTraffic()}, "v2", true},
+		"the old version while switching":   {&rollout.Guard{Traffic: switchingTraffic()}, "v1", false},
+		"a version that is not known yet":   {&rollout.Guard{Traffic: switchingTraffic()}, "", false},
+		"a version that must wait":          {&rollout.Guard{BlockReason: "it is new"}, "v2", false},
 		"the incarnation that was admitted": {&rollout.Guard{Instance: "i-1"}, "v1", true},
-		"one that has just taken its place": {&rollout.Guard{Instance: "i-0"}, "v1", false},
+		"another incarnation":               {&rollout.Guard{Instance: "i-0"}, "v1", false},
 	} {
-		r, lifecycle := newTestRunner(t, newHeld(), 1)
+		r, lifecycle := newTestRunner(t, newHoldingServer(), 1)
 		lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: c.version})
 		r.Trial().SetGuard(c.guard)
-		_, refusal := r.accepting()
+		_, refusal := r.acceptingIncarnation()
 		test.Eq(t, c.runs, refusal == nil, test.Sprint(name))
 	}
 }
 
-// TestWhatTellsOfAVersion: an answer and what broke off do; what never ran, and what the
-// caller left, do not.
-func TestWhatTellsOfAVersion(t *testing.T) {
+// TestClassifyReply: answers and broken runs count as evidence on a version. Requests
+// that never ran, that were cancelled or that exceeded their deadline do not.
+func TestClassifyReply(t *testing.T) {
 	refused := func(kind errkind.Kind, offered bool) backend.Reply {
 		return backend.Reply{Refusal: errkind.New(kind, ""), Offered: offered}
 	}
@@ -78,34 +77,34 @@
 		reply          backend.Reply
 		failed, counts bool
 	}{
-		"answered":          {backend.Reply{Answer: &call.Answer{Status: 200}}, false, true},
-		"not found":         {backend.Reply{Answer: &call.Answer{Status: 404}}, false, true},
-		"failed":            {backend.Reply{Answer: &call.Answer{Status: 500}}, true, true},
-		"broke off":         {refused(errkind.BackendFailed, true), true, true},
-		"its time was over": {refused(errkind.DeadlineWhileRunning, true), false, false},
-		"left":              {refused(errkind.CallerGone, true), false, false},
-		"full":              {refused(errkind.BackendRefused, true), false, false},
-		"not reached":       {refused(errkind.BackendUnreachable, false), false, false},
-		"another one there": {refused(errkind.BackendReplaced, false), false, false},
+		"answered":                 {backend.Reply{Answer: &call.Answer{Status: 200}}, false, true},
+		"not found":                {backend.Reply{Answer: &call.Answer{Status: 404}}, false, true},
+		"failed":                   {backend.Reply{Answer: &call.Answer{Status: 500}}, true, true},
+		"broke off":                {refused(errkind.BackendFailed, true), true, true},
+		"deadline exceeded":        {refused(errkind.DeadlineWhileRunning, true), false, false},
+		"cancelled":                {refused(errkind.CallerGone, true), false, false},
+		"full":                     {refused(errkind.BackendRefused, true), false, false},
+		"not reached":              {refused(errkind.BackendUnreachable, false), false, false},
+		"another instance answers": {refused(errkind.BackendReplaced, false), false, false},
 	} {
-		failed, counts := verdictOf(&c.reply)
+		failed, counts := classifyReply(&c.reply)
 		test.Eq(t, c.failed, failed, test.Sprint(name))
 		test.Eq(t, c.counts, counts, test.Sprint(name))
 	}
 }
 
-// TestTheWorstSlowdownOfARun is that of the words that came while it ran.
-func TestTheWorstSlowdownOfARun(t *testing.T) {
-	var s slowdowns
-	test.Eq(t, 0, s.worst(1))
+// TestHighestSlowdownDuringRun takes the reports since the start of the run.
+func TestHighestSlowdownDuringRun(t *testing.T) {
+	var s slowdownHistory
+	test.Eq(t, 0, s.maxSince(1))
 	for at, percent := range []int{500, 100, 300, 100} {
-		s.note(int64(at+1), percent)
+		s.record(int64(at+1), percent)
 	}
-	test.Eq(t, 500, s.worst(1))
-	test.Eq(t, 300, s.worst(2))
-	test.Eq(t, 0, s.worst(5))
-	for range slowdownsKept {
-		s.note(6, 200)
+	test.Eq(t, 500, s.maxSince(1))
+	test.Eq(t, 300, s.maxSince(2))
+	test.Eq(t, 0, s.maxSince(5))
+	for range slowdownHistorySize {
+		s.record(6, 200)
 	}
-	test.Eq(t, 200, s.worst(1))
+	test.Eq(t, 200, s.maxSince(1))
 }
--- a/pkg/runner/speed_check_test.go
+++ b/pkg/runner/speed_check_test.go
@@ -14,7 +14,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// withHealthPath makes the runner ask a health path that says load.
+// withHealthPath gives the runner a health checker. load returns the load header of each
+// check.
 func withHealthPath(r *Runner, load func() string) {
 	s := r.Settings.Routing
 	r.checker = backend.NewHealthChecker(backend.HealthCheckerOptions{MaxWait: s.LookWithin, MaxPerSecond: s.LooksPerSecond},
@@ -24,10 +25,10 @@
 		})
 }
 
-// TestARequestStartsOnFreshWord: what the backend server said of its speed is
-// old, so it is asked before the gate decides.
-func TestARequestStartsOnFreshWord(t *testing.T) {
-	r, _ := newTestRunner(t, newHeld(), 2)
+// TestSpeedIsCheckedBeforeAdmission: the last known speed of the backend server is old,
+// so that it is checked before the gate decides.
+func TestSpeedIsCheckedBeforeAdmission(t *testing.T) {
+	r, _ := newTestRunner(t, newHoldingServer(), 2)
 	withHealthPath(r, func() string { return "0,0,2,400" })
 	soft := routedCall("soft")
 	soft.Routed.Soft = true
@@ -38,9 +39,9 @@
 	test.Eq(t, 400, got.Stamp.Slowdown)
 }
 
-// TestACallerThatLeavesDuringALook: the request never reaches the gate.
-func TestACallerThatLeavesDuringALook(t *testing.T) {
-	h := newHeld()
+// TestRequestCancelledDuringSpeedCheck: the request does not reach the gate.
+func TestRequestCancelledDuringSpeedCheck(t *testing.T) {
+	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 2)
 	asked, answer := make(chan struct{}), make(chan struct{})
 	r.Settings.Routing.LookWithin = 1 << 40
@@ -57,12 +58,12 @@
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.CallerGone, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 }
 
-// slowSpells makes the gate hold starts: spells of 100 ms came again and again,
-// and one goes on.
-func slowSpells(r *Runner) {
+// reportSlowPeriods makes the gate hold starts: it reports recurring slow periods of
+// 100 ms, the last of which has not ended.
+func reportSlowPeriods(r *Runner) {
 	const second, step = int64(time.Second), int64(10 * time.Millisecond)
 	now := r.Now() - 40*second
 	for ; now < r.Now(); now += step {
@@ -79,60 +80,60 @@
 	r.gate.ObserveSlowdown(r.Now(), 5)
 }
 
-// heldCall is a call that a gate holds in a slow spell.
-func heldCall(id string) *wire.Call {
+// newHeldCall returns a call that the gate holds during a slow period.
+func newHeldCall(id string) *wire.Call {
 	c := routedCall(id)
 	c.Routed.Target = time.Second
 	return c
 }
 
-// holding makes a runner that holds one start for the end of a slow spell.
-func holding(t *testing.T) (*Runner, *backend.Lifecycle, *held, chan call.Result) {
-	h := newHeld()
+// newHoldingRunner returns a runner that holds one start until a slow period ends.
+func newHoldingRunner(t *testing.T) (*Runner, *backend.Lifecycle, *holdingServer, chan call.Result) {
+	h := newHoldingServer()
 	r, lifecycle := newTestRunner(t, h, 2)
-	slowSpells(r)
-	results, _ := execute(r, heldCall("a"))
+	reportSlowPeriods(r)
+	results, _ := execute(r, newHeldCall("a"))
 	must.True(t, r.gate.AwaitsReport(r.Now()))
 	return r, lifecycle, h, results
 }
 
-// TestAHeldStartOutlastsThePlannedStop: it was taken, so it runs when the spell
-// ends, though nothing new is taken any more.
-func TestAHeldStartOutlastsThePlannedStop(t *testing.T) {
-	r, _, h, results := holding(t)
+// TestHeldStartRunsAfterStopAccepting: an accepted request runs when the slow period
+// ends, although new ones are refused by then.
+func TestHeldStartRunsAfterStopAccepting(t *testing.T) {
+	r, _, h, results := newHoldingRunner(t)
 	r.StopAccepting()
-	late, _ := execute(r, heldCall("b"))
+	late, _ := execute(r, newHeldCall("b"))
 	got := <-late
 	test.Eq(t, errkind.Leaving, got.Refusal.Kind)
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	r.UpdateLoad("0,0,2,100")
 	got = <-results
 	must.NotNil(t, got.Answer)
-	test.Eq(t, 1, r.held.Get())
+	test.Eq(t, 1, r.heldStarts.Get())
 }
 
-// TestAHeldStartIsRefusedWhenItsBackendServerLeaves: at once, as not run, so that
-// it goes elsewhere while it has time.
-func TestAHeldStartIsRefusedWhenItsBackendServerLeaves(t *testing.T) {
-	r, lifecycle, h, results := holding(t)
+// TestHeldStartIsRefusedWhenBackendServerLeaves: it is refused at once as not run, so
+// that it can run elsewhere in time.
+func TestHeldStartIsRefusedWhenBackendServerLeaves(t *testing.T) {
+	r, lifecycle, h, results := newHoldingRunner(t)
 	lifecycle.RecordDeparture(2, backend.Incarnation{ID: "i-1"})
 	r.Tick()
 	got := <-results
 	must.NotNil(t, got.Refusal)
 	test.Eq(t, errkind.BackendAbsent, got.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, got.Refusal.Ran)
-	test.Eq(t, 0, len(h.came))
+	test.Eq(t, 0, len(h.arrived))
 	test.Eq(t, 0, r.gate.InFlight())
 }
 
-// TestAnAnswerTellsTheSlowdownAtItsStart: not the one that came with it, since a
-// run keeps the speed of its start; entries learn work times from it.
-func TestAnAnswerTellsTheSlowdownAtItsStart(t *testing.T) {
-	h := newHeld()
+// TestAnswerReportsSlowdownAtStart rather than that in the response's load header: a run
+// keeps the speed that it starts with, and entries learn work times from it.
+func TestAnswerReportsSlowdownAtStart(t *testing.T) {
+	h := newHoldingServer()
 	h.load = "1,0,2,100"
 	r, _ := newTestRunner(t, h, 2)
 	r.UpdateLoad("0,0,2,300")
-	h.goOn <- struct{}{}
+	h.proceed <- struct{}{}
 	results, _ := execute(r, routedCall("a"))
 	got := <-results
 	must.NotNil(t, got.Answer)
