--- a/pkg/systems/evacuations.go
+++ b/pkg/systems/evacuations.go
@@ -9,25 +9,25 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// evacuations keeps the newest set of evacuated data centres in force, from the
-// store and from peers, and passes each change on over all links. A new link
-// greets with the set, so that both its ends hold the newer one at any time.
+// evacuations puts the newest set of evacuated data centres, read from the store or
+// received from a peer, in force, and sends each change over all links. The hello of
+// each new link carries the set, so that both of its ends soon have the newer one.
 // Source: docs/design/evacuation.md.
 type evacuations struct{ *Env }
 
 // Tick implements System.
 func (ev *evacuations) Tick(_ int64, mail *tables.Mail) {
 	if mail.Evacuation != nil {
-		ev.take(*mail.Evacuation, "")
+		ev.apply(*mail.Evacuation, "")
 	}
-	for _, n := range mail.PeerStates {
-		ev.take(n.State.Evacuation, n.Peer.Hello.VM)
+	for _, received := range mail.PeerStates {
+		ev.apply(received.State.Evacuation, received.Peer.Hello.VM)
 	}
 }
 
-// take puts a newer set in force; from names the peer that told it, or is empty
-// for the store.
-func (ev *evacuations) take(set evacuation.Set, from string) {
+// apply puts a set in force if it is newer than the known one. from is the VM of the
+// peer that sent the set, or empty if it was read from the store.
+func (ev *evacuations) apply(set evacuation.Set, from string) {
 	known := ev.World.View.Evacuation()
 	if set.Revision <= known.Revision {
 		return
@@ -45,8 +45,8 @@
 	ev.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
 }
 
-// enforce has the executors of this daemon refuse new work while its own data
-// centre is evacuated, whatever entries believe.
+// enforce makes the executors of this daemon refuse new work while its own data centre
+// is evacuated, including requests from entries that do not know of the evacuation yet.
 func (ev *evacuations) enforce(evacuated bool) {
 	if ev.Executor != nil {
 		ev.Executor.SetEvacuated(evacuated)
@@ -56,8 +56,9 @@
 	}
 }
 
-// sendEvacuation tells a peer whose greeting shows another set than this daemon's.
-// The set may have changed between this daemon's greeting and now.
+// sendEvacuation sends the state of this daemon to a new peer whose hello contains
+// another set of evacuated data centres. The set of this daemon may have changed since
+// it sent its own hello.
 func (l *links) sendEvacuation(peer *link.Peer) {
 	if !peer.Hello.State.Evacuation.SameDataCentres(l.World.View.Evacuation()) {
 		_ = peer.Send(l.Control.State())
--- a/pkg/systems/evacuations_test.go
+++ b/pkg/systems/evacuations_test.go
@@ -17,18 +17,19 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-func evacuated(revision uint64, dataCentres ...string) evacuation.Set {
+// evacuatedSet returns a set of evacuated data centres.
+func evacuatedSet(revision uint64, dataCentres ...string) evacuation.Set {
 	return evacuation.Set{Revision: revision, DataCentres: dataCentres}
 }
 
-// told is a peer's word on the evacuated data centres.
-func told(set evacuation.Set) tables.PeerState {
+// peerStateWith returns a state frame of a peer with a set of evacuated data centres.
+func peerStateWith(set evacuation.Set) tables.PeerState {
 	return tables.PeerState{Peer: &link.Peer{Hello: wire.Hello{VM: "peer"}}, State: &wire.State{Evacuation: set}}
 }
 
-// TestTheNewestSetOfEvacuatedDataCentresHolds hands out what stood in the store at
-// each revision in any order, from the store and from peers, old ones again.
-func TestTheNewestSetOfEvacuatedDataCentresHolds(t *testing.T) {
+// TestNewestEvacuationWins delivers the sets of several revisions in random order and
+// repeatedly, from the store and from peers.
+func TestNewestEvacuationWins(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		history := []evacuation.Set{{}}
 		for revision := range uint64(8) {
@@ -45,27 +46,27 @@
 			if rapid.Bool().Draw(t, "from the store") {
 				mail.Evacuation = &set
 			} else {
-				mail.PeerStates = []tables.PeerState{told(set)}
+				mail.PeerStates = []tables.PeerState{peerStateWith(set)}
 			}
 			system.Tick(0, mail)
 			test.Eq(t, history[newest], env.World.View.Evacuation())
-			test.Eq(t, newest, env.Control.State().Evacuation.Revision, test.Sprint("peers are told the same"))
+			test.Eq(t, newest, env.Control.State().Evacuation.Revision, test.Sprint("the state for peers has the same set"))
 		}
 	})
 }
 
-// TestTheSetOutlivesAFeedThatLostItsHistory: a data centre that was taken back in
-// the gap is not evacuated any more.
-func TestTheSetOutlivesAFeedThatLostItsHistory(t *testing.T) {
+// TestEvacuationAfterTheFeedLostItsHistory: the evacuation of a data centre ended in the
+// part of the history that was lost.
+func TestEvacuationAfterTheFeedLostItsHistory(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		says := func(cursor uint64, changes ...evacuation.Change) func(uint64) (placement.FeedUpdate, error) {
+		update := func(cursor uint64, changes ...evacuation.Change) func(uint64) (placement.FeedUpdate, error) {
 			return func(uint64) (placement.FeedUpdate, error) {
 				return placement.FeedUpdate{Cursor: cursor, Evacuations: changes}, nil
 			}
 		}
 		a, b := evacuation.Change{DataCentre: "a", Evacuated: true}, evacuation.Change{DataCentre: "b", Evacuated: true}
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
-			says(4, a), says(6, b), fails(store.ErrHistoryGone), says(9, b), says(11, evacuation.Change{DataCentre: "b"}),
+			update(4, a), update(6, b), fails(store.ErrHistoryGone), update(9, b), update(11, evacuation.Change{DataCentre: "b"}),
 		}}
 		env, _ := startFollower(t, feed)
 		follower, system := newFeedFollower(env), &evacuations{Env: env}
@@ -80,12 +81,12 @@
 			time.Sleep(20 * time.Millisecond)
 			synctest.Wait()
 		}
-		must.Eq(t, []evacuation.Set{{}, evacuated(4, "a"), evacuated(6, "a", "b"), evacuated(9, "b"), {Revision: 11, DataCentres: []string{}}}, seen)
+		must.Eq(t, []evacuation.Set{{}, evacuatedSet(4, "a"), evacuatedSet(6, "a", "b"), evacuatedSet(9, "b"), {Revision: 11, DataCentres: []string{}}}, seen)
 	})
 }
 
-// TestSubsetsPassEvacuatedDataCentresOver, also where that leaves nobody.
-func TestSubsetsPassEvacuatedDataCentresOver(t *testing.T) {
+// TestSubsetsExcludeEvacuatedDataCentres, even if no endpoint remains.
+func TestSubsetsExcludeEvacuatedDataCentres(t *testing.T) {
 	env := testEnv()
 	rules := placement.Service{Name: "s", Kinds: []placement.Kind{{Name: "k", Path: "/*", DataCentres: []string{"here", "there"}}}}
 	kind := placement.Compile(&placement.Document{Services: []placement.Service{rules}}).Service("s").Kinds[0]
@@ -93,16 +94,16 @@
 		env.World.Members.Merge(0, nil, wire.Member{VM: dc, DataCentre: dc, Service: "s"})
 	}
 	names := func() (out []string) {
-		for _, route := range env.subset(kind) {
-			out = append(out, route.VM)
+		for _, endpoint := range env.subset(kind) {
+			out = append(out, endpoint.VM)
 		}
 		return out
 	}
 	must.Len(t, 2, names())
-	env.World.View.SetEvacuation(evacuated(3, "here"))
+	env.World.View.SetEvacuation(evacuatedSet(3, "here"))
 	test.Eq(t, []string{"there"}, names())
-	env.World.View.SetEvacuation(evacuated(4, "here", "there"))
+	env.World.View.SetEvacuation(evacuatedSet(4, "here", "there"))
 	test.Len(t, 0, names())
-	env.World.View.SetEvacuation(evacuated(5))
+	env.World.View.SetEvacuation(evacuatedSet(5))
 	test.Len(t, 2, names())
 }
--- a/pkg/systems/head_test.go
+++ b/pkg/systems/head_test.go
@@ -16,32 +16,33 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// headOf makes a reader of rushramp's own head over a platform.
-func headOf(t *testing.T, platform *fakestore.Store) *headReader {
+// newTestHeadReader returns a headReader that reads from a fake store.
+func newTestHeadReader(t *testing.T, platform *fakestore.Store) *headReader {
 	env := testEnv()
 	env.DaemonContext, env.Store = t.Context(), placement.NewStore(platform, platform)
 	env.Evacuation, env.Orders = evacuation.NewRegister(platform), rollout.NewOrderStore(platform)
 	return &headReader{Env: env, headOutage: events.NewOutage(env.Log, "head"), ordersOutage: events.NewOutage(env.Log, "orders")}
 }
 
-func TestOrdersAreReadBesideTheHead(t *testing.T) {
+func TestOrdersAreReadWithTheHead(t *testing.T) {
 	platform := fakestore.New()
-	h := headOf(t, platform)
+	h := newTestHeadReader(t, platform)
 	h.read(1, 0, nil)
 	mail := h.World.Inbox.Take()
 	test.Eq(t, &rollout.Orders{}, mail.RolloutOrders)
-	made, err := h.Orders.Apply(t.Context(), rollout.OrderRequest{ID: "1", Service: "s", Version: "v2", Duration: time.Minute})
+	orders, err := h.Orders.Apply(t.Context(), rollout.OrderRequest{ID: "1", Service: "s", Version: "v2", Duration: time.Minute})
 	must.NoError(t, err)
 	h.read(1, 0, nil)
 	mail = h.World.Inbox.Take()
-	test.Eq(t, &made, mail.RolloutOrders)
+	test.Eq(t, &orders, mail.RolloutOrders)
 }
 
-// TestOrdersThatCannotBeReadKeepNobodyFromThePlacement, nor from evacuations.
-func TestOrdersThatCannotBeReadKeepNobodyFromThePlacement(t *testing.T) {
+// TestInvalidOrdersDoNotStopOtherReads: the head of the placement and the evacuations
+// are read nevertheless.
+func TestInvalidOrdersDoNotStopOtherReads(t *testing.T) {
 	platform := fakestore.New()
 	must.NoError(t, platform.Transact(t.Context(), []store.Write{{Key: "rollout-orders/set", Value: []byte("no JSON")}}))
-	h := headOf(t, platform)
+	h := newTestHeadReader(t, platform)
 	h.read(1, 0, nil)
 	mail := h.World.Inbox.Take()
 	test.Nil(t, mail.RolloutOrders)
@@ -49,9 +50,9 @@
 	test.NotNil(t, mail.Evacuation)
 }
 
-// TestOlderOrdersTakeNoNewerOnesPlace: an operator's call and a read may end in any
+// TestOlderOrdersDoNotReplaceNewerOnes: an operator's call and a read may end in any
 // order within one tick.
-func TestOlderOrdersTakeNoNewerOnesPlace(t *testing.T) {
+func TestOlderOrdersDoNotReplaceNewerOnes(t *testing.T) {
 	var mail tables.Mail
 	for _, revision := range []uint64{3, 5, 4} {
 		mail.KeepNewestOrders(rollout.Orders{Revision: revision})
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -18,100 +18,108 @@
 )
 
 const (
-	// heldKeyPrefix begins the keys of contents that are held back in the store.
+	// heldKeyPrefix is the prefix of the store keys of held contents. A content is
+	// held if its requests are refused since they crash backend servers.
 	heldKeyPrefix = "held/"
-	// heldReadRest and heldReadRestMost are the first and the longest time between two
-	// tries to read them. The rest doubles, with a random part: 21,000 daemons that start
-	// at once share two thousand reads a second.
-	heldReadRest     = 500 * time.Millisecond
-	heldReadRestMost = 8 * time.Second
-	// heldReaders is how many daemons of a data centre read the rows as soon as links may
-	// be open, heldReadFirst after their start; all others hear it from them, and read only
-	// where they have heard nothing by heldReadAnyway. With each of 295 daemons reading
-	// after a loss of power, that would be a quarter of their calls to the store then.
-	heldReaders    = 2
-	heldReadFirst  = 300 * time.Millisecond
-	heldReadAnyway = 2 * time.Second
-	// heldKeepRest is the time between two tries to write a row.
-	heldKeepRest = time.Second
+	// heldReadDelay and heldReadDelayMax are the first and the longest delay between two
+	// attempts to read the rows. The delay doubles and has a random part, which spreads
+	// the reads of a large fleet whose daemons all start at once.
+	heldReadDelay    = 500 * time.Millisecond
+	heldReadDelayMax = 8 * time.Second
+	// heldReaders is how many daemons of a data centre read the rows heldReadAfter after
+	// their start, when the first links may be open. They send the rows to the others,
+	// which read the rows themselves only if they have not received them by
+	// heldReadByAllAfter. This bounds the load on the store when a whole data centre
+	// starts at once.
+	heldReaders        = 2
+	heldReadAfter      = 300 * time.Millisecond
+	heldReadByAllAfter = 2 * time.Second
+	// heldWriteInterval is the time between two attempts to write a row.
+	heldWriteInterval = time.Second
 )
 
-// heldRow is a row that this daemon keeps.
+// heldRow is the state of a row of the store that this daemon writes.
 type heldRow struct {
-	// saved is how many crashes stand in the store's row.
-	saved int
-	// since is when the last crash was seen here.
-	since int64
+	// savedCrashes is the number of crashes in the row in the store.
+	savedCrashes int
+	// lastCrashAt is when this VM's backend server last crashed on the content, in
+	// nanoseconds.
+	lastCrashAt int64
 }
 
-// savedCrash is a crash in a row. Times are of the wall clock, since rows outlive each
-// process: clocks of VMs differ by seconds, holds last for minutes.
-type savedCrash struct {
+// heldRowCrash is a crash in a row. Its time is wall-clock time, since rows outlive
+// processes. The clocks of VMs differ by seconds, which is little compared with the
+// minutes for which a content is held.
+type heldRowCrash struct {
 	ID   string `json:"id"`
 	AtMS int64  `json:"at_ms"`
 }
 
-type savedHeld struct {
-	Crashes []savedCrash `json:"crashes"`
+// heldRowValue is the value of a row.
+type heldRowValue struct {
+	Crashes []heldRowCrash `json:"crashes"`
 }
 
-// keep writes the rows of contents that are held back, for those that ran when this
-// daemon's backend server ended, and deletes those of contents that were found to run
-// to their end.
-func (q *quarantines) keep(now int64, own *quarantine.Update) {
+// syncOwnRows updates the rows of the contents that ran when this VM's backend server
+// crashed. It writes the rows of held contents, and deletes those of contents without
+// crashes that count. It starts at most one write.
+func (q *quarantines) syncOwnRows(now int64, own *quarantine.Update) {
 	for i := range own.Crashes {
 		for _, content := range own.Crashes[i].Requests {
-			if q.rows[content] == nil {
-				q.rows[content] = &heldRow{}
+			if q.ownRows[content] == nil {
+				q.ownRows[content] = &heldRow{}
 			}
-			q.rows[content].since = now
+			q.ownRows[content].lastCrashAt = now
 		}
 	}
-	if len(q.rows) == 0 || q.writing || now < q.writeDue.nextAt {
+	if len(q.ownRows) == 0 || q.writing || now < q.writeDue.nextAt {
 		return
 	}
-	for content, row := range q.rows {
+	for content, row := range q.ownRows {
 		crashes := q.Quarantine.CrashesAgainst(now, content)
 		_, held := q.Quarantine.Held(now, content)
 		switch {
-		case held && len(crashes) > row.saved:
-			q.write(now, content, crashes)
+		case held && len(crashes) > row.savedCrashes:
+			q.writeRow(now, content, crashes)
 			return
-		case len(crashes) == 0 && row.saved > 0:
-			q.write(now, content, nil)
+		case len(crashes) == 0 && row.savedCrashes > 0:
+			q.writeRow(now, content, nil)
 			return
-		case now-row.since > int64(quarantine.CrashRetention):
-			delete(q.rows, content)
+		case now-row.lastCrashAt > int64(quarantine.CrashRetention):
+			delete(q.ownRows, content)
 		}
 	}
 }
 
-// write writes one row, or deletes it where no crash counts any more.
-func (q *quarantines) write(now int64, content quarantine.Fingerprint, crashes []quarantine.Crash) {
+// writeRow starts to write a row, or to delete it if crashes is empty.
+func (q *quarantines) writeRow(now int64, content quarantine.Fingerprint, crashes []quarantine.Crash) {
 	q.writing = true
-	q.writeDue.fires(now, heldKeepRest)
+	q.writeDue.fires(now, heldWriteInterval)
 	go func() {
 		ctx, cancel := context.WithTimeout(q.DaemonContext, q.Settings.Platform.Timeout)
 		defer cancel()
-		err := q.change(ctx, content, crashes)
+		err := q.updateRow(ctx, content, crashes)
 		if err != nil {
 			q.Log.Event(events.HeldNotKept, events.F("content", content), events.F("cause", err))
 		}
 		q.World.Inbox.Post(true, func(m *tables.Mail) {
-			m.Queries = append(m.Queries, func(*tables.World) { q.wrote(content, len(crashes), err) })
+			m.Queries = append(m.Queries, func(*tables.World) { q.finishWrite(content, len(crashes), err) })
 		})
 	}()
 }
 
-func (q *quarantines) wrote(content quarantine.Fingerprint, crashes int, err error) {
+// finishWrite records the result of a write. After a success, the next write may begin
+// at once.
+func (q *quarantines) finishWrite(content quarantine.Fingerprint, crashes int, err error) {
 	q.writing = false
-	if row := q.rows[content]; row != nil && err == nil {
-		row.saved = crashes
+	if row := q.ownRows[content]; row != nil && err == nil {
+		row.savedCrashes = crashes
 		q.writeDue.nextAt = 0
 	}
 }
 
-func (q *quarantines) change(ctx context.Context, content quarantine.Fingerprint, crashes []quarantine.Crash) error {
+// updateRow writes a row to the store, or deletes it if crashes is empty.
+func (q *quarantines) updateRow(ctx context.Context, content quarantine.Fingerprint, crashes []quarantine.Crash) error {
 	key := heldKeyPrefix + content.String()
 	if len(crashes) == 0 {
 		row, err := q.Platform.Get(ctx, key)
@@ -123,12 +131,12 @@
 		}
 		return errors.Wrap(q.Platform.Transact(ctx, []store.Write{{Key: key, IfVersion: row.Version, Delete: true}}), "delete the row")
 	}
-	value, err := json.Marshal(toRow(time.Now(), crashes))
+	value, err := json.Marshal(newHeldRowValue(time.Now(), crashes))
 	if err != nil {
-		return errors.Wrap(err, "held request")
+		return errors.Wrap(err, "encode the row")
 	}
-	_, err = store.Change(ctx, q.Platform, key, func(was store.Row) ([]byte, error) {
-		if string(was.Value) == string(value) {
+	_, err = store.Change(ctx, q.Platform, key, func(old store.Row) ([]byte, error) {
+		if string(old.Value) == string(value) {
 			return nil, nil
 		}
 		return value, nil
@@ -136,67 +144,73 @@
 	return errors.Wrap(err, "write the row")
 }
 
-func toRow(wall time.Time, crashes []quarantine.Crash) (out savedHeld) {
+// newHeldRowValue returns the value of a row with crashes. wallNow is the wall-clock
+// time to which the ages of the crashes are relative.
+func newHeldRowValue(wallNow time.Time, crashes []quarantine.Crash) (out heldRowValue) {
 	for _, c := range crashes {
-		out.Crashes = append(out.Crashes, savedCrash{ID: strconv.FormatUint(c.ID, 16), AtMS: wall.UnixMilli() - int64(c.AgeMS)})
+		out.Crashes = append(out.Crashes, heldRowCrash{ID: strconv.FormatUint(c.ID, 16), AtMS: wallNow.UnixMilli() - int64(c.AgeMS)})
 	}
 	return out
 }
 
-// fromRow reads a row; one that cannot be read holds nothing back.
-func fromRow(wall time.Time, row store.Row) (out []quarantine.Crash, err error) {
+// parseHeldRow returns the crashes in a row, with their ages at the wall-clock time
+// wallNow. If any part of the row is invalid, it returns an error and no crashes.
+func parseHeldRow(wallNow time.Time, row store.Row) (out []quarantine.Crash, err error) {
 	content, err := strconv.ParseUint(strings.TrimPrefix(row.Key, heldKeyPrefix), 16, 64)
 	if err != nil {
-		return nil, errors.Wrap(err, "key")
+		return nil, errors.Wrap(err, "invalid key")
 	}
-	var saved savedHeld
-	if err := json.Unmarshal(row.Value, &saved); err != nil {
-		return nil, errors.Wrap(err, "value")
+	var value heldRowValue
+	if err := json.Unmarshal(row.Value, &value); err != nil {
+		return nil, errors.Wrap(err, "invalid value")
 	}
-	for _, c := range saved.Crashes {
+	for _, c := range value.Crashes {
 		id, err := strconv.ParseUint(c.ID, 16, 64)
 		if err != nil {
-			return nil, errors.Wrap(err, "id of a crash")
+			return nil, errors.Wrap(err, "invalid crash id")
 		}
 		if c.AtMS <= 0 {
-			return nil, errors.Errorf("a crash at %d", c.AtMS)
+			return nil, errors.Errorf("invalid crash time at_ms=%d", c.AtMS)
 		}
 		out = append(out, quarantine.Crash{
-			ID: id, Requests: []quarantine.Fingerprint{quarantine.Fingerprint(content)}, AgeMS: uint64(max(wall.UnixMilli()-c.AtMS, 0)),
+			ID: id, Requests: []quarantine.Fingerprint{quarantine.Fingerprint(content)}, AgeMS: uint64(max(wallNow.UnixMilli()-c.AtMS, 0)),
 		})
 	}
 	return out, nil
 }
 
-// inform reads the rows while neither the store nor a peer has told them.
-func (q *quarantines) inform(now int64) {
-	if now < int64(heldReadFirst) || q.shouldWaitForPeers(now) || now < int64(heldReadAnyway) && q.rankInDataCentre() >= heldReaders {
+// startRead starts to read the rows if it is this daemon's turn. It is called until
+// this daemon has received the crashes from a peer or the store.
+func (q *quarantines) startRead(now int64) {
+	if now < int64(heldReadAfter) || q.shouldWaitForPeers(now) || now < int64(heldReadByAllAfter) && q.rankInDataCentre() >= heldReaders {
 		return
 	}
-	if !q.readDue.fires(now, q.readRest/2+rand.N(q.readRest)) || !q.reading.CompareAndSwap(false, true) {
+	if !q.readDue.fires(now, q.readDelay/2+rand.N(q.readDelay)) || !q.reading.CompareAndSwap(false, true) {
 		return
 	}
-	q.readRest = min(2*q.readRest, heldReadRestMost)
-	go q.read()
+	q.readDelay = min(2*q.readDelay, heldReadDelayMax)
+	go q.readRows()
 }
 
-func (q *quarantines) read() {
+// readRows reads the rows of all held contents and posts their crashes to the inbox.
+// Invalid rows are logged and skipped.
+func (q *quarantines) readRows() {
 	defer q.reading.Store(false)
 	ctx, cancel := context.WithTimeout(q.DaemonContext, q.Settings.Platform.Timeout)
 	defer cancel()
-	said := &wire.Quarantine{Informed: true}
+	frame := &wire.Quarantine{Informed: true}
 	err := scanAll(ctx, q.Platform, heldKeyPrefix, func(row store.Row) {
-		crashes, err := fromRow(time.Now(), row)
+		crashes, err := parseHeldRow(time.Now(), row)
 		if err != nil {
 			q.Log.Event(events.HeldNotKept, events.F("row", row.Key), events.F("cause", err))
 			return
 		}
-		said.Crashes = append(said.Crashes, crashes...)
+		frame.Crashes = append(frame.Crashes, crashes...)
 	})
 	if err != nil {
 		return
 	}
 	q.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.PeerQuarantines = append(m.PeerQuarantines, tables.PeerQuarantine{Frame: said})
+		m.PeerQuarantines = append(m.PeerQuarantines, tables.PeerQuarantine{Frame: frame})
 	})
 }
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -12,156 +12,168 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// pullAgain is how long a pull may stay unanswered before the peer, or another
-// one, is asked again.
-const pullAgain = 500 * time.Millisecond
+// pullRetryAfter is how long a pull may stay unanswered before the placement is
+// requested again, from the same peer or another one.
+const pullRetryAfter = 500 * time.Millisecond
 
-// placements keeps the newest version that this daemon has seen in force, and
-// passes it on. A version is never lowered.
+// placements puts the newest placement that this daemon has received in force, tells
+// its peers, and sends it to those that request it. The version in force never
+// decreases.
 type placements struct {
 	*Env
 	pullDue intervalTimer
-	// offers are versions that peers gave while this daemon had none, by the
-	// peer's data centre.
+	// offers are the newest placements that peers sent while this daemon had none, by
+	// the peer's data centre.
 	offers map[string]tables.ReceivedPlacement
-	// packed is the document of packedVersion as peers get it.
-	packed        []byte
-	packedVersion uint64
-	// fromPeer is true while the version in force came from a peer.
+	// packedDocument is the encoded document of version packedVersion, as sent to peers.
+	packedDocument []byte
+	packedVersion  uint64
+	// fromPeer is true if the placement in force came from a peer.
 	fromPeer bool
 }
 
 // Tick implements System.
 func (pl *placements) Tick(now int64, mail *tables.Mail) {
-	for _, v := range mail.Placements {
-		pl.take(v)
+	for _, received := range mail.Placements {
+		pl.acceptIfNewer(received)
 	}
 	for _, u := range mail.Updates {
-		pl.takeUpdate(u)
+		pl.receiveUpdate(u)
 	}
 	for _, p := range mail.Pulls {
-		pl.answer(p)
+		pl.answerPull(p)
 	}
 	if len(mail.PeerStates) > 0 {
-		pl.pull(now)
+		pl.pullNewest(now)
 	}
 }
 
-func (pl *placements) takeUpdate(u tables.PeerUpdate) {
-	v, err := readUpdate(u.Peer, u.Update, pl.World.Placement)
+// receiveUpdate decodes a placement that a peer sent, and accepts it if it is newer.
+func (pl *placements) receiveUpdate(u tables.PeerUpdate) {
+	received, err := decodeUpdate(u.Peer, u.Update, pl.World.Placement)
 	if err != nil {
 		pl.Log.Event(events.PlacementRejected, events.F("version", u.Update.Version), events.F("peer", u.Peer.Hello.VM), events.F("cause", err))
 		return
 	}
 	pl.pullDue.nextAt = 0
-	pl.take(v)
+	pl.acceptIfNewer(received)
 }
 
-func (pl *placements) take(v tables.ReceivedPlacement) {
-	if pl.World.Placement != nil && v.Document.Version <= pl.World.PlacementVersion() && !pl.corrects(v) {
+// acceptIfNewer puts a placement in force if it is newer than the one in force, or
+// corrects it. A daemon without a placement may collect several offers of peers first
+// (chooseOffer).
+func (pl *placements) acceptIfNewer(received tables.ReceivedPlacement) {
+	if pl.World.Placement != nil && received.Document.Version <= pl.World.PlacementVersion() && !pl.isCorrection(received) {
 		return
 	}
-	if pl.World.Placement == nil && !v.FromStore {
-		v = pl.weigh(v)
-		if v.Document == nil {
+	if pl.World.Placement == nil && !received.FromStore {
+		received = pl.chooseOffer(received)
+		if received.Document == nil {
 			return
 		}
 	}
-	pl.force(v)
+	pl.putInForce(received)
 }
 
-// corrects is true for the store's own reading of the version in force where a peer
-// read that otherwise: one of another release leaves out rules that it does not know.
-func (pl *placements) corrects(v tables.ReceivedPlacement) bool {
-	return pl.fromPeer && v.FromStore && v.Document.Version == pl.World.PlacementVersion() && v.Hash != pl.World.PlacementHash
+// isCorrection reports whether a placement from the store has the version in force but
+// another content, and the one in force came from a peer. A peer of an older release
+// drops the rules that it does not know.
+func (pl *placements) isCorrection(received tables.ReceivedPlacement) bool {
+	return pl.fromPeer && received.FromStore && received.Document.Version == pl.World.PlacementVersion() && received.Hash != pl.World.PlacementHash
 }
 
-// weigh decides on a peer's version while this daemon has none and the store
-// has not answered: the highest of peers in more than one data centre, so that
-// a data centre that is cut off by itself does not start new daemons on an old
-// version. Where the members know of one data centre only, one is enough.
-func (pl *placements) weigh(v tables.ReceivedPlacement) tables.ReceivedPlacement {
+// chooseOffer adds a peer's placement to the offers, and returns the newest offer once
+// peers in two data centres have made one; until then it returns the zero value. It is
+// used while this daemon has no placement and the store has not answered. A single data
+// centre may be cut off from the others, and would let new daemons start with an old
+// placement. One offer is enough if all known members are in one data centre.
+func (pl *placements) chooseOffer(received tables.ReceivedPlacement) tables.ReceivedPlacement {
 	if pl.offers == nil {
 		pl.offers = map[string]tables.ReceivedPlacement{}
 	}
-	dc := v.Peer.Hello.DataCentre
-	if old, ok := pl.offers[dc]; !ok || old.Document.Version < v.Document.Version {
-		pl.offers[dc] = v
+	dc := received.Peer.Hello.DataCentre
+	if old, ok := pl.offers[dc]; !ok || old.Document.Version < received.Document.Version {
+		pl.offers[dc] = received
 	}
-	// At the first start of the whole system there is no old version.
-	if !pl.Settings.Platform.FirstStart && len(pl.offers) < min(2, pl.dataCentres()) {
+	// At the first start of the whole system there is no old placement.
+	if !pl.Settings.Platform.FirstStart && len(pl.offers) < min(2, pl.countDataCentres()) {
 		return tables.ReceivedPlacement{}
 	}
-	best := tables.ReceivedPlacement{}
-	for _, o := range pl.offers {
-		if best.Document == nil || o.Document.Version > best.Document.Version {
-			best = o
+	newest := tables.ReceivedPlacement{}
+	for _, offer := range pl.offers {
+		if newest.Document == nil || offer.Document.Version > newest.Document.Version {
+			newest = offer
 		}
 	}
-	return best
+	return newest
 }
 
-func (pl *placements) dataCentres() int {
+// countDataCentres returns the number of data centres that have members.
+func (pl *placements) countDataCentres() int {
 	seen := map[string]struct{}{}
 	pl.World.Members.EachRow(func(row int) { seen[pl.World.Members.Record[row].DataCentre] = struct{}{} })
 	return len(seen)
 }
 
-// force takes a version over: from here on the hot path uses it.
-func (pl *placements) force(v tables.ReceivedPlacement) {
+// putInForce puts a placement in force: it publishes the compiled placement for the
+// handling of requests, and sends the new version to all peers.
+func (pl *placements) putInForce(received tables.ReceivedPlacement) {
 	old := pl.World.Placement
-	compiled := placement.Compile(v.Document)
+	compiled := placement.Compile(received.Document)
 	for _, service := range compiled.RoutedServices() {
-		// Callers of routed requests ask for all of them sooner or later.
+		// Routed requests sooner or later ask for each service that a route names.
 		pl.World.RequestedServices[service] = struct{}{}
 	}
-	pl.touchChanged(old, v.Document)
-	pl.World.Placement, pl.World.PlacementHash = v.Document, v.Hash
-	pl.fromPeer, pl.packed = !v.FromStore, nil
-	pl.keepLog(old, v)
+	pl.markChangedServices(old, received.Document)
+	pl.World.Placement, pl.World.PlacementHash = received.Document, received.Hash
+	pl.fromPeer, pl.packedDocument = !received.FromStore, nil
+	pl.updateLog(old, received)
 	pl.offers = nil
 	pl.World.View.SetPlacement(compiled)
-	pl.Log.Event(events.PlacementInForce, events.F("version", compiled.Version), events.F("services", compiled.Services()), events.F("routes", compiled.Routes.Len()), events.F("from_store", v.FromStore))
+	pl.Log.Event(events.PlacementInForce, events.F("version", compiled.Version), events.F("services", compiled.Services()), events.F("routes", compiled.Routes.Len()), events.F("from_store", received.FromStore))
 	state := pl.Control.State()
 	pl.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
 }
 
-// touchChanged marks the services whose kinds differ between two versions.
-func (pl *placements) touchChanged(old, now *placement.Document) {
+// markChangedServices marks the views of all requested services, and of those whose
+// rules differ between two documents, as out of date. old may be nil.
+func (pl *placements) markChangedServices(old, current *placement.Document) {
 	if old == nil {
 		old = &placement.Document{}
 	}
-	// Compiled kinds belong to one version, so each wanted service gets a new
-	// view; the cost grows with what this entry uses, not with the placement.
+	// A view refers to the compiled kinds of one version, so the view of each requested
+	// service is out of date, even if the rules of the service are the same.
 	for service := range pl.World.RequestedServices {
 		pl.World.MarkDirty(service)
 	}
-	for _, c := range placement.Diff(old, now) {
+	for _, c := range placement.Diff(old, current) {
 		pl.World.MarkDirty(c.Service)
 	}
 }
 
-// keepLog keeps the newest changes, unless there is a gap before them.
-func (pl *placements) keepLog(old *placement.Document, v tables.ReceivedPlacement) {
-	follows := old != nil && len(v.Entries) > 0 && v.Entries[0].Version == old.Version+1
+// updateLog appends the changes that led to a placement to World.PlacementLog. If they
+// are not known or do not follow the version of old, it clears the log.
+func (pl *placements) updateLog(old *placement.Document, received tables.ReceivedPlacement) {
+	follows := old != nil && len(received.Entries) > 0 && received.Entries[0].Version == old.Version+1
 	if !follows {
 		pl.World.PlacementLog = nil
 		return
 	}
-	pl.World.PlacementLog = append(pl.World.PlacementLog, v.Entries...)
+	pl.World.PlacementLog = append(pl.World.PlacementLog, received.Entries...)
 	if extra := len(pl.World.PlacementLog) - tables.MaxPlacementLog; extra > 0 {
 		pl.World.PlacementLog = append([]placement.LogEntry(nil), pl.World.PlacementLog[extra:]...)
 	}
 }
 
-// pull asks a peer that is ahead. One at a time: the answer comes to all that
-// wait, and 300 peers with the same news are not asked 300 times.
-func (pl *placements) pull(now int64) {
+// pullNewest requests the newest placement that any peer has, from the nearest peer that
+// has it, if this daemon's is older. Only one pull is under way at a time, so that this
+// daemon does not request the same placement from hundreds of peers.
+func (pl *placements) pullNewest(now int64) {
 	have := pl.World.PlacementVersion()
 	var best *link.Peer
 	var bestRow *tables.PeerRow
 	pl.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
-		ahead := row.PlacementVersion > have || (pl.World.Placement == nil && row.PlacementVersion > 0 && !pl.offered(peer))
+		ahead := row.PlacementVersion > have || (pl.World.Placement == nil && row.PlacementVersion > 0 && !pl.hasOffer(peer))
 		if ahead && (best == nil || row.PlacementVersion > bestRow.PlacementVersion || row.PlacementVersion == bestRow.PlacementVersion && pl.isNearer(peer, best)) {
 			best, bestRow = peer, row
 		}
@@ -169,31 +181,33 @@
 	if best == nil || (now < pl.pullDue.nextAt && bestRow.PlacementPulledAt != 0) {
 		return
 	}
-	pl.pullDue.nextAt = now + int64(pullAgain)
+	pl.pullDue.nextAt = now + int64(pullRetryAfter)
 	bestRow.PlacementPulledAt = now
 	_ = best.Send(&wire.Pull{Have: have})
 }
 
-// isNearer is true when the first of two peers is the nearer one: bytes between data
-// centres have a price, and those between regions a higher one.
+// isNearer reports whether a is nearer to this daemon than b. Traffic between data
+// centres costs money, and traffic between regions costs more.
 func (pl *placements) isNearer(a, b *link.Peer) bool { return pl.proximityOf(a) < pl.proximityOf(b) }
 
-func (pl *placements) offered(peer *link.Peer) bool {
+// hasOffer reports whether a peer in this peer's data centre has made an offer.
+func (pl *placements) hasOffer(peer *link.Peer) bool {
 	_, ok := pl.offers[peer.Hello.DataCentre]
 	return ok
 }
 
-// answer sends a peer the changes since its version, or the whole document.
-func (pl *placements) answer(p tables.PeerPull) {
+// answerPull sends a peer the changes since its version, or the whole document if they
+// are not known.
+func (pl *placements) answerPull(pull tables.PeerPull) {
 	doc := pl.World.Placement
-	if doc == nil || doc.Version <= p.Have {
+	if doc == nil || doc.Version <= pull.Have {
 		return
 	}
 	update := &wire.Update{Version: doc.Version, Hash: pl.World.PlacementHash}
-	if entries, ok := pl.since(p.Have); ok {
-		update.From = p.Have
+	if entries, ok := pl.entriesSince(pull.Have); ok {
+		update.From = pull.Have
 		update.Entries = entries
-		_ = p.Peer.Send(update)
+		_ = pull.Peer.Send(update)
 		return
 	}
 	packed, err := pl.pack(doc)
@@ -201,23 +215,26 @@
 		return
 	}
 	update.Document = packed
-	_ = p.Peer.Send(update)
+	_ = pull.Peer.Send(update)
 }
 
-// pack packs the version in force once, however many peers ask for it.
+// pack encodes the placement in force. It keeps the result for the next peer that
+// requests it.
 func (pl *placements) pack(doc *placement.Document) ([]byte, error) {
-	if pl.packedVersion == doc.Version && pl.packed != nil {
-		return pl.packed, nil
+	if pl.packedVersion == doc.Version && pl.packedDocument != nil {
+		return pl.packedDocument, nil
 	}
 	packed, err := doc.Pack()
 	if err != nil {
 		return nil, err
 	}
-	pl.packed, pl.packedVersion = packed, doc.Version
+	pl.packedDocument, pl.packedVersion = packed, doc.Version
 	return packed, nil
 }
 
-func (pl *placements) since(have uint64) ([][]byte, bool) {
+// entriesSince returns the encoded changes since a version, or false if the log does not
+// hold all of them.
+func (pl *placements) entriesSince(have uint64) ([][]byte, bool) {
 	log := pl.World.PlacementLog
 	if have == 0 || len(log) == 0 || log[0].Version > have+1 {
 		return nil, false
@@ -236,9 +253,10 @@
 	return out, true
 }
 
-// readUpdate turns a peer's update into a version. base is the version in
-// force here, or nil.
-func readUpdate(peer *link.Peer, update *wire.Update, base *placement.Document) (tables.ReceivedPlacement, error) {
+// decodeUpdate decodes a placement that a peer sent: a whole document, or changes to
+// base, the placement in force. It returns an error if the result does not match its
+// hash.
+func decodeUpdate(peer *link.Peer, update *wire.Update, base *placement.Document) (tables.ReceivedPlacement, error) {
 	out := tables.ReceivedPlacement{Hash: update.Hash, Peer: peer}
 	if update.From == 0 {
 		doc, err := placement.Unpack(update.Document, update.Hash)
--- a/pkg/systems/placements_test.go
+++ b/pkg/systems/placements_test.go
@@ -16,6 +16,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
+// testEnv returns the environment of the daemon "vm" in the data centre "here".
 func testEnv() *Env {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
@@ -24,15 +25,16 @@
 	return &Env{Common: c, World: w, Control: NewControl(c, w, 1)}
 }
 
-func version(n uint64) *placement.Document {
+// documentOf returns version n of a placement document with one service.
+func documentOf(n uint64) *placement.Document {
 	return &placement.Document{Version: n, Services: []placement.Service{{
 		Name: "s", Kinds: []placement.Kind{{Name: "k", Path: "/*", DataCentres: []string{"here"}}},
 	}}}
 }
 
-// updateFrom is what a peer in a data centre sends.
+// updateFrom returns version n of the placement, as a peer in a data centre sends it.
 func updateFrom(t must.T, dataCentre string, n uint64) tables.PeerUpdate {
-	doc := version(n)
+	doc := documentOf(n)
 	data, err := doc.Pack()
 	must.NoError(t, err)
 	hash, err := doc.Hash()
@@ -43,9 +45,9 @@
 	}
 }
 
-// TestAVersionIsNeverLowered gives versions from the store and from peers, in
-// any order, old ones again and again.
-func TestAVersionIsNeverLowered(t *testing.T) {
+// TestVersionNeverDecreases delivers versions in random order and repeatedly, from the
+// store and from peers.
+func TestVersionNeverDecreases(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		env := testEnv()
 		system := &placements{Env: env}
@@ -54,7 +56,7 @@
 			n := rapid.Uint64Range(1, 9).Draw(t, "version")
 			mail := &tables.Mail{}
 			if rapid.Bool().Draw(t, "from the store") {
-				mail.Placements = []tables.ReceivedPlacement{{Document: version(n), FromStore: true}}
+				mail.Placements = []tables.ReceivedPlacement{{Document: documentOf(n), FromStore: true}}
 			} else {
 				mail.Updates = []tables.PeerUpdate{updateFrom(t, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer's data centre"), n)}
 			}
@@ -68,17 +70,17 @@
 	})
 }
 
-func TestAVersionThatDoesNotMatchItsHashIsRefused(t *testing.T) {
+func TestUpdateThatDoesNotMatchItsHashIsRefused(t *testing.T) {
 	env := testEnv()
 	system := &placements{Env: env}
-	system.Tick(1, &tables.Mail{Placements: []tables.ReceivedPlacement{{Document: version(1), FromStore: true}}})
+	system.Tick(1, &tables.Mail{Placements: []tables.ReceivedPlacement{{Document: documentOf(1), FromStore: true}}})
 	bad := updateFrom(t, "a", 2)
 	bad.Update.Hash = "0000"
 	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{bad}})
 	test.Eq(t, 1, env.World.PlacementVersion())
 }
 
-func TestANewDaemonTrustsPeersInTwoDataCentres(t *testing.T) {
+func TestNewDaemonNeedsOffersFromTwoDataCentres(t *testing.T) {
 	env := testEnv()
 	for _, dc := range []string{"here", "a", "b"} {
 		env.World.Members.Merge(1, nil, wire.Member{VM: "vm-" + dc, Started: 1, DataCentre: dc})
@@ -94,7 +96,7 @@
 
 func TestSubsetIsStableAndEven(t *testing.T) {
 	const workers, entries, size = 30, 1000, 16
-	kind := placement.Compile(version(1)).Service("s").Match("GET", "/")
+	kind := placement.Compile(documentOf(1)).Service("s").Match("GET", "/")
 	counts := map[string]int{}
 	for e := range entries {
 		w := tables.NewWorld("entry-"+string(rune(e)), "here")
@@ -103,14 +105,14 @@
 		}
 		before := Subset(w, settings.Choosing{Subset: size, Near: size}, kind)
 		must.Len(t, size, before)
-		for _, route := range before {
-			counts[route.VM]++
+		for _, endpoint := range before {
+			counts[endpoint.VM]++
 		}
-		// One that is not in the subset leaves: nobody else moves.
-		for _, route := range w.Members.Endpoint {
-			if !contains(before, route) {
-				said := wire.Member{VM: route.VM, Started: 1, State: wire.MemberGone, DataCentre: "here", Service: "s"}
-				w.Members.Merge(2, nil, said)
+		// If a member outside of the subset is removed, the subset does not change.
+		for _, endpoint := range w.Members.Endpoint {
+			if !contains(before, endpoint) {
+				gone := wire.Member{VM: endpoint.VM, Started: 1, State: wire.MemberGone, DataCentre: "here", Service: "s"}
+				w.Members.Merge(2, nil, gone)
 				break
 			}
 		}
@@ -125,19 +127,21 @@
 	test.Less(t, 1.15, overMean)
 }
 
-func contains(routes []*tables.Endpoint, wanted *tables.Endpoint) bool {
-	for _, r := range routes {
-		if r == wanted {
+// contains reports whether a list has an endpoint.
+func contains(endpoints []*tables.Endpoint, wanted *tables.Endpoint) bool {
+	for _, e := range endpoints {
+		if e == wanted {
 			return true
 		}
 	}
 	return false
 }
 
-func names(routes []*tables.Endpoint) []string {
+// names returns the VMs of endpoints.
+func names(endpoints []*tables.Endpoint) []string {
 	var out []string
-	for _, r := range routes {
-		out = append(out, r.VM)
+	for _, e := range endpoints {
+		out = append(out, e.VM)
 	}
 	return out
 }
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -15,217 +15,237 @@
 )
 
 const (
-	// planRest and planRestMost bound the rest after a call that failed.
-	planRest     = 100 * time.Millisecond
-	planRestMost = time.Second
-	// unreadableMost bounds the rest after a row that cannot be read: it is of a later
-	// release, or damaged, and stays so until an operator writes it.
-	unreadableMost = 30 * time.Second
-	// unplannedFor is how long the order of a service that nobody runs must have had no
-	// plan here for this daemon to read the plan's row itself, and up to as long again,
-	// so that one of those that do tells the others. Each further read waits
-	// unplannedGrowth times as long, up to unplannedMost: with three daemons reading,
-	// six reads a minute at most in the long run, whatever the fleet's size.
-	unplannedFor    = 1500 * time.Millisecond
-	unplannedGrowth = 4
-	unplannedMost   = 30 * time.Second
-	// clockKeeps is how long the best reading of the store's clock is kept.
-	clockKeeps = time.Minute
+	// planRetryDelay and planRetryDelayMax are the first and the longest delay after a
+	// failed call to the store.
+	planRetryDelay    = 100 * time.Millisecond
+	planRetryDelayMax = time.Second
+	// unreadableRetryDelayMax is the longest delay after the read of a row that cannot be
+	// decoded: a later release wrote it or it is damaged, and only an operator can change
+	// that.
+	unreadableRetryDelayMax = 30 * time.Second
+	// missingPlanReadDelay is the shortest delay before this daemon reads the plan for an
+	// order whose service runs nowhere; a random part makes it up to twice as long, so
+	// that one of the daemons that read tends to be first and tells the others. Each
+	// further delay is missingPlanDelayFactor times as long, up to
+	// missingPlanReadDelayMax.
+	missingPlanReadDelay    = 1500 * time.Millisecond
+	missingPlanDelayFactor  = 4
+	missingPlanReadDelayMax = 30 * time.Second
+	// clockOffsetMaxAge is how long a measured offset of the store's clock is used,
+	// before the next one replaces it even if it is less accurate.
+	clockOffsetMaxAge = time.Minute
 )
 
-// planRows makes the calls to the store about plans, one at a time, in the background.
-// After each write, whatever came of it, the row is read before anything else is
-// written: an answer may be lost, and a write may be done later.
+// planRows reads and writes the rows of roll-out plans in the store, one call at a time,
+// in the background. After each write, successful or not, the row must be read before
+// the next write: the answer may have been lost, and the store may still execute a write
+// that has timed out.
 type planRows struct {
 	*Env
-	busy bool
-	// fresh is true where the row was read since the last write.
-	fresh bool
-	// conflicted is true from a write that met another version of the row until one
-	// goes well, and revision is the row's version when it was read last.
-	conflicted bool
-	revision   uint64
-	rest       time.Duration
-	restUntil  int64
+	// calling is true while a call to the store is running.
+	calling bool
+	// isFresh is true if the row of this VM's service was read after the last write.
+	isFresh bool
+	// conflicted is true from a write that failed since the row had another version than
+	// expected until a write succeeds. storedRevision is the version of the row at the
+	// last read.
+	conflicted     bool
+	storedRevision uint64
+	// retryDelay is the delay after the next failed call; no call begins before retryAt.
+	retryDelay time.Duration
+	retryAt    int64
 	clock      storeClock
-	// unplanned is when the rows of orders without a plan are read, by service.
-	unplanned map[string]unplanned
+	// missingPlanReads are the reads that are due for orders without a known plan, by
+	// service.
+	missingPlanReads map[string]missingPlanRead
 }
 
-// unplanned is when a row is due to be read, after a rest.
-type unplanned struct {
-	due  int64
-	rest time.Duration
+// missingPlanRead is when a row is due to be read, in nanoseconds, and the delay that
+// led to that time, without its random part.
+type missingPlanRead struct {
+	readAt int64
+	delay  time.Duration
 }
 
-// next is the same after one more rest.
-func (u unplanned) next(now int64) unplanned {
-	rest := unplannedFor
-	if u.rest > 0 {
-		rest = min(u.rest*unplannedGrowth, unplannedMost)
+// postponed returns the read after this one, with a longer delay.
+func (r missingPlanRead) postponed(now int64) missingPlanRead {
+	delay := missingPlanReadDelay
+	if r.delay > 0 {
+		delay = min(r.delay*missingPlanDelayFactor, missingPlanReadDelayMax)
 	}
-	return unplanned{due: now + int64(rest+rand.N(rest)), rest: rest}
+	return missingPlanRead{readAt: now + int64(delay+rand.N(delay)), delay: delay}
 }
 
 func newPlanRows(env *Env) *planRows {
-	return &planRows{Env: env, rest: planRest, unplanned: map[string]unplanned{}}
+	return &planRows{Env: env, retryDelay: planRetryDelay, missingPlanReads: map[string]missingPlanRead{}}
 }
 
-// take takes over how calls ended.
-func (p *planRows) take(now int64, ended []tables.RolloutPlanResult) {
-	for _, row := range ended {
-		p.busy = false
-		p.fresh = !row.IsWrite && row.Err == nil && row.Service == p.Settings.BackendServer.Service
-		if row.Err == nil {
-			p.took(&row)
+// applyResults applies the results of calls that have ended.
+func (p *planRows) applyResults(now int64, results []tables.RolloutPlanResult) {
+	for _, result := range results {
+		p.calling = false
+		p.isFresh = !result.IsWrite && result.Err == nil && result.Service == p.Settings.BackendServer.Service
+		if result.Err == nil {
+			p.applySuccess(&result)
 			continue
 		}
-		p.Log.Event(events.RolloutRowFailed, events.F("service", row.Service), events.F("write", row.IsWrite),
-			events.F("conflict", errors.Is(row.Err, store.ErrConflict)), events.F("cause", row.Err))
-		p.conflicted = p.conflicted || row.IsWrite && errors.Is(row.Err, store.ErrConflict)
-		p.restUntil = now + int64(p.rest)
-		p.rest = min(2*p.rest, p.restMost(row.Err))
+		p.Log.Event(events.RolloutRowFailed, events.F("service", result.Service), events.F("write", result.IsWrite),
+			events.F("conflict", errors.Is(result.Err, store.ErrConflict)), events.F("cause", result.Err))
+		p.conflicted = p.conflicted || result.IsWrite && errors.Is(result.Err, store.ErrConflict)
+		p.retryAt = now + int64(p.retryDelay)
+		p.retryDelay = min(2*p.retryDelay, p.maxRetryDelay(result.Err))
 	}
 }
 
-// took takes over a call that went well. Rests grow on while writes conflict, though
-// the reads between them go well.
-func (p *planRows) took(row *tables.RolloutPlanResult) {
-	p.conflicted = p.conflicted && !row.IsWrite
+// applySuccess applies the result of a successful call. It does not reset the retry
+// delay while writes conflict, even if the reads between them succeed.
+func (p *planRows) applySuccess(result *tables.RolloutPlanResult) {
+	p.conflicted = p.conflicted && !result.IsWrite
 	if !p.conflicted {
-		p.rest = planRest
+		p.retryDelay = planRetryDelay
 	}
-	if row.IsWrite {
+	if result.IsWrite {
 		return
 	}
-	p.clock.take(row.Began, row.Stored.Now)
-	if row.Service == p.Settings.BackendServer.Service {
-		p.revision = row.Stored.Plan.Revision
+	p.clock.addSample(result.Began, result.Stored.Now)
+	if result.Service == p.Settings.BackendServer.Service {
+		p.storedRevision = result.Stored.Plan.Revision
 	}
 }
 
-// condition is the version of the row that a plan is written over: the one that the
-// book's plan had. Where that has met another one, it is the one that was read since, so
-// that a row that was deleted, or put back to an older state, is written anew.
-func (p *planRows) condition(plan rollout.Plan) uint64 {
+// baseRevision returns the version that the row must have for the next plan to be
+// written: the version of the known plan. After a conflict it is the version at the last
+// read instead, so that a row that was deleted or restored to an older state is
+// replaced.
+func (p *planRows) baseRevision(plan rollout.Plan) uint64 {
 	if p.conflicted {
-		return p.revision
+		return p.storedRevision
 	}
 	return plan.Revision
 }
 
-// restMost is the longest rest after a call that failed.
-func (p *planRows) restMost(err error) time.Duration {
+// maxRetryDelay returns the longest delay after a call that failed with err.
+func (p *planRows) maxRetryDelay(err error) time.Duration {
 	if errors.Is(err, rollout.ErrUnreadablePlan) {
-		return unreadableMost
+		return unreadableRetryDelayMax
 	}
-	return planRestMost
+	return planRetryDelayMax
 }
 
-// forget has the row read again before anything is written.
-func (p *planRows) forget() { p.fresh, p.conflicted = false, false }
+// requireRead makes the next write wait for a read of the row.
+func (p *planRows) requireRead() { p.isFresh, p.conflicted = false, false }
 
-// ready is true where the row of the service was read since the last write; else it has
-// it read.
-func (p *planRows) ready(now int64, service string) bool {
-	if !p.fresh && !p.busy && now >= p.restUntil {
+// ensureRead reports whether a plan may be written: the row of the service was read
+// after the last write, and no call is running. If the row was not read, it starts a
+// read.
+func (p *planRows) ensureRead(now int64, service string) bool {
+	if !p.isFresh && !p.calling && now >= p.retryAt {
 		p.read(service)
 	}
-	return p.fresh && !p.busy
+	return p.isFresh && !p.calling
 }
 
-// storeNow is the store's steady clock.
-func (p *planRows) storeNow(now int64) time.Duration { return p.clock.at(now) }
+// storeNow returns the time of the store's monotonic clock.
+func (p *planRows) storeNow(now int64) time.Duration { return p.clock.storeTime(now) }
 
-// readUnplanned reads the plans of orders for services that nobody runs, as after all
-// daemons beside them were away at once: without its plan an order lets its version run
-// nothing. Where somebody runs the service, its watchers read the row and tell.
-func (p *planRows) readUnplanned(now int64) {
+// readMissingPlans reads the plans for orders whose plan is not known and whose service
+// runs nowhere. Such a plan may have been written before all daemons that knew it were
+// stopped; without it, the version that the order names gets no requests. If the
+// service runs somewhere, its watchers read the plan and send it to the other daemons.
+func (p *planRows) readMissingPlans(now int64) {
 	if p.Rollouts == nil {
 		return
 	}
 	for _, order := range p.World.Rollouts.Snapshot().Orders.List {
 		plan, known := p.World.Rollouts.Plan(order.Service)
 		if known && plan.Order >= order.Revision {
-			delete(p.unplanned, order.Service)
+			delete(p.missingPlanReads, order.Service)
 			continue
 		}
-		at, waits := p.unplanned[order.Service]
-		if !waits {
-			p.unplanned[order.Service] = at.next(now)
+		next, scheduled := p.missingPlanReads[order.Service]
+		if !scheduled {
+			p.missingPlanReads[order.Service] = next.postponed(now)
 			continue
 		}
-		if now >= at.due && !p.busy && now >= p.restUntil {
-			p.unplanned[order.Service] = at.next(now)
-			if p.isReader(order.Service) {
+		if now >= next.readAt && !p.calling && now >= p.retryAt {
+			p.missingPlanReads[order.Service] = next.postponed(now)
+			if p.isPlanReader(order.Service) {
 				p.read(order.Service)
 			}
 		}
 	}
 }
 
-// isReader is true where nobody runs the service, and this daemon is one of the first
-// of the fleet for it.
-func (p *planRows) isReader(service string) bool {
-	run, ahead := false, 0
+// isPlanReader reports whether no reachable member runs the service, and this daemon is
+// one of the first of the fleet by rendezvous hash on the service's name.
+func (p *planRows) isPlanReader(service string) bool {
+	isRun, ahead := false, 0
 	own := utils.Rendezvous(service, p.World.VM)
 	p.World.Members.EachRow(func(row int) {
-		route := p.World.Members.Endpoint[row]
-		_, unreached := p.World.Unreached[route]
+		endpoint := p.World.Members.Endpoint[row]
+		_, unreached := p.World.Unreached[endpoint]
 		if p.World.Members.Leaving(row) || unreached {
 			return
 		}
-		run = run || route.Service == service
-		if utils.Rendezvous(service, route.VM) > own {
+		isRun = isRun || endpoint.Service == service
+		if utils.Rendezvous(service, endpoint.VM) > own {
 			ahead++
 		}
 	})
-	return !run && ahead < watchersMost
+	return !isRun && ahead < maxWatchers
 }
 
+// read starts to read the plan of a service.
 func (p *planRows) read(service string) {
 	p.call(service, false, func(ctx context.Context) (rollout.StoredPlan, error) { return p.Rollouts.Read(ctx, service) })
 }
 
-// write writes a plan over the row of the version that it names.
+// write starts to write a plan. The write conflicts unless the row in the store has the
+// version plan.Revision.
 func (p *planRows) write(plan rollout.Plan) {
 	p.call(plan.Service, true, func(ctx context.Context) (rollout.StoredPlan, error) {
 		return rollout.StoredPlan{}, p.Rollouts.Write(ctx, plan)
 	})
 }
 
-func (p *planRows) call(service string, write bool, do func(context.Context) (rollout.StoredPlan, error)) {
-	p.busy, p.fresh = true, false
+// call starts a call to the store and posts its result to the inbox.
+func (p *planRows) call(service string, isWrite bool, do func(context.Context) (rollout.StoredPlan, error)) {
+	p.calling, p.isFresh = true, false
 	began, purpose := p.Now(), "plan_read"
-	if write {
+	if isWrite {
 		purpose = "plan_write"
 	}
 	go func() {
 		ctx, cancel := context.WithTimeout(p.DaemonContext, p.Settings.Platform.Timeout)
 		defer cancel()
-		at := time.Now()
+		start := time.Now()
 		stored, err := do(ctx)
-		store.Count(p.Metrics, purpose, at, err)
-		row := tables.RolloutPlanResult{Service: service, IsWrite: write, Stored: stored, Err: err, Began: began}
-		p.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutPlanResults = append(m.RolloutPlanResults, row) })
+		store.Count(p.Metrics, purpose, start, err)
+		result := tables.RolloutPlanResult{Service: service, IsWrite: isWrite, Stored: stored, Err: err, Began: began}
+		p.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutPlanResults = append(m.RolloutPlanResults, result) })
 	}()
 }
 
-// storeClock follows the store's steady clock. An answer tells it for some moment after
-// its call began, so each reading is ahead by no more than the call took; the reading
-// that is ahead least is kept.
+// storeClock estimates the time of the store's monotonic clock from its answers. The
+// store takes the time of an answer at some moment after the call began, so an offset
+// measured against the beginning is too high by at most the duration of the call. The
+// lowest offset is therefore the most accurate one.
 type storeClock struct {
 	offset time.Duration
-	readAt int64
-	known  bool
+	// measuredAt is when the offset was measured, in nanoseconds of this daemon's clock.
+	measuredAt int64
+	known      bool
 }
 
-func (c *storeClock) take(began int64, said time.Duration) {
-	offset := said - time.Duration(began)
-	if c.known && offset >= c.offset && began-c.readAt < int64(clockKeeps) {
+// addSample updates the offset from the answer to a call that began at began and
+// returned storeTime.
+func (c *storeClock) addSample(began int64, storeTime time.Duration) {
+	offset := storeTime - time.Duration(began)
+	if c.known && offset >= c.offset && began-c.measuredAt < int64(clockOffsetMaxAge) {
 		return
 	}
-	c.offset, c.readAt, c.known = offset, began, true
+	c.offset, c.measuredAt, c.known = offset, began, true
 }
 
-func (c *storeClock) at(now int64) time.Duration { return time.Duration(now) + c.offset }
+// storeTime returns the time of the store's clock at time now of this daemon's clock.
+func (c *storeClock) storeTime(now int64) time.Duration { return time.Duration(now) + c.offset }
--- a/pkg/systems/planrows_test.go
+++ b/pkg/systems/planrows_test.go
@@ -14,19 +14,19 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// An order for a service that nobody runs: each daemon of the fleet reads its row
-// for good. Bound asked for here: four reads a minute and daemon.
-func TestFewReadsForAServiceNobodyRuns(t *testing.T) {
+// TestFewReadsOfAPlanWhoseServiceRunsNowhere: every daemon of the fleet read the plan of
+// such a service forever. A daemon may read it four times in the first minute.
+func TestFewReadsOfAPlanWhoseServiceRunsNowhere(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
 		env.DaemonContext = t.Context()
 		env.Rollouts = &fakeRegister{}
-		system := newRolloutTracker(env)
-		watch := newRolloutWatcher(env, system)
-		mail := tables.Mail{RolloutOrders: ordersOf(9, orderOf("nobody", 8))}
+		tracker := newRolloutTracker(env)
+		watcher := newRolloutWatcher(env, tracker)
+		mail := tables.Mail{RolloutOrders: testOrders(9, testOrder("nobody", 8))}
 		for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
-			system.Tick(env.Now(), &mail)
-			watch.Tick(env.Now(), &mail)
+			tracker.Tick(env.Now(), &mail)
+			watcher.Tick(env.Now(), &mail)
 			synctest.Wait()
 			mail = env.World.Inbox.Take()
 		}
@@ -34,9 +34,9 @@
 	})
 }
 
-// TestWhoReadsForAServiceNobodyRuns: the first three of the fleet, and none of them once
-// somebody runs it.
-func TestWhoReadsForAServiceNobodyRuns(t *testing.T) {
+// TestThreeDaemonsReadThePlanOfAServiceThatRunsNowhere, and none if the service runs on
+// some VM.
+func TestThreeDaemonsReadThePlanOfAServiceThatRunsNowhere(t *testing.T) {
 	vms, readers := []string{"a", "b", "c", "d", "e", "f", "g", "h"}, 0
 	for _, own := range vms {
 		env := testEnv()
@@ -45,15 +45,15 @@
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "other"})
 		}
 		rows := newPlanRows(env)
-		if rows.isReader("nobody") {
+		if rows.isPlanReader("nobody") {
 			readers++
 		}
-		test.False(t, rows.isReader("other"))
+		test.False(t, rows.isPlanReader("other"))
 	}
-	test.Eq(t, watchersMost, readers)
+	test.Eq(t, maxWatchers, readers)
 }
 
-// unreadableRegister is a register whose row nobody can read.
+// unreadableRegister is a register whose row cannot be decoded. It counts the reads.
 type unreadableRegister struct{ reads int }
 
 func (u *unreadableRegister) Read(context.Context, string) (rollout.StoredPlan, error) {
@@ -63,45 +63,46 @@
 
 func (u *unreadableRegister) Write(context.Context, rollout.Plan) error { return nil }
 
-// TestARowThatCannotBeReadIsReadSeldom, by a watcher too: ten times in the first minute,
-// three in the next.
-func TestARowThatCannotBeReadIsReadSeldom(t *testing.T) {
+// TestUnreadablePlanIsRarelyRead: a watcher reads it at most ten times in the first
+// minute and three times in the next.
+func TestUnreadablePlanIsRarelyRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		register := &unreadableRegister{}
-		env, known, watch := watched(t, &fakeRegister{})
+		env, tracker, watcher := newTestWatcher(t, &fakeRegister{})
 		env.Rollouts = register
-		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, time.Minute)
+		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, time.Minute)
 		test.LessEq(t, 10, register.reads)
 		register.reads = 0
-		play(env, known, watch, tables.Mail{}, time.Minute)
+		runFor(env, tracker, watcher, tables.Mail{}, time.Minute)
 		test.LessEq(t, 3, register.reads)
 	})
 }
 
-// clockedRegister is a fakeRegister with a clock that goes on.
-type clockedRegister struct {
+// runningClockRegister is a fakeRegister whose clock advances.
+type runningClockRegister struct {
 	fakeRegister
 	began time.Time
 }
 
-func (c *clockedRegister) Read(ctx context.Context, s string) (rollout.StoredPlan, error) {
+func (c *runningClockRegister) Read(ctx context.Context, s string) (rollout.StoredPlan, error) {
 	out, err := c.fakeRegister.Read(ctx, s)
 	out.Now += time.Since(c.began)
 	return out, err
 }
 
-// The plan's row is deleted (or the table restored from a copy) while the roll-out runs:
-// the watcher must not write in vain for good, and the roll-out must end.
-func TestARowThatIsDeletedIsWrittenAnew(t *testing.T) {
+// TestDeletedPlanIsWrittenAgain: the plan's row is deleted, or the table is restored from
+// an older copy, while the roll-out is under way. The watcher's writes must not conflict
+// forever, and the roll-out must end.
+func TestDeletedPlanIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := &clockedRegister{began: time.Now()}
-		env, known, watch := watched(t, &register.fakeRegister)
+		register := &runningClockRegister{began: time.Now()}
+		env, tracker, watcher := newTestWatcher(t, &register.fakeRegister)
 		env.Rollouts = register
-		play(env, known, watch, tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))}, time.Second)
+		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, time.Second)
 		register.row = rollout.Plan{}
-		play(env, known, watch, tables.Mail{}, 70*time.Second)
+		runFor(env, tracker, watcher, tables.Mail{}, 70*time.Second)
 		writes, reads := register.writes, register.reads
-		play(env, known, watch, tables.Mail{}, 60*time.Second)
+		runFor(env, tracker, watcher, tables.Mail{}, 60*time.Second)
 		t.Log("calls in a minute after the deadline:", register.writes-writes, "writes,", register.reads-reads, "reads; row:", register.row.Phase, register.row.Order)
 		test.LessEq(t, 10, register.writes-writes)
 		test.True(t, register.row.Phase.Ended() && register.row.Order == 8)
--- a/pkg/systems/proof.go
+++ b/pkg/systems/proof.go
@@ -6,36 +6,39 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// placementProof follows how old the newest placementProof is that the version in force is the operators'
-// newest: a read of the store, by this daemon or by a peer that holds no newer version.
-// A key that was taken away lets nothing in once that is too old. It runs after the
-// versions of the same mail are in force. Source: docs/design/teams.md, "Keys".
+// placementProof tracks when the placement in force was last known to be the newest one
+// in the store: at a read of the store by this daemon, or by a peer whose placement is
+// not newer than this daemon's. If that time is too long ago, teams' keys are refused,
+// since this daemon may have missed that one was revoked. It runs after the placements
+// of the same tick are in force. Source: docs/design/teams.md, "Keys".
 type placementProof struct{ *Env }
 
 // Tick implements System.
 func (p *placementProof) Tick(_ int64, mail *tables.Mail) {
-	at := p.World.View.PlacementProvenAt()
-	// A head that is newer than the version in force is read before that version is.
+	provenAt := p.World.View.PlacementProvenAt()
+	// A new head is known before the document of its version has been read.
 	if behind := mail.HeadKnown && mail.Head.Version > p.World.PlacementVersion(); p.World.Placement != nil && !behind {
-		at = max(at, mail.StoreReadAt)
+		provenAt = max(provenAt, mail.StoreReadAt)
 	}
-	for _, n := range mail.PeerStates {
-		if n.State.ProofMS > 0 && n.State.Placement <= p.World.PlacementVersion() {
-			at = max(at, n.At-int64(time.Duration(n.State.ProofMS)*time.Millisecond))
+	for _, received := range mail.PeerStates {
+		if received.State.ProofMS > 0 && received.State.Placement <= p.World.PlacementVersion() {
+			provenAt = max(provenAt, received.At-int64(time.Duration(received.State.ProofMS)*time.Millisecond))
 		}
 	}
-	p.World.View.SetPlacementProvenAt(at)
+	p.World.View.SetPlacementProvenAt(provenAt)
 }
 
 const (
-	// proofReadsPerPeriod is how many times within teams.revoke_within a follower of the feed reads
-	// the store, and proofStates how often each daemon tells all peers how old its proof is:
-	// with two such hops a proof is under half of that time old.
+	// proofReadsPerPeriod is how often a follower of the feed reads the store within the
+	// setting teams.revoke_within. proofStatesPerPeriod is how often each daemon sends the
+	// age of its proof to all peers within that time. With these values a proof that
+	// passes through two daemons is younger than half of the setting.
 	proofReadsPerPeriod  = 6
 	proofStatesPerPeriod = 8
 )
 
-// proofReadInterval is how long a request to the feed may hang; 0: proofs are not needed.
+// proofReadInterval returns the longest time between two reads of the feed that keeps
+// the proof young enough; 0: no proof is needed.
 func (e *Env) proofReadInterval() time.Duration {
 	return e.Settings.Teams.RevokeWithin / proofReadsPerPeriod
 }
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -12,39 +12,44 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// quarantines passes on which requests ran when backend servers' processes ended, and
-// keeps what is held back in the store: daemons that all lose power at once would let
-// it end their backend servers again. Source: docs/design/quarantine.md.
+// quarantines sends the crashes of backend servers and the completions of requests that
+// package quarantine records to the other daemons, merges those that it receives, and
+// saves held contents in the store. Without the store, daemons that all lose power at
+// once would forget the crashes, and the same requests would crash their backend servers
+// again. Source: docs/design/quarantine.md.
 type quarantines struct {
 	*Env
-	// informed is true once this daemon knows what others knew before its start.
-	informed bool
-	// greeted is how many links had ever come up when all were told.
-	greeted uint64
-	// held are the contents that are held back here, by what the log was told.
-	held map[quarantine.Fingerprint]struct{}
-	// rows are the contents that ran when the backend server beside this daemon ended:
-	// this daemon keeps their rows.
-	rows map[quarantine.Fingerprint]*heldRow
-	// writing is true while a row is, writeDue when the next may be.
+	// isInformed is true once this daemon has received the crashes that other daemons
+	// knew before its start.
+	isInformed bool
+	// greetedLinks is the number of links ever added when the new ones were last
+	// greeted (greetNewLinks).
+	greetedLinks uint64
+	// loggedHeld are the contents that were last logged as held.
+	loggedHeld map[quarantine.Fingerprint]struct{}
+	// ownRows are the contents that ran when this VM's backend server crashed. This
+	// daemon writes their rows in the store.
+	ownRows map[quarantine.Fingerprint]*heldRow
+	// writing is true while a row is written, writeDue is when the next may be.
 	writing  bool
 	writeDue intervalTimer
-	// reading is true while the rows are read, readDue when they may be again, and
-	// readRest the rest after that.
-	reading  atomic.Bool
-	readDue  intervalTimer
-	readRest time.Duration
-	// noteDue is when the contents held are looked at again.
-	noteDue intervalTimer
+	// reading is true while the rows are read, readDue is when they may be read again,
+	// and readDelay is the mean delay after that read.
+	reading   atomic.Bool
+	readDue   intervalTimer
+	readDelay time.Duration
+	// releaseCheckDue is when to check again whether held contents may run again.
+	releaseCheckDue intervalTimer
 }
 
-// heldEvery is how often it is looked whether contents may run again.
-const heldEvery = time.Second
+// releaseCheckInterval is the time between two checks whether held contents may run
+// again.
+const releaseCheckInterval = time.Second
 
 func newQuarantines(env *Env) *quarantines {
 	q := &quarantines{
-		Env: env, informed: env.Settings.Platform.FirstStart, readRest: heldReadRest,
-		held: map[quarantine.Fingerprint]struct{}{}, rows: map[quarantine.Fingerprint]*heldRow{},
+		Env: env, isInformed: env.Settings.Platform.FirstStart, readDelay: heldReadDelay,
+		loggedHeld: map[quarantine.Fingerprint]struct{}{}, ownRows: map[quarantine.Fingerprint]*heldRow{},
 	}
 	env.Quarantine.OnUpdate(func() { env.World.Inbox.Post(true, func(*tables.Mail) {}) })
 	env.Metrics.GetOrCreateGauge("rushramp_held_requests", func() float64 { return float64(env.Quarantine.CountHeld(env.Now())) })
@@ -54,69 +59,73 @@
 // Tick implements System.
 func (q *quarantines) Tick(now int64, mail *tables.Mail) {
 	own := q.Quarantine.TakePending()
-	var heard quarantine.Update
+	var received quarantine.Update
 	for _, p := range mail.PeerQuarantines {
-		heard.Add(q.Quarantine.Merge(now, p.Frame.News()))
-		q.informed = q.informed || p.Frame.Informed
+		received.Add(q.Quarantine.Merge(now, p.Frame.News()))
+		q.isInformed = q.isInformed || p.Frame.Informed
 	}
-	q.tell(own, heard)
-	q.greet(now)
-	q.noteHeld(now, &own, &heard)
+	q.sendReports(own, received)
+	q.greetNewLinks(now)
+	q.logHeldChanges(now, &own, &received)
 	if mail.StoreRestored {
-		for _, row := range q.rows {
-			row.saved = 0
+		for _, row := range q.ownRows {
+			row.savedCrashes = 0
 		}
 	}
-	q.keep(now, &own)
-	if !q.informed {
-		q.inform(now)
+	q.syncOwnRows(now, &own)
+	if !q.isInformed {
+		q.startRead(now)
 	}
 }
 
-// piece is one crash or completion.
-type piece struct {
+// quarantineReport is one crash or one completion; the other field is nil.
+type quarantineReport struct {
 	crash      *quarantine.Crash
 	completion *quarantine.Completion
 }
 
-func (p piece) key() string {
-	if p.crash != nil {
-		return fmt.Sprint("crash ", p.crash.ID)
+// key returns a string that is different for each crash and each completed content.
+func (r quarantineReport) key() string {
+	if r.crash != nil {
+		return fmt.Sprint("crash ", r.crash.ID)
 	}
-	return "completion " + p.completion.Request.String()
+	return "completion " + r.completion.Request.String()
 }
 
-func pieces(n *quarantine.Update) (out []piece) {
-	for i := range n.Crashes {
-		out = append(out, piece{crash: &n.Crashes[i]})
+// quarantineReports splits an update into its crashes and completions.
+func quarantineReports(update *quarantine.Update) (out []quarantineReport) {
+	for i := range update.Crashes {
+		out = append(out, quarantineReport{crash: &update.Crashes[i]})
 	}
-	for i := range n.Completions {
-		out = append(out, piece{completion: &n.Completions[i]})
+	for i := range update.Completions {
+		out = append(out, quarantineReport{completion: &update.Completions[i]})
 	}
 	return out
 }
 
-// tell passes on what is new here.
-func (q *quarantines) tell(own, heard quarantine.Update) {
-	broadcast(q.Env, pieces(&own), pieces(&heard), piece.key, func(some []piece) wire.Frame {
+// sendReports sends the crashes and completions that are new to this daemon to other
+// daemons: own are those that it recorded itself, received those from peers.
+func (q *quarantines) sendReports(own, received quarantine.Update) {
+	broadcast(q.Env, quarantineReports(&own), quarantineReports(&received), quarantineReport.key, func(reports []quarantineReport) wire.Frame {
 		frame := &wire.Quarantine{}
-		for _, p := range some {
-			if p.crash != nil {
-				frame.Crashes = append(frame.Crashes, *p.crash)
+		for _, r := range reports {
+			if r.crash != nil {
+				frame.Crashes = append(frame.Crashes, *r.crash)
 				continue
 			}
-			frame.Completions = append(frame.Completions, *p.completion)
+			frame.Completions = append(frame.Completions, *r.completion)
 		}
 		return frame
 	})
 }
 
-// greet tells all over each new link, once this daemon is informed.
-func (q *quarantines) greet(now int64) {
-	if !q.informed || q.greeted == q.World.Peers.AddedCount() {
+// greetNewLinks sends all known crashes and completions over each new link, once this
+// daemon is informed.
+func (q *quarantines) greetNewLinks(now int64) {
+	if !q.isInformed || q.greetedLinks == q.World.Peers.AddedCount() {
 		return
 	}
-	q.greeted = q.World.Peers.AddedCount()
+	q.greetedLinks = q.World.Peers.AddedCount()
 	all := q.Quarantine.Snapshot(now)
 	frame := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: true}
 	q.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
@@ -124,42 +133,44 @@
 			return
 		}
 		row.QuarantinesSent = true
-		// A link that has closed leaves the table with its next event.
+		// An error needs no handling: the end of a closed link is reported as an event.
 		_ = peer.Send(frame)
 	})
 }
 
-// noteHeld logs which contents begin to be held back, and which no longer are.
-func (q *quarantines) noteHeld(now int64, own, heard *quarantine.Update) {
-	for _, crashes := range [][]quarantine.Crash{own.Crashes, heard.Crashes} {
+// logHeldChanges logs which contents are held from now on, and which no longer are.
+func (q *quarantines) logHeldChanges(now int64, own, received *quarantine.Update) {
+	for _, crashes := range [][]quarantine.Crash{own.Crashes, received.Crashes} {
 		for i := range crashes {
 			for _, content := range crashes[i].Requests {
-				q.noteContent(now, content)
+				q.logIfHeld(now, content)
 			}
 		}
 	}
-	if len(own.Completions)+len(heard.Completions) == 0 && !q.noteDue.fires(now, heldEvery) {
+	if len(own.Completions)+len(received.Completions) == 0 && !q.releaseCheckDue.fires(now, releaseCheckInterval) {
 		return
 	}
-	for content := range q.held {
+	for content := range q.loggedHeld {
 		if _, held := q.Quarantine.Held(now, content); !held {
-			delete(q.held, content)
-			q.Log.Event(events.ContentFreed, events.F("content", content), events.F("why", q.whyFreed(now, content)))
+			delete(q.loggedHeld, content)
+			q.Log.Event(events.ContentFreed, events.F("content", content), events.F("why", q.releaseReason(now, content)))
 		}
 	}
 }
 
-func (q *quarantines) noteContent(now int64, content quarantine.Fingerprint) {
+// logIfHeld logs that a content is held, unless it was logged already.
+func (q *quarantines) logIfHeld(now int64, content quarantine.Fingerprint) {
 	left, held := q.Quarantine.Held(now, content)
-	if _, known := q.held[content]; known || !held {
+	if _, logged := q.loggedHeld[content]; logged || !held {
 		return
 	}
-	q.held[content] = struct{}{}
+	q.loggedHeld[content] = struct{}{}
 	q.Log.Event(events.ContentHeld, events.F("content", content),
 		events.F("crashes", len(q.Quarantine.CrashesAgainst(now, content))), events.F("left", events.Milliseconds(left)))
 }
 
-func (q *quarantines) whyFreed(now int64, content quarantine.Fingerprint) string {
+// releaseReason returns why a content is no longer held, as a value of a log field.
+func (q *quarantines) releaseReason(now int64, content quarantine.Fingerprint) string {
 	if len(q.Quarantine.CrashesAgainst(now, content)) == 0 {
 		return "one_ran_to_its_end"
 	}
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -18,21 +18,23 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// holding is a daemon that passes on and keeps what is held back.
-type holding struct {
+// quarantineNode is a daemon that runs the quarantines system.
+type quarantineNode struct {
 	*Env
 	system *quarantines
 }
 
-func newHolding(t *testing.T, platform *fakestore.Store, first bool) *holding {
+// newQuarantineNode returns a daemon that uses a fake store. isFirstStart is the setting for
+// the first start of the whole system.
+func newQuarantineNode(t *testing.T, platform *fakestore.Store, isFirstStart bool) *quarantineNode {
 	env := testEnv()
-	env.Settings.Platform.FirstStart = first
+	env.Settings.Platform.FirstStart = isFirstStart
 	env.DaemonContext, env.Platform, env.RoutedRunner = t.Context(), platform, &runner.Runner{}
-	return &holding{env, newQuarantines(env)}
+	return &quarantineNode{env, newQuarantines(env)}
 }
 
-// tick runs the system, and what it started, to its end.
-func (h *holding) tick() {
+// tick runs the system twice, and waits for what it started each time.
+func (h *quarantineNode) tick() {
 	for range 2 {
 		mail := h.World.Inbox.Take()
 		h.system.Tick(h.Now(), &mail)
@@ -43,64 +45,64 @@
 	}
 }
 
-// hear makes the daemon hear of what another one knows.
-func (h *holding) hear(from *holding) {
+// receiveFrom sends the daemon all crashes and completions that another one knows.
+func (h *quarantineNode) receiveFrom(from *quarantineNode) {
 	all := from.Quarantine.Snapshot(from.Now())
-	said := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: from.system.informed}
-	h.Control.Quarantine(nil, said)
+	frame := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: from.system.isInformed}
+	h.Control.Quarantine(nil, frame)
 	h.tick()
 }
 
-func (h *holding) holds(content quarantine.Fingerprint) bool {
+func (h *quarantineNode) holds(content quarantine.Fingerprint) bool {
 	_, held := h.Quarantine.Held(h.Now(), content)
 	return held
 }
 
-func rowsHeld(t *testing.T, platform *fakestore.Store) []store.Row {
+// heldRows returns the rows of held contents in a store.
+func heldRows(t *testing.T, platform *fakestore.Store) []store.Row {
 	rows, err := platform.Scan(t.Context(), heldKeyPrefix, heldKeyPrefix, 1000)
 	must.NoError(t, err)
 	return rows
 }
 
-// TestWhatIsHeldOutlivesAllDaemons: two daemons see a crash each, both restart, and a
-// third one that nobody told reads the row.
-func TestWhatIsHeldOutlivesAllDaemons(t *testing.T) {
+// TestHeldContentsOutliveAllDaemons: each of two daemons records a crash. A third one,
+// which no peer informs, reads the row from the store.
+func TestHeldContentsOutliveAllDaemons(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
-		one, two := newHolding(t, platform, true), newHolding(t, platform, true)
+		one, two := newQuarantineNode(t, platform, true), newQuarantineNode(t, platform, true)
 		one.Quarantine.RecordCrash(one.Now(), 1, []quarantine.Fingerprint{7, 8})
 		one.tick()
-		two.hear(one)
-		test.Len(t, 0, rowsHeld(t, platform), test.Sprint("one crash holds nothing"))
+		two.receiveFrom(one)
+		test.Len(t, 0, heldRows(t, platform), test.Sprint("no content is held after one crash"))
 		time.Sleep(time.Second)
 		two.Quarantine.RecordCrash(two.Now(), 2, []quarantine.Fingerprint{7, 9})
 		two.tick()
 		must.True(t, two.holds(7))
-		must.Len(t, 1, rowsHeld(t, platform))
+		must.Len(t, 1, heldRows(t, platform))
 
 		time.Sleep(time.Minute)
-		third := newHolding(t, platform, false)
+		third := newQuarantineNode(t, platform, false)
 		third.tick()
-		test.False(t, third.system.informed, test.Sprint("links may open first"))
-		time.Sleep(heldReadFirst)
+		test.False(t, third.system.isInformed, test.Sprint("it first waits for links"))
+		time.Sleep(heldReadAfter)
 		third.tick()
 		third.tick()
-		test.True(t, third.system.informed)
+		test.True(t, third.system.isInformed)
 		test.True(t, third.holds(7))
 		test.False(t, third.holds(8))
 		left, _ := third.Quarantine.Held(third.Now(), 7)
 		test.Between(t, 8*time.Minute, left, 9*time.Minute)
-		// What it read is not its own to keep.
-		test.Len(t, 1, rowsHeld(t, platform))
+		// It does not write rows for the crashes that it has read.
+		test.Len(t, 1, heldRows(t, platform))
 	})
 }
 
-// TestARowIsWrittenOnceTheStoreAnswers and read as soon.
-func TestARowIsWrittenOnceTheStoreAnswers(t *testing.T) {
+func TestRowIsWrittenAndReadAfterAnOutageOfTheStore(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
 		platform.SetFaults(fakestore.Faults{Down: true})
-		one, late := newHolding(t, platform, true), newHolding(t, platform, false)
+		one, late := newQuarantineNode(t, platform, true), newQuarantineNode(t, platform, false)
 		for id := range uint64(2) {
 			one.Quarantine.RecordCrash(one.Now(), id+1, []quarantine.Fingerprint{7})
 		}
@@ -109,46 +111,47 @@
 			late.tick()
 			time.Sleep(500 * time.Millisecond)
 		}
-		test.False(t, late.system.informed)
+		test.False(t, late.system.isInformed)
 		platform.SetFaults(fakestore.Faults{})
-		time.Sleep(2 * heldKeepRest)
+		time.Sleep(2 * heldWriteInterval)
 		one.tick()
-		must.Len(t, 1, rowsHeld(t, platform))
-		time.Sleep(2 * heldReadRestMost)
+		must.Len(t, 1, heldRows(t, platform))
+		time.Sleep(2 * heldReadDelayMax)
 		late.tick()
 		late.tick()
 		test.True(t, late.holds(7))
 	})
 }
 
-// TestARunToItsEndTakesTheRowAway, here and at those that hear of it.
-func TestARunToItsEndTakesTheRowAway(t *testing.T) {
+// TestCompletionDeletesTheRow, also if the daemon that writes the row receives it from
+// another one.
+func TestCompletionDeletesTheRow(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
-		one, two := newHolding(t, platform, true), newHolding(t, platform, true)
+		one, two := newQuarantineNode(t, platform, true), newQuarantineNode(t, platform, true)
 		for id := range uint64(2) {
 			one.Quarantine.RecordCrash(one.Now(), id+1, []quarantine.Fingerprint{7})
 		}
 		one.tick()
-		two.hear(one)
-		must.Len(t, 1, rowsHeld(t, platform))
+		two.receiveFrom(one)
+		must.Len(t, 1, heldRows(t, platform))
 		must.True(t, two.holds(7))
 		time.Sleep(time.Second)
 		two.Quarantine.RecordCompletion(two.Now(), 7)
 		two.tick()
-		one.hear(two)
-		time.Sleep(2 * heldKeepRest)
+		one.receiveFrom(two)
+		time.Sleep(2 * heldWriteInterval)
 		one.tick()
 		test.False(t, one.holds(7))
-		test.Len(t, 0, rowsHeld(t, platform))
+		test.Len(t, 0, heldRows(t, platform))
 	})
 }
 
-// TestARowThatCannotBeReadHoldsNothingBack and the others hold.
-func TestARowThatCannotBeReadHoldsNothingBack(t *testing.T) {
+// TestInvalidRowsAreSkipped, and the valid ones are read.
+func TestInvalidRowsAreSkipped(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
-		one := newHolding(t, platform, true)
+		one := newQuarantineNode(t, platform, true)
 		for id := range uint64(2) {
 			one.Quarantine.RecordCrash(one.Now(), id+1, []quarantine.Fingerprint{7})
 		}
@@ -160,8 +163,8 @@
 		} {
 			must.NoError(t, platform.Transact(t.Context(), []store.Write{{Key: key, Value: []byte(value)}}))
 		}
-		other := newHolding(t, platform, false)
-		time.Sleep(heldReadFirst)
+		other := newQuarantineNode(t, platform, false)
+		time.Sleep(heldReadAfter)
 		other.tick()
 		other.tick()
 		test.True(t, other.holds(7))
@@ -169,43 +172,44 @@
 	})
 }
 
-// TestAFewDaemonsReadWhatIsHeld and the others hear it from them; one that hears nothing
-// reads it all the same.
-func TestAFewDaemonsReadWhatIsHeld(t *testing.T) {
+// TestFewDaemonsReadHeldContents: the others read them later, and only if no peer has
+// sent them.
+func TestFewDaemonsReadHeldContents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		const daemons = 12
 		platform := fakestore.New()
 		readers := 0
 		for n := range daemons {
-			h := newHolding(t, platform, false)
+			h := newQuarantineNode(t, platform, false)
 			h.World.VM = fmt.Sprint("here", n)
 			for other := range daemons {
 				if other != n {
 					h.World.Members.Merge(1, nil, wire.Member{VM: fmt.Sprint("here", other), Started: 1, DataCentre: "here", Service: "s"})
 				}
 			}
-			time.Sleep(heldReadFirst)
+			time.Sleep(heldReadAfter)
 			h.tick()
 			h.tick()
-			if h.system.informed {
+			if h.system.isInformed {
 				readers++
 				continue
 			}
-			time.Sleep(heldReadAnyway)
+			time.Sleep(heldReadByAllAfter)
 			h.tick()
 			h.tick()
-			test.True(t, h.system.informed)
+			test.True(t, h.system.isInformed)
 		}
 		test.Eq(t, heldReaders, readers)
 	})
 }
 
-// TestEachNewLinkIsToldWhatIsHeldOnce by daemons that know.
-func TestEachNewLinkIsToldWhatIsHeldOnce(t *testing.T) {
+// TestNewLinksAreGreetedOnceInformed: a daemon that does not know the earlier crashes
+// sends none over its links.
+func TestNewLinksAreGreetedOnceInformed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
 		platform.SetFaults(fakestore.Faults{Down: true})
-		h := newHolding(t, platform, false)
+		h := newQuarantineNode(t, platform, false)
 		peer := &link.Peer{Conn: link.NewClosedConn()}
 		h.World.Peers.GetOrAdd(peer)
 		h.tick()
@@ -218,21 +222,22 @@
 	})
 }
 
-// FuzzHeldRow: no row of another writer ends the daemon, and one that is read is told.
+// FuzzHeldRow checks that parsing an arbitrary row does not panic, and that a table takes
+// at most the parsed crashes.
 func FuzzHeldRow(f *testing.F) {
 	f.Add("held/0000000000000007", []byte(`{"crashes":[{"id":"1f","at_ms":1760000000000}]}`))
 	f.Add("held/", []byte(`{}`))
 	f.Add("held/x", []byte(`[]`))
 	f.Add("held/1", []byte(`{"crashes":[{"id":"1","at_ms":-9223372036854775808}]}`))
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		crashes, err := fromRow(time.UnixMilli(1760000000000), store.Row{Key: key, Value: value})
+		crashes, err := parseHeldRow(time.UnixMilli(1760000000000), store.Row{Key: key, Value: value})
 		if err != nil {
 			return
 		}
 		table := quarantine.NewTable()
 		table.Merge(1, quarantine.Update{Crashes: crashes})
 		if len(table.Snapshot(1).Crashes) > len(crashes) {
-			t.Fatalf("%d crashes of %d", len(table.Snapshot(1).Crashes), len(crashes))
+			t.Fatalf("the table holds %d crashes, but %d were parsed", len(table.Snapshot(1).Crashes), len(crashes))
 		}
 	})
 }
--- a/pkg/systems/queries.go
+++ b/pkg/systems/queries.go
@@ -2,7 +2,7 @@
 
 import "github.com/rushramp/rushramp/pkg/tables"
 
-// queries answers operators' questions about the tables.
+// queries runs the functions by which operators read the tables.
 type queries struct{ *Env }
 
 // Tick implements System.
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -15,37 +15,41 @@
 )
 
 const (
-	// countersLinked is how many daemons that should count a group each daemon keeps a link
-	// with: the first choice, and those that take its place when it is lost with another.
-	countersLinked = 3
-	// membersKnownAfter is when daemons know each other at the first start of the whole
-	// system: each has read the list of VMs by then, or been told of it.
+	// counterLinksPerGroup is how many candidates for the counter of a group (the daemon
+	// that counts the requests of a group of teams) each daemon keeps links to: the first
+	// one, and those that replace it if it is lost.
+	counterLinksPerGroup = 3
+	// membersKnownAfter is how long after the first start of the whole system each daemon
+	// has read the list of VMs, or received it from a peer.
 	membersKnownAfter = 3 * time.Second
 )
 
-// quotas tells the counting of teams' requests which daemons there are, and which of them
-// should count which group: those first by rendezvous hash. Source: docs/design/teams.md.
+// quotas tells package quota, which enforces the limits of teams over all daemons, how
+// many daemons share the limits, and which of them should count which group of teams:
+// the first ones by rendezvous hash. Source: docs/design/teams.md.
 type quotas struct {
 	*Env
-	// counted is true once this daemon knows how many share the limits.
-	counted bool
-	// members and unreached are the state of the tables that the first choices were drawn
-	// from, drawn whether they were.
-	members, unreached uint64
-	drawn              bool
-	// live is how many members were not leaving then.
-	live uint32
-	// madeFrom is the state of the links that ranked was made from.
-	madeFrom linkState
-	ranked   [quota.Groups][]quota.Peer
-	// told are the counters that the log was told of.
-	told [quota.Groups]string
+	// isMemberCountKnown is true once this daemon knows how many daemons share the
+	// limits.
+	isMemberCountKnown bool
+	// drawnMemberChanges and drawnUnreachedChanges are the change counts of the members
+	// and of the unreached endpoints when the counters were last chosen. hasDrawn is
+	// true once they have been.
+	drawnMemberChanges, drawnUnreachedChanges uint64
+	hasDrawn                                  bool
+	// liveMembers is the number of members that were not leaving at that time.
+	liveMembers uint32
+	// rankedFrom is the state of the links from which ranked was computed.
+	rankedFrom linkState
+	ranked     [quota.Groups][]quota.Peer
+	// loggedCounters are the counters that were last logged.
+	loggedCounters [quota.Groups]string
 }
 
 func newQuotas(env *Env) *quotas { return &quotas{Env: env} }
 
-// groupNames are the keys by which daemons are ranked for each group.
-var groupNames = func() (out [quota.Groups]string) {
+// groupKeys are the names by which daemons are ranked for each group.
+var groupKeys = func() (out [quota.Groups]string) {
 	for g := range out {
 		out[g] = "teams " + strconv.Itoa(g)
 	}
@@ -55,132 +59,141 @@
 // Tick implements System.
 func (q *quotas) Tick(now int64, mail *tables.Mail) {
 	wholeList := mail.VMList != nil && mail.VMList.DataCentre == ""
-	q.counted = q.counted || wholeList || q.Settings.Platform.FirstStart && now > int64(membersKnownAfter)
+	q.isMemberCountKnown = q.isMemberCountKnown || wholeList || q.Settings.Platform.FirstStart && now > int64(membersKnownAfter)
 	if q.Quota == nil || q.World.Placement == nil || len(q.World.Placement.Teams) == 0 {
 		return
 	}
-	q.drawCounters()
-	q.rank()
-	q.Quota.Tick(now, q.countMembers(), &q.ranked)
-	q.note()
+	q.chooseCounters()
+	q.rankPeers()
+	q.Quota.Tick(now, q.membersSharing(), &q.ranked)
+	q.logCounters()
 }
 
-// countMembers is how many daemons share the limits; 0 while this one cannot tell. One that
-// was started again and has not read the list can, once it knows as many as a daemon that
-// counts has told: else a fleet whose daemons were all started again in turn would have
-// nobody left who can.
-func (q *quotas) countMembers() uint32 {
-	if told := q.Quota.Members(); told > 0 && q.live >= told {
-		q.counted = true
+// membersSharing returns how many daemons share the limits, or 0 if this daemon does not
+// know yet. A restarted daemon that has not read the list of VMs knows it once it has
+// found as many members as a counter has reported. Otherwise no daemon would know the
+// number any more after all daemons had been restarted one after another.
+func (q *quotas) membersSharing() uint32 {
+	if reported := q.Quota.Members(); reported > 0 && q.liveMembers >= reported {
+		q.isMemberCountKnown = true
 	}
-	if !q.counted {
+	if !q.isMemberCountKnown {
 		return 0
 	}
-	return q.live
+	return q.liveMembers
 }
 
-// drawCounters works out which daemons should count, to keep links with them, and how many
-// share the limits: one that can not be reached may live and use its part.
-func (q *quotas) drawCounters() {
+// chooseCounters chooses the daemons that should count, so that this daemon keeps links
+// to them, and counts the members that share the limits. An unreached member shares
+// them too: it may be running and use its share.
+func (q *quotas) chooseCounters() {
 	changes := q.World.Members.ChangeCount()
-	if q.drawn && changes == q.members && q.unreached == q.World.UnreachedChanges {
+	if q.hasDrawn && changes == q.drawnMemberChanges && q.drawnUnreachedChanges == q.World.UnreachedChanges {
 		return
 	}
-	q.drawn, q.members, q.unreached = true, changes, q.World.UnreachedChanges
-	q.live = 0
-	var routes []*tables.Endpoint
+	q.hasDrawn, q.drawnMemberChanges, q.drawnUnreachedChanges = true, changes, q.World.UnreachedChanges
+	q.liveMembers = 0
+	var reachable []*tables.Endpoint
 	q.World.Members.EachRow(func(row int) {
 		if q.World.Members.Leaving(row) {
 			return
 		}
-		q.live++
-		route := q.World.Members.Endpoint[row]
-		if _, unreached := q.World.Unreached[route]; !unreached {
-			routes = append(routes, route)
+		q.liveMembers++
+		endpoint := q.World.Members.Endpoint[row]
+		if _, unreached := q.World.Unreached[endpoint]; !unreached {
+			reachable = append(reachable, endpoint)
 		}
 	})
 	q.World.QuotaCounterDaemons = q.World.QuotaCounterDaemons[:0]
 	for g := range quota.Groups {
-		for _, route := range highestByRendezvous(groupNames[g], routes, countersLinked) {
-			if !slices.Contains(q.World.QuotaCounterDaemons, route) {
-				q.World.QuotaCounterDaemons = append(q.World.QuotaCounterDaemons, route)
+		for _, endpoint := range highestByRendezvous(groupKeys[g], reachable, counterLinksPerGroup) {
+			if !slices.Contains(q.World.QuotaCounterDaemons, endpoint) {
+				q.World.QuotaCounterDaemons = append(q.World.QuotaCounterDaemons, endpoint)
 			}
 		}
 	}
 }
 
-// processID tells the processes of one VM's daemon apart.
+// processID returns the name of a peer's daemon process: its VM and its incarnation.
 func processID(peer *link.Peer) string {
 	return peer.Hello.VM + "/" + strconv.FormatUint(peer.Hello.Incarnation, 16)
 }
 
-// candidate is a daemon that may count.
+// candidate is a daemon that may become the counter of a group.
 type candidate struct {
 	vm      string
 	leaving bool
 	peer    quota.Peer
-	// incarnation tells which of two links leads to the newer process.
+	// incarnation is higher for a newer process of the same VM's daemon.
 	incarnation uint64
 }
 
-// linkState is what the ranking of daemons hangs on.
+// linkState is what the ranking of candidates depends on. The ranking is computed again
+// when it changes.
 type linkState struct {
-	added         uint64
-	links, leaves int
-	leaving       bool
+	// addedPeers counts the links that were ever added.
+	addedPeers          uint64
+	links, leavingPeers int
+	selfLeaving         bool
 }
 
 func (q *quotas) linkState() linkState {
-	out := linkState{added: q.World.Peers.AddedCount(), links: q.World.Peers.Len(), leaving: q.World.View.Leaving()}
+	out := linkState{addedPeers: q.World.Peers.AddedCount(), links: q.World.Peers.Len(), selfLeaving: q.World.View.Leaving()}
 	q.World.Peers.EachRow(func(_ *link.Peer, row *tables.PeerRow) {
 		if row.Leaving {
-			out.leaves++
+			out.leavingPeers++
 		}
 	})
 	return out
 }
 
-// rank orders the daemons that this one has links with, and itself, by who should count
-// each group. Those that leave come last: parts that are lent to them are asked back.
-func (q *quotas) rank() {
-	now := q.linkState()
-	if now == q.madeFrom && q.ranked[0] != nil {
+// rankPeers ranks this daemon and those that it has links with by who should count each
+// group. Leaving daemons come last, so that the shares of the limits that were lent to
+// them are requested back.
+func (q *quotas) rankPeers() {
+	state := q.linkState()
+	if state == q.rankedFrom && q.ranked[0] != nil {
 		return
 	}
-	q.madeFrom = now
+	q.rankedFrom = state
 	candidates := q.candidates()
 	for g := range quota.Groups {
-		q.ranked[g] = rankedFor(groupNames[g], candidates)
+		q.ranked[g] = rankCandidates(groupKeys[g], candidates)
 	}
 }
 
+// candidates returns this daemon and one candidate for each other VM that it has a link
+// with: the newest process, and of several links to it the one that this daemon opened.
 func (q *quotas) candidates() []candidate {
-	own := candidate{vm: q.World.VM, leaving: q.World.View.Leaving(), peer: quota.Peer{Process: q.World.VM}}
+	self := candidate{vm: q.World.VM, leaving: q.World.View.Leaving(), peer: quota.Peer{Process: q.World.VM}}
 	byVM := map[string]candidate{}
 	q.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		vm, incarnation := peer.Hello.VM, peer.Hello.Incarnation
 		known, ok := byVM[vm]
-		// Of two links to one process that which this daemon opened, so that it stays.
-		newer := !ok || incarnation > known.incarnation || incarnation == known.incarnation && peer.Outgoing
-		if !newer || vm == q.World.VM {
+		// Always taking the outgoing link keeps the choice the same at each call.
+		preferred := !ok || incarnation > known.incarnation || incarnation == known.incarnation && peer.Outgoing
+		if !preferred || vm == q.World.VM {
 			return
 		}
 		byVM[vm] = candidate{vm: vm, leaving: row.Leaving, incarnation: incarnation, peer: quota.Peer{
 			Process: processID(peer), Link: peer,
 			Send: func(ask *quota.Ask) {
-				// A link that has closed leaves the table with its next event.
+				// An error needs no handling: the end of a closed link is reported as an
+				// event.
 				_ = peer.Send(&wire.QuotaAsk{Ask: *ask})
 			},
 		}}
 	})
-	out := []candidate{own}
+	out := []candidate{self}
 	for _, c := range byVM {
 		out = append(out, c)
 	}
 	return out
 }
 
-func rankedFor(key string, candidates []candidate) []quota.Peer {
+// rankCandidates sorts candidates by rendezvous hash on key, leaving ones last, and
+// returns their peers.
+func rankCandidates(key string, candidates []candidate) []quota.Peer {
 	slices.SortFunc(candidates, func(a, b candidate) int {
 		if a.leaving != b.leaving {
 			if a.leaving {
@@ -197,12 +210,12 @@
 	return out
 }
 
-// note logs which daemons count from now on.
-func (q *quotas) note() {
+// logCounters logs each group that has another counter than before.
+func (q *quotas) logCounters() {
 	counters := q.Quota.Counters()
 	for g, process := range counters {
-		if process != q.told[g] {
-			q.told[g] = process
+		if process != q.loggedCounters[g] {
+			q.loggedCounters[g] = process
 			q.Log.Event(events.TeamsCounter, events.F("group", g), events.F("counter", process))
 		}
 	}
--- a/pkg/systems/quotas_test.go
+++ b/pkg/systems/quotas_test.go
@@ -16,9 +16,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// quotasEnv makes a daemon that was started again, under a placement with a team, with a
-// link to one peer, and some members.
-func quotasEnv(members int) (*quotas, *link.Peer) {
+// newTestQuotas returns the quotas system of a restarted daemon and its only peer. The
+// placement has one team with a limit.
+func newTestQuotas(members int) (*quotas, *link.Peer) {
 	env := testEnv()
 	doc := &placement.Document{Version: 1, Teams: []teams.Team{{Name: "red", Limit: teams.Limit{Rate: 1}}}}
 	env.World.Placement = doc
@@ -32,37 +32,37 @@
 	return newQuotas(env), peer
 }
 
-// counts is how many members a daemon tells others that it counts.
-func counts(q *quotas, now int64) uint32 {
+// reportedMembers returns how many members share the limits, as the daemon reports to peers.
+func reportedMembers(q *quotas, now int64) uint32 {
 	q.Tick(now, &tables.Mail{})
 	return q.Quota.HandleAsk(now, "x", &quota.Ask{}).Members
 }
 
-// TestAStartedDaemonCountsMembersOnceItKnowsThem: from the whole list, or once it knows as
-// many as a daemon that counts has told, and not before.
-func TestAStartedDaemonCountsMembersOnceItKnowsThem(t *testing.T) {
-	q, peer := quotasEnv(3)
-	test.Eq(t, 0, counts(q, 1))
+// TestRestartedDaemonReportsMembersOnceItKnowsAll: once it has the whole list of VMs, or
+// knows as many members as a counter has reported.
+func TestRestartedDaemonReportsMembersOnceItKnowsAll(t *testing.T) {
+	q, peer := newTestQuotas(3)
+	test.Eq(t, 0, reportedMembers(q, 1))
 	q.Quota.HandleGrant(2, processID(peer), &quota.Grant{Members: 4, CounterTime: 1})
-	test.Eq(t, 0, counts(q, 3), test.Sprint("one member is not known yet"))
+	test.Eq(t, 0, reportedMembers(q, 3), test.Sprint("one member is not known yet"))
 	q.World.Members.Merge(4, nil, wire.Member{VM: "m3", DataCentre: "here", Service: "s", Incarnation: 1})
-	test.Eq(t, 4, counts(q, 5))
+	test.Eq(t, 4, reportedMembers(q, 5))
 
-	q, _ = quotasEnv(3)
+	q, _ = newTestQuotas(3)
 	q.Tick(int64(time.Second), &tables.Mail{VMList: &tables.VMList{DataCentre: "here"}})
-	test.Eq(t, 0, counts(q, int64(time.Second)), test.Sprint("a part of the list tells nothing of the whole"))
+	test.Eq(t, 0, reportedMembers(q, int64(time.Second)), test.Sprint("the list of one data centre is not enough"))
 	q.Tick(int64(time.Second), &tables.Mail{VMList: &tables.VMList{}})
-	test.Eq(t, 3, counts(q, int64(time.Second)))
+	test.Eq(t, 3, reportedMembers(q, int64(time.Second)))
 }
 
-// TestThoseWhoLeaveShareNoLimits, nor do they count first.
-func TestThoseWhoLeaveShareNoLimits(t *testing.T) {
-	q, _ := quotasEnv(3)
+// TestLeavingMembersDoNotShareLimits, and are not chosen as counters.
+func TestLeavingMembersDoNotShareLimits(t *testing.T) {
+	q, _ := newTestQuotas(3)
 	q.Tick(1, &tables.Mail{VMList: &tables.VMList{}})
 	q.World.Members.Merge(2, nil, wire.Member{VM: "m2", DataCentre: "here", Service: "s", Incarnation: 1, State: wire.MemberLeaving})
-	test.Eq(t, 2, counts(q, 3))
+	test.Eq(t, 2, reportedMembers(q, 3))
 	must.SliceNotEmpty(t, q.World.QuotaCounterDaemons)
-	for _, route := range q.World.QuotaCounterDaemons {
-		test.NotEq(t, "m2", route.VM)
+	for _, endpoint := range q.World.QuotaCounterDaemons {
+		test.NotEq(t, "m2", endpoint.VM)
 	}
 }
--- a/pkg/systems/regions_test.go
+++ b/pkg/systems/regions_test.go
@@ -13,7 +13,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// regionOf puts two data centres into each region.
+// regionOf returns the region of a data centre: r0 has d0 and d1, r1 has the others.
 func regionOf(dataCentre string) string {
 	if dataCentre == "d0" || dataCentre == "d1" {
 		return "r0"
@@ -21,22 +21,22 @@
 	return "r1"
 }
 
-// TestTheSampleHoldsOneOfEachOtherRegion, and one of each data centre of the own one.
-func TestTheSampleHoldsOneOfEachOtherRegion(t *testing.T) {
+// TestSampleHasOneEndpointOfEachOtherRegion, and one of each other data centre of its own
+// region.
+func TestSampleHasOneEndpointOfEachOtherRegion(t *testing.T) {
 	l := &links{Env: regionFleet(10).Env}
 	l.World.Members.Merge(1, nil, wire.Member{VM: "old", DataCentre: "c1", Service: "s"})
 	l.drawSample()
 	counts := map[peerGroup]int{}
-	for _, route := range l.sample {
-		counts[l.peerGroupOf(route.DataCentre, route.Region)]++
+	for _, endpoint := range l.sample {
+		counts[l.peerGroupOf(endpoint.DataCentre, endpoint.Region)]++
 	}
 	test.Eq(t, map[peerGroup]int{
 		{proximity.SameDataCentre, "a1"}: sampleSameDataCentre, {proximity.Region, "a2"}: 1, {proximity.OtherRegion, "b"}: 1, {proximity.OtherRegion, "c1"}: 1,
-	}, counts, test.Sprint("a VM that does not say its region stands for its data centre"))
+	}, counts, test.Sprint("a VM without a region counts for its data centre"))
 }
 
-// TestADocumentIsPulledFromTheNearestThatHasIt.
-func TestADocumentIsPulledFromTheNearestThatHasIt(t *testing.T) {
+func TestPlacementIsPulledFromTheNearestPeer(t *testing.T) {
 	pl := &placements{Env: regionFleet(1).Env}
 	peer := func(dataCentre string) *link.Peer {
 		return &link.Peer{Hello: wire.Hello{VM: "x", DataCentre: dataCentre, Region: dataCentre[:1]}}
@@ -47,10 +47,11 @@
 	test.False(t, pl.isNearer(peer("b1"), peer("a1")))
 }
 
-// TestARegionThatWasCutOffJoinsWithoutAStorm: both sides change while they are apart.
-// One question of one daemon a side is all that crosses: what was learnt by it goes on
-// within the region, and not back.
-func TestARegionThatWasCutOffJoinsWithoutAStorm(t *testing.T) {
+// TestReconnectedRegionsExchangeEachRowOnce: the rows of two regions change while the
+// regions are cut off from each other. Afterwards one daemon on each side requests the
+// differences from the other side. The rows that it receives spread within its region,
+// and are not sent back.
+func TestReconnectedRegionsExchangeEachRowOnce(t *testing.T) {
 	const each = 6
 	var nodes []*gossipNode
 	for _, dataCentre := range []string{"d0", "d1", "d2", "d3"} {
@@ -58,90 +59,93 @@
 			nodes = append(nodes, newGossipNode(fmt.Sprint(dataCentre, "v", n), dataCentre, regionOf(dataCentre)))
 		}
 	}
-	apart := func(a, b *gossipNode) bool { return a.env.World.Region != b.env.World.Region }
+	isSeparated := func(a, b *gossipNode) bool { return a.env.World.Region != b.env.World.Region }
 	for i, a := range nodes {
 		for _, b := range nodes[:i] {
-			if !apart(a, b) {
+			if !isSeparated(a, b) {
 				connect(a, b)
 			}
 		}
 	}
-	// Each side knows all of both from before, and then changes by itself.
+	// All daemons know the rows of both regions at revision 1.
 	for _, n := range nodes {
 		for _, other := range nodes {
-			n.members().Merge(1, nil, rowOf(other, 1))
+			n.members().Merge(1, nil, memberRow(other, 1))
 		}
 		n.members().TakeChanges()
 	}
-	passOn := func() (crossed int) {
+	spreadAll := func() (crossed int) {
 		for again := true; again; {
 			again = false
 			for _, n := range nodes {
-				sent, over := n.passOnCounted(apart)
+				sent, over := n.spreadChanges(isSeparated)
 				again, crossed = again || sent, crossed+over
 			}
 		}
 		return crossed
 	}
-	// What chance kept from a daemon comes in by questions within its region.
+	// settle also lets daemons request the rows that random spreading did not bring them
+	// from peers of their own region.
 	settle := func() (crossed int) {
-		crossed = passOn()
+		crossed = spreadAll()
 		for _, n := range nodes {
 			for _, peer := range nodes {
-				if !apart(n, peer) && n.members().Digest() != peer.members().Digest() {
-					ask(n, peer)
+				if !isSeparated(n, peer) && n.members().Digest() != peer.members().Digest() {
+					requestDifferences(n, peer)
 				}
 			}
 		}
-		return crossed + passOn()
+		return crossed + spreadAll()
 	}
 	for _, n := range nodes {
-		n.members().Merge(2, nil, rowOf(n, 2))
+		n.members().Merge(2, nil, memberRow(n, 2))
 	}
-	must.Eq(t, 0, settle(), must.Sprint("they are apart"))
+	must.Eq(t, 0, settle(), must.Sprint("the regions are cut off from each other"))
 	for _, n := range nodes {
 		for _, other := range nodes {
 			row, _ := n.members().Find(other.env.World.VM)
 			want := uint64(2)
-			if apart(n, other) {
+			if isSeparated(n, other) {
 				want = 1
 			}
-			must.Eq(t, want, n.members().Record[row].Revision, must.Sprint("each side goes on by itself"))
+			must.Eq(t, want, n.members().Record[row].Revision, must.Sprint("only rows of the same region have changed"))
 		}
 	}
-	// Links come back, one a daemon; one daemon of a side asks.
+	// Each daemon gets a link to the other region. One daemon on each side requests the
+	// differences.
 	for i := range 2 * each {
 		connect(nodes[i], nodes[2*each+i])
 	}
-	ask(nodes[0], nodes[2*each])
-	ask(nodes[2*each], nodes[0])
+	requestDifferences(nodes[0], nodes[2*each])
+	requestDifferences(nodes[2*each], nodes[0])
 	crossed := settle()
 	for _, n := range nodes {
 		must.Eq(t, nodes[0].members().Digest(), n.members().Digest())
 	}
-	test.Eq(t, 0, crossed, test.Sprint("the side that a row came from knows it"))
+	test.Eq(t, 0, crossed, test.Sprint("no row goes back to the region that it came from"))
 }
 
-// rowOf is a daemon's own row at a revision.
-func rowOf(n *gossipNode, revision uint64) wire.Member {
+// memberRow returns a daemon's own row of the table of members at a revision.
+func memberRow(n *gossipNode, revision uint64) wire.Member {
 	w := n.env.World
 	return wire.Member{VM: w.VM, DataCentre: w.DataCentre, Region: w.Region, Service: "s", Incarnation: 1, Revision: revision}
 }
 
-// ask has a daemon ask a peer for the rows in which their tables differ.
-func ask(n, from *gossipNode) {
+// requestDifferences merges into n's table of members the rows of a peer's table that
+// differ.
+func requestDifferences(n, from *gossipNode) {
 	for _, row := range from.members().DifferingRows(n.members().BucketDigests()) {
 		n.members().Merge(1, peerOf(from), row)
 	}
 }
 
-// passOnCounted is passOn without losses. It counts the rows that went to daemons for
-// which apart is true.
-func (n *gossipNode) passOnCounted(apart func(a, b *gossipNode) bool) (sent bool, crossed int) {
+// spreadChanges sends the changes of n's table of members to its peers. It returns
+// whether it sent any, and how many rows went to daemons for which isSeparated is true.
+func (n *gossipNode) spreadChanges(isSeparated func(a, b *gossipNode) bool) (sent bool, crossed int) {
 	plan := n.spread.plan(n.spread.changesFromDaemons(n.members().TakeChanges()))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
-		if apart(n, to) {
+		if isSeparated(n, to) {
 			crossed += len(rows)
 		}
 		for _, row := range rows {
@@ -151,11 +155,11 @@
 	return len(plan) > 0, crossed
 }
 
-// TestAFewDaemonsOfARegionFollowTheFeed, whichever of its data centres they stand in;
-// in a deployment of one region a few of each data centre do.
-func TestAFewDaemonsOfARegionFollowTheFeed(t *testing.T) {
+// TestFewDaemonsOfARegionFollowTheFeed, whatever their data centres. In a deployment with
+// a single region or without regions, a few of each data centre follow it.
+func TestFewDaemonsOfARegionFollowTheFeed(t *testing.T) {
 	const each = 20
-	following := func(region func(dataCentre string) string) (n int) {
+	countFollowers := func(region func(dataCentre string) string) (n int) {
 		for _, own := range []string{"a1", "a2"} {
 			for vm := range each {
 				env := regionFleet(0).Env
@@ -178,7 +182,7 @@
 		return n
 	}
 	readers := testEnv().Settings.Placement.FeedReaders
-	test.Eq(t, readers, following(func(dataCentre string) string { return dataCentre[:1] }))
-	test.Eq(t, 2*readers, following(func(string) string { return "all" }))
-	test.Eq(t, 2*readers, following(func(string) string { return "" }))
+	test.Eq(t, readers, countFollowers(func(dataCentre string) string { return dataCentre[:1] }))
+	test.Eq(t, 2*readers, countFollowers(func(string) string { return "all" }))
+	test.Eq(t, 2*readers, countFollowers(func(string) string { return "" }))
 }
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -12,47 +12,52 @@
 )
 
 const (
-	// newVersionHold is how long a backend server of a version that its service did not
-	// have runs nothing: operators order a roll-out once it stands, and the order comes
-	// over the feed and links within a second.
+	// newVersionHold is how long a backend server of a version that is new to its service
+	// gets no requests. Operators order a roll-out once such a backend server is up, and
+	// the order arrives over the feed and links within a second.
 	newVersionHold = 2 * time.Second
-	// reportInterval is the time between two reports of an executor under an order. Its
-	// requests are few while a version is tried, so that a report more tells little.
+	// reportInterval is the time between two reports to the watchers of a roll-out. A
+	// version on trial gets few requests, so more reports would say little more.
 	reportInterval = 250 * time.Millisecond
-	// unwatchedGrace is how long a backend server on trial goes on without a link to those
-	// who judge it.
+	// unwatchedGrace is how long a backend server on trial runs on without a link to a
+	// watcher.
 	unwatchedGrace = time.Second
 )
 
-// rolloutGuard holds the backend server beside this daemon to its service's roll-out,
-// whatever entries believe, and reports what it sees there.
+// rolloutGuard decides, by the roll-out of the service, which requests the executor of
+// this VM's backend server may run, whatever entries send. It also reports the outcomes
+// of runs to the watchers of the roll-out (rolloutWatcher).
 type rolloutGuard struct {
 	*Env
 	tracker *rolloutTracker
 	watcher *rolloutWatcher
-	// admitted is the version that was found to be no newcomer, and passed the one that
-	// runs requests, though others may still show that it is one.
+	// admitted is the backend server that was admitted for good: its version is not new
+	// to the service. passed is the one that may run now; a member that has not reported
+	// its version yet may still show that its version is new.
 	admitted backendInstance
 	passed   backendInstance
-	// firstSeen is when each version of the service was first firstSeen, and at the state of the
-	// members seenAt.
+	// firstSeen is when each version of the service was first seen, in nanoseconds.
+	// seenChanges is the change count of the service's members at the last look.
 	firstSeen   map[string]int64
 	seenChanges uint64
-	// current is what newcomer looked at last, since since.
+	// current is the backend server that newVersionReason last looked at, currentSince
+	// is when it appeared.
 	current      backendInstance
 	currentSince int64
-	// watchedAt is when there last was a link to a watcher.
-	watchedAt    int64
+	// watchedAt is when a watcher last had a link to this daemon, or none was needed.
+	watchedAt int64
+	// inForce is the guard that was last given to the executor, loggedReason the last
+	// logged reason why it refuses requests.
 	inForce      rollout.Guard
 	loggedReason string
 	reportDue    intervalTimer
 }
 
-// backendInstance is an incarnation of the backend server with its version.
+// backendInstance is an incarnation of the backend server, with its version.
 type backendInstance struct{ name, version string }
 
-func newRolloutGuard(env *Env, known *rolloutTracker, watch *rolloutWatcher) *rolloutGuard {
-	g := &rolloutGuard{Env: env, tracker: known, watcher: watch, firstSeen: map[string]int64{}}
+func newRolloutGuard(env *Env, tracker *rolloutTracker, watcher *rolloutWatcher) *rolloutGuard {
+	g := &rolloutGuard{Env: env, tracker: tracker, watcher: watcher, firstSeen: map[string]int64{}}
 	if env.Trial != nil && env.RolloutLimits.StopWithin > 0 {
 		g.inForce.BlockReason, g.loggedReason = noBackendSeen, noBackendSeen
 		env.Trial.SetGuard(&rollout.Guard{BlockReason: noBackendSeen})
@@ -60,8 +65,9 @@
 	return g
 }
 
-// noBackendSeen is why a backend server runs nothing before it has shown itself.
-const noBackendSeen = "no backend server was seen yet"
+// noBackendSeen is the reason why requests are refused until the first heartbeat of the
+// backend server.
+const noBackendSeen = "no backend server has been seen yet"
 
 // Tick implements System.
 func (g *rolloutGuard) Tick(now int64, _ *tables.Mail) {
@@ -70,36 +76,38 @@
 	}
 	service := g.Settings.BackendServer.Service
 	plan, _ := g.World.Rollouts.Plan(service)
-	newcomer := g.newVersionReason(now, service)
-	g.backendHeldBack = newcomer != ""
-	why := newcomer
-	if why == "" {
-		why = g.unwatchedReason(now, service)
+	newVersion := g.newVersionReason(now, service)
+	g.backendHeldBack = newVersion != ""
+	reason := newVersion
+	if reason == "" {
+		reason = g.unwatchedReason(now, service)
 	}
-	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, BlockReason: why, Instance: g.passed.name})
+	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, BlockReason: reason, Instance: g.passed.name})
 	if g.reportDue.fires(now, reportInterval) {
 		g.sendReport(now, service)
 	}
 }
 
-// enforce puts a guard in force where it is another one, and logs what it changes.
+// enforce gives a changed guard to the executor, and logs a changed reason for refusing
+// requests.
 func (g *rolloutGuard) enforce(guard rollout.Guard) {
 	if guard != g.inForce {
 		g.inForce = guard
 		g.Trial.SetGuard(&guard)
 	}
-	barred := g.Trial.RefusalReason()
-	if barred == g.loggedReason {
+	reason := g.Trial.RefusalReason()
+	if reason == g.loggedReason {
 		return
 	}
-	g.loggedReason = barred
-	g.Log.Event(events.RolloutGuard, events.F("refuses", barred != ""), events.F("why", barred),
+	g.loggedReason = reason
+	g.Log.Event(events.RolloutGuard, events.F("refuses", reason != ""), events.F("why", reason),
 		events.F("version", g.Backend.Version()), events.F("revision", guard.Revision), events.F("in_flight", g.requestsInFlight()))
 }
 
-// newVersionReason says why the backend server must wait, as its version is new to the service
-// and its order may be on its way. It is no newVersionReason where the service has no backend
-// server of another version, nor where a roll-out names it: its traffic decides.
+// newVersionReason returns why the backend server must wait, as its version may be new
+// to the service and the order for its roll-out not yet received; empty: it need not
+// wait. It need not wait if the service has no backend server of another version, or if
+// a known roll-out concerns its version: then the roll-out decides.
 func (g *rolloutGuard) newVersionReason(now int64, service string) string {
 	current, _ := g.Backend.Current()
 	own := backendInstance{name: current.String(), version: g.Backend.Version()}
@@ -121,10 +129,10 @@
 	early := now-since < int64(newVersionHold) && !g.isPartOfRollout(service, own.version)
 	if early {
 		if g.isOtherVersionLive(service, own.version) {
-			return "its version is new to the service, and its order may be on its way"
+			return "its version is new to the service, and the order for its roll-out may not have arrived yet"
 		}
 		if !g.tracker.synced && !g.Settings.Platform.FirstStart {
-			return "no other daemon has told yet which roll-outs there are"
+			return "no other daemon has reported yet which roll-outs there are"
 		}
 	}
 	g.passed = own
@@ -134,8 +142,8 @@
 	return ""
 }
 
-// areOtherVersionsUnknown is true while this daemon does not know the versions of the service's
-// other members: it has heard of none, or one of them has not said its version.
+// areOtherVersionsUnknown reports whether this daemon knows of no other member of the
+// service, or one of them has not reported its version.
 func (g *rolloutGuard) areOtherVersionsUnknown(service string) bool {
 	others, unknown := 0, false
 	g.World.Members.EachRowOfService(service, func(row int) {
@@ -147,7 +155,7 @@
 	return others == 0 || unknown
 }
 
-// recordVersions notes which versions the service has.
+// recordVersions records when each version of the service's members was first seen.
 func (g *rolloutGuard) recordVersions(now int64, service string) {
 	changes := g.World.Members.ServiceChangeCount(service)
 	if changes == g.seenChanges {
@@ -162,17 +170,18 @@
 	})
 }
 
-// maxVersionsSeen bounds the versions that are remembered; a service has a few.
+// maxVersionsSeen bounds the number of versions in rolloutGuard.firstSeen.
 const maxVersionsSeen = 1000
 
-// isPartOfRollout is true for a version that a roll-out of the service moves to or from.
+// isPartOfRollout reports whether a roll-out of the service moves to or from a version.
 func (g *rolloutGuard) isPartOfRollout(service, version string) bool {
 	order, _ := g.World.Rollouts.Order(service)
 	plan, _ := g.World.Rollouts.Plan(service)
 	return version != "" && (order.Version == version || plan.Target == version || slices.Contains(plan.Old, version))
 }
 
-// isOtherVersionLive is true where the service has a live backend server of another version.
+// isOtherVersionLive reports whether another VM has a live backend server of another
+// version of the service.
 func (g *rolloutGuard) isOtherVersionLive(service, version string) (found bool) {
 	g.World.Members.EachRowOfService(service, func(row int) {
 		m := &g.World.Members.Record[row]
@@ -183,9 +192,9 @@
 	return found
 }
 
-// unwatchedReason says why a backend server on trial must wait: what nobody who judges it
-// hears must not run. While all requests are being moved the old backend servers refuse
-// them, so that refusing here too would leave the service with none.
+// unwatchedReason returns why a backend server on trial must wait, or empty: without a
+// link, no watcher sees its failures. While the roll-out is switching it need not wait:
+// the old backend servers refuse requests then, so the service would have none left.
 func (g *rolloutGuard) unwatchedReason(now int64, service string) string {
 	order, _ := g.World.Rollouts.Order(service)
 	plan, _ := g.World.Rollouts.Plan(service)
@@ -197,11 +206,11 @@
 	if now-g.watchedAt < int64(unwatchedGrace) {
 		return ""
 	}
-	return "this version is on trial, and there is no link to any daemon that judges it"
+	return "this version is on trial, and there is no link to a watcher of its roll-out"
 }
 
-// isWatched is true where a daemon that judges the roll-out hears this one. One that
-// judges itself must be able to tell others.
+// isWatched reports whether a watcher receives this daemon's reports. If this daemon is
+// a watcher itself, it needs a link to send a stop to the others.
 func (g *rolloutGuard) isWatched() bool {
 	if g.watcher.rank >= 0 {
 		return g.World.Peers.Len() > 0 || len(g.World.RolloutWatchers) == 0
@@ -209,14 +218,15 @@
 	return len(g.watcherLinks()) > 0
 }
 
-// watcherLinks returns one link to each daemon that judges the roll-out, but this one.
+// watcherLinks returns a link to each other watcher that this daemon has one with, by
+// VM.
 func (g *rolloutGuard) watcherLinks() map[string]*link.Peer {
 	out := map[string]*link.Peer{}
-	for _, route := range g.World.RolloutWatchers {
-		out[route.VM] = nil
+	for _, endpoint := range g.World.RolloutWatchers {
+		out[endpoint.VM] = nil
 	}
 	g.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
-		if _, is := out[peer.Hello.VM]; is {
+		if _, isWatcher := out[peer.Hello.VM]; isWatcher {
 			out[peer.Hello.VM] = peer
 		}
 	})
@@ -228,14 +238,15 @@
 	return out
 }
 
-// barsAll is true where the guard in force lets the backend server run nothing.
-func (g *rolloutGuard) barsAll(version string) bool {
+// refusesAll reports whether the guard in force lets the backend server run no request.
+func (g *rolloutGuard) refusesAll(version string) bool {
 	current, _ := g.Backend.Current()
 	return g.inForce.RefusalReasonFor(current.String(), version, g.World.VM) != ""
 }
 
-// sendReport tells those who judge the roll-out what was seen here. The guard in force
-// stands before requests in flight are counted, so that none is missed.
+// sendReport sends the outcomes of runs and the number of requests in flight to the
+// watchers of the roll-out. It is called after enforce: a request that the executor
+// accepted under the former guard is in flight by then, so the count includes it.
 func (g *rolloutGuard) sendReport(now int64, service string) {
 	order, ok := g.World.Rollouts.Order(service)
 	plan, _ := g.World.Rollouts.Plan(service)
@@ -247,19 +258,20 @@
 		g.Recorder.Begin(0, version)
 		return
 	}
-	obeyed := uint64(0)
-	if plan.Order == order.Revision && (version == plan.Target || g.barsAll(version)) {
-		// One that runs requests again, as after a stop while switching, obeys no plan
-		// to run none: it is not empty, whatever is in flight now.
-		obeyed = plan.Revision
+	obeyedRevision := uint64(0)
+	if plan.Order == order.Revision && (version == plan.Target || g.refusesAll(version)) {
+		// A backend server of an old version that runs requests again, as after a stop
+		// while switching, does not obey the plan. It must not count as drained, even if
+		// nothing is in flight now.
+		obeyedRevision = plan.Revision
 	}
 	g.Recorder.Begin(order.Revision, version)
-	report, ok := g.Recorder.Report(obeyed, g.requestsInFlight())
+	report, ok := g.Recorder.Report(obeyedRevision, g.requestsInFlight())
 	if !ok {
 		return
 	}
 	if g.watcher.rank >= 0 {
-		g.watcher.note(now, report)
+		g.watcher.recordReport(now, report)
 	}
 	for _, peer := range g.watcherLinks() {
 		_ = peer.Send(&wire.RolloutReport{Report: report})
--- a/pkg/systems/rolloutlinks.go
+++ b/pkg/systems/rolloutlinks.go
@@ -8,36 +8,40 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// linkSettleTime is how long a watcher must have had links with others of the service
-// before it decides: greetings with versions come over all of them within a tenth of
-// that, and links that were reset stand again.
+// linkSettleTime is how long a watcher must have had links to other members of the
+// service before it may decide. Within a tenth of that time it receives the versions of
+// those members over its links, and links that were reset are open again.
 const linkSettleTime = time.Second
 
-// recordLinks notes which daemons have a link with this one.
+// recordLinks records which VMs have a link with this daemon now.
 func (w *rolloutWatcher) recordLinks(now int64) {
 	w.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
-		w.linkedAt[peer.Hello.VM], w.wasLinked[peer.Hello.VM] = now, true
+		w.lastLinkedAt[peer.Hello.VM], w.everLinked[peer.Hello.VM] = now, true
 	})
-	others, linked := false, false
+	hasOthers, isLinked := false, false
 	w.World.Members.EachRowOfService(w.Settings.BackendServer.Service, func(row int) {
 		vm := w.World.Members.Record[row].VM
-		others = others || vm != w.World.VM
-		linked = linked || vm != w.World.VM && w.wasLinked[vm] && w.linkedAt[vm] == now
-		if _, known := w.linkedAt[vm]; !known {
-			// It has the same time to open a link as one that had one.
-			w.linkedAt[vm] = now - 1
+		hasOthers = hasOthers || vm != w.World.VM
+		isLinked = isLinked || vm != w.World.VM && w.everLinked[vm] && w.lastLinkedAt[vm] == now
+		if _, known := w.lastLinkedAt[vm]; !known {
+			// A new member has as much time to open a link as one whose link just ended.
+			w.lastLinkedAt[vm] = now - 1
 		}
 	})
-	if others && !linked {
-		w.blindAt = now
+	if hasOthers && !isLinked {
+		w.unlinkedAt = now
 	}
 }
 
-// mustWaitForLinks is true for a decision that only tells that this watcher's own links do not
-// stand, as after a restart or a cut: another watcher sees more, and decides. A finding
-// and an order taken away need no links, nor does the deadline, at which a roll-out must
-// end whoever is left; the first plan of an order and the first canaries do no harm, but
-// where versions are still to come.
+// mustWaitForLinks reports whether this watcher must not write next, the plan that it
+// has decided on: the decision may only reflect that its own links are not open, as
+// after a restart or while it is cut off. A watcher with links decides then. Some
+// decisions need no links:
+//   - A finding against the version, and the cancellation of an order.
+//   - The first canaries, which do no harm.
+//   - The first plan for an order, unless old versions may be missing in it since
+//     members have not reported theirs yet.
+//   - All decisions from the deadline on, since a roll-out must end by then.
 func (w *rolloutWatcher) mustWaitForLinks(now int64, order rollout.Order, plan, next *rollout.Plan, verdict rollout.Verdict) bool {
 	switch {
 	case order.Revision == 0 || verdict.Bad:
@@ -45,15 +49,16 @@
 	case plan.Phase == rollout.Waiting && next.Phase == rollout.Canary:
 		return false
 	case plan.Order == order.Revision && plan.Phase < rollout.Switching && next.Phase == rollout.RolledBack:
-		// Its time is over, whatever stands where.
+		// The time for the trial is over, whatever the state of the backend servers.
 		return false
 	case order.Revision > plan.Order:
-		return len(next.Old) == 0 && w.hasUnknownVersion() && now-w.begunAt < int64(linkSettleTime)
+		return len(next.Old) == 0 && w.hasUnknownVersion() && now-w.orderBegunAt < int64(linkSettleTime)
 	}
-	return now-w.blindAt < int64(linkSettleTime) && w.rows.storeNow(now) < plan.Deadline
+	return now-w.unlinkedAt < int64(linkSettleTime) && w.plans.storeNow(now) < plan.Deadline
 }
 
-// hasUnknownVersion is true where a member of the service has not said its version.
+// hasUnknownVersion reports whether a member of the service has not reported its
+// version.
 func (w *rolloutWatcher) hasUnknownVersion() (unknown bool) {
 	w.World.Members.EachRowOfService(w.Settings.BackendServer.Service, func(row int) {
 		unknown = unknown || w.World.Members.Record[row].Version == ""
--- a/pkg/systems/rolloutpeak.go
+++ b/pkg/systems/rolloutpeak.go
@@ -2,28 +2,32 @@
 
 import "time"
 
-// busyKeeps is how long the most requests in flight that a backend server has told of
-// count: each second of a service with few requests has its peaks.
-const busyKeeps = 5 * time.Second
+// peakWindow is the length of one window of an inFlightPeak. It spans several seconds,
+// since the requests in flight of a service with little traffic vary from second to
+// second.
+const peakWindow = 5 * time.Second
 
-// busy is the most requests in flight at a backend server of late, in two windows.
-type busy struct {
-	since        int64
-	now, earlier int
+// inFlightPeak is the highest number of requests in flight that a backend server has
+// reported in the current and in the previous window.
+type inFlightPeak struct {
+	// windowStart is when the current window began, in nanoseconds.
+	windowStart       int64
+	current, previous int
 }
 
-func (b busy) with(now int64, inFlight int) busy {
-	if now-b.since > int64(busyKeeps) {
-		b.since, b.earlier, b.now = now, b.now, 0
+// add returns the peak after a report of inFlight requests.
+func (p inFlightPeak) add(now int64, inFlight int) inFlightPeak {
+	if now-p.windowStart > int64(peakWindow) {
+		p.windowStart, p.previous, p.current = now, p.current, 0
 	}
-	b.now = max(b.now, inFlight)
-	return b
+	p.current = max(p.current, inFlight)
+	return p
 }
 
-// most is 0 where nothing was told of late.
-func (b busy) most(now int64) int {
-	if now-b.since > int64(2*busyKeeps) {
+// peak returns the highest number of requests in flight, or 0 without a recent report.
+func (p inFlightPeak) peak(now int64) int {
+	if now-p.windowStart > int64(2*peakWindow) {
 		return 0
 	}
-	return max(b.now, b.earlier)
+	return max(p.current, p.previous)
 }
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -13,46 +13,52 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// newsResendAfter is how long a peer whose digest stays another one is not sent the same
-// news again: it may be of a release that knows no roll-outs.
-const newsResendAfter = 2 * time.Second
+// updateResendAfter is how long all that is known of roll-outs is not sent again to a
+// peer whose digest remains different. The peer may run a release that does not support
+// roll-outs.
+const updateResendAfter = 2 * time.Second
 
-// rolloutTracker keeps what is known of roll-outs, from the store and from peers, publishes
-// it, and passes each change on over all links. Source: docs/design/rollout.md.
+// rolloutTracker keeps what is known of roll-outs (World.Rollouts) up to date from the
+// store and from peers, publishes it, and sends each change over all links. Source:
+// docs/design/rollout.md.
 type rolloutTracker struct {
 	*Env
-	// loggedPhases are the phases that stand in the log already, by service, and stopped the
-	// orders whose stops do.
+	// loggedPhases are the last logged phases, by service. loggedStops are the orders
+	// whose stops were logged, by service.
 	loggedPhases map[string]loggedPhase
 	loggedStops  map[string]uint64
-	// now is the time of the tick.
+	// now is the time of the current tick, in nanoseconds.
 	now int64
-	// synced is true once a peer knew the same as this daemon.
+	// synced is true once a peer had the same digest as this daemon.
 	synced bool
-	// loneVersions is which version is the only one of a service, by service.
-	loneVersions map[string]loneVersion
-	// startedAt is the time of the first tick.
+	// soleVersions caches which version is the only one of a service, by service.
+	soleVersions map[string]soleVersion
+	// startedAt is the time of the first tick, in nanoseconds.
 	startedAt int64
 }
 
-// loneVersion is the only version of a service's members, since when.
-type loneVersion struct {
+// soleVersion is the only version of a service's members and since when it has been;
+// version is empty if there are several or one is not known. changes is the change count
+// of the members that it was computed from.
+type soleVersion struct {
 	changes uint64
 	version string
 	since   int64
 }
 
-// loneVersionDelay is how long a version must have been the only one before a roll-out bars it
-// no more: a daemon that was started anew learns the other ones within that time.
-const loneVersionDelay = newVersionHold
+// soleVersionDelay is how long a version must have been the only one of its service
+// before a roll-out no longer excludes it. A daemon that has just started learns within that
+// time of the other versions.
+const soleVersionDelay = newVersionHold
 
+// loggedPhase is a phase of the roll-out that an order started.
 type loggedPhase struct {
 	order uint64
 	phase rollout.Phase
 }
 
 func newRolloutTracker(env *Env) *rolloutTracker {
-	return &rolloutTracker{Env: env, loggedPhases: map[string]loggedPhase{}, loggedStops: map[string]uint64{}, loneVersions: map[string]loneVersion{}}
+	return &rolloutTracker{Env: env, loggedPhases: map[string]loggedPhase{}, loggedStops: map[string]uint64{}, soleVersions: map[string]soleVersion{}}
 }
 
 // Tick implements System.
@@ -62,85 +68,88 @@
 		ro.startedAt = now
 	}
 	if mail.RolloutOrders != nil {
-		ro.takeOrders(*mail.RolloutOrders)
+		ro.applyOrders(*mail.RolloutOrders)
 	}
-	for _, n := range mail.RolloutNews {
-		ro.take(n.News, n.Peer)
+	for _, received := range mail.RolloutNews {
+		ro.apply(received.News, received.Peer)
 	}
-	for _, row := range mail.RolloutPlanResults {
-		if row.Err == nil && row.Stored.Plan.Revision > 0 {
-			ro.take(rollout.Update{Plans: []rollout.Plan{row.Stored.Plan}}, nil)
+	for _, result := range mail.RolloutPlanResults {
+		if result.Err == nil && result.Stored.Plan.Revision > 0 {
+			ro.apply(rollout.Update{Plans: []rollout.Plan{result.Stored.Plan}}, nil)
 		}
 	}
 	for _, e := range mail.LinkEvents {
 		if e.Up {
-			ro.compare(e.Peer, e.Peer.Hello.State.Rollouts)
+			ro.syncWithPeer(e.Peer, e.Peer.Hello.State.Rollouts)
 		}
 	}
-	for _, n := range mail.PeerStates {
-		ro.compare(n.Peer, n.State.Rollouts)
+	for _, received := range mail.PeerStates {
+		ro.syncWithPeer(received.Peer, received.State.Rollouts)
 	}
-	ro.updateLoneVersions(now)
+	ro.updateSoleVersions(now)
 }
 
-// updateLoneVersions tells the book which versions are the only ones of their services.
-func (ro *rolloutTracker) updateLoneVersions(now int64) {
+// updateSoleVersions updates in World.Rollouts which versions are the only ones of their
+// services.
+func (ro *rolloutTracker) updateSoleVersions(now int64) {
 	changed := false
 	for service := range ro.knownServices() {
-		changed = ro.World.Rollouts.SetSoleVersion(service, ro.loneVersionOf(now, service)) || changed
+		changed = ro.World.Rollouts.SetSoleVersion(service, ro.soleVersionOf(now, service)) || changed
 	}
 	if changed {
 		ro.publish()
 	}
 }
 
-// knownServices are those that an order or a plan is known of, and this daemon's own.
+// knownServices returns the services that have an order or a plan, and this VM's own.
 func (ro *rolloutTracker) knownServices() map[string]struct{} {
 	out := map[string]struct{}{ro.Settings.BackendServer.Service: {}}
-	news := ro.World.Rollouts.Snapshot()
-	for i := range news.Orders.List {
-		out[news.Orders.List[i].Service] = struct{}{}
+	snapshot := ro.World.Rollouts.Snapshot()
+	for i := range snapshot.Orders.List {
+		out[snapshot.Orders.List[i].Service] = struct{}{}
 	}
-	for i := range news.Plans {
-		out[news.Plans[i].Service] = struct{}{}
+	for i := range snapshot.Plans {
+		out[snapshot.Plans[i].Service] = struct{}{}
 	}
 	return out
 }
 
-// loneVersionOf is the only version of a service, where it has been for loneFor. Members that
-// do not answer count as long as the platform lists them: who is cut off from them must
-// not take its own version for the only one.
-func (ro *rolloutTracker) loneVersionOf(now int64, service string) string {
-	had, known := ro.loneVersions[service]
+// soleVersionOf returns the version that has been the only one of a service for
+// soleVersionDelay, or empty. Unreachable members count as long as the platform lists
+// them: a daemon that is cut off from them must not take its own version for the only
+// one.
+func (ro *rolloutTracker) soleVersionOf(now int64, service string) string {
+	sole, known := ro.soleVersions[service]
 	changes := ro.World.Members.ServiceChangeCount(service)
-	if !known || had.changes != changes {
+	if !known || sole.changes != changes {
 		version := ro.commonVersion(service)
-		if !known || version != had.version {
-			had.version, had.since = version, now
+		if !known || version != sole.version {
+			sole.version, sole.since = version, now
 		}
-		had.changes = changes
-		ro.loneVersions[service] = had
+		sole.changes = changes
+		ro.soleVersions[service] = sole
 	}
-	since := had.since
+	since := sole.since
 	if service != ro.Settings.BackendServer.Service {
-		// Executors hold their own to it; an entry that looks only since the order was
-		// written must not refuse requests meanwhile.
+		// Of another service this daemon is only an entry, and watches its versions only
+		// from its order on. It must not refuse requests during the delay, so the delay
+		// counts from this daemon's start. The executors of the service enforce it.
 		since = ro.startedAt
 	}
-	if now-since < int64(loneVersionDelay) {
+	if now-since < int64(soleVersionDelay) {
 		return ""
 	}
-	return had.version
+	return sole.version
 }
 
-// commonVersion is the version of all members of a service; empty where they have more
-// than one, or one of them has not said it.
+// commonVersion returns the version of all members of a service, or empty if they have
+// several versions or one is not known.
 func (ro *rolloutTracker) commonVersion(service string) (version string) {
 	first, same := true, true
 	ro.World.Members.EachRowOfService(service, func(row int) {
-		said := ro.World.Members.Record[row].Version
-		same = same && (first || said == version)
-		version, first = said, false
+		next := ro.World.Members.Record[row].Version
+		same = same && (first || next == version)
+		version, first = next, false
 	})
 	if !same {
 		return ""
@@ -148,54 +157,58 @@
 	return version
 }
 
-// takeOrders takes over what this daemon read in the store.
-func (ro *rolloutTracker) takeOrders(orders rollout.Orders) {
-	ro.take(rollout.Update{Orders: orders}, nil)
+// applyOrders applies a set of orders that was read from the store, and logs if it is
+// refused.
+func (ro *rolloutTracker) applyOrders(orders rollout.Orders) {
+	ro.apply(rollout.Update{Orders: orders}, nil)
 	if ro.World.Rollouts.Snapshot().Orders.Revision < orders.Revision {
 		ro.Log.Event(events.RolloutRefused, events.F("orders", len(orders.List)), events.F("revision", orders.Revision),
 			events.F("cause", "more orders than a daemon keeps, or one with a value out of bounds"))
 	}
 }
 
-// take takes news over and passes on what changed; from is the peer that told it, or
-// nil.
-func (ro *rolloutTracker) take(news rollout.Update, from *link.Peer) {
+// apply merges an update into World.Rollouts, publishes the result, and sends what
+// changed to the peers. from is the peer that sent the update, or nil.
+func (ro *rolloutTracker) apply(update rollout.Update, from *link.Peer) {
 	book := ro.World.Rollouts
-	before, orders := book.Digest(), book.Snapshot().Orders
-	changed := book.Merge(news)
-	if book.Digest() == before {
+	digest, oldOrders := book.Digest(), book.Snapshot().Orders
+	changed := book.Merge(update)
+	if book.Digest() == digest {
 		return
 	}
 	ro.publish()
 	if len(changed) == 0 {
-		// The same orders as of a later revision: heartbeats tell.
+		// Only the revision of the set of orders changed. Peers notice by the digest in
+		// the next heartbeat.
 		return
 	}
 	for _, service := range changed {
 		ro.World.MarkDirty(service)
-		ro.logOrder(orders, service, from)
+		ro.logOrder(oldOrders, service, from)
 		ro.logStop(service, from)
 		ro.logPlan(service, from)
 	}
-	say := &wire.RolloutNews{News: onlyOf(book.Snapshot(), changed)}
+	frame := &wire.RolloutNews{News: updateAbout(book.Snapshot(), changed)}
 	ro.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
-		// Heartbeats that are on their way show the old digest, and need no answer.
+		// Heartbeats that are on their way still have the old digest. They must not cause
+		// another transfer.
 		row.RolloutsSentDigest, row.RolloutsSentAt = book.Digest(), ro.now
 		if peer != from {
-			_ = peer.Send(say)
+			_ = peer.Send(frame)
 		}
 	})
 }
 
-// onlyOf is the part of news that concerns some services. Orders are one set.
-func onlyOf(news rollout.Update, services []string) rollout.Update {
-	out := rollout.Update{Orders: news.Orders}
-	for i := range news.Plans {
-		if slices.Contains(services, news.Plans[i].Service) {
-			out.Plans = append(out.Plans, news.Plans[i])
+// updateAbout returns the part of a snapshot that concerns some services: their plans and
+// stops, and the whole set of orders, since orders are exchanged as one set.
+func updateAbout(snapshot rollout.Update, services []string) rollout.Update {
+	out := rollout.Update{Orders: snapshot.Orders}
+	for i := range snapshot.Plans {
+		if slices.Contains(services, snapshot.Plans[i].Service) {
+			out.Plans = append(out.Plans, snapshot.Plans[i])
 		}
 	}
-	for _, s := range news.Stops {
+	for _, s := range snapshot.Stops {
 		if slices.Contains(services, s.Service) {
 			out.Stops = append(out.Stops, s)
 		}
@@ -203,29 +216,30 @@
 	return out
 }
 
-// publish gives the hot path, and the heartbeats, what is known now.
+// publish publishes the traffic rules of all roll-outs for the handling of requests, and
+// the digest for heartbeats.
 func (ro *rolloutTracker) publish() {
 	book := ro.World.Rollouts
-	known := &tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{}}
-	news := book.Snapshot()
-	if len(news.Orders.List)+len(news.Plans)+len(news.Stops) > 0 {
-		known.Digest = book.Digest()
+	view := &tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{}}
+	snapshot := book.Snapshot()
+	if len(snapshot.Orders.List)+len(snapshot.Plans)+len(snapshot.Stops) > 0 {
+		view.Digest = book.Digest()
 	}
-	for _, o := range news.Orders.List {
-		known.Traffic[o.Service] = book.Traffic(o.Service)
+	for _, o := range snapshot.Orders.List {
+		view.Traffic[o.Service] = book.Traffic(o.Service)
 	}
-	for i := range news.Plans {
-		service := news.Plans[i].Service
-		known.Traffic[service] = book.Traffic(service)
+	for i := range snapshot.Plans {
+		service := snapshot.Plans[i].Service
+		view.Traffic[service] = book.Traffic(service)
 	}
-	ro.World.View.SetRollouts(known)
+	ro.World.View.SetRollouts(view)
 }
 
-// compare sends a peer that knows something else all that is known here. One that
-// knows more does the same.
-func (ro *rolloutTracker) compare(peer *link.Peer, theirs uint64) {
+// syncWithPeer sends a peer all that is known of roll-outs if its digest is different.
+// The peer does the same, so that both end up with the newer parts.
+func (ro *rolloutTracker) syncWithPeer(peer *link.Peer, theirDigest uint64) {
 	own := ro.World.View.RolloutDigest()
-	if theirs == own {
+	if theirDigest == own {
 		ro.synced = true
 		return
 	}
@@ -233,54 +247,55 @@
 		return
 	}
 	row := ro.World.Peers.GetOrAdd(peer)
-	if row.RolloutsSentDigest == own && ro.now-row.RolloutsSentAt < int64(newsResendAfter) {
+	if row.RolloutsSentDigest == own && ro.now-row.RolloutsSentAt < int64(updateResendAfter) {
 		return
 	}
 	row.RolloutsSentDigest, row.RolloutsSentAt = own, ro.now
 	_ = peer.Send(&wire.RolloutNews{News: ro.World.Rollouts.Snapshot()})
 }
 
-func (ro *rolloutTracker) logOrder(before rollout.Orders, service string, from *link.Peer) {
-	old, _ := before.Of(service)
+// logOrder logs a service's order if it differs from the one in old.
+func (ro *rolloutTracker) logOrder(old rollout.Orders, service string, from *link.Peer) {
+	oldOrder, _ := old.Of(service)
 	order, _ := ro.World.Rollouts.Order(service)
-	if old == order {
+	if oldOrder == order {
 		return
 	}
 	ro.Log.Event(events.RolloutOrdered, events.F("service", service), events.F("version", order.Version),
-		events.F("order", order.Revision), events.F("duration", order.Duration), events.F("from", nameOf(from)))
+		events.F("order", order.Revision), events.F("duration", order.Duration), events.F("from", peerVM(from)))
 }
 
-// logStop writes one line a stop.
+// logStop logs each stop once.
 func (ro *rolloutTracker) logStop(service string, from *link.Peer) {
 	stop, ok := ro.World.Rollouts.Stopped(service)
 	if !ok || ro.loggedStops[service] == stop.Order {
 		return
 	}
 	ro.loggedStops[service] = stop.Order
-	ro.Log.Event(events.RolloutStopped, events.F("service", service), events.F("order", stop.Order), events.F("cause", stop.Cause), events.F("from", nameOf(from)))
+	ro.Log.Event(events.RolloutStopped, events.F("service", service), events.F("order", stop.Order), events.F("cause", stop.Cause), events.F("from", peerVM(from)))
 }
 
-// logPlan writes one line a phase.
+// logPlan logs each phase once, and sets the phase in the metrics.
 func (ro *rolloutTracker) logPlan(service string, from *link.Peer) {
 	plan, ok := ro.World.Rollouts.Plan(service)
 	if !ok {
 		return
 	}
-	now := loggedPhase{order: plan.Order, phase: plan.Phase}
-	if had, known := ro.loggedPhases[service]; known && had == now {
+	phase := loggedPhase{order: plan.Order, phase: plan.Phase}
+	if last, known := ro.loggedPhases[service]; known && last == phase {
 		return
 	}
-	ro.loggedPhases[service] = now
+	ro.loggedPhases[service] = phase
 	ro.Metrics.GetOrCreateGauge(`rushramp_rollout_phase{service="`+utils.Label(service)+`"}`, nil).Set(float64(plan.Phase))
 	ro.Log.Event(events.RolloutPhase, events.F("service", service), events.F("phase", plan.Phase), events.F("version", plan.Target),
 		events.F("old", strings.Join(plan.Old, ",")), events.F("order", plan.Order), events.F("revision", plan.Revision),
 		events.F("canaries", strings.Join(plan.Canaries, ",")), events.F("per_mille", plan.PerMille),
-		events.F("since", plan.Since), events.F("deadline", plan.Deadline), events.F("cause", plan.Cause), events.F("from", nameOf(from)))
+		events.F("since", plan.Since), events.F("deadline", plan.Deadline), events.F("cause", plan.Cause), events.F("from", peerVM(from)))
 }
 
-// nameOf is the VM of a peer in a log line; empty for what this daemon read in the
-// store, or has told itself.
-func nameOf(peer *link.Peer) string {
+// peerVM returns the VM of a peer for a log field; empty for nil, which stands for the
+// store or this daemon itself.
+func peerVM(peer *link.Peer) string {
 	if peer == nil {
 		return ""
 	}
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -13,59 +13,64 @@
 )
 
 const (
-	// watchersMost is how many daemons judge a roll-out: two may be gone at once.
-	watchersMost = 3
-	// rankStep is how much longer than was due a plan must have stood still for the
-	// next watcher to write it. A write takes some 10 ms of a store that is well.
-	rankStep = 400 * time.Millisecond
-	// judgeEvery is the time between two looks at the evidence: a report comes four
-	// times a second from each executor.
-	judgeEvery = 50 * time.Millisecond
-	// lostAfter is how long there must have been no link to a daemon for it to count
-	// as lost: longer than a restart takes to open links again.
-	lostAfter = 1500 * time.Millisecond
+	// maxWatchers is the number of watchers of a roll-out. Two of them may be down at
+	// once.
+	maxWatchers = 3
+	// turnDelay times its rank is how long a watcher waits for those of lower rank to
+	// write a plan that is due. A write to a healthy store takes some 10 ms.
+	turnDelay = 400 * time.Millisecond
+	// evaluationInterval is the time between two evaluations of the evidence. Each executor
+	// sends four reports a second.
+	evaluationInterval = 50 * time.Millisecond
+	// unreachableAfter is how long a member must have had no link to this daemon to count
+	// as unreachable. Opening links again after a restart takes less.
+	unreachableAfter = 1500 * time.Millisecond
 )
 
-// rolloutWatcher judges the roll-out of this VM's service where this daemon is one of
-// those that do, and writes its plan. Source: docs/design/rollout.md, "Who decides".
+// rolloutWatcher evaluates the roll-out of this VM's service and writes its plan, if this
+// daemon is one of the watchers of the service. Source: docs/design/rollout.md, "Who
+// decides".
 type rolloutWatcher struct {
 	*Env
-	known *rolloutTracker
-	rows  *planRows
-	// rank is this daemon's place among the watchers; -1: it is none.
+	tracker *rolloutTracker
+	plans   *planRows
+	// rank is this daemon's place among the watchers, from 0; -1: it is no watcher.
 	rank int
-	// order is the revision that judge and reports belong to.
-	order   uint64
-	judge   *rollout.Evaluator
-	reports map[string]rollout.Report
-	// linkedAt is when there last was a link to a VM of the service.
-	linkedAt map[string]int64
-	// wasLinked are the VMs that there ever was a link to.
-	wasLinked map[string]bool
-	// blindAt is when there last was no link to another VM of the service, while there
-	// are others.
-	blindAt int64
-	// begunAt is when order began here.
-	begunAt int64
-	// busy is how many requests were in flight at each VM of late.
-	busy     map[string]busy
-	judgeDue intervalTimer
-	// dueSince is since when another plan is due after the one of revision dueAfter.
-	dueSince int64
-	dueAfter uint64
+	// evaluatedOrder is the revision of the order that evaluator and reports belong to.
+	// reports are the newest ones, by VM.
+	evaluatedOrder uint64
+	evaluator      *rollout.Evaluator
+	reports        map[string]rollout.Report
+	// lastLinkedAt is when a VM last had a link with this daemon, in nanoseconds. For a
+	// member that never had one, it is just before the member was first seen.
+	lastLinkedAt map[string]int64
+	// everLinked are the VMs that ever had a link with this daemon.
+	everLinked map[string]bool
+	// unlinkedAt is when this daemon last had no link to another member of the service
+	// although there was one.
+	unlinkedAt int64
+	// orderBegunAt is when this daemon began to evaluate evaluatedOrder, in nanoseconds.
+	orderBegunAt int64
+	// inFlightPeaks are the recent peaks of requests in flight, by VM.
+	inFlightPeaks map[string]inFlightPeak
+	evaluationDue intervalTimer
+	// nextPlanDueSince is since when a plan has been due after the one with revision
+	// nextPlanDueAfter; 0: none is due.
+	nextPlanDueSince int64
+	nextPlanDueAfter uint64
 }
 
-func newRolloutWatcher(env *Env, known *rolloutTracker) *rolloutWatcher {
+func newRolloutWatcher(env *Env, tracker *rolloutTracker) *rolloutWatcher {
 	return &rolloutWatcher{
-		Env: env, known: known, rows: newPlanRows(env), rank: -1,
-		reports: map[string]rollout.Report{}, linkedAt: map[string]int64{}, wasLinked: map[string]bool{}, busy: map[string]busy{},
+		Env: env, tracker: tracker, plans: newPlanRows(env), rank: -1,
+		reports: map[string]rollout.Report{}, lastLinkedAt: map[string]int64{}, everLinked: map[string]bool{}, inFlightPeaks: map[string]inFlightPeak{},
 	}
 }
 
 // Tick implements System.
 func (w *rolloutWatcher) Tick(now int64, mail *tables.Mail) {
-	w.rows.take(now, mail.RolloutPlanResults)
-	w.rows.readUnplanned(now)
+	w.plans.applyResults(now, mail.RolloutPlanResults)
+	w.plans.readMissingPlans(now)
 	if w.Rollouts == nil || w.Backend == nil {
 		return
 	}
@@ -78,22 +83,22 @@
 		return
 	}
 	for _, r := range mail.RolloutReports {
-		w.note(now, r)
+		w.recordReport(now, r)
 	}
-	if !w.judgeDue.fires(now, judgeEvery) {
+	if !w.evaluationDue.fires(now, evaluationInterval) {
 		return
 	}
-	w.choose(service, order)
+	w.chooseWatchers(service, order)
 	if w.rank < 0 {
 		return
 	}
-	w.begin(now, order, plan)
+	w.beginOrder(now, order, plan)
 	w.recordLinks(now)
 	w.decide(now, service, order, plan, w.verdict(now, service, order))
 }
 
-// isUnderWay is true while something is left to decide: an order that has not ended, or
-// a plan whose order was taken away.
+// isUnderWay reports whether something is left to decide: an order whose roll-out has
+// not ended, or the end of a plan whose order was cancelled.
 func (w *rolloutWatcher) isUnderWay(order rollout.Order, plan rollout.Plan) bool {
 	if order.Revision == 0 {
 		return plan.Order > 0 && !plan.Phase.Ended() && w.World.Rollouts.Snapshot().Orders.Revision >= plan.Order
@@ -101,26 +106,27 @@
 	return order.Revision > plan.Order || order.Revision == plan.Order && !plan.Phase.Ended()
 }
 
-// choose works out who judges, in their order.
-func (w *rolloutWatcher) choose(service string, order rollout.Order) {
-	var all []*tables.Endpoint
+// chooseWatchers sets World.RolloutWatchers and the rank of this daemon: the watchers
+// are the first reachable members of the service by rendezvous hash.
+func (w *rolloutWatcher) chooseWatchers(service string, order rollout.Order) {
+	var watchers []*tables.Endpoint
 	w.World.Members.EachRowOfService(service, func(row int) {
-		route := w.World.Members.Endpoint[row]
-		_, unreached := w.World.Unreached[route]
+		endpoint := w.World.Members.Endpoint[row]
+		_, unreached := w.World.Unreached[endpoint]
 		if !w.World.Members.Leaving(row) && !unreached {
-			all = append(all, route)
+			watchers = append(watchers, endpoint)
 		}
 	})
-	slices.SortFunc(all, func(a, b *tables.Endpoint) int {
+	slices.SortFunc(watchers, func(a, b *tables.Endpoint) int {
 		return cmp.Compare(utils.Rendezvous(service, b.VM), utils.Rendezvous(service, a.VM))
 	})
-	all = all[:min(len(all), watchersMost)]
-	own := slices.IndexFunc(all, func(r *tables.Endpoint) bool { return r.VM == w.World.VM })
+	watchers = watchers[:min(len(watchers), maxWatchers)]
+	own := slices.IndexFunc(watchers, func(e *tables.Endpoint) bool { return e.VM == w.World.VM })
 	w.setRank(own, order)
 	if own >= 0 {
-		all = slices.Delete(all, own, own+1)
+		watchers = slices.Delete(watchers, own, own+1)
 	}
-	w.World.RolloutWatchers = all
+	w.World.RolloutWatchers = watchers
 }
 
 func (w *rolloutWatcher) setRank(rank int, order rollout.Order) {
@@ -131,76 +137,80 @@
 	w.Log.Event(events.RolloutWatch, events.F("service", w.Settings.BackendServer.Service), events.F("rank", rank), events.F("order", order.Revision))
 }
 
-// begin begins anew for another order. What was reported of it before this daemon was
-// a watcher is lost, but counts are sums since the order.
-func (w *rolloutWatcher) begin(now int64, order rollout.Order, plan rollout.Plan) {
-	if w.judge != nil && w.order == order.Revision {
+// beginOrder creates a new evaluator if the order has changed. Earlier reports that were sent
+// only to other watchers are not needed: each report holds the totals since the order.
+func (w *rolloutWatcher) beginOrder(now int64, order rollout.Order, plan rollout.Plan) {
+	if w.evaluator != nil && w.evaluatedOrder == order.Revision {
 		return
 	}
-	w.order, w.judge = order.Revision, rollout.NewEvaluator(order)
-	w.dueSince, w.begunAt = 0, now
+	w.evaluatedOrder, w.evaluator = order.Revision, rollout.NewEvaluator(order)
+	w.nextPlanDueSince, w.orderBegunAt = 0, now
 	if plan.Order == order.Revision {
-		// It goes on from where others are: what it does not see yet may stand.
-		w.blindAt = now
+		// The roll-out is under way. Its canaries may have links to the other watchers
+		// that this daemon does not have yet (mustWaitForLinks).
+		w.unlinkedAt = now
 	}
 	clear(w.reports)
-	clear(w.busy)
-	w.rows.forget()
+	clear(w.inFlightPeaks)
+	w.plans.requireRead()
 }
 
-// note takes a report over.
-func (w *rolloutWatcher) note(now int64, r rollout.Report) {
-	if w.judge == nil || r.Order != w.order || r.Service != w.Settings.BackendServer.Service {
+// recordReport passes the report of an executor to the evaluator, unless it is outdated.
+func (w *rolloutWatcher) recordReport(now int64, r rollout.Report) {
+	if w.evaluator == nil || r.Order != w.evaluatedOrder || r.Service != w.Settings.BackendServer.Service {
 		return
 	}
-	// Clocks step: which of two processes is the newer one, their numbers do not tell.
-	if old := w.reports[r.VM]; r.Process == old.Process && r.Seq <= old.Seq {
+	// Process numbers come from clocks, which may be set back. So any other process is
+	// taken for the newer one.
+	if last := w.reports[r.VM]; r.Process == last.Process && r.Seq <= last.Seq {
 		return
 	}
 	if _, known := w.World.Members.Find(r.VM); !known {
 		return
 	}
 	w.reports[r.VM] = r
-	w.busy[r.VM] = w.busy[r.VM].with(now, int(r.InFlight))
-	w.judge.AddReport(now, r)
+	w.inFlightPeaks[r.VM] = w.inFlightPeaks[r.VM].add(now, int(r.InFlight))
+	w.evaluator.AddReport(now, r)
 }
 
-// verdict is what the evidence says, or the stop that another one has told. One of its
-// own goes to all daemons at once: it needs no store.
+// verdict returns the verdict of a known stop of the order, else the evaluator's. If the
+// evaluator finds the version bad, this daemon sends a stop to all daemons at once, over
+// links and not by way of the store.
 func (w *rolloutWatcher) verdict(now int64, service string, order rollout.Order) rollout.Verdict {
 	if stop, stopped := w.World.Rollouts.Stopped(service); stopped {
 		return stop.Verdict()
 	}
-	verdict := w.judge.Verdict(now)
+	verdict := w.evaluator.Verdict(now)
 	if stop, bad := verdict.Stop(order); bad && order.Revision > 0 {
-		w.known.take(rollout.Update{Stops: []rollout.Stop{stop}}, nil)
+		w.tracker.apply(rollout.Update{Stops: []rollout.Stop{stop}}, nil)
 	}
 	return verdict
 }
 
-// decide has the next plan written where one is due and it is this daemon's turn.
+// decide decides on the next plan, and writes it if one is due. A watcher of a higher
+// rank writes it only if those before it have not done so in time.
 func (w *rolloutWatcher) decide(now int64, service string, order rollout.Order, plan rollout.Plan, verdict rollout.Verdict) {
-	if !w.rows.ready(now, service) {
+	if !w.plans.ensureRead(now, service) {
 		return
 	}
 	servers := w.servers(now, service, plan)
-	next, changed := rollout.Decide(w.rows.storeNow(now), order, plan, verdict, servers, w.RolloutLimits)
+	next, changed := rollout.Decide(w.plans.storeNow(now), order, plan, verdict, servers, w.RolloutLimits)
 	if !changed || w.mustWaitForLinks(now, order, &plan, &next, verdict) {
-		w.dueSince = 0
+		w.nextPlanDueSince = 0
 		return
 	}
-	if w.dueSince == 0 || w.dueAfter != plan.Revision {
-		w.dueSince, w.dueAfter = now, plan.Revision
+	if w.nextPlanDueSince == 0 || w.nextPlanDueAfter != plan.Revision {
+		w.nextPlanDueSince, w.nextPlanDueAfter = now, plan.Revision
 	}
-	if now-w.dueSince < int64(w.rank)*int64(rankStep) {
+	if now-w.nextPlanDueSince < int64(w.rank)*int64(turnDelay) {
 		return
 	}
-	next.Revision = w.rows.condition(plan)
+	next.Revision = w.plans.baseRevision(plan)
 	w.logDecision(next, verdict, servers)
-	w.rows.write(next)
+	w.plans.write(next)
 }
 
-// servers is what is known of the service's backend servers.
+// servers returns what this daemon knows of the service's backend servers, sorted by VM.
 func (w *rolloutWatcher) servers(now int64, service string, plan rollout.Plan) []rollout.Server {
 	evacuated := w.World.View.Evacuation()
 	var out []rollout.Server
@@ -209,40 +219,42 @@
 		if m.Version == "" && m.Backend != wire.BackendLive {
 			return
 		}
-		at, everLinked := w.linkedAt[m.VM]
-		linked := everLinked && at == now || m.VM == w.World.VM
-		// A link that was reset stands again within the time that one has for it.
-		reached := linked || w.wasLinked[m.VM] && now-at <= int64(lostAfter)
+		linkedAt, known := w.lastLinkedAt[m.VM]
+		isLinked := known && linkedAt == now || m.VM == w.World.VM
+		// A link that was reset counts as open for the time that it takes to open again.
+		isReached := isLinked || w.everLinked[m.VM] && now-linkedAt <= int64(unreachableAfter)
 		report, reported := w.reports[m.VM]
 		out = append(out, rollout.Server{
 			VM: m.VM, Version: m.Version, Slots: int(m.Slots),
-			Ready:         m.State == wire.MemberLive && m.Backend == wire.BackendLive && reached && !evacuated.Has(m.DataCentre),
-			Drained:       reported && linked && plan.Revision > 0 && report.Plan == plan.Revision && report.InFlight == 0,
-			Unreachable:   !linked && now-at > int64(lostAfter),
-			PeakBusySlots: w.busy[m.VM].most(now),
+			Ready:         m.State == wire.MemberLive && m.Backend == wire.BackendLive && isReached && !evacuated.Has(m.DataCentre),
+			Drained:       reported && isLinked && plan.Revision > 0 && report.Plan == plan.Revision && report.InFlight == 0,
+			Unreachable:   !isLinked && now-linkedAt > int64(unreachableAfter),
+			PeakBusySlots: w.inFlightPeaks[m.VM].peak(now),
 		})
 	})
-	// Rows come in no order; two that decide on the same knowledge write the same.
+	// Rows come in no particular order. Sorted, they lead two watchers that know the same
+	// to the same plan.
 	slices.SortFunc(out, func(a, b rollout.Server) int { return cmp.Compare(a.VM, b.VM) })
 	return out
 }
 
+// logDecision logs a plan that is about to be written, with the figures behind it.
 func (w *rolloutWatcher) logDecision(next rollout.Plan, verdict rollout.Verdict, servers []rollout.Server) {
-	ready, empty, lost, targets := 0, 0, 0, 0
+	ready, drained, unreachable, targets := 0, 0, 0, 0
 	for _, s := range servers {
-		ready += asInt(s.Ready)
-		empty += asInt(s.Drained)
-		lost += asInt(s.Unreachable)
-		targets += asInt(s.Version == next.Target)
+		ready += boolToInt(s.Ready)
+		drained += boolToInt(s.Drained)
+		unreachable += boolToInt(s.Unreachable)
+		targets += boolToInt(s.Version == next.Target)
 	}
 	w.Log.Event(events.RolloutDecided, events.F("service", next.Service), events.F("order", next.Order), events.F("after", next.Revision),
 		events.F("phase", next.Phase), events.F("rank", w.rank), events.F("servers", len(servers)), events.F("target_servers", targets),
-		events.F("ready", ready), events.F("empty", empty), events.F("lost", lost),
+		events.F("ready", ready), events.F("empty", drained), events.F("lost", unreachable),
 		events.F("bad", verdict.Bad), events.F("enough", verdict.EnoughRuns), events.F("evidence", verdict.Cause), events.F("cause", next.Cause))
 }
 
-func asInt(is bool) int {
-	if is {
+func boolToInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
--- a/pkg/systems/surplus.go
+++ b/pkg/systems/surplus.go
@@ -8,81 +8,85 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// surplusFor is how long a link must have been needed by nobody until it is
-// closed: a backend server that is away for a moment changes subsets, and
-// changes them back.
-const surplusFor = 5 * time.Second
+// surplusDelay is how long a link must not have been needed before it is closed. Subsets
+// change, and change back, if a backend server is away for a moment.
+const surplusDelay = 5 * time.Second
 
-// surplusLinks follows which links no subset needs any more. Subsets shift while a
-// fleet starts and members become known one by one; a daemon that kept all links
-// it ever needed would in the end have one to most others.
+// surplusLinks tracks which links are no longer needed. Subsets shift while a fleet
+// starts and its members become known one after another. A daemon that kept all links
+// that it ever needed would end up with links to most of the fleet.
 type surplusLinks struct {
-	// since is when a route was first not needed.
-	since map[*tables.Endpoint]int64
-	// closed are the routes whose links were closed here, until they are down.
+	// unneededSince is when the link to an endpoint was first found not to be needed, in
+	// nanoseconds.
+	unneededSince map[*tables.Endpoint]int64
+	// closed are the endpoints whose links this daemon is closing, until the links have
+	// ended.
 	closed map[*tables.Endpoint]struct{}
 }
 
 func newSurplusLinks() *surplusLinks {
-	return &surplusLinks{since: map[*tables.Endpoint]int64{}, closed: map[*tables.Endpoint]struct{}{}}
+	return &surplusLinks{unneededSince: map[*tables.Endpoint]int64{}, closed: map[*tables.Endpoint]struct{}{}}
 }
 
-// due returns the open routes that have not been needed for long. Routes with
-// calls on their way are left.
-func (s *surplusLinks) due(now int64, open, needed map[*tables.Endpoint]struct{}) []*tables.Endpoint {
+// closable returns the open endpoints that have not been needed for surplusDelay, except
+// those with outstanding calls.
+func (s *surplusLinks) closable(now int64, open, needed map[*tables.Endpoint]struct{}) []*tables.Endpoint {
 	var out []*tables.Endpoint
-	for route := range s.since {
-		if _, still := open[route]; !still {
-			delete(s.since, route)
+	for endpoint := range s.unneededSince {
+		if _, isOpen := open[endpoint]; !isOpen {
+			delete(s.unneededSince, endpoint)
 		}
 	}
-	for route := range open {
-		if _, is := needed[route]; is {
-			delete(s.since, route)
+	for endpoint := range open {
+		if _, isNeeded := needed[endpoint]; isNeeded {
+			delete(s.unneededSince, endpoint)
 			continue
 		}
-		first, known := s.since[route]
+		since, known := s.unneededSince[endpoint]
 		if !known {
-			s.since[route] = now
+			s.unneededSince[endpoint] = now
 			continue
 		}
-		if now-first >= int64(surplusFor) && route.Load.Outstanding() == 0 {
-			out = append(out, route)
+		if now-since >= int64(surplusDelay) && endpoint.Load.Outstanding() == 0 {
+			out = append(out, endpoint)
 		}
 	}
 	return out
 }
 
-// forgetClosed is true once for a link that was closed as surplus.
-func (s *surplusLinks) forgetClosed(route *tables.Endpoint) bool {
-	_, was := s.closed[route]
-	delete(s.closed, route)
-	return was
+// forgetClosed reports whether closeSurplus closed the link to an endpoint, and forgets
+// it.
+func (s *surplusLinks) forgetClosed(endpoint *tables.Endpoint) bool {
+	_, wasClosed := s.closed[endpoint]
+	delete(s.closed, endpoint)
+	return wasClosed
 }
 
-// closeSurplus closes links that neither calls nor the sample need.
+// closeSurplus closes links that have not been needed for some time.
 func (l *links) closeSurplus(now int64) {
 	open := make(map[*tables.Endpoint]struct{}, len(l.clients))
-	for route := range l.clients {
-		open[route] = struct{}{}
+	for endpoint := range l.clients {
+		open[endpoint] = struct{}{}
 	}
-	for _, route := range l.surplus.due(now, open, l.needed()) {
-		l.surplus.closed[route] = struct{}{}
-		l.Log.Event(events.LinkSurplus, events.F("peer", route.VM))
-		l.clients[route].Close()
+	for _, endpoint := range l.surplus.closable(now, open, l.neededEndpoints()) {
+		l.surplus.closed[endpoint] = struct{}{}
+		l.Log.Event(events.LinkSurplus, events.F("peer", endpoint.VM))
+		l.clients[endpoint].Close()
 	}
 }
 
-// needed are the routes that this daemon keeps links to.
-func (l *links) needed() map[*tables.Endpoint]struct{} {
+// neededEndpoints returns the endpoints to which this daemon keeps links: those of the
+// subsets and of the sample, the watchers of a roll-out and the counters of teams'
+// requests.
+func (l *links) neededEndpoints() map[*tables.Endpoint]struct{} {
 	out := map[*tables.Endpoint]struct{}{}
-	for _, route := range slices.Concat(l.sample, l.World.RolloutWatchers, l.World.QuotaCounterDaemons) {
-		out[route] = struct{}{}
+	for _, endpoint := range slices.Concat(l.sample, l.World.RolloutWatchers, l.World.QuotaCounterDaemons) {
+		out[endpoint] = struct{}{}
 	}
 	for service := range l.World.RequestedServices {
-		for _, routes := range l.subsetsOf(service) {
-			for _, route := range routes {
-				out[route] = struct{}{}
+		for _, subset := range l.subsetsOf(service) {
+			for _, endpoint := range subset {
+				out[endpoint] = struct{}{}
 			}
 		}
 	}
--- a/pkg/systems/surplus_test.go
+++ b/pkg/systems/surplus_test.go
@@ -8,30 +8,30 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-func routeSet(routes ...*tables.Endpoint) map[*tables.Endpoint]struct{} {
+func endpointSet(endpoints ...*tables.Endpoint) map[*tables.Endpoint]struct{} {
 	out := map[*tables.Endpoint]struct{}{}
-	for _, route := range routes {
-		out[route] = struct{}{}
+	for _, endpoint := range endpoints {
+		out[endpoint] = struct{}{}
 	}
 	return out
 }
 
-// TestLinksThatNoSubsetNeedsAreClosed: without it a daemon of a large fleet ends
-// with a link to most others, since subsets shift while members become known.
-func TestLinksThatNoSubsetNeedsAreClosed(t *testing.T) {
-	newRoute := func() *tables.Endpoint { return &tables.Endpoint{Load: tables.NewLoad(1)} }
-	used, shifted, back, busy := newRoute(), newRoute(), newRoute(), newRoute()
+// TestSurplusLinksAreClosed: a daemon of a large fleet ended up with links to most of the
+// others, since subsets shift while members become known.
+func TestSurplusLinksAreClosed(t *testing.T) {
+	newEndpoint := func() *tables.Endpoint { return &tables.Endpoint{Load: tables.NewLoad(1)} }
+	used, shifted, back, busy := newEndpoint(), newEndpoint(), newEndpoint(), newEndpoint()
 	busy.Load.RecordSent(1)
-	open := routeSet(used, shifted, back, busy)
+	open := endpointSet(used, shifted, back, busy)
 	s := newSurplusLinks()
-	const long = int64(surplusFor)
-	test.SliceEmpty(t, s.due(1, open, routeSet(used)))
-	test.SliceEmpty(t, s.due(long, open, routeSet(used, back)), test.Sprint("not for long"))
-	test.Eq(t, []*tables.Endpoint{shifted}, s.due(long+1, open, routeSet(used)))
+	const long = int64(surplusDelay)
+	test.SliceEmpty(t, s.closable(1, open, endpointSet(used)))
+	test.SliceEmpty(t, s.closable(long, open, endpointSet(used, back)), test.Sprint("not unneeded for long enough"))
+	test.Eq(t, []*tables.Endpoint{shifted}, s.closable(long+1, open, endpointSet(used)))
 	busy.Load.RecordEnded(long + 2)
 	delete(open, shifted)
-	test.Eq(t, []*tables.Endpoint{busy}, s.due(long+2, open, routeSet(used)), test.Sprint("its calls have ended"))
+	test.Eq(t, []*tables.Endpoint{busy}, s.closable(long+2, open, endpointSet(used)), test.Sprint("its calls have ended"))
 	delete(open, busy)
-	test.SliceEmpty(t, s.due(2*long, open, routeSet(used)), test.Sprint("the one that was needed again counts anew"))
-	test.Eq(t, []*tables.Endpoint{back}, s.due(2*long+1, open, routeSet(used)))
+	test.SliceEmpty(t, s.closable(2*long, open, endpointSet(used)), test.Sprint("the time starts again for a link that was needed again"))
+	test.Eq(t, []*tables.Endpoint{back}, s.closable(2*long+1, open, endpointSet(used)))
 }
--- a/pkg/systems/tick_bench_test.go
+++ b/pkg/systems/tick_bench_test.go
@@ -11,9 +11,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// BenchmarkTick is one tick of all systems of a daemon with 150 links, in a fleet
-// of so many members, with nothing new and with one changed row. Links are closed
-// ones, so that nothing is sent.
+// BenchmarkTick measures one tick of all systems of a daemon with 150 links, for several
+// numbers of members, without a change and with one changed row of the table of members.
+// The links are closed, so that nothing is sent.
 func BenchmarkTick(b *testing.B) {
 	for _, members := range []int{300, 3_000, 21_000} {
 		for name, change := range map[string]bool{"nothing": false, "row": true} {
