--- a/pkg/systems/placements_release_test.go
+++ b/pkg/systems/placements_release_test.go
@@ -13,8 +13,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// documentWithRoute returns version 5 of a placement with one route, which may have a rule on
-// regions.
+// documentWithRoute returns version 5 of a placement with one route. If withRegions is
+// true, the route has lists of allowed regions and data centres.
 func documentWithRoute(withRegions bool) *placement.Document {
 	r := routing.Route{Name: "r", Host: "h", Prefix: "/", Parts: []routing.Part{{Service: "s", Weight: 1}}}
 	if withRegions {
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -24,8 +24,8 @@
 	system *quarantines
 }
 
-// newQuarantineNode returns a daemon that uses a fake store. isFirstStart is the setting for
-// the first start of the whole system.
+// newQuarantineNode returns a daemon that uses a fake store. isFirstStart is the setting
+// for the first start of the whole system.
 func newQuarantineNode(t *testing.T, platform *fakestore.Store, isFirstStart bool) *quarantineNode {
 	env := testEnv()
 	env.Settings.Platform.FirstStart = isFirstStart
--- a/pkg/systems/quotas_test.go
+++ b/pkg/systems/quotas_test.go
@@ -32,7 +32,8 @@
 	return newQuotas(env), peer
 }
 
-// reportedMembers returns how many members share the limits, as the daemon reports to peers.
+// reportedMembers returns how many members share the limits, as the daemon reports to
+// peers.
 func reportedMembers(q *quotas, now int64) uint32 {
 	q.Tick(now, &tables.Mail{})
 	return q.Quota.HandleAsk(now, "x", &quota.Ask{}).Members
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -65,8 +65,8 @@
 	return g
 }
 
-// noBackendSeen is the reason why requests are refused until the first heartbeat of the
-// backend server.
+// noBackendSeen is the reason why requests are refused as long as this daemon knows no
+// process of its VM's backend server.
 const noBackendSeen = "no backend server has been seen yet"
 
 // Tick implements System.
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -47,8 +47,8 @@
 }
 
 // soleVersionDelay is how long a version must have been the only one of its service
-// before a roll-out no longer excludes it. A daemon that has just started learns within that
-// time of the other versions.
+// before a roll-out no longer excludes it. A daemon that has just started learns of the
+// other versions within that time.
 const soleVersionDelay = newVersionHold
 
 // loggedPhase is a phase of the roll-out that an order started.
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -96,8 +96,8 @@
 	mu     sync.Mutex
 	row    rollout.Plan
 	writes int
-	// writeErrs are the errors that the next writes return. If writeApplies is true, those writes
-	// change the row nevertheless.
+	// writeErrs are the errors that the next writes return. If writeApplies is true, those
+	// writes change the row nevertheless.
 	writeErrs    []error
 	writeApplies bool
 	reads        int
@@ -186,8 +186,8 @@
 	})
 }
 
-// newTestGuard returns the guard of the daemon "vm". version is that of its backend server,
-// others are the versions of the other members of the service.
+// newTestGuard returns the guard of the daemon "vm". version is that of its backend
+// server, others are the versions of the other members of the service.
 func newTestGuard(firstStart bool, version string, others ...string) *rolloutGuard {
 	env := testEnv()
 	env.Settings.Platform.FirstStart, env.Settings.BackendServer.Service = firstStart, "s"
@@ -211,12 +211,12 @@
 		first, last bool
 	}{
 		"a new version":                      {newTestGuard(false, "v2", "v1", "v1"), true, true, false},
-		"the version is not tracker":         {newTestGuard(false, "", "v1"), true, true, false},
+		"the version is unknown":             {newTestGuard(false, "", "v1"), true, true, false},
 		"a version that others have":         {newTestGuard(false, "v1", "v1"), true, false, false},
 		"the only member":                    {newTestGuard(false, "v2"), true, false, false},
 		"the first start of all daemons":     {newTestGuard(true, "v1"), false, false, false},
 		"a restart, no peer was synced yet":  {newTestGuard(false, "v1", "v1"), false, true, false},
-		"the versions of others not tracker": {newTestGuard(false, "v2", ""), true, false, false},
+		"the versions of others are unknown": {newTestGuard(false, "v2", ""), true, false, false},
 		"others have both versions":          {newTestGuard(false, "v2", "v1", "v2"), true, true, false},
 	} {
 		c.guard.tracker.synced = c.synced
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -137,8 +137,9 @@
 	w.Log.Event(events.RolloutWatch, events.F("service", w.Settings.BackendServer.Service), events.F("rank", rank), events.F("order", order.Revision))
 }
 
-// beginOrder creates a new evaluator if the order has changed. Earlier reports that were sent
-// only to other watchers are not needed: each report holds the totals since the order.
+// beginOrder creates a new evaluator if the order has changed. Earlier reports that were
+// sent only to other watchers are not needed: each report holds the totals since the
+// order.
 func (w *rolloutWatcher) beginOrder(now int64, order rollout.Order, plan rollout.Plan) {
 	if w.evaluator != nil && w.evaluatedOrder == order.Revision {
 		return
--- a/pkg/systems/subset.go
+++ b/pkg/systems/subset.go
@@ -30,7 +30,9 @@
 // members in evacuated data centres, and members whose version a roll-out lets run no
 // requests. From the endpoints of the target version of a roll-out it selects as if they
 // were a service of their own, so that links to them are open when all requests move to
-// them. It adds all of those that are on trial, which are few. Source: docs/design/members.md, "Links", and docs/design/regions.md.
+// them. It adds all of those that are on trial, which are few.
+//
+// Source: docs/design/members.md, "Links", and docs/design/regions.md.
 func Subset(w *tables.World, choosing settings.Choosing, kind *placement.CompiledKind) []*tables.Endpoint {
 	var others, targets candidateSet
 	var onTrial []*tables.Endpoint
--- a/pkg/systems/subset_test.go
+++ b/pkg/systems/subset_test.go
@@ -94,7 +94,7 @@
 	}
 }
 
-// TestSubsetHasEnoughOfEachRoutesDataCentres, also if a endpoint excludes the own data
+// TestSubsetHasEnoughOfEachRoutesDataCentres, also if a route excludes the own data
 // centre.
 func TestSubsetHasEnoughOfEachRoutesDataCentres(t *testing.T) {
 	choosing := settings.Default().Choosing
@@ -209,7 +209,7 @@
 }
 
 // TestSubsetHasRoomForRoutesWithAnyNear: a high value of the setting near could leave no
-// room for endpoints in the data centre that a endpoint requires.
+// room for endpoints in the data centre that a route requires.
 func TestSubsetHasRoomForRoutesWithAnyNear(t *testing.T) {
 	for _, near := range []int{32, 60, 62, 64, 100, 1000} {
 		choosing := settings.Default().Choosing
