--- a/pkg/once/claims.go
+++ b/pkg/atmostonce/claims.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"context"
@@ -53,7 +53,7 @@
 func (cl *Claims) Claim(c *wire.Call, body []byte, deadline time.Time) (executor.Permit, call.Result) {
 	row := Row{
 		Generation: c.Claim.Generation, State: Claimed, Executor: cl.executor,
-		Nonce: uuid.NewString(), Request: digest(c, body), At: time.Now(), Service: c.Service,
+		Nonce: uuid.NewString(), RequestDigest: digest(c, body), At: time.Now(), Service: c.Service,
 	}
 	value, err := encode(row)
 	if err != nil {
@@ -63,7 +63,7 @@
 	permit := &permit{claims: cl, row: row, key: write.Key, version: write.IfVersion + 1}
 	out := cl.writer.do(write, deadline)
 	switch {
-	case out.err == nil && out.result.Won:
+	case out.err == nil && out.result.Applied:
 		return permit, call.Result{}
 	case out.err == nil:
 		return nil, cl.lost(out.result.Row, row)
@@ -111,7 +111,7 @@
 	if stored.Version == 0 {
 		return moved(0, 1)
 	}
-	return cl.meaning(stored.Version, found, own.Request)
+	return cl.meaning(stored.Version, found, own.RequestDigest)
 }
 
 // meaning says what a key's row means for a call with a request digest.
@@ -120,7 +120,7 @@
 	switch {
 	case found.State == Sealed || expired:
 		return moved(version, found.Generation+1)
-	case found.Request != request:
+	case found.RequestDigest != request:
 		return call.Refused(errkind.KeyReused, "the key was used with another method, path or body")
 	case found.State == Finished && found.Answer != nil:
 		return call.Result{Answer: found.Answer.answer()}
@@ -143,7 +143,7 @@
 // the refusal to give when the store does not say.
 func (cl *Claims) Seal(c *wire.Call, body []byte, reason *errkind.Error) call.Result {
 	request := digest(c, body)
-	value, err := encode(Row{Generation: c.Claim.Generation, State: Sealed, Request: request, At: time.Now(), Service: c.Service})
+	value, err := encode(Row{Generation: c.Claim.Generation, State: Sealed, RequestDigest: request, At: time.Now(), Service: c.Service})
 	if err != nil {
 		return call.Result{Refusal: reason}
 	}
@@ -153,7 +153,7 @@
 		// A seal that took effect unseen does no harm: "maybe" stays true.
 		return call.Result{Refusal: reason}
 	}
-	if out.result.Won {
+	if out.result.Applied {
 		return moved(out.result.Row.Version, c.Claim.Generation+1)
 	}
 	found, err := Decode(out.result.Row)
--- a/pkg/once/permit.go
+++ b/pkg/atmostonce/permit.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"context"
@@ -48,7 +48,7 @@
 // that it is settled. Only this executor may do so: it knows that it handed
 // nothing over. When the daemon ends first, the claim stays a "maybe".
 func (p *permit) voidLater() {
-	row := Row{Generation: p.row.Generation, State: Sealed, Request: p.row.Request, At: time.Now(), Service: p.row.Service}
+	row := Row{Generation: p.row.Generation, State: Sealed, RequestDigest: p.row.RequestDigest, At: time.Now(), Service: p.row.Service}
 	value, err := encode(row)
 	if err != nil {
 		return
@@ -72,7 +72,7 @@
 	}
 	write := store.Write{Key: p.key, IfVersion: version, Value: value}
 	out := p.claims.writer.do(write, time.Now().Add(p.claims.writer.timeout))
-	if out.err != nil || !out.result.Won {
+	if out.err != nil || !out.result.Applied {
 		return false
 	}
 	p.claims.Log.Event(events.ClaimVoided)
--- a/pkg/once/row.go
+++ b/pkg/atmostonce/row.go
@@ -1,8 +1,8 @@
-// Package once makes sure that a call that may never be repeated runs at most
+// Package atmostonce makes sure that a call that may never be repeated runs at most
 // once: the executor claims its key with one conditional write right before it
 // hands the call over, and an entry that does not learn the outcome seals the
 // key. Source: docs/design/at-most-once.md.
-package once
+package atmostonce
 
 import (
 	"crypto/sha256"
@@ -51,9 +51,9 @@
 	// Executor is the VM that claimed, Nonce its proof after a lost answer.
 	Executor string `cbor:"3,keyasint,omitempty"`
 	Nonce    string `cbor:"4,keyasint,omitempty"`
-	// Request is a digest of the request: a key used again for another one is
+	// RequestDigest is a digest of the request: a key used again for another one is
 	// refused.
-	Request string `cbor:"5,keyasint,omitempty"`
+	RequestDigest string `cbor:"5,keyasint,omitempty"`
 	// At is when the row was written, by the writer's wall clock. Only expiry,
 	// in days, looks at it.
 	At time.Time `cbor:"6,keyasint"`
--- a/pkg/once/sweep.go
+++ b/pkg/atmostonce/sweep.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"context"
@@ -43,7 +43,7 @@
 	}
 	results, err := cl.table.Batch(ctx, writes)
 	for _, r := range results {
-		if r.Won {
+		if r.Applied {
 			deleted++
 		}
 	}
--- a/pkg/once/batch.go
+++ b/pkg/atmostonce/writer.go
@@ -1,4 +1,4 @@
-package once
+package atmostonce
 
 import (
 	"context"
@@ -168,7 +168,7 @@
 }
 
 func (w *writer) note(err error) {
-	w.outage.Note(err)
+	w.outage.Record(err)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.down = err != nil
--- a/pkg/backend/transport.go
+++ b/pkg/backend/transport.go
@@ -130,7 +130,7 @@
 			return refused(errkind.DeadlineWhileRunning, true, "no answer in time")
 		}
 		out := refused(errkind.CallerGone, true, "the caller left")
-		out.Refusal = out.Refusal.Maybe()
+		out.Refusal = out.Refusal.WithRanMaybe()
 		return out
 	}
 }
--- a/pkg/crash/detector.go
+++ b/pkg/crash/detector.go
@@ -149,7 +149,7 @@
 
 // log logs the runs at the time of the crash: the request that caused it is among them.
 func (d *Detector) log(instance string, runs []AbortedRun) {
-	if !d.Log.Wants(events.BackendEnded) {
+	if !d.Log.Enabled(events.BackendEnded) {
 		return
 	}
 	parts := make([]string, 0, maxLoggedRuns)
--- a/pkg/daemon/adapter.go
+++ b/pkg/daemon/adapter.go
@@ -71,7 +71,7 @@
 }
 
 func newOwnAdapter(s *settings.Settings) (*Adapter, error) {
-	client, err := store.NewHTTP(s.Platform.Address, s.Platform.Timeout)
+	client, err := store.NewHTTPClient(s.Platform.Address, s.Platform.Timeout)
 	if err != nil {
 		return nil, err
 	}
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -10,6 +10,7 @@
 
 	"github.com/pkg/errors"
 
+	"github.com/rushramp/rushramp/pkg/atmostonce"
 	"github.com/rushramp/rushramp/pkg/call"
 	"github.com/rushramp/rushramp/pkg/callers"
 	"github.com/rushramp/rushramp/pkg/certs"
@@ -20,7 +21,6 @@
 	"github.com/rushramp/rushramp/pkg/events"
 	"github.com/rushramp/rushramp/pkg/executor"
 	"github.com/rushramp/rushramp/pkg/link"
-	"github.com/rushramp/rushramp/pkg/once"
 	"github.com/rushramp/rushramp/pkg/operators"
 	"github.com/rushramp/rushramp/pkg/placement"
 	"github.com/rushramp/rushramp/pkg/rollout"
@@ -100,7 +100,7 @@
 		opts.Dial = dialFrom(s.Listen.Links)
 	}
 	c := common.NewCommon(opts.Log, s)
-	opts.Platform = store.NewCounted(opts.Platform, c.Metrics)
+	opts.Platform = store.NewInstrumented(opts.Platform, c.Metrics)
 	background, endWork := context.WithCancel(context.Background())
 	d := &Daemon{
 		Common: c,
@@ -116,7 +116,7 @@
 		c.Quota = newQuota(s, d.World.View)
 		measureQuota(c.Metrics, c.Quota)
 	}
-	claims := once.NewClaims(background, c, opts.Platform)
+	claims := atmostonce.NewClaims(background, c, opts.Platform)
 	if err := d.newExecutor(claims); err != nil {
 		endWork()
 		return nil, err
@@ -161,7 +161,7 @@
 // noteForeign logs a word of another writer, which was passed over.
 func (d *Daemon) noteForeign(what string, why error) {
 	d.Metrics.GetOrCreateCounter("rushramp_foreign_words_total").Inc()
-	d.Log.Event(events.ForeignWord, events.F("what", what), events.F("cause", why))
+	d.Log.Event(events.InvalidRecord, events.F("what", what), events.F("cause", why))
 }
 
 // noteRestored has the systems write again what the store has lost.
@@ -184,7 +184,7 @@
 	return dialer.DialContext
 }
 
-func (d *Daemon) newExecutor(claims *once.Claims) error {
+func (d *Daemon) newExecutor(claims *atmostonce.Claims) error {
 	if d.Settings.BackendServer.Address == "" {
 		return nil
 	}
--- a/pkg/daemon/metrics.go
+++ b/pkg/daemon/metrics.go
@@ -48,7 +48,7 @@
 		return 0
 	})
 	d.Metrics.NewGauge("rushramp_placement_age_seconds", d.placementAge)
-	d.Metrics.NewGauge("rushramp_log_lines_left_out", func() float64 { return float64(d.Log.LeftOut()) })
+	d.Metrics.NewGauge("rushramp_log_lines_left_out", func() float64 { return float64(d.Log.Dropped()) })
 	d.Metrics.NewGauge("rushramp_members", func() float64 { return float64(d.World.View.MemberCount()) })
 	d.Metrics.NewGauge("rushramp_placement_unsure", func() float64 { return asNumber(d.World.View.PlacementUnsure()) })
 	d.Metrics.NewGauge("rushramp_store_stale", func() float64 { return asNumber(d.World.View.StoreStale()) })
--- a/pkg/daemon/trial.go
+++ b/pkg/daemon/trial.go
@@ -18,5 +18,5 @@
 	// The wall clock tells the processes of one VM's daemon apart.
 	recorder := rollout.NewRecorder(s.VM.ID, s.BackendServer.Service, uint64(time.Now().UnixNano()))
 	d.env.Backend, d.env.Recorder, d.env.Trial = lifecycle, recorder, enforcer.New(d.Common, lifecycle, recorder)
-	d.Executor.SetTrial(d.env.Trial)
+	d.Executor.SetEnforcer(d.env.Trial)
 }
--- a/pkg/entry/attempts.go
+++ b/pkg/entry/attempts.go
@@ -243,7 +243,7 @@
 		case <-a.ctx.Done():
 			first.cancel()
 			hedge.cancel()
-			return call.Result{Refusal: errkind.New(errkind.CallerGone, "the caller disconnected before the result arrived").Maybe()}
+			return call.Result{Refusal: errkind.New(errkind.CallerGone, "the caller disconnected before the result arrived").WithRanMaybe()}
 		}
 	}
 }
--- a/pkg/errkind/error.go
+++ b/pkg/errkind/error.go
@@ -19,8 +19,8 @@
 	return &Error{Kind: kind, Ran: kind.Row().Ran, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Maybe returns a copy that says the call may have run.
-func (e *Error) Maybe() *Error {
+// WithRanMaybe returns a copy that says the call may have run.
+func (e *Error) WithRanMaybe() *Error {
 	out := *e
 	out.Ran = RanMaybe
 	return &out
--- a/pkg/errkind/kind_test.go
+++ b/pkg/errkind/kind_test.go
@@ -27,7 +27,7 @@
 	}
 	refused := New(Overloaded, "full")
 	test.True(t, refused.RetryElsewhere())
-	test.False(t, refused.Maybe().RetryElsewhere())
+	test.False(t, refused.WithRanMaybe().RetryElsewhere())
 }
 
 func TestFrom(t *testing.T) {
--- a/pkg/evacuation/register.go
+++ b/pkg/evacuation/register.go
@@ -37,7 +37,7 @@
 // applied. After an error the change may or may not have been applied; it is safe to
 // repeat it.
 func (r *Register) Change(ctx context.Context, c Change) (Set, error) {
-	row, err := store.Change(ctx, r.table, rowKey, func(row store.Row) ([]byte, error) {
+	row, err := store.UpdateRow(ctx, r.table, rowKey, func(row store.Row) ([]byte, error) {
 		before, err := decode(row)
 		if err != nil {
 			return nil, err
--- a/pkg/events/catalogue.go
+++ b/pkg/events/catalogue.go
@@ -29,75 +29,75 @@
 // 4xx members, 5xx calls, 6xx never-repeat calls, 7xx platform and, from 760
 // on, requests behind one another on a connection.
 const (
-	DaemonStarted     ID = 101
-	DaemonReady       ID = 102
-	DaemonDraining    ID = 103
-	DaemonStopped     ID = 104
-	ListenerFailed    ID = 105
-	SettingsRead      ID = 106
-	SettingsRefused   ID = 107
-	LinesLeftOut      ID = 108
-	Suspended         ID = 109
-	LinkUp            ID = 201
-	LinkDown          ID = 202
-	LinkBadFrame      ID = 203
-	LinkRefused       ID = 204
-	LinkSurplus       ID = 205
-	LinkTraffic       ID = 206
-	PlacementInForce  ID = 301
-	PlacementRejected ID = 302
-	PlacementChanged  ID = 303
-	PlacementUnsure   ID = 304
-	EvacuationChanged ID = 305
-	EvacuationOrdered ID = 306
-	MemberJoined      ID = 401
-	MemberLeaving     ID = 402
-	MemberGone        ID = 403
-	CallFault         ID = 501
-	BackendDown       ID = 502
-	BackendUp         ID = 503
-	RequestFailed     ID = 504
-	BackendState      ID = 505
-	RequestAnswered   ID = 506
-	RunEnded          ID = 507
-	RunRefused        ID = 508
-	RunAbandoned      ID = 509
-	SpeedChanged      ID = 510
-	SlotsChanged      ID = 511
-	RetryBudgetEmpty  ID = 512
-	ChecksPaused      ID = 513
-	ChecksResumed     ID = 514
-	LimitChanged      ID = 515
-	BackendCold       ID = 516
-	BackendEnded      ID = 517
-	ContentHeld       ID = 518
-	ContentFreed      ID = 519
-	ForeignWord       ID = 520
-	TeamsCounter      ID = 521
-	ClaimLost         ID = 601
-	ClaimVoided       ID = 602
-	ClaimUnknown      ID = 603
-	PlatformDown      ID = 701
-	PlatformUp        ID = 702
-	FeedReopened      ID = 703
-	FeedBehind        ID = 704
-	DocumentRefused   ID = 705
-	DepartureNotKept  ID = 706
-	StoreCalls        ID = 707
-	RowsNotSwept      ID = 708
-	HeldNotKept       ID = 709
-	StoreRestored     ID = 710
-	PipelineCut       ID = 760
-	PipelineFault     ID = 761
-	RolloutRefused    ID = 780
-	RolloutOrdered    ID = 781
-	RolloutPhase      ID = 782
-	RolloutStopped    ID = 783
-	RolloutRowFailed  ID = 784
-	RolloutGuard      ID = 785
-	RolloutWatch      ID = 786
-	RolloutDecided    ID = 787
-	RolloutAsked      ID = 774
+	DaemonStarted        ID = 101
+	DaemonReady          ID = 102
+	DaemonDraining       ID = 103
+	DaemonStopped        ID = 104
+	ListenerFailed       ID = 105
+	SettingsRead         ID = 106
+	SettingsRefused      ID = 107
+	LinesDropped         ID = 108
+	VMSuspended          ID = 109
+	LinkUp               ID = 201
+	LinkDown             ID = 202
+	LinkBadFrame         ID = 203
+	LinkRefused          ID = 204
+	LinkSurplus          ID = 205
+	LinkTraffic          ID = 206
+	PlacementInForce     ID = 301
+	PlacementRejected    ID = 302
+	PlacementChanged     ID = 303
+	PlacementUnsure      ID = 304
+	EvacuationChanged    ID = 305
+	EvacuationOrdered    ID = 306
+	MemberJoined         ID = 401
+	MemberLeaving        ID = 402
+	MemberGone           ID = 403
+	CallFault            ID = 501
+	BackendDown          ID = 502
+	BackendUp            ID = 503
+	RequestFailed        ID = 504
+	BackendState         ID = 505
+	RequestAnswered      ID = 506
+	RunEnded             ID = 507
+	RunRefused           ID = 508
+	RunAbandoned         ID = 509
+	SpeedChanged         ID = 510
+	SlotsChanged         ID = 511
+	RetryBudgetEmpty     ID = 512
+	ChecksPaused         ID = 513
+	ChecksResumed        ID = 514
+	LimitChanged         ID = 515
+	BackendCold          ID = 516
+	BackendEnded         ID = 517
+	ContentHeld          ID = 518
+	ContentReleased      ID = 519
+	InvalidRecord        ID = 520
+	QuotaCounterChanged  ID = 521
+	ClaimLost            ID = 601
+	ClaimVoided          ID = 602
+	ClaimUnknown         ID = 603
+	PlatformDown         ID = 701
+	PlatformUp           ID = 702
+	FeedReopened         ID = 703
+	FeedHistoryLost      ID = 704
+	DocumentRefused      ID = 705
+	DepartureNotStored   ID = 706
+	StoreCalls           ID = 707
+	RowsNotSwept         ID = 708
+	HeldRequestNotStored ID = 709
+	StoreRestored        ID = 710
+	PipelineAborted      ID = 760
+	PipelineFault        ID = 761
+	RolloutRefused       ID = 780
+	RolloutOrderChanged  ID = 781
+	RolloutPhase         ID = 782
+	RolloutStopped       ID = 783
+	RolloutRowFailed     ID = 784
+	RolloutGuard         ID = 785
+	RolloutWatch         ID = 786
+	RolloutDecided       ID = 787
+	RolloutOrderWritten  ID = 774
 )
 
 // Entry is the catalogue's row of one event.
@@ -111,8 +111,8 @@
 	Routine bool
 	// Cause says what brings the event about.
 	Cause string
-	// Do says what an operator should do.
-	Do string
+	// Advice says what an operator should do.
+	Advice string
 }
 
 // Catalogue returns all events in the order of their numbers.
@@ -125,8 +125,8 @@
 		{ListenerFailed, Error, "listener failed", false, "The address is in use or not of this VM.", "Correct the address in the settings and start again."},
 		{SettingsRead, Info, "settings file read again", false, "SIGHUP, or the file changed.", "Sections named in changed come into force at the daemon's next start."},
 		{SettingsRefused, Error, "settings file refused", false, "The file cannot be read or a value is not allowed; the settings in force stay.", "Correct the file as the line says."},
-		{LinesLeftOut, Warn, "log lines left out", false, "More lines than log.lines_per_second or log.bytes_per_second allow, or a reader of the log that stands still.", "by_event tells how many of each event; raise the bounds in log if failures are among them."},
-		{Suspended, Warn, "VM was suspended", false, "The clock that counts suspension moved on while the process stood still; total is since its start.", "Nothing once; look at the platform's VMs if it repeats. Requests whose time was over are refused, and links that peers have given up are opened anew."},
+		{LinesDropped, Warn, "log lines left out", false, "More lines than log.lines_per_second or log.bytes_per_second allow, or a reader of the log that stands still.", "by_event tells how many of each event; raise the bounds in log if failures are among them."},
+		{VMSuspended, Warn, "VM was suspended", false, "The clock that counts suspension moved on while the process stood still; total is since its start.", "Nothing once; look at the platform's VMs if it repeats. Requests whose time was over are refused, and links that peers have given up are opened anew."},
 		{LinkUp, Debug, "link up", false, "A link to another daemon was opened or accepted.", "Nothing."},
 		{LinkDown, Info, "link down", false, "The other daemon ended, or the network between the two broke.", "If it repeats for one peer, look at that VM and the network."},
 		{LinkBadFrame, Warn, "bad frame on link, link closed", false, "A peer sent bytes that are not a frame, or a frame over the bound.", "Check that both daemons run compatible releases."},
@@ -160,27 +160,27 @@
 		{BackendCold, Info, "backend server became cold, or is warm again", false, "It has started or come back; while it is cold, no more than most_starts requests start there in a second (0: any number).", "Nothing; requests that cannot start in time go elsewhere, or are refused."},
 		{BackendEnded, Warn, "backend server's process ended under requests", false, "Its connections broke while it ran requests, and it refuses new ones; contents names each request that ran, with the fingerprint of its content.", "Look at the backend server's own log. A content that stands in several such lines ends each backend server that runs it: find its request by the id in event 504."},
 		{ContentHeld, Warn, "requests of one content are held back", false, "Each backend server that ran a request of this content ended, and none has run one to its end since.", "Find such a request by the content in events 517 and 504, and mend what ends the backend server; the content may run again when left is over."},
-		{ContentFreed, Info, "requests of one content run again", false, "The time is over, or a backend server has run one to its end; why says which.", "Nothing."},
-		{ForeignWord, Warn, "word of another writer passed over", false, "An announcement, or a row of the store, lacks fields, holds some of another type, names a state or service that is not one here, or cannot be read.", "Find who writes it: what names the sender or the row. It names no backend server to use; the others hold."},
-		{TeamsCounter, Debug, "another daemon counts teams", false, "The daemon that counted the requests of a group of teams cannot be reached, or one that should count before it is back; counter names its VM and process.", "Nothing. While it repeats within seconds, teams may be refused within their limit: look at the network between the named VMs."},
+		{ContentReleased, Info, "requests of one content run again", false, "The time is over, or a backend server has run one to its end; why says which.", "Nothing."},
+		{InvalidRecord, Warn, "word of another writer passed over", false, "An announcement, or a row of the store, lacks fields, holds some of another type, names a state or service that is not one here, or cannot be read.", "Find who writes it: what names the sender or the row. It names no backend server to use; the others hold."},
+		{QuotaCounterChanged, Debug, "another daemon counts teams", false, "The daemon that counted the requests of a group of teams cannot be reached, or one that should count before it is back; counter names its VM and process.", "Nothing. While it repeats within seconds, teams may be refused within their limit: look at the network between the named VMs."},
 		{ClaimLost, Info, "claim taken by another executor", false, "Two executors tried the same never-repeat call; only one may run it.", "Nothing."},
 		{ClaimVoided, Info, "abandoned claim voided", false, "This executor held a claim that it had not handed over.", "Nothing."},
 		{ClaimUnknown, Warn, "claim outcome unknown", false, "The store answered neither the write nor the read-back in time; the call was not run.", "Look at the platform's table service."},
 		{PlatformDown, Warn, "platform does not answer", false, "The table service, object store or VM list failed.", "Look at the platform; other traffic goes on."},
 		{PlatformUp, Info, "platform answers again", false, "A request succeeded after event 701.", "Nothing."},
 		{FeedReopened, Info, "placement feed opened again", false, "A peer knew of a newer version than the feed had told of, or the feed failed.", "Nothing, unless it repeats."},
-		{FeedBehind, Warn, "placement feed lost its history", false, "The store forgot the changes since the last one seen; the newest version is read whole.", "Nothing."},
+		{FeedHistoryLost, Warn, "placement feed lost its history", false, "The store forgot the changes since the last one seen; the newest version is read whole.", "Nothing."},
 		{DocumentRefused, Error, "placement document refused", false, "The row in the store cannot be read; the version in force stays.", "Correct the document and write it again."},
-		{DepartureNotKept, Warn, "departure was not written to the store", false, "The store did not answer in time; peers were told.", "Look at the platform's store."},
+		{DepartureNotStored, Warn, "departure was not written to the store", false, "The store did not answer in time; peers were told.", "Look at the platform's store."},
 		{StoreCalls, Info, "calls to the platform's store", true, "Each ten seconds in which there were any: calls since the last such line, by purpose and result.", "Nothing; many while the store answers mean that links are few or end often."},
 		{RowsNotSwept, Warn, "old rows were not deleted in the store", false, "The store did not answer in time, or refused; rows names which.", "Nothing once: the next sweep makes up for it. If it repeats, look at the platform's store: the table named there grows."},
-		{HeldNotKept, Warn, "held request was not written to the store", false, "The store did not answer in time, or a row there cannot be read; peers were told.", "Nothing once: it is written again. If it repeats, look at the platform's store: daemons that all restart at once would let the content run again."},
+		{HeldRequestNotStored, Warn, "held request was not written to the store", false, "The store did not answer in time, or a row there cannot be read; peers were told.", "Nothing once: it is written again. If it repeats, look at the platform's store: daemons that all restart at once would let the content run again."},
 		{StoreRestored, Warn, "store came back from an older copy", false, "The era in the store's answers has risen: what was written after the copy is gone.", "Write again what operators had written since. Daemons write their entries, departures and held requests again, and keep the placement that they have in force."},
-		{PipelineCut, Info, "connection ended with requests behind one another", true, "A caller's connection ended while requests of it were unanswered, or bytes behind them unread: the caller left, could not be written to, or the connection was ended with the answers before.", "Nothing; many mean that callers leave early, or send requests to a daemon that is leaving."},
+		{PipelineAborted, Info, "connection ended with requests behind one another", true, "A caller's connection ended while requests of it were unanswered, or bytes behind them unread: the caller left, could not be written to, or the connection was ended with the answers before.", "Nothing; many mean that callers leave early, or send requests to a daemon that is leaving."},
 		{PipelineFault, Error, "fault while handling a request beside others", false, "A fault in rushramp; the connection was closed without an answer.", "Report it with this line."},
 		{RolloutRefused, Error, "orders of roll-outs refused", false, "An order in the store cannot be read, or there are more orders than a daemon keeps (field orders); what was known before stays.", "Correct the order as the line says and write it again; take orders of roll-outs away that have ended."},
-		{RolloutAsked, Info, "roll-out ordered or cancelled by operator", false, "An operator ordered a roll-out through this daemon, or took the order away (version is empty then).", "Nothing; the line holds author, change id and revision, event 782 tells how it goes on."},
-		{RolloutOrdered, Info, "roll-out ordered", false, "Operators ordered that a service's requests move to another version, or took the order away (version is empty then).", "Nothing; event 782 tells how it goes on."},
+		{RolloutOrderWritten, Info, "roll-out ordered or cancelled by operator", false, "An operator ordered a roll-out through this daemon, or took the order away (version is empty then).", "Nothing; the line holds author, change id and revision, event 782 tells how it goes on."},
+		{RolloutOrderChanged, Info, "roll-out ordered", false, "Operators ordered that a service's requests move to another version, or took the order away (version is empty then).", "Nothing; event 782 tells how it goes on."},
 		{RolloutPhase, Info, "roll-out's phase changed", false, "A newer plan of a service's roll-out is in force here; cause says why its phase began.", "Nothing; for rolled_back see cause, and event 783 for the evidence."},
 		{RolloutStopped, Warn, "roll-out's version is bad, it gets nothing more", false, "A daemon that watches the roll-out told from the reports of executors that the version is worse than the old ones; cause names the route, figures and test.", "Look at the version's failures or times on that route."},
 		{RolloutRowFailed, Warn, "roll-out's row was not read or written", false, "The store did not answer, or another daemon wrote first (conflict); the row is read again before anything else is written.", "Look at the platform's store if it repeats."},
--- a/pkg/events/log.go
+++ b/pkg/events/log.go
@@ -87,9 +87,9 @@
 	return out
 }
 
-// Wants is true when a line of the event would be written now. Callers ask it
+// Enabled is true when a line of the event would be written now. Callers ask it
 // before they put together what is long.
-func (l *Log) Wants(id ID) bool {
+func (l *Log) Enabled(id ID) bool {
 	entry := l.entry(id)
 	if entry.Level < l.min {
 		return false
@@ -168,15 +168,15 @@
 	if total == 0 {
 		return
 	}
-	entry := l.entry(LinesLeftOut)
+	entry := l.entry(LinesDropped)
 	err := l.important.Log("level", entry.Level.String(), "event", int(entry.ID), "msg", entry.Text, "lines", total, "by_event", text)
 	if err == nil {
 		l.budget.reported()
 	}
 }
 
-// LeftOut counts the lines that were left out since the start.
-func (l *Log) LeftOut() int64 {
+// Dropped counts the lines that were left out since the start.
+func (l *Log) Dropped() int64 {
 	if l.budget == nil {
 		return 0
 	}
--- a/pkg/events/log_test.go
+++ b/pkg/events/log_test.go
@@ -39,7 +39,7 @@
 		test.MapContainsKey(t, declared, entry.ID)
 		delete(declared, entry.ID)
 		test.NotEq(t, "", entry.Cause)
-		test.NotEq(t, "", entry.Do)
+		test.NotEq(t, "", entry.Advice)
 	}
 	test.MapEmpty(t, declared, test.Sprint("events without a catalogue entry"))
 }
@@ -76,7 +76,7 @@
 		log.Close(time.Second)
 		written := strings.Count(out.String(), "event=202 ")
 		test.Eq(t, 20*burstSeconds, written)
-		test.Eq(t, int64(sent-written), log.LeftOut())
+		test.Eq(t, int64(sent-written), log.Dropped())
 		test.StrContains(t, out.String(), "event=108")
 		test.StrContains(t, out.String(), fmt.Sprintf("lines=%d by_event=202:%d", sent-written, sent-written))
 		test.StrContains(t, out.String(), "vm=a")
@@ -94,10 +94,10 @@
 			log.Event(RequestAnswered)
 		}
 		for range 5 {
-			test.True(t, log.Wants(RequestFailed))
+			test.True(t, log.Enabled(RequestFailed))
 			log.Event(RequestFailed)
 		}
-		test.False(t, log.Wants(RequestAnswered))
+		test.False(t, log.Enabled(RequestAnswered))
 		log.Close(time.Second)
 		test.Eq(t, 5, strings.Count(out.String(), "event=504"))
 		test.StrContains(t, out.String(), "event=108")
@@ -128,7 +128,7 @@
 		waiting := len(log.buffer.waiting)
 		log.buffer.mu.Unlock()
 		test.Between(t, 1, waiting, size)
-		test.Between(t, 2*sent-200, log.LeftOut(), 2*sent)
+		test.Between(t, 2*sent-200, log.Dropped(), 2*sent)
 		began := time.Now()
 		log.Close(time.Second)
 		test.Eq(t, time.Second, time.Since(began), test.Sprint("the end waits for its patience, not for the reader"))
--- a/pkg/events/outage.go
+++ b/pkg/events/outage.go
@@ -12,8 +12,8 @@
 // NewOutage watches what, a name for operators.
 func NewOutage(log *Log, what string) *Outage { return &Outage{log: log, what: what} }
 
-// Note takes the outcome of one request; nil when it was answered.
-func (o *Outage) Note(err error) {
+// Record takes the outcome of one request; nil when it was answered.
+func (o *Outage) Record(err error) {
 	down := err != nil
 	if o.down.Swap(down) == down {
 		return
--- a/pkg/executor/backend.go
+++ b/pkg/executor/backendclient.go
@@ -24,8 +24,8 @@
 
 // Headers that the executor adds for the backend server.
 const (
-	// HeaderCall carries an id that a cancellation names.
-	HeaderCall = "Rushramp-Call"
+	// HeaderCallID carries an id that a cancellation names.
+	HeaderCallID = "Rushramp-Call"
 	// HeaderTimeout carries the time left, in milliseconds.
 	HeaderTimeout = "Rushramp-Timeout"
 )
@@ -115,7 +115,7 @@
 	for _, h := range c.Headers {
 		req.Header.Add(h.Name, h.Value)
 	}
-	req.Header.Set(HeaderCall, id)
+	req.Header.Set(HeaderCallID, id)
 	req.Header.Set(HeaderTimeout, strconv.FormatInt(max(timeout.Milliseconds(), 1), 10))
 	req.SetBody(body)
 	req.SetOptions(config.WithRequestTimeout(timeout))
--- a/pkg/executor/trial.go
+++ b/pkg/executor/rollout.go
@@ -9,9 +9,9 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// SetTrial has the executor hold the backend server to its part in roll-outs. It is
+// SetEnforcer has the executor hold the backend server to its part in roll-outs. It is
 // called before the first call comes.
-func (e *Executor) SetTrial(t *enforcer.Enforcer) { e.trial = t }
+func (e *Executor) SetEnforcer(t *enforcer.Enforcer) { e.trial = t }
 
 // barred refuses what a roll-out lets the backend server not run; nil: it lets it.
 func (e *Executor) barred() *errkind.Error {
--- a/pkg/executor/trial_test.go
+++ b/pkg/executor/rollout_test.go
@@ -22,7 +22,7 @@
 	lifecycle.RecordHeartbeat(1, backendstate.Heartbeat{InstanceID: "vm", Sequence: 1, Version: version})
 	recorder := rollout.NewRecorder("vm", "glyphserve", 1)
 	out := enforcer.New(e.Common, lifecycle, recorder)
-	e.SetTrial(out)
+	e.SetEnforcer(out)
 	return out, recorder
 }
 
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -88,7 +88,7 @@
 			return a.unanswered(errkind.New(errkind.DeadlineWhileRunning, "%s did not answer before the deadline", candidate.Endpoint.VM))
 		case <-a.ctx.Done():
 			cancel()
-			return a.unanswered(errkind.New(errkind.CallerGone, "the caller disconnected before the result arrived").Maybe())
+			return a.unanswered(errkind.New(errkind.CallerGone, "the caller disconnected before the result arrived").WithRanMaybe())
 		}
 	}
 }
--- a/pkg/forward/request_log.go
+++ b/pkg/forward/request_log.go
@@ -119,7 +119,7 @@
 	if result.Refusal != nil {
 		id = events.RequestFailed
 	}
-	if !f.Log.Wants(id) {
+	if !f.Log.Enabled(id) {
 		return
 	}
 	fields := []events.Field{events.F("request", req.ID), events.F("took", events.Milliseconds(time.Duration(f.Now()-startedAt)))}
--- a/pkg/ingress/pipelining.go
+++ b/pkg/ingress/pipelining.go
@@ -158,7 +158,7 @@
 
 // noteCut logs a connection that ended with requests unanswered or unread.
 func (s *Server) noteCut(unanswered, unread int) {
-	s.Log.Event(events.PipelineCut, events.F("unanswered", unanswered), events.F("unread_bytes", unread))
+	s.Log.Event(events.PipelineAborted, events.F("unanswered", unanswered), events.F("unread_bytes", unread))
 }
 
 // sizeOf is what a request holds in memory while it waits, in bytes.
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -101,7 +101,7 @@
 		retryAfter string
 	}{
 		{"not run: 503 with a time to come back", head + "\r\n", call.Refused(errkind.Overloaded, "full"), 503, "0.3"},
-		{"maybe run: never 503", head + "\r\n", call.Result{Refusal: errkind.New(errkind.BackendRefused, "").Maybe(), Offered: true}, 502, ""},
+		{"maybe run: never 503", head + "\r\n", call.Result{Refusal: errkind.New(errkind.BackendRefused, "").WithRanMaybe(), Offered: true}, 502, ""},
 		{"lost", head + "\r\n", call.Refused(errkind.LinkLost, "lost"), 502, ""},
 		{"no id", "GET /p/ HTTP/1.1\r\nHost: h\r\n\r\n", call.Result{}, 400, ""},
 		{"no route", "GET /q/ HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\n\r\n", call.Result{}, 404, ""},
--- a/pkg/operators/rollout.go
+++ b/pkg/operators/rollout.go
@@ -123,7 +123,7 @@
 		return nil, explainOrder(asked, err)
 	}
 	se.World.Inbox.Post(true, func(m *tables.Mail) { m.KeepNewestOrders(orders) })
-	se.Log.Event(events.RolloutAsked, events.F("service", asked.Service), events.F("version", asked.Version), events.F("duration", asked.Duration),
+	se.Log.Event(events.RolloutOrderWritten, events.F("service", asked.Service), events.F("version", asked.Version), events.F("duration", asked.Duration),
 		events.F("author", author), events.F("change", asked.ID), events.F("revision", orders.Revision))
 	out, err := se.GetRollouts(ctx, &api.GetRolloutsRequest{Service: asked.Service})
 	if err != nil {
--- a/pkg/rollout/orderstore.go
+++ b/pkg/rollout/orderstore.go
@@ -118,7 +118,7 @@
 	if err := a.Check(); err != nil {
 		return Orders{}, err
 	}
-	row, err := store.Change(ctx, r.table, rowOrders, func(row store.Row) ([]byte, error) { return a.edit(row) })
+	row, err := store.UpdateRow(ctx, r.table, rowOrders, func(row store.Row) ([]byte, error) { return a.edit(row) })
 	if err != nil {
 		return Orders{}, err
 	}
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -13,7 +13,7 @@
 func (run *routedRun) logEnd(result *call.Result) {
 	id := eventOf(result)
 	log := run.owner.Log
-	if !log.Wants(id) {
+	if !log.Enabled(id) {
 		return
 	}
 	c := run.call
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -131,7 +131,7 @@
 	}
 	ended()
 	if why := run.recalledFor(); why != nil && reply.Answer == nil {
-		reply.Refusal = why.Maybe()
+		reply.Refusal = why.WithRanMaybe()
 	}
 	r.note(&reply)
 	took := time.Duration(r.Now() - began)
--- a/pkg/standin/fakestore/store.go
+++ b/pkg/standin/fakestore/store.go
@@ -139,7 +139,7 @@
 		if won {
 			s.apply(w)
 		}
-		out = append(out, store.Result{Won: won, Row: s.rows[w.Key]})
+		out = append(out, store.Result{Applied: won, Row: s.rows[w.Key]})
 	}
 	return out, s.loseAnswer()
 }
--- a/pkg/store/http.go
+++ b/pkg/store/httpclient.go
@@ -12,29 +12,29 @@
 	"github.com/pkg/errors"
 )
 
-// HTTP is the platform reached over HTTP with CBOR bodies.
-type HTTP struct {
+// HTTPClient is the platform reached over HTTPClient with CBOR bodies.
+type HTTPClient struct {
 	address string
 	timeout time.Duration
 	client  *client.Client
 }
 
-var _ Platform = (*HTTP)(nil)
+var _ Platform = (*HTTPClient)(nil)
 
-// NewHTTP makes an adapter for the platform at address (IP number and port).
+// NewHTTPClient makes an adapter for the platform at address (IP number and port).
 // timeout bounds one request; a shorter deadline of the context goes first.
-func NewHTTP(address string, timeout time.Duration) (*HTTP, error) {
+func NewHTTPClient(address string, timeout time.Duration) (*HTTPClient, error) {
 	c, err := client.NewClient(client.WithDialTimeout(timeout), client.WithDialer(standard.NewDialer()))
 	if err != nil {
 		return nil, errors.Wrap(err, "platform client")
 	}
 	// A second try of the library could hide that the first took effect.
 	c.SetRetryIfFunc(func(*protocol.Request, *protocol.Response, error) bool { return false })
-	return &HTTP{address: address, timeout: timeout, client: c}, nil
+	return &HTTPClient{address: address, timeout: timeout, client: c}, nil
 }
 
 // Get implements Table.
-func (h *HTTP) Get(ctx context.Context, key string) (Row, error) {
+func (h *HTTPClient) Get(ctx context.Context, key string) (Row, error) {
 	var out Response
 	if err := h.post(ctx, PathGet, GetRequest{Key: key}, &out); err != nil {
 		return Row{}, err
@@ -46,14 +46,14 @@
 }
 
 // Scan implements Table.
-func (h *HTTP) Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
+func (h *HTTPClient) Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	var out Response
 	err := h.post(ctx, PathScan, ScanRequest{Prefix: prefix, After: after, Limit: limit}, &out)
 	return out.Rows, err
 }
 
 // Batch implements Table.
-func (h *HTTP) Batch(ctx context.Context, writes []Write) ([]Result, error) {
+func (h *HTTPClient) Batch(ctx context.Context, writes []Write) ([]Result, error) {
 	var out Response
 	if err := h.post(ctx, PathBatch, WriteRequest{Writes: writes}, &out); err != nil {
 		return nil, err
@@ -65,30 +65,30 @@
 }
 
 // Transact implements Table.
-func (h *HTTP) Transact(ctx context.Context, writes []Write) error {
+func (h *HTTPClient) Transact(ctx context.Context, writes []Write) error {
 	return h.post(ctx, PathTransact, WriteRequest{Writes: writes}, &Response{})
 }
 
 // PutObject implements Objects.
-func (h *HTTP) PutObject(ctx context.Context, name string, data []byte) error {
+func (h *HTTPClient) PutObject(ctx context.Context, name string, data []byte) error {
 	return h.post(ctx, PathPut, ObjectRequest{Name: name, Data: data}, &Response{})
 }
 
 // Object implements Objects.
-func (h *HTTP) Object(ctx context.Context, name string) ([]byte, error) {
+func (h *HTTPClient) Object(ctx context.Context, name string) ([]byte, error) {
 	var out Response
 	err := h.post(ctx, PathObject, ObjectRequest{Name: name}, &out)
 	return out.Data, err
 }
 
 // VMs implements VMs.
-func (h *HTTP) VMs(ctx context.Context, dataCentre string) ([]VM, error) {
+func (h *HTTPClient) VMs(ctx context.Context, dataCentre string) ([]VM, error) {
 	var out Response
 	err := h.post(ctx, PathVMs, VMsRequest{DataCentre: dataCentre}, &out)
 	return out.VMs, err
 }
 
-func (h *HTTP) post(ctx context.Context, path string, in any, out *Response) error {
+func (h *HTTPClient) post(ctx context.Context, path string, in any, out *Response) error {
 	body, err := Encode(in)
 	if err != nil {
 		return err
--- a/pkg/store/counted.go
+++ b/pkg/store/instrumented.go
@@ -9,17 +9,19 @@
 	"github.com/pkg/errors"
 )
 
-// Counted is a platform whose calls are counted and timed.
-type Counted struct {
+// Instrumented is a platform whose calls are counted and timed.
+type Instrumented struct {
 	Platform
 	set *metrics.Set
 }
 
-// NewCounted counts the calls of a platform in a set of metrics.
-func NewCounted(p Platform, set *metrics.Set) *Counted { return &Counted{Platform: p, set: set} }
+// NewInstrumented counts the calls of a platform in a set of metrics.
+func NewInstrumented(p Platform, set *metrics.Set) *Instrumented {
+	return &Instrumented{Platform: p, set: set}
+}
 
-// Count counts one call that began at a time and ended with err.
-func Count(set *metrics.Set, call string, began time.Time, err error) {
+// CountCall counts one call that began at a time and ended with err.
+func CountCall(set *metrics.Set, call string, began time.Time, err error) {
 	set.GetOrCreateCounter(callsPrefix + call + callsMiddle + resultOf(err) + `"}`).Inc()
 	set.GetOrCreateHistogram(`rushramp_store_call_seconds{call="` + call + `"}`).Update(time.Since(began).Seconds())
 }
@@ -37,8 +39,8 @@
 	callsMiddle = `",result="`
 )
 
-// Calls returns what Count has counted in a set, by name.
-func Calls(set *metrics.Set) []CallCount {
+// CallCounts returns what Count has counted in a set, by name.
+func CallCounts(set *metrics.Set) []CallCount {
 	var out []CallCount
 	for _, name := range set.ListMetricNames() {
 		labels, ok := strings.CutPrefix(name, callsPrefix)
@@ -71,57 +73,57 @@
 }
 
 // Get implements Table.
-func (c *Counted) Get(ctx context.Context, key string) (Row, error) {
+func (c *Instrumented) Get(ctx context.Context, key string) (Row, error) {
 	began := time.Now()
 	row, err := c.Platform.Get(ctx, key)
-	Count(c.set, "get", began, err)
+	CountCall(c.set, "get", began, err)
 	return row, err
 }
 
 // Scan implements Table.
-func (c *Counted) Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
+func (c *Instrumented) Scan(ctx context.Context, prefix, after string, limit int) ([]Row, error) {
 	began := time.Now()
 	rows, err := c.Platform.Scan(ctx, prefix, after, limit)
-	Count(c.set, "scan", began, err)
+	CountCall(c.set, "scan", began, err)
 	return rows, err
 }
 
 // Batch implements Table.
-func (c *Counted) Batch(ctx context.Context, writes []Write) ([]Result, error) {
+func (c *Instrumented) Batch(ctx context.Context, writes []Write) ([]Result, error) {
 	began := time.Now()
 	results, err := c.Platform.Batch(ctx, writes)
-	Count(c.set, "batch", began, err)
+	CountCall(c.set, "batch", began, err)
 	return results, err
 }
 
 // Transact implements Table.
-func (c *Counted) Transact(ctx context.Context, writes []Write) error {
+func (c *Instrumented) Transact(ctx context.Context, writes []Write) error {
 	began := time.Now()
 	err := c.Platform.Transact(ctx, writes)
-	Count(c.set, "transact", began, err)
+	CountCall(c.set, "transact", began, err)
 	return err
 }
 
 // PutObject implements Objects.
-func (c *Counted) PutObject(ctx context.Context, name string, data []byte) error {
+func (c *Instrumented) PutObject(ctx context.Context, name string, data []byte) error {
 	began := time.Now()
 	err := c.Platform.PutObject(ctx, name, data)
-	Count(c.set, "put_object", began, err)
+	CountCall(c.set, "put_object", began, err)
 	return err
 }
 
 // Object implements Objects.
-func (c *Counted) Object(ctx context.Context, name string) ([]byte, error) {
+func (c *Instrumented) Object(ctx context.Context, name string) ([]byte, error) {
 	began := time.Now()
 	data, err := c.Platform.Object(ctx, name)
-	Count(c.set, "object", began, err)
+	CountCall(c.set, "object", began, err)
 	return data, err
 }
 
 // VMs implements VMs.
-func (c *Counted) VMs(ctx context.Context, dataCentre string) ([]VM, error) {
+func (c *Instrumented) VMs(ctx context.Context, dataCentre string) ([]VM, error) {
 	began := time.Now()
 	vms, err := c.Platform.VMs(ctx, dataCentre)
-	Count(c.set, "vms", began, err)
+	CountCall(c.set, "vms", began, err)
 	return vms, err
 }
--- a/pkg/store/counted_test.go
+++ b/pkg/store/instrumented_test.go
@@ -24,11 +24,11 @@
 		nil: "ok", errors.Wrap(ErrNotFound, "x"): "not_found", ErrConflict: "conflict",
 		ErrHistoryGone: "history_gone", context.DeadlineExceeded: "timeout", errors.New("503"): "failed",
 	} {
-		_, got := NewCounted(&failing{err: err}, set).Get(t.Context(), "k")
+		_, got := NewInstrumented(&failing{err: err}, set).Get(t.Context(), "k")
 		test.True(t, got == err)
 		var out bytes.Buffer
 		set.WritePrometheus(&out)
 		test.StrContains(t, out.String(), `rushramp_store_calls_total{call="get",result="`+result+`"} 1`)
 	}
-	test.SliceContains(t, Calls(set), CallCount{Name: "get/not_found", Count: 1})
+	test.SliceContains(t, CallCounts(set), CallCount{Name: "get/not_found", Count: 1})
 }
--- a/pkg/store/store.go
+++ b/pkg/store/store.go
@@ -44,8 +44,8 @@
 // Result says how one write of a batch ended.
 type Result struct {
 	_ struct{} `cbor:",toarray"`
-	// Won is true when the condition held and the write took effect.
-	Won bool
+	// Applied is true when the condition held and the write took effect.
+	Applied bool
 	// Row is the row after the attempt: the own one, or the winner's.
 	Row Row
 }
--- a/pkg/store/change.go
+++ b/pkg/store/update.go
@@ -22,12 +22,12 @@
 // Unwrap implements errors.Unwrap.
 func (u *UnknownOutcomeError) Unwrap() error { return u.Cause }
 
-// Change writes what edit makes of a row, under the condition of the version that edit
+// UpdateRow writes what edit makes of a row, under the condition of the version that edit
 // saw, and anew where another writer was first, so that changes of writers who race are
 // all made. edit gets a row of version 0 where there is none, and returns nil once
 // nothing is left to change; that row is returned. An UnknownOutcomeError leaves open
 // whether the change was made; after any other one it was not.
-func Change(ctx context.Context, table Table, key string, edit func(Row) (value []byte, err error)) (Row, error) {
+func UpdateRow(ctx context.Context, table Table, key string, edit func(Row) (value []byte, err error)) (Row, error) {
 	for range mostTries {
 		row, err := table.Get(ctx, key)
 		if err != nil && !errors.Is(err, ErrNotFound) {
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -175,6 +175,6 @@
 	defer cancel()
 	err := e.Platform.Transact(ctx, []store.Write{{Key: departurePrefix + instance, Value: []byte(e.Settings.VM.ID)}})
 	if err != nil && !errors.Is(err, store.ErrConflict) {
-		e.Log.Event(events.DepartureNotKept, events.F("instance", instance), events.F("cause", err))
+		e.Log.Event(events.DepartureNotStored, events.F("instance", instance), events.F("cause", err))
 	}
 }
--- a/pkg/systems/feedfollower.go
+++ b/pkg/systems/feedfollower.go
@@ -178,7 +178,7 @@
 		}
 		began := time.Now()
 		next, err := f.step(at)
-		f.outage.Note(err)
+		f.outage.Record(err)
 		if err == nil {
 			if !at.known {
 				// Whether this daemon must follow the feed shows once its links are
@@ -189,7 +189,7 @@
 			continue
 		}
 		if errors.Is(err, store.ErrHistoryGone) {
-			f.Log.Event(events.FeedBehind, events.F("cursor", at.cursor))
+			f.Log.Event(events.FeedHistoryLost, events.F("cursor", at.cursor))
 			at = feedPosition{}
 		}
 		// A request that hung has rested already.
@@ -296,11 +296,11 @@
 	began := time.Now()
 	if !at.known {
 		update, err := f.Feed.Newest(ctx)
-		store.Count(f.Metrics, "newest", began, err)
+		store.CountCall(f.Metrics, "newest", began, err)
 		return update, err
 	}
 	update, err := f.Feed.Next(ctx, at.cursor, wait)
-	store.Count(f.Metrics, "feed", began, err)
+	store.CountCall(f.Metrics, "feed", began, err)
 	return update, err
 }
 
--- a/pkg/systems/head.go
+++ b/pkg/systems/head.go
@@ -38,12 +38,12 @@
 	ctx, cancel := context.WithTimeout(h.DaemonContext, h.Settings.Platform.Timeout)
 	defer cancel()
 	head, err := h.Store.Head(ctx)
-	h.headOutage.Note(err)
+	h.headOutage.Record(err)
 	if err != nil {
 		return
 	}
 	evacuated, err := h.Evacuation.Read(ctx)
-	h.headOutage.Note(err)
+	h.headOutage.Record(err)
 	if err != nil {
 		return
 	}
@@ -66,7 +66,7 @@
 // this daemon from the placement.
 func (h *headReader) readOrders(ctx context.Context) {
 	orders, err := h.Orders.Read(ctx)
-	h.ordersOutage.Note(err)
+	h.ordersOutage.Record(err)
 	if err == nil {
 		h.World.Inbox.Post(true, func(m *tables.Mail) { m.KeepNewestOrders(orders) })
 	}
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -95,7 +95,7 @@
 		defer cancel()
 		err := q.change(ctx, content, crashes)
 		if err != nil {
-			q.Log.Event(events.HeldNotKept, events.F("content", content), events.F("cause", err))
+			q.Log.Event(events.HeldRequestNotStored, events.F("content", content), events.F("cause", err))
 		}
 		q.World.Inbox.Post(true, func(m *tables.Mail) {
 			m.Queries = append(m.Queries, func(*tables.World) { q.wrote(content, len(crashes), err) })
@@ -127,7 +127,7 @@
 	if err != nil {
 		return errors.Wrap(err, "held request")
 	}
-	_, err = store.Change(ctx, q.Platform, key, func(was store.Row) ([]byte, error) {
+	_, err = store.UpdateRow(ctx, q.Platform, key, func(was store.Row) ([]byte, error) {
 		if string(was.Value) == string(value) {
 			return nil, nil
 		}
@@ -188,7 +188,7 @@
 	err := scanAll(ctx, q.Platform, heldKeyPrefix, func(row store.Row) {
 		crashes, err := fromRow(time.Now(), row)
 		if err != nil {
-			q.Log.Event(events.HeldNotKept, events.F("row", row.Key), events.F("cause", err))
+			q.Log.Event(events.HeldRequestNotStored, events.F("row", row.Key), events.F("cause", err))
 			return
 		}
 		said.Crashes = append(said.Crashes, crashes...)
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -205,7 +205,7 @@
 		defer cancel()
 		at := time.Now()
 		stored, err := do(ctx)
-		store.Count(p.Metrics, purpose, at, err)
+		store.CountCall(p.Metrics, purpose, at, err)
 		row := tables.RolloutPlanResult{Service: service, IsWrite: write, Stored: stored, Err: err, Began: began}
 		p.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutPlanResults = append(m.RolloutPlanResults, row) })
 	}()
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -144,7 +144,7 @@
 	for content := range q.held {
 		if _, held := q.Quarantine.Held(now, content); !held {
 			delete(q.held, content)
-			q.Log.Event(events.ContentFreed, events.F("content", content), events.F("why", q.whyFreed(now, content)))
+			q.Log.Event(events.ContentReleased, events.F("content", content), events.F("why", q.whyFreed(now, content)))
 		}
 	}
 }
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -203,7 +203,7 @@
 	for g, process := range counters {
 		if process != q.told[g] {
 			q.told[g] = process
-			q.Log.Event(events.TeamsCounter, events.F("group", g), events.F("counter", process))
+			q.Log.Event(events.QuotaCounterChanged, events.F("group", g), events.F("counter", process))
 		}
 	}
 }
--- a/pkg/systems/registration.go
+++ b/pkg/systems/registration.go
@@ -59,8 +59,8 @@
 	defer cancel()
 	began := time.Now()
 	err := r.Registrar.Register(ctx, r.entry())
-	store.Count(r.Metrics, "register", began, err)
-	r.outage.Note(err)
+	store.CountCall(r.Metrics, "register", began, err)
+	r.outage.Record(err)
 	if err == nil {
 		r.wroteAt.Store(r.Now())
 		r.done.Store(true)
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -246,7 +246,7 @@
 	if old == order {
 		return
 	}
-	ro.Log.Event(events.RolloutOrdered, events.F("service", service), events.F("version", order.Version),
+	ro.Log.Event(events.RolloutOrderChanged, events.F("service", service), events.F("version", order.Version),
 		events.F("order", order.Revision), events.F("duration", order.Duration), events.F("from", nameOf(from)))
 }
 
--- a/pkg/systems/suspensionwatch.go
+++ b/pkg/systems/suspensionwatch.go
@@ -26,7 +26,7 @@
 		return
 	}
 	s.seen = total
-	s.Log.Event(events.Suspended, events.F("took", events.Milliseconds(grown)), events.F("total", events.Milliseconds(total)))
+	s.Log.Event(events.VMSuspended, events.F("took", events.Milliseconds(grown)), events.F("total", events.Milliseconds(total)))
 	if s.outlastsLinks(grown) {
 		s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { peer.Close() })
 	}
--- a/pkg/systems/trafficlog.go
+++ b/pkg/systems/trafficlog.go
@@ -64,7 +64,7 @@
 		a.calls = map[string]uint64{}
 	}
 	var calls []string
-	for _, c := range store.Calls(a.Metrics) {
+	for _, c := range store.CallCounts(a.Metrics) {
 		if n := c.Count - a.calls[c.Name]; n > 0 {
 			calls = append(calls, fmt.Sprintf("%s:%d", c.Name, n))
 		}
--- a/pkg/systems/vmlist.go
+++ b/pkg/systems/vmlist.go
@@ -132,7 +132,7 @@
 	ctx, cancel := context.WithTimeout(v.DaemonContext, v.Settings.Platform.Timeout)
 	defer cancel()
 	vms, err := v.Platform.VMs(ctx, part)
-	v.outage.Note(err)
+	v.outage.Record(err)
 	if err != nil {
 		return
 	}
--- a/tools/gendocs/main.go
+++ b/tools/gendocs/main.go
@@ -57,7 +57,7 @@
 	out.WriteString("Each log line carries `event=NUMBER`. Repeats of one event beyond five a second are counted in the field `suppressed` of the next line.\n\n")
 	out.WriteString("| number | level | message | cause | what to do |\n|---|---|---|---|---|\n")
 	for _, e := range events.Catalogue() {
-		fmt.Fprintf(&out, "| %d | %s | %s | %s | %s |\n", e.ID, e.Level, e.Text, e.Cause, e.Do)
+		fmt.Fprintf(&out, "| %d | %s | %s | %s | %s |\n", e.ID, e.Level, e.Text, e.Cause, e.Advice)
 	}
 	return out.Bytes(), nil
 }
