--- a/pkg/backend/transport.go
+++ b/pkg/backend/transport.go
@@ -129,7 +129,7 @@
 			return newRefusal(errkind.DeadlineWhileRunning, true, "no response before the deadline")
 		}
 		out := newRefusal(errkind.CallerGone, true, "the caller cancelled the request")
-		out.Refusal = out.Refusal.Maybe()
+		out.Refusal = out.Refusal.WithRanMaybe()
 		return out
 	}
 }
--- a/pkg/rollout/orderstore.go
+++ b/pkg/rollout/orderstore.go
@@ -120,7 +120,7 @@
 	if err := r.Check(); err != nil {
 		return Orders{}, err
 	}
-	row, err := store.Change(ctx, s.table, ordersKey, func(row store.Row) ([]byte, error) { return r.applyTo(row) })
+	row, err := store.UpdateRow(ctx, s.table, ordersKey, func(row store.Row) ([]byte, error) { return r.applyTo(row) })
 	if err != nil {
 		return Orders{}, err
 	}
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -12,7 +12,7 @@
 func (run *routedRun) logOutcome(result *call.Result) {
 	id := outcomeEvent(result)
 	log := run.runner.Log
-	if !log.Wants(id) {
+	if !log.Enabled(id) {
 		return
 	}
 	c := run.call
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -134,7 +134,7 @@
 	}
 	done()
 	if reason := run.recalledBy(); reason != nil && reply.Answer == nil {
-		reply.Refusal = reason.Maybe()
+		reply.Refusal = reason.WithRanMaybe()
 	}
 	r.applyReply(&reply)
 	took := time.Duration(r.Now() - startedAt)
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -183,6 +183,6 @@
 	defer cancel()
 	err := e.Platform.Transact(ctx, []store.Write{{Key: departurePrefix + id, Value: []byte(e.Settings.VM.ID)}})
 	if err != nil && !errors.Is(err, store.ErrConflict) {
-		e.Log.Event(events.DepartureNotKept, events.F("instance", id), events.F("cause", err))
+		e.Log.Event(events.DepartureNotStored, events.F("instance", id), events.F("cause", err))
 	}
 }
--- a/pkg/systems/feedfollower.go
+++ b/pkg/systems/feedfollower.go
@@ -179,7 +179,7 @@
 		}
 		began := time.Now()
 		next, err := f.step(position)
-		f.outage.Note(err)
+		f.outage.Record(err)
 		if err == nil {
 			if !position.known {
 				// Once its links are open, it is known whether this daemon must follow
@@ -190,7 +190,7 @@
 			continue
 		}
 		if errors.Is(err, store.ErrHistoryGone) {
-			f.Log.Event(events.FeedBehind, events.F("cursor", position.cursor))
+			f.Log.Event(events.FeedHistoryLost, events.F("cursor", position.cursor))
 			position = feedPosition{}
 		}
 		// The time for which a request has hung counts as part of the backoff.
@@ -300,11 +300,11 @@
 	began := time.Now()
 	if !position.known {
 		update, err := f.Feed.Newest(ctx)
-		store.Count(f.Metrics, "newest", began, err)
+		store.CountCall(f.Metrics, "newest", began, err)
 		return update, err
 	}
 	update, err := f.Feed.Next(ctx, position.cursor, wait)
-	store.Count(f.Metrics, "feed", began, err)
+	store.CountCall(f.Metrics, "feed", began, err)
 	return update, err
 }
 
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -100,7 +100,7 @@
 		defer cancel()
 		err := q.updateRow(ctx, content, crashes)
 		if err != nil {
-			q.Log.Event(events.HeldNotKept, events.F("content", content), events.F("cause", err))
+			q.Log.Event(events.HeldRequestNotStored, events.F("content", content), events.F("cause", err))
 		}
 		q.World.Inbox.Post(true, func(m *tables.Mail) {
 			m.Queries = append(m.Queries, func(*tables.World) { q.finishWrite(content, len(crashes), err) })
@@ -135,7 +135,7 @@
 	if err != nil {
 		return errors.Wrap(err, "encode the row")
 	}
-	_, err = store.Change(ctx, q.Platform, key, func(old store.Row) ([]byte, error) {
+	_, err = store.UpdateRow(ctx, q.Platform, key, func(old store.Row) ([]byte, error) {
 		if string(old.Value) == string(value) {
 			return nil, nil
 		}
@@ -202,7 +202,7 @@
 	err := scanAll(ctx, q.Platform, heldKeyPrefix, func(row store.Row) {
 		crashes, err := parseHeldRow(time.Now(), row)
 		if err != nil {
-			q.Log.Event(events.HeldNotKept, events.F("row", row.Key), events.F("cause", err))
+			q.Log.Event(events.HeldRequestNotStored, events.F("row", row.Key), events.F("cause", err))
 			return
 		}
 		frame.Crashes = append(frame.Crashes, crashes...)
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -220,7 +220,7 @@
 		defer cancel()
 		start := time.Now()
 		stored, err := do(ctx)
-		store.Count(p.Metrics, purpose, start, err)
+		store.CountCall(p.Metrics, purpose, start, err)
 		result := tables.RolloutPlanResult{Service: service, IsWrite: isWrite, Stored: stored, Err: err, Began: began}
 		p.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutPlanResults = append(m.RolloutPlanResults, result) })
 	}()
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -153,7 +153,7 @@
 	for content := range q.loggedHeld {
 		if _, held := q.Quarantine.Held(now, content); !held {
 			delete(q.loggedHeld, content)
-			q.Log.Event(events.ContentFreed, events.F("content", content), events.F("why", q.releaseReason(now, content)))
+			q.Log.Event(events.ContentReleased, events.F("content", content), events.F("why", q.releaseReason(now, content)))
 		}
 	}
 }
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -216,7 +216,7 @@
 	for g, process := range counters {
 		if process != q.loggedCounters[g] {
 			q.loggedCounters[g] = process
-			q.Log.Event(events.TeamsCounter, events.F("group", g), events.F("counter", process))
+			q.Log.Event(events.QuotaCounterChanged, events.F("group", g), events.F("counter", process))
 		}
 	}
 }
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -261,7 +261,7 @@
 	if oldOrder == order {
 		return
 	}
-	ro.Log.Event(events.RolloutOrdered, events.F("service", service), events.F("version", order.Version),
+	ro.Log.Event(events.RolloutOrderChanged, events.F("service", service), events.F("version", order.Version),
 		events.F("order", order.Revision), events.F("duration", order.Duration), events.F("from", peerVM(from)))
 }
 
--- a/pkg/systems/suspensionwatch.go
+++ b/pkg/systems/suspensionwatch.go
@@ -26,7 +26,7 @@
 		return
 	}
 	s.lastTotal = total
-	s.Log.Event(events.Suspended, events.F("took", events.Milliseconds(added)), events.F("total", events.Milliseconds(total)))
+	s.Log.Event(events.VMSuspended, events.F("took", events.Milliseconds(added)), events.F("total", events.Milliseconds(total)))
 	if s.outlastsLinks(added) {
 		s.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { peer.Close() })
 	}
--- a/pkg/systems/trafficlog.go
+++ b/pkg/systems/trafficlog.go
@@ -64,7 +64,7 @@
 		t.lastCalls = map[string]uint64{}
 	}
 	var calls []string
-	for _, c := range store.Calls(t.Metrics) {
+	for _, c := range store.CallCounts(t.Metrics) {
 		if n := c.Count - t.lastCalls[c.Name]; n > 0 {
 			calls = append(calls, fmt.Sprintf("%s:%d", c.Name, n))
 		}
