--- a/pkg/httpserver/server.go
+++ b/pkg/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver starts a hertz server the way this project needs it: no
-// signal handling of its own, an error when the address cannot be opened, and
-// a stop that waits for requests in flight.
+// Package httpserver starts hertz servers the way this project needs them: without
+// signal handling of their own, with an error when the address cannot be opened, and
+// with a stop that gives requests in flight a short time to end.
 package httpserver
 
 import (
@@ -16,34 +16,37 @@
 	"github.com/pkg/errors"
 )
 
-const stopTime = 200 * time.Millisecond
+// stopTimeout is how long a stop waits for requests in flight.
+const stopTimeout = 200 * time.Millisecond
 
-// Start opens address (IP number and port), lets routes register its handlers,
-// and serves until stop is called.
-func Start(address string, routes func(*server.Hertz), opts ...config.Option) (stop func(), err error) {
+// Start listens on address (IP address and port), lets registerRoutes add the handlers,
+// and serves requests on a new goroutine until stop is called. It returns an error when
+// the address cannot be opened.
+func Start(address string, registerRoutes func(*server.Hertz), opts ...config.Option) (stop func(), err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, errors.Errorf("cannot listen on %s: %v. Choose an address of this VM that no other process uses.", address, err)
 	}
 	hlog.SetOutput(io.Discard)
-	// The standard transport rather than netpoll: it takes an opened listener
-	// and TLS, and each connection has its own goroutine, so a handler that
-	// waits for an answer blocks nobody. docs/design/libraries.md.
-	all := []config.Option{
+	// The standard transport is used instead of netpoll, because it accepts an open
+	// listener and TLS, and serves each connection on a goroutine of its own, so that
+	// a handler that waits blocks no other connection.
+	// Source: docs/design/libraries.md.
+	options := []config.Option{
 		server.WithListener(listener),
 		server.WithTransport(standard.NewTransporter),
 		server.WithDisablePrintRoute(true),
-		server.WithExitWaitTime(stopTime),
+		server.WithExitWaitTime(stopTimeout),
 	}
-	h := server.New(append(all, opts...)...)
-	routes(h)
+	h := server.New(append(options, opts...)...)
+	registerRoutes(h)
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
 		_ = h.Run()
 	}()
 	return func() {
-		ctx, cancel := context.WithTimeout(context.Background(), stopTime)
+		ctx, cancel := context.WithTimeout(context.Background(), stopTimeout)
 		defer cancel()
 		_ = h.Shutdown(ctx)
 		_ = listener.Close()
--- a/pkg/ingress/acceptor.go
+++ b/pkg/ingress/acceptor.go
@@ -10,85 +10,91 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// hooks are what connections need of the listener that they came by.
-type hooks struct {
-	pipelining PipelineLimits
-	// leaving is true when answers should end their connections.
-	leaving func() bool
-	// closed is told how many requests a connection leaves unanswered, and how
-	// many bytes unread, at its end.
-	closed func(unanswered, unread int)
+// connHooks holds the settings and callbacks of the Server that its connections use.
+type connHooks struct {
+	pipelineLimits PipelineLimits
+	// keepAlivesStopped reports whether each answer should close its connection;
+	// nil: none should.
+	keepAlivesStopped func() bool
+	// onClosed is called when a connection has closed with unanswered requests or
+	// unread bytes; nil: nothing is called.
+	onClosed func(unanswered, unreadBytes int)
 }
 
-func (h *hooks) isLeaving() bool { return h.leaving != nil && h.leaving() }
+func (h *connHooks) areKeepAlivesStopped() bool {
+	return h.keepAlivesStopped != nil && h.keepAlivesStopped()
+}
 
-func (h *hooks) noteClosed(unanswered, unread int) {
-	if h.closed != nil && unanswered+unread > 0 {
-		h.closed(unanswered, unread)
+func (h *connHooks) reportClosed(unanswered, unreadBytes int) {
+	if h.onClosed != nil && unanswered+unreadBytes > 0 {
+		h.onClosed(unanswered, unreadBytes)
 	}
 }
 
-// acceptor hands each new connection to the server whose bounds are in force.
+// acceptor accepts connections and hands each one to a limitedServer with the limits
+// that are in force when the connection opens.
 type acceptor struct {
 	listener net.Listener
 	handler  http.Handler
 	limits   func() routing.Limits
-	hooks    hooks
+	hooks    connHooks
 
 	mu      sync.Mutex
-	current *boundedServer
-	// older still have connections.
-	older []*boundedServer
+	current *limitedServer
+	// retired holds the earlier servers that may still have open connections.
+	retired []*limitedServer
 }
 
 func newAcceptor(l net.Listener, handler http.Handler, limits func() routing.Limits) *acceptor {
 	return &acceptor{listener: l, handler: handler, limits: limits}
 }
 
-// run accepts until the listener is closed.
+// run accepts connections until the listener is closed.
 func (a *acceptor) run() {
 	for {
 		conn, err := a.listener.Accept()
 		if err != nil {
-			if !a.passes(err) {
+			if !a.isTemporary(err) {
 				return
 			}
-			time.Sleep(acceptPause)
+			time.Sleep(acceptRetryDelay)
 			continue
 		}
-		a.server().hand(conn)
+		a.currentServer().serveConn(conn)
 	}
 }
 
-// acceptPause is the pause after an accept that failed for want of descriptors.
-const acceptPause = 5 * time.Millisecond
+// acceptRetryDelay is the pause after a temporary error of Accept, such as a lack of
+// file descriptors.
+const acceptRetryDelay = 5 * time.Millisecond
 
-// passes is true for errors after which accepting goes on.
-func (a *acceptor) passes(err error) bool {
+// isTemporary reports whether accepting can go on after err.
+func (a *acceptor) isTemporary(err error) bool {
 	temporary, ok := err.(interface{ Temporary() bool })
 	return ok && temporary.Temporary()
 }
 
-// server returns the server for a connection that opens now.
-func (a *acceptor) server() *boundedServer {
-	want := boundsOf(a.limits())
+// currentServer returns the server for a connection that opens now. When the limits have
+// changed, it retires the current server and starts a new one.
+func (a *acceptor) currentServer() *limitedServer {
+	limits := connLimitsOf(a.limits())
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if a.current != nil && a.current.bounds == want {
+	if a.current != nil && a.current.limits == limits {
 		return a.current
 	}
 	if a.current != nil {
-		a.current.replace()
-		a.older = append(a.stillOpen(), a.current)
+		a.current.retire()
+		a.retired = append(a.retiredWithConns(), a.current)
 	}
-	a.current = newBoundedServer(want, a.listener.Addr(), a.handler, a.hooks)
+	a.current = newLimitedServer(limits, a.listener.Addr(), a.handler, a.hooks)
 	return a.current
 }
 
-// stillOpen returns the older servers that have connections.
-func (a *acceptor) stillOpen() []*boundedServer {
-	var out []*boundedServer
-	for _, s := range a.older {
+// retiredWithConns returns the retired servers that still have open connections.
+func (a *acceptor) retiredWithConns() []*limitedServer {
+	var out []*limitedServer
+	for _, s := range a.retired {
 		select {
 		case <-s.done:
 		default:
@@ -98,18 +104,19 @@
 	return out
 }
 
-// shutdown stops accepting and ends all servers.
+// shutdown closes the listener and shuts down all servers. They wait for requests in
+// flight until ctx ends.
 func (a *acceptor) shutdown(ctx context.Context) {
 	_ = a.listener.Close()
 	a.mu.Lock()
-	servers := a.stillOpen()
+	servers := a.retiredWithConns()
 	if a.current != nil {
 		servers = append(servers, a.current)
 	}
 	a.mu.Unlock()
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, s := range servers {
-		all.Go(func() { s.shutdown(ctx) })
+		wg.Go(func() { s.shutdown(ctx) })
 	}
-	all.Wait()
+	wg.Wait()
 }
--- a/pkg/ingress/answer_bytes_test.go
+++ b/pkg/ingress/answer_bytes_test.go
@@ -17,7 +17,7 @@
 )
 
 // finishWith ends a run with any result.
-func (b *backends) finishWith(t *testing.T, id string, r call.Result) {
+func (b *fakeBackend) answerWith(t *testing.T, id string, r call.Result) {
 	t.Helper()
 	b.mu.Lock()
 	run := b.running[id]
@@ -30,13 +30,13 @@
 // rawAnswer returns the bytes that come back for a text, where runs end in an order.
 func rawAnswer(t *testing.T, text string, answers map[string]call.Result, order []string) string {
 	var out strings.Builder
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		conn := w.listen.dial().conn
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		conn := env.listen.dial().conn
 		go func() { _, _ = io.Copy(&out, conn) }()
 		go func() { _, _ = io.WriteString(conn, text) }()
 		synctest.Wait()
 		for _, id := range order {
-			w.backend.finishWith(t, id, answers[id])
+			env.backend.answerWith(t, id, answers[id])
 			synctest.Wait()
 		}
 		_ = conn.Close()
--- a/pkg/ingress/answer_queue.go
+++ b/pkg/ingress/answer_queue.go
@@ -7,185 +7,194 @@
 	"time"
 )
 
-// turn is the place of a request's answer among those of its connection.
-type turn struct {
-	// answer is nil until it is there.
-	answer *answer
-	// size is what the request and its answer hold in memory, in bytes.
+// queuedAnswer is the place of a detached request's answer in the queue of its
+// connection.
+type queuedAnswer struct {
+	// answer is nil until the request has ended.
+	answer *bufferedAnswer
+	// size is the memory that the request and its answer take up, in bytes.
 	size int
-	// closes is true when the caller wants no further answer on the connection.
-	closes bool
+	// closeConn is true when the caller asked for the connection to close after this
+	// answer.
+	closeConn bool
 }
 
-// turns is the answering half of a caller's connection: requests that run side
-// by side, and the order in which their answers go out.
-type turns struct {
+// answerQueue is the sending half of a caller's connection. It limits the requests that
+// run concurrently, and writes their answers in the order of the requests.
+type answerQueue struct {
 	conn   net.Conn
-	bounds PipelineLimits
-	// closing is true when answers should end the connection.
-	closing func() bool
+	limits PipelineLimits
+	// closeAfterAnswer reports whether answers should close the connection.
+	closeAfterAnswer func() bool
 
 	mu      sync.Mutex
 	changed *sync.Cond
-	queue   []*turn
-	held    int
+	// queue holds the detached requests whose answers are not written, heldBytes the
+	// sum of their sizes.
+	queue     []*queuedAnswer
+	heldBytes int
+	// writing is true while an answer of the queue is written.
 	writing bool
-	// read is true while a request was read and has no place in the queue: it
-	// waits, or the standard server writes its answer.
-	read bool
-	// noMore is true once no further request is read, over once nothing more
-	// may be written or started.
-	noMore bool
-	over   bool
-	// last is when the last request was answered.
-	last time.Time
-}
-
-func newTurns(c net.Conn, bounds PipelineLimits, closing func() bool) *turns {
-	out := &turns{conn: c, bounds: bounds, closing: closing}
+	// pending is true while a request that was read is not in the queue: it waits to
+	// start, or http.Server writes its answer.
+	pending bool
+	// readingEnded is true once no further request is read. closed is true once no
+	// further answer may be written and no further request may start.
+	readingEnded bool
+	closed       bool
+	// lastAnsweredAt is when the last request was answered.
+	lastAnsweredAt time.Time
+}
+
+func newAnswerQueue(c net.Conn, limits PipelineLimits, closeAfterAnswer func() bool) *answerQueue {
+	out := &answerQueue{conn: c, limits: limits, closeAfterAnswer: closeAfterAnswer}
 	out.changed = sync.NewCond(&out.mu)
 	return out
 }
 
-// unanswered counts the requests that run beside the one that is read.
-func (t *turns) unanswered() int {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return len(t.queue)
+// unanswered returns the number of requests in the queue.
+func (q *answerQueue) unanswered() int {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return len(q.queue)
 }
 
-// enter waits until a request may start, or its caller has left. One that runs
-// beside others waits for room, any other until all before it are answered. ok
-// is false when an answer has closed the connection: the request then counts
-// as not read.
-func (t *turns) enter(ctx context.Context, beside bool, size int) (waited, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.read = true
-	for !t.over && ctx.Err() == nil && !t.mayStart(beside, size) {
+// waitToStart waits until a request may start or ctx ends. A concurrent request waits
+// until the limits allow it, any other one until all earlier requests are answered. ok
+// is false when the connection has closed after an earlier answer: the request then
+// counts as not read.
+func (q *answerQueue) waitToStart(ctx context.Context, concurrent bool, size int) (waited, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.pending = true
+	for !q.closed && ctx.Err() == nil && !q.mayStart(concurrent, size) {
 		waited = true
-		t.changed.Wait()
+		q.changed.Wait()
 	}
-	return waited, !t.over
+	return waited, !q.closed
 }
 
-func (t *turns) mayStart(beside bool, size int) bool {
-	if len(t.queue) == 0 && !t.writing {
+func (q *answerQueue) mayStart(concurrent bool, size int) bool {
+	if len(q.queue) == 0 && !q.writing {
 		return true
 	}
-	return beside && len(t.queue) < t.bounds.MaxRequests && t.held+size <= t.bounds.MaxBytes
+	return concurrent && len(q.queue) < q.limits.MaxRequests && q.heldBytes+size <= q.limits.MaxBytes
 }
 
-// add gives a request its place; nil when the connection has ended.
-func (t *turns) add(size int, closes bool) *turn {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if t.over {
+// add puts a request at the end of the queue. It returns nil when the connection has
+// closed.
+func (q *answerQueue) add(size int, closeConn bool) *queuedAnswer {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	if q.closed {
 		return nil
 	}
-	t.read = false
-	out := &turn{size: size, closes: closes}
-	t.queue = append(t.queue, out)
-	t.held += size
+	q.pending = false
+	out := &queuedAnswer{size: size, closeConn: closeConn}
+	q.queue = append(q.queue, out)
+	q.heldBytes += size
 	return out
 }
 
-// finish takes a request's answer and writes all that are due. It returns true
-// when none is left, and an error when the caller takes no more.
-func (t *turns) finish(of *turn, a *answer) (empty bool, err error) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	of.answer = a
-	of.size += len(a.body)
-	t.held += len(a.body)
-	if t.writing {
+// deliver sets the answer of a queued request, and writes all answers that no unanswered
+// request precedes, unless another goroutine is writing them. It reports whether the
+// queue is empty, and returns an error when an answer cannot be written.
+func (q *answerQueue) deliver(queued *queuedAnswer, a *bufferedAnswer) (empty bool, err error) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	queued.answer = a
+	queued.size += len(a.body)
+	q.heldBytes += len(a.body)
+	if q.writing {
 		return false, nil
 	}
-	t.writing = true
-	for err == nil && len(t.queue) > 0 && t.queue[0].answer != nil && !t.over {
-		err = t.writeFirst()
+	q.writing = true
+	for err == nil && len(q.queue) > 0 && q.queue[0].answer != nil && !q.closed {
+		err = q.writeFirst()
 	}
-	t.writing = false
-	t.changed.Broadcast()
-	return len(t.queue) == 0, err
-}
-
-// writeFirst writes the answer that is due. That the connection closes is said
-// on the last answer of those started only.
-func (t *turns) writeFirst() error {
-	first := t.queue[0]
-	last := len(t.queue) == 1 && !t.read
-	closes := first.closes || last && (t.noMore || t.closing())
-	t.over = closes
-	t.mu.Unlock()
-	err := first.answer.write(t.conn, closes)
-	t.mu.Lock()
-	t.queue = t.queue[1:]
-	t.held -= first.size
-	t.last = time.Now()
-	t.changed.Broadcast()
+	q.writing = false
+	q.changed.Broadcast()
+	return len(q.queue) == 0, err
+}
+
+// writeFirst writes the first answer of the queue. It releases the lock meanwhile. When
+// the connection should close, only the last answer says so, unless the caller asked for
+// the close.
+func (q *answerQueue) writeFirst() error {
+	first := q.queue[0]
+	isLast := len(q.queue) == 1 && !q.pending
+	closeConn := first.closeConn || isLast && (q.readingEnded || q.closeAfterAnswer())
+	q.closed = closeConn
+	q.mu.Unlock()
+	err := first.answer.writeTo(q.conn, closeConn)
+	q.mu.Lock()
+	q.queue = q.queue[1:]
+	q.heldBytes -= first.size
+	q.lastAnsweredAt = time.Now()
+	q.changed.Broadcast()
 	return err
 }
 
-// write writes for the standard server, once all answers before are out.
-func (t *turns) write(p []byte) (int, error) {
-	t.mu.Lock()
-	for !t.over && (len(t.queue) > 0 || t.writing) {
-		t.changed.Wait()
+// write writes bytes of http.Server, after all queued answers.
+func (q *answerQueue) write(p []byte) (int, error) {
+	q.mu.Lock()
+	for !q.closed && (len(q.queue) > 0 || q.writing) {
+		q.changed.Wait()
 	}
-	over := t.over
-	t.mu.Unlock()
-	if over {
+	closed := q.closed
+	q.mu.Unlock()
+	if closed {
 		return 0, net.ErrClosed
 	}
-	return t.conn.Write(p)
+	return q.conn.Write(p)
 }
 
-// answered notes that the standard server has answered a request.
-func (t *turns) answered() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.read = false
-	t.last = time.Now()
+// answeredDirectly is called when http.Server has answered a request.
+func (q *answerQueue) answeredDirectly() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.pending = false
+	q.lastAnsweredAt = time.Now()
 }
 
-// endReading notes that no further request is read; it returns true when none
-// is unanswered.
-func (t *turns) endReading() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.noMore = true
-	return len(t.queue) == 0 && !t.writing
+// endReading is called when no further request is read. It reports whether all queued
+// answers are written.
+func (q *answerQueue) endReading() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.readingEnded = true
+	return len(q.queue) == 0 && !q.writing
 }
 
-// isOver is true when the connection ends after the answers that went out. Another
-// request may have been placed since the last of them, and its answer is still to come.
-func (t *turns) isOver() bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.over || t.noMore && len(t.queue) == 0 && !t.writing
+// isFinished reports whether no further answer is written on the connection. After the
+// end of reading, an answer that is still in the queue is written before that.
+func (q *answerQueue) isFinished() bool {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.closed || q.readingEnded && len(q.queue) == 0 && !q.writing
 }
 
-// end lets nothing more start or go out.
-func (t *turns) end() (unanswered int) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.over = true
-	t.changed.Broadcast()
-	return len(t.queue)
+// markClosed prevents further requests from starting and further answers from being written.
+// It returns the number of requests in the queue.
+func (q *answerQueue) markClosed() (unanswered int) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.closed = true
+	q.changed.Broadcast()
+	return len(q.queue)
 }
 
-// wake lets waiting requests look again.
-func (t *turns) wake() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.changed.Broadcast()
+// wake makes all goroutines that wait for a change check their conditions again.
+func (q *answerQueue) wake() {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	q.changed.Broadcast()
 }
 
-// lastAnswer is when the last request was answered; ok is false while there
-// are unanswered ones.
-func (t *turns) lastAnswer() (at time.Time, ok bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	return t.last, len(t.queue) == 0 && !t.writing
+// lastAnswer returns when the last request was answered. ok is false while there are
+// queued requests.
+func (q *answerQueue) lastAnswer() (at time.Time, ok bool) {
+	q.mu.Lock()
+	defer q.mu.Unlock()
+	return q.lastAnsweredAt, len(q.queue) == 0 && !q.writing
 }
--- a/pkg/ingress/bench_test.go
+++ b/pkg/ingress/bench_test.go
@@ -23,7 +23,7 @@
 
 // benchListener starts a server whose backend server answers 5 kB at once, the
 // users' mean.
-func benchListener(b *testing.B) net.Conn {
+func dialBenchServer(b *testing.B) net.Conn {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
 	view := &tables.View{}
@@ -43,7 +43,7 @@
 	server := &Server{Common: c, headers: DefaultHeaders(), forwarder: forward.NewForwarder(c, view, nil), limits: func() routing.Limits { return routing.Limits{} }}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
-	server.listenOn(l)
+	server.serveListener(l)
 	b.Cleanup(func() { server.Close(b.Context()) })
 	conn, err := net.Dial("tcp", l.Addr().String())
 	must.NoError(b, err)
@@ -53,8 +53,8 @@
 
 // benchRequests sends requests of one connection, so many at a time, and waits
 // for their answers.
-func benchRequests(b *testing.B, path string, atOnce int) {
-	conn := benchListener(b)
+func benchmarkRequests(b *testing.B, path string, atOnce int) {
+	conn := dialBenchServer(b)
 	reader := bufio.NewReader(conn)
 	one := "GET " + path + " HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\nRushramp-Timeout: 2500\r\nAccept: */*\r\n\r\n"
 	text := strings.Repeat(one, atOnce)
@@ -71,8 +71,8 @@
 	}
 }
 
-func BenchmarkRepeatableOneAtATime(b *testing.B) { benchRequests(b, "/p/x", 1) }
-func BenchmarkOtherOneAtATime(b *testing.B)      { benchRequests(b, "/o/x", 1) }
+func BenchmarkRepeatableOneAtATime(b *testing.B) { benchmarkRequests(b, "/p/x", 1) }
+func BenchmarkOtherOneAtATime(b *testing.B)      { benchmarkRequests(b, "/o/x", 1) }
 func BenchmarkRepeatableFourAtATime(b *testing.B) {
-	benchRequests(b, "/p/x", 4)
+	benchmarkRequests(b, "/p/x", 4)
 }
--- a/pkg/ingress/body.go
+++ b/pkg/ingress/body.go
@@ -13,83 +13,86 @@
 	"github.com/rushramp/rushramp/pkg/forward"
 )
 
-// bodyTime bounds the time of any body, so that a caller which states a large one and
-// sends nothing does not keep its room for as long as it likes. It is a guess: the
-// largest body allowed (8 MiB) takes 7 s on the users' slowest links.
-const bodyTime = time.Minute
+// maxBodyTime is the longest time that a body may take to arrive, so that a caller that
+// announces a large body and sends nothing cannot keep its reservation for the whole
+// timeout of its request. A body of 8 MiB takes 7 s on the users' slowest links.
+const maxBodyTime = time.Minute
 
-// errNoRoom ends the reading of a body in chunks for which there is no room.
-var errNoRoom = errors.New("no room for the body")
+// errOverBudget ends the reading of a chunked body that the budget has no bytes left for.
+var errOverBudget = errors.New("the budget for request bodies is used up")
 
-// body takes a body in, within its bounds and where there is room for it.
-func (s *Server) body(w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Reservation) ([]byte, *errkind.Error) {
-	bound := s.bodyBound()
-	if r.ContentLength > bound {
+// receiveBody reads the body of a request into memory. It refuses a body that is larger
+// than maxBodyBytes, exceeds the budget for bodies or takes too long to arrive.
+func (s *Server) receiveBody(w http.ResponseWriter, r *http.Request, req *forward.Request, reservation *bodies.Reservation) ([]byte, *errkind.Error) {
+	limit := s.maxBodyBytes()
+	if r.ContentLength > limit {
 		w.Header().Set("Connection", "close")
-		return nil, errkind.New(errkind.BodyTooLarge, "the body has %d bytes, %d are allowed", r.ContentLength, bound)
+		return nil, errkind.New(errkind.BodyTooLarge, "the body has %d bytes, %d are allowed", r.ContentLength, limit)
 	}
 	if r.ContentLength == 0 {
 		return nil, nil
 	}
-	if !held.Grow(r.ContentLength) {
-		return nil, s.noRoom(w)
+	if !reservation.Grow(r.ContentLength) {
+		return nil, s.refuseOverBudget(w)
 	}
-	timeout := min(s.forwarder.Timeout(req), bodyTime)
-	// A connection without deadlines has none that could be exceeded.
+	timeout := min(s.forwarder.Timeout(req), maxBodyTime)
+	// This fails only on connections that do not support deadlines.
 	_ = http.NewResponseController(w).SetReadDeadline(time.Now().Add(timeout))
-	data, err := readBody(http.MaxBytesReader(w, r.Body, bound), r.ContentLength, held)
+	data, err := readBody(http.MaxBytesReader(w, r.Body, limit), r.ContentLength, reservation)
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
-		return nil, errkind.New(errkind.BodyTooLarge, "the body has more than the allowed %d bytes", bound)
-	case errors.Is(err, errNoRoom):
-		return nil, s.noRoom(w)
+		return nil, errkind.New(errkind.BodyTooLarge, "the body has more than the allowed %d bytes", limit)
+	case errors.Is(err, errOverBudget):
+		return nil, s.refuseOverBudget(w)
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		return nil, errkind.New(errkind.DeadlineBeforeRun, "the body ended after %d bytes, and its time with it", len(data))
+		return nil, errkind.New(errkind.DeadlineBeforeRun, "the time for the body ended after %d bytes", len(data))
 	case err != nil:
 		return nil, errkind.New(errkind.BodyCut, "the body ended after %d bytes", len(data))
 	}
 	return data, nil
 }
 
-// bodyBound is the largest body that is taken, in bytes.
-func (s *Server) bodyBound() int64 {
-	bound := int64(s.Settings.Limits.MaxBodyBytes)
-	if most := int64(s.limits().MaxBodyBytes); most > 0 {
-		bound = min(bound, most)
+// maxBodyBytes returns the largest allowed size of a body, in bytes: the smaller one of
+// the limits in the settings and in the placement.
+func (s *Server) maxBodyBytes() int64 {
+	limit := int64(s.Settings.Limits.MaxBodyBytes)
+	if placementLimit := int64(s.limits().MaxBodyBytes); placementLimit > 0 {
+		limit = min(limit, placementLimit)
 	}
-	return bound
+	return limit
 }
 
-// noRoom refuses a request whose body this daemon cannot hold; what the caller
-// still sends is not read.
-func (s *Server) noRoom(w http.ResponseWriter) *errkind.Error {
+// refuseOverBudget returns the refusal of a request whose body exceeds the budget for
+// bodies. The answer closes the connection, so that the rest of the body is not read.
+func (s *Server) refuseOverBudget(w http.ResponseWriter) *errkind.Error {
 	w.Header().Set("Connection", "close")
-	return errkind.New(errkind.Overloaded, "this daemon holds %d bytes of bodies of the %d in limits.bodies_bytes", s.Bodies.Reserved(), s.Bodies.Limit())
+	return errkind.New(errkind.Overloaded, "request bodies hold %d of the %d bytes in limits.bodies_bytes", s.Bodies.Reserved(), s.Bodies.Limit())
 }
 
-// readBody reads a body whole. Room was taken for one of stated length; one in
-// chunks, whose length is -1, takes its room as it comes.
-func readBody(from io.Reader, length int64, held *bodies.Reservation) ([]byte, error) {
+// readBody reads a whole body. length is the announced length, whose bytes are reserved
+// already, or -1 for a chunked body, whose bytes are reserved as they arrive.
+func readBody(src io.Reader, length int64, reservation *bodies.Reservation) ([]byte, error) {
 	if length >= 0 {
 		data := make([]byte, length)
-		n, err := io.ReadFull(from, data)
+		n, err := io.ReadFull(src, data)
 		return data[:n], err
 	}
-	return io.ReadAll(&growing{from: from, held: held})
+	return io.ReadAll(&reservingReader{src: src, reservation: reservation})
 }
 
-// growing takes room for what it reads.
-type growing struct {
-	from io.Reader
-	held *bodies.Reservation
+// reservingReader adds the bytes that it reads to a reservation.
+type reservingReader struct {
+	src         io.Reader
+	reservation *bodies.Reservation
 }
 
-// Read implements io.Reader.
-func (g *growing) Read(p []byte) (int, error) {
-	n, err := g.from.Read(p)
-	if !g.held.Grow(int64(n)) {
-		return 0, errNoRoom
+// Read implements io.Reader. It returns errOverBudget where the budget has too few bytes
+// left.
+func (r *reservingReader) Read(p []byte) (int, error) {
+	n, err := r.src.Read(p)
+	if !r.reservation.Grow(int64(n)) {
+		return 0, errOverBudget
 	}
 	return n, err
 }
--- a/pkg/ingress/body_test.go
+++ b/pkg/ingress/body_test.go
@@ -18,16 +18,16 @@
 )
 
 // withRoom runs a test against a server with room for so many bytes of bodies.
-func withRoom(t *testing.T, room int, run func(t *testing.T, w *pipelineWorld)) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		w.server.Bodies = bodies.NewBudget(room, metrics.NewSet())
-		run(t, w)
+func withBodyBudget(t *testing.T, room int, run func(t *testing.T, env *pipelineEnv)) {
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		env.server.Bodies = bodies.NewBudget(room, metrics.NewSet())
+		run(t, env)
 		synctest.Wait()
-		test.Eq(t, 0, w.server.Bodies.Reserved())
+		test.Eq(t, 0, env.server.Bodies.Reserved())
 	})
 }
 
-func inChunks(id, body string) string {
+func chunkedPost(id, body string) string {
 	head, _, _ := strings.Cut(post(id, ""), "Content-Length")
 	return head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
@@ -35,21 +35,21 @@
 // TestABodyWithoutRoomIsRefusedAsNotRun, whether its length is known or not, and
 // room comes back with the end of those that hold it.
 func TestABodyWithoutRoomIsRefusedAsNotRun(t *testing.T) {
-	for name, send := range map[string]func(id, body string) string{"with a length": post, "in chunks": inChunks} {
+	for name, send := range map[string]func(id, body string) string{"with a length": post, "in chunks": chunkedPost} {
 		t.Run(name, func(t *testing.T) {
-			withRoom(t, 1000, func(t *testing.T, w *pipelineWorld) {
+			withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
 				body := strings.Repeat("x", 600)
-				first, second, third := w.caller(), w.caller(), w.caller()
+				first, second, third := env.caller(), env.caller(), env.caller()
 				first.send(send("a", body))
-				test.Eq(t, 600, w.server.Bodies.Reserved())
+				test.Eq(t, 600, env.server.Bodies.Reserved())
 				second.send(send("b", body))
 				test.Eq(t, "503(close) end", second.answers())
-				w.backend.answer(t, "a", "")
+				env.backend.answer(t, "a", "")
 				synctest.Wait()
 				third.send(send("c", body))
-				w.backend.answer(t, "c", "")
+				env.backend.answer(t, "c", "")
 				test.Eq(t, "c", third.answers())
-				test.Eq(t, "a c", w.backend.starts())
+				test.Eq(t, "a c", env.backend.startedIDs())
 			})
 		})
 	}
@@ -57,71 +57,71 @@
 
 // TestACallerThatStallsMidwayHoldsRoomForItsTimeOnly.
 func TestACallerThatStallsMidwayHoldsRoomForItsTimeOnly(t *testing.T) {
-	withRoom(t, 1000, func(t *testing.T, w *pipelineWorld) {
-		given, open := w.caller(), w.caller()
+	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
+		given, open := env.caller(), env.caller()
 		half := post("a", strings.Repeat("x", 400))[:200]
 		given.send(strings.Replace(half, "Content-Length", "Rushramp-Timeout: 3000\r\nContent-Length", 1))
 		open.send(half)
-		test.Eq(t, 800, w.server.Bodies.Reserved())
+		test.Eq(t, 800, env.server.Bodies.Reserved())
 		time.Sleep(4 * time.Second)
 		test.StrHasPrefix(t, fmt.Sprint(errkind.DeadlineBeforeRun.Row().Status), given.answers())
-		test.Eq(t, 400, w.server.Bodies.Reserved())
-		time.Sleep(bodyTime)
-		test.Eq(t, 0, w.server.Bodies.Reserved())
-		test.Eq(t, "", w.backend.starts())
+		test.Eq(t, 400, env.server.Bodies.Reserved())
+		time.Sleep(maxBodyTime)
+		test.Eq(t, 0, env.server.Bodies.Reserved())
+		test.Eq(t, "", env.backend.startedIDs())
 	})
 }
 
 // TestRoomComesBackFromRequestsThatNeverStart: behind an answer that closes, and
 // of a caller that leaves.
 func TestRoomComesBackFromRequestsThatNeverStart(t *testing.T) {
-	withRoom(t, 1000, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(get("a") + post("p", strings.Repeat("x", 500)))
-		test.Eq(t, 500, w.server.Bodies.Reserved())
-		c.leave()
-		test.Eq(t, 0, w.server.Bodies.Reserved())
-		test.Eq(t, "a", w.backend.starts())
+		test.Eq(t, 500, env.server.Bodies.Reserved())
+		c.disconnect()
+		test.Eq(t, 0, env.server.Bodies.Reserved())
+		test.Eq(t, "a", env.backend.startedIDs())
 	})
 }
 
-func timed(id, body string, ms int) string {
+func postWithTimeout(id, body string, ms int) string {
 	return strings.Replace(post(id, body), "Content-Length", fmt.Sprintf("Rushramp-Timeout: %d\r\nContent-Length", ms), 1)
 }
 
 // TestAStallingCallerTakesTheRoomForAMinuteAtMost: one that states a large body and an hour, and sends nothing, takes all the
 // room for an hour.
 func TestAStallingCallerTakesTheRoomForAMinuteAtMost(t *testing.T) {
-	withRoom(t, 1000, func(t *testing.T, w *pipelineWorld) {
-		staller := w.caller()
-		whole := timed("a", strings.Repeat("x", 1000), 3600_000)
+	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
+		staller := env.caller()
+		whole := postWithTimeout("a", strings.Repeat("x", 1000), 3600_000)
 		staller.send(whole[:len(whole)-1000])
-		time.Sleep(2 * bodyTime)
-		small := w.caller()
+		time.Sleep(2 * maxBodyTime)
+		small := env.caller()
 		small.send(post("b", "x"))
-		test.Eq(t, "b", w.backend.starts())
-		test.Eq(t, 0, w.server.Bodies.Reserved()-1, test.Sprint("after two minutes"))
-		w.backend.answer(t, "b", "")
+		test.Eq(t, "b", env.backend.startedIDs())
+		test.Eq(t, 0, env.server.Bodies.Reserved()-1, test.Sprint("after two minutes"))
+		env.backend.answer(t, "b", "")
 		test.Eq(t, "b", small.answers())
-		staller.leave()
+		staller.disconnect()
 	})
 }
 
 // panics is a body whose reading panics.
-type panics struct{}
+type panickingReader struct{}
 
-func (panics) Read([]byte) (int, error) { panic(http.ErrAbortHandler) }
+func (panickingReader) Read([]byte) (int, error) { panic(http.ErrAbortHandler) }
 
 // TestAPanicKeepsNoRoom: whatever goes wrong before a request runs.
 func TestAPanicKeepsNoRoom(t *testing.T) {
-	withRoom(t, 1000, func(t *testing.T, w *pipelineWorld) {
-		r := httptest.NewRequest(http.MethodPost, "http://h/post/a", io.NopCloser(panics{}))
+	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
+		r := httptest.NewRequest(http.MethodPost, "http://h/post/a", io.NopCloser(panickingReader{}))
 		r.ContentLength = 600
-		r.Header.Set(w.server.headers.RequestID, "a")
+		r.Header.Set(env.server.headers.RequestID, "a")
 		func() {
 			defer func() { test.NotNil(t, recover()) }()
-			w.server.ServeHTTP(httptest.NewRecorder(), r)
+			env.server.ServeHTTP(httptest.NewRecorder(), r)
 		}()
-		test.Eq(t, 0, w.server.Bodies.Reserved())
+		test.Eq(t, 0, env.server.Bodies.Reserved())
 	})
 }
--- a/pkg/ingress/buffered_answer.go
+++ b/pkg/ingress/buffered_answer.go
@@ -8,29 +8,29 @@
 	"time"
 )
 
-// answer is a whole answer that waits for its turn. It implements
-// http.ResponseWriter.
-type answer struct {
+// bufferedAnswer holds a complete answer until all earlier answers on its connection are
+// written. It implements http.ResponseWriter.
+type bufferedAnswer struct {
 	header http.Header
 	status int
 	body   []byte
-	// head is true for answers to HEAD requests, which have no body.
-	head bool
+	// toHead is true for an answer to a HEAD request, which has no body.
+	toHead bool
 }
 
-func newAnswer(method string) *answer {
-	return &answer{header: http.Header{}, head: method == http.MethodHead}
+func newBufferedAnswer(method string) *bufferedAnswer {
+	return &bufferedAnswer{header: http.Header{}, toHead: method == http.MethodHead}
 }
 
 // Header implements http.ResponseWriter.
-func (a *answer) Header() http.Header { return a.header }
+func (a *bufferedAnswer) Header() http.Header { return a.header }
 
 // WriteHeader implements http.ResponseWriter.
-func (a *answer) WriteHeader(status int) { a.status = status }
+func (a *bufferedAnswer) WriteHeader(status int) { a.status = status }
 
-// Write implements http.ResponseWriter, but that it keeps p: bodies are written
-// in one piece and never change, and a copy would cost as much as all else.
-func (a *answer) Write(p []byte) (int, error) {
+// Write implements http.ResponseWriter, except that it keeps p instead of copying it:
+// bodies are written in one piece and never change, and a copy would be expensive.
+func (a *bufferedAnswer) Write(p []byte) (int, error) {
 	if a.body == nil {
 		a.body = p
 		return len(p), nil
@@ -39,9 +39,9 @@
 	return len(p), nil
 }
 
-// write writes the answer as the standard server does: the same headers, in
-// the same order, and none of those that belong to the connection.
-func (a *answer) write(to net.Conn, closes bool) error {
+// writeTo writes the same bytes to conn that http.Server would write for this answer.
+// The Connection header depends on closeConn alone.
+func (a *bufferedAnswer) writeTo(conn net.Conn, closeConn bool) error {
 	a.header.Del("Connection")
 	if a.status == http.StatusNoContent || a.status == http.StatusNotModified {
 		a.header.Del("Content-Length")
@@ -51,33 +51,34 @@
 		a.header.Del("Content-Type")
 	}
 	var head bytes.Buffer
-	a.writeHead(&head, closes)
-	if a.head || len(a.body) == 0 {
-		_, err := to.Write(head.Bytes())
+	a.writeHead(&head, closeConn)
+	if a.toHead || len(a.body) == 0 {
+		_, err := conn.Write(head.Bytes())
 		return err
 	}
 	parts := net.Buffers{head.Bytes(), a.body}
-	_, err := parts.WriteTo(to)
+	_, err := parts.WriteTo(conn)
 	return err
 }
 
-func (a *answer) writeHead(to *bytes.Buffer, closes bool) {
-	to.WriteString("HTTP/1.1 ")
-	to.WriteString(strconv.Itoa(a.status))
-	to.WriteByte(' ')
-	if text := http.StatusText(a.status); text != "" {
-		to.WriteString(text)
+// writeHead writes the status line and the headers.
+func (a *bufferedAnswer) writeHead(buf *bytes.Buffer, closeConn bool) {
+	buf.WriteString("HTTP/1.1 ")
+	buf.WriteString(strconv.Itoa(a.status))
+	buf.WriteByte(' ')
+	if reason := http.StatusText(a.status); reason != "" {
+		buf.WriteString(reason)
 	} else {
-		to.WriteString("status code " + strconv.Itoa(a.status))
+		buf.WriteString("status code " + strconv.Itoa(a.status))
 	}
-	to.WriteString("\r\n")
-	// A bytes.Buffer takes everything.
-	_ = a.header.Write(to)
-	if _, has := a.header["Date"]; !has {
-		to.WriteString("Date: " + time.Now().UTC().Format(http.TimeFormat) + "\r\n")
+	buf.WriteString("\r\n")
+	// Writing to a bytes.Buffer never fails.
+	_ = a.header.Write(buf)
+	if _, ok := a.header["Date"]; !ok {
+		buf.WriteString("Date: " + time.Now().UTC().Format(http.TimeFormat) + "\r\n")
 	}
-	if closes {
-		to.WriteString("Connection: close\r\n")
+	if closeConn {
+		buf.WriteString("Connection: close\r\n")
 	}
-	to.WriteString("\r\n")
+	buf.WriteString("\r\n")
 }
--- a/pkg/ingress/close_race_test.go
+++ b/pkg/ingress/close_race_test.go
@@ -18,9 +18,9 @@
 // and closes the connection for reading.
 func TestAnAnswerIsNotLostToACloseThatCameBehindTheOneBefore(t *testing.T) {
 	server, client := net.Pipe()
-	c := newConn(server, connDeps{
-		idleTime: time.Minute, bounds: manyBeside,
-		closing: func() bool { return false }, closed: func(int, int) {},
+	c := newPipelinedConn(server, connOptions{
+		idleTimeout: time.Minute, limits: eightConcurrent,
+		closeAfterAnswer: func() bool { return false }, onClosed: func(int, int) {},
 	})
 	got := make(chan string, 2)
 	go func() {
@@ -34,23 +34,23 @@
 			got <- resp.Header.Get("Id")
 		}
 	}()
-	answerOf := func(id string) *answer {
-		out := newAnswer("GET")
+	answerOf := func(id string) *bufferedAnswer {
+		out := newBufferedAnswer("GET")
 		out.Header().Set("Id", id)
 		out.Header().Set("Content-Length", "0")
 		out.WriteHeader(200)
 		return out
 	}
-	a := c.place(1, false)
-	empty, err := c.turns.finish(a, answerOf("a"))
+	a := c.detach(1, false)
+	empty, err := c.answers.deliver(a, answerOf("a"))
 	must.NoError(t, err)
 	must.True(t, empty)
 	test.Eq(t, "a", <-got)
 
-	b := c.place(1, true)
+	b := c.detach(1, true)
 	must.NoError(t, c.Close())
 
-	c.allAnswered()
-	c.finish(b, answerOf("b"))
+	c.onQueueEmpty()
+	c.deliver(b, answerOf("b"))
 	test.Eq(t, "b", <-got)
 }
--- a/pkg/ingress/conn.go
+++ b/pkg/ingress/conn.go
@@ -8,175 +8,181 @@
 	"time"
 )
 
-// lingerTime is how long a connection of which more was sent than read stays
-// half open after its last answer, so that the reset for the unread bytes does
-// not destroy answers on their way. It is the standard server's own time.
+// lingerTime is how long closeGracefully keeps a connection half open when the caller has
+// sent more than was read: closing it at once would send a reset, which destroys answers
+// that the caller has not received yet. http.Server uses the same time.
 const lingerTime = 500 * time.Millisecond
 
-// PipelineLimits bounds the requests of one connection that run side by side.
+// PipelineLimits limits the requests of one connection that run concurrently.
 type PipelineLimits struct {
-	// MaxRequests is how many may be unanswered; below 2 none runs beside another.
+	// MaxRequests is the largest number of unanswered requests; below 2, requests run
+	// one after another.
 	MaxRequests int
-	// MaxBytes bounds the requests and answers that are held, and what is read
-	// ahead, each.
+	// MaxBytes limits two quantities, each in bytes: the unanswered requests with their
+	// buffered answers, and the bytes that are read ahead.
 	MaxBytes int
 }
 
-// connDeps are what a connection needs of its server.
-type connDeps struct {
-	idleTime time.Duration
-	bounds   PipelineLimits
-	// closing is true when answers should end their connections.
-	closing func() bool
-	// closed is told once that the connection has ended, with how many requests
-	// were not answered and how many bytes were not read.
-	closed func(unanswered, unread int)
+// connOptions holds what a pipelinedConn needs to know of its server.
+type connOptions struct {
+	idleTimeout time.Duration
+	limits      PipelineLimits
+	// closeAfterAnswer reports whether answers should close their connections.
+	closeAfterAnswer func() bool
+	// onClosed is called once when the connection has closed, with the number of
+	// requests that were not answered and the number of bytes that were not read.
+	onClosed func(unanswered, unreadBytes int)
 }
 
-// conn is a caller's connection as the standard server sees it. The server
-// reads requests from it one after the other, as strictly as ever. A handler
-// may leave a request's answer to the connection (place) and return at once,
-// so that the server reads the next one: what the server writes for such a
-// request is thrown away. Source: docs/design/pipelining.md.
-type conn struct {
+// pipelinedConn is a caller's connection as http.Server sees it. http.Server reads one
+// request after another from it. To run requests concurrently, a handler detaches its
+// request (detach) and returns at once, so that http.Server reads the next one. What
+// http.Server writes for a detached request is discarded; the goroutine that runs the
+// request passes its answer to deliver. Source: docs/design/pipelining.md.
+type pipelinedConn struct {
 	net.Conn
-	in    *inbound
-	turns *turns
-	deps  connDeps
-	// ctx ends when the caller leaves or the connection ends.
+	reader  *connReader
+	answers *answerQueue
+	options connOptions
+	// ctx ends when the caller disconnects or the connection closes.
 	ctx    context.Context
 	cancel context.CancelFunc
 
 	mu sync.Mutex
-	// detached is true from place until the server is done with
-	// the request.
+	// detached is true from detach until http.Server has finished with the request.
 	detached bool
-	// resting is true while the server waits for the next head.
-	resting bool
-	closing bool
-	once    sync.Once
+	// awaitingHead is true while http.Server waits for the next head.
+	awaitingHead bool
+	// closing is true once closeGracefully has been called.
+	closing   bool
+	closeOnce sync.Once
 }
 
-func newConn(c net.Conn, deps connDeps) *conn {
-	out := &conn{Conn: c, deps: deps}
+func newPipelinedConn(nc net.Conn, options connOptions) *pipelinedConn {
+	out := &pipelinedConn{Conn: nc, options: options}
 	out.ctx, out.cancel = context.WithCancel(context.Background())
-	out.in = newInbound(c, max(deps.bounds.MaxBytes, readSize), out.left)
-	out.turns = newTurns(c, deps.bounds, deps.closing)
+	out.reader = newConnReader(nc, max(options.limits.MaxBytes, maxReadBytes), out.onDisconnect)
+	out.answers = newAnswerQueue(nc, options.limits, options.closeAfterAnswer)
 	return out
 }
 
-// connKey is the key of a request's connection in its context.
-type connKey struct{}
+// connContextKey is the context key of a request's connection.
+type connContextKey struct{}
 
-// attach implements http.Server.ConnContext: requests end with their caller.
-func attach(ctx context.Context, c net.Conn) context.Context {
-	of, ok := c.(*conn)
+// connContext implements http.Server.ConnContext. The context of a request ends with that
+// of its connection.
+func connContext(ctx context.Context, nc net.Conn) context.Context {
+	c, ok := nc.(*pipelinedConn)
 	if !ok {
 		return ctx
 	}
-	return context.WithValue(of.ctx, connKey{}, of)
+	return context.WithValue(c.ctx, connContextKey{}, c)
 }
 
-// connOf returns the connection of a request, or nil where it came another way.
-func connOf(r *http.Request) *conn {
-	c, _ := r.Context().Value(connKey{}).(*conn)
+// connOf returns the connection of a request, or nil where it is no pipelinedConn.
+func connOf(r *http.Request) *pipelinedConn {
+	c, _ := r.Context().Value(connContextKey{}).(*pipelinedConn)
 	return c
 }
 
-// left ends what runs for a caller that has left.
-func (c *conn) left() {
+// onDisconnect cancels the requests of a caller that has disconnected. The connReader
+// calls it with its lock held, so that the rest happens on a goroutine of its own.
+func (c *pipelinedConn) onDisconnect() {
 	c.cancel()
-	go c.afterLeft()
+	go c.afterDisconnect()
 }
 
-func (c *conn) afterLeft() {
-	c.turns.wake()
+// afterDisconnect wakes the requests that wait to start, and ends the linger time.
+func (c *pipelinedConn) afterDisconnect() {
+	c.answers.wake()
 	c.mu.Lock()
 	closing := c.closing
 	c.mu.Unlock()
 	if closing {
-		c.end()
+		c.closeNow()
 	}
 }
 
 // Read implements net.Conn.
-func (c *conn) Read(p []byte) (int, error) { return c.in.Read(p) }
+func (c *pipelinedConn) Read(p []byte) (int, error) { return c.reader.Read(p) }
 
-// Write implements net.Conn.
-func (c *conn) Write(p []byte) (int, error) {
+// Write implements net.Conn. It discards what http.Server writes for a detached request.
+func (c *pipelinedConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
 	detached := c.detached
 	c.mu.Unlock()
 	if detached {
 		return len(p), nil
 	}
-	return c.turns.write(p)
+	return c.answers.write(p)
 }
 
-// CloseWrite ends the sending half, as the standard server does where it
-// refuses what is still being sent.
-func (c *conn) CloseWrite() error {
+// CloseWrite closes the sending half. http.Server calls it when it refuses a request
+// that the caller is still sending.
+func (c *pipelinedConn) CloseWrite() error {
 	if half, ok := c.Conn.(interface{ CloseWrite() error }); ok {
 		return half.CloseWrite()
 	}
 	return nil
 }
 
-// SetReadDeadline implements net.Conn. The standard server has no idle time of
-// its own here and takes the deadline away when it begins to wait for the next
-// head: idle time is counted from the last answer.
-func (c *conn) SetReadDeadline(t time.Time) error {
+// SetReadDeadline implements net.Conn. http.Server runs without an idle timeout, and
+// clears the deadline when it starts to wait for the next head. The idle timeout is set
+// then instead.
+func (c *pipelinedConn) SetReadDeadline(t time.Time) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if !t.IsZero() {
-		c.resting = false
+		c.awaitingHead = false
 	}
-	if c.resting {
-		return c.rest()
+	if c.awaitingHead {
+		return c.setIdleDeadline()
 	}
-	return c.in.SetReadDeadline(t)
+	return c.reader.SetReadDeadline(t)
 }
 
-// rest begins the idle time, unless answers are still to come. The caller holds
-// the lock.
-func (c *conn) rest() error {
-	at, ok := c.turns.lastAnswer()
+// setIdleDeadline starts the idle timeout at the last answer, or clears the deadline
+// while there are unanswered requests. c.mu must be held.
+func (c *pipelinedConn) setIdleDeadline() error {
+	at, ok := c.answers.lastAnswer()
 	if !ok {
-		return c.in.SetReadDeadline(time.Time{})
+		return c.reader.SetReadDeadline(time.Time{})
 	}
-	return c.in.SetReadDeadline(at.Add(c.deps.idleTime))
+	return c.reader.SetReadDeadline(at.Add(c.options.idleTimeout))
 }
 
-// idle notes that the server is done with a request.
-func (c *conn) idle() {
+// onIdle is called when http.Server has finished with a request.
+func (c *pipelinedConn) onIdle() {
 	c.mu.Lock()
 	detached := c.detached
-	c.detached, c.resting = false, true
+	c.detached, c.awaitingHead = false, true
 	c.mu.Unlock()
 	if !detached {
-		c.turns.answered()
+		c.answers.answeredDirectly()
 	}
-	c.in.next()
-}
-
-// begin takes over that a request was read whole, with a body of that length.
-// It returns how many of its connection were unanswered when it came.
-func (c *conn) begin(body int64) (behind int) {
-	c.in.watch(body)
-	behind = c.turns.unanswered()
-	last, _ := c.turns.lastAnswer()
-	cameBefore := c.in.lastArrival().Before(last)
-	if behind == 0 && cameBefore {
-		// The one before was answered between the bytes' coming and their reading.
+	c.reader.expectHead()
+}
+
+// beginRequest is called when a request with a body of bodyLength bytes has been read
+// (below 0: of unknown length). It returns the number of earlier requests on the
+// connection that were unanswered when the request arrived.
+func (c *pipelinedConn) beginRequest(bodyLength int64) (unanswered int) {
+	c.reader.watch(bodyLength)
+	unanswered = c.answers.unanswered()
+	last, _ := c.answers.lastAnswer()
+	arrivedBefore := c.reader.lastArrival().Before(last)
+	if unanswered == 0 && arrivedBefore {
+		// The previous request was answered after this one's bytes had arrived and
+		// before they were read.
 		return 1
 	}
-	return behind
+	return unanswered
 }
 
-// place detaches the request that is being handled: its answer is left to the
-// connection. It returns nil where that has ended.
-func (c *conn) place(size int, closes bool) *turn {
-	out := c.turns.add(size, closes)
+// detach queues the answer of the request that is being handled, so that the handler may
+// return before the answer is known. It returns nil where the connection has closed.
+func (c *pipelinedConn) detach(size int, closeConn bool) *queuedAnswer {
+	out := c.answers.add(size, closeConn)
 	if out == nil {
 		return nil
 	}
@@ -186,69 +192,71 @@
 	return out
 }
 
-// finish takes the answer of a detached request.
-func (c *conn) finish(of *turn, a *answer) {
-	empty, err := c.turns.finish(of, a)
+// deliver passes the answer of a detached request to the queue.
+func (c *pipelinedConn) deliver(queued *queuedAnswer, a *bufferedAnswer) {
+	empty, err := c.answers.deliver(queued, a)
 	switch {
 	case err != nil:
-		// The caller takes nothing more; whatever runs for it ends.
-		c.end()
+		// The answer cannot be written, so that the remaining requests are cancelled.
+		c.closeNow()
 	case empty:
-		c.allAnswered()
+		c.onQueueEmpty()
 	}
 }
 
-// allAnswered ends a connection that takes no more, or lets it rest.
-func (c *conn) allAnswered() {
-	if c.turns.isOver() {
-		c.shut()
+// onQueueEmpty closes the connection where no further answer is due, and starts the idle
+// timeout otherwise.
+func (c *pipelinedConn) onQueueEmpty() {
+	if c.answers.isFinished() {
+		c.closeGracefully()
 		return
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.resting {
-		// It fails on a connection that has ended only.
-		_ = c.rest()
+	if c.awaitingHead {
+		// This fails only on a connection that has closed.
+		_ = c.setIdleDeadline()
 	}
 }
 
-// Close implements net.Conn for the standard server: no further request is
-// read, and what has started is answered first.
-func (c *conn) Close() error {
-	c.in.stop()
-	if c.turns.endReading() {
-		c.shut()
+// Close implements net.Conn for http.Server. No further request is read; the connection
+// closes when the requests that have started are answered.
+func (c *pipelinedConn) Close() error {
+	c.reader.stop()
+	if c.answers.endReading() {
+		c.closeGracefully()
 		return nil
 	}
-	c.in.untilLeft()
+	c.reader.watchForDisconnect()
 	return nil
 }
 
-// shut ends the connection after its last answer. One of which more was sent
-// than read is half closed first.
-func (c *conn) shut() {
-	c.in.stop()
+// closeGracefully closes the connection after its last answer. Where the caller may have
+// sent more than was read, it closes the sending half first and the rest after
+// lingerTime.
+func (c *pipelinedConn) closeGracefully() {
+	c.reader.stop()
 	c.mu.Lock()
 	c.closing = true
 	c.mu.Unlock()
-	left, _ := c.in.ended()
+	disconnected, _ := c.reader.status()
 	_, half := c.Conn.(interface{ CloseWrite() error })
-	if left || !half || !c.in.isAhead() || c.CloseWrite() != nil {
-		c.end()
+	if disconnected || !half || !c.reader.isReadAhead() || c.CloseWrite() != nil {
+		c.closeNow()
 		return
 	}
-	time.AfterFunc(lingerTime, c.end)
+	time.AfterFunc(lingerTime, c.closeNow)
 }
 
-// end ends the connection at once.
-func (c *conn) end() {
-	c.once.Do(func() {
-		unanswered := c.turns.end()
+// closeNow closes the connection and cancels its requests.
+func (c *pipelinedConn) closeNow() {
+	c.closeOnce.Do(func() {
+		unanswered := c.answers.markClosed()
 		c.cancel()
-		// The error would say that it has ended already.
+		// This fails only on a connection that has closed already.
 		_ = c.Conn.Close()
-		c.in.stop()
-		_, unread := c.in.ended()
-		c.deps.closed(unanswered, unread)
+		c.reader.stop()
+		_, unreadBytes := c.reader.status()
+		c.options.onClosed(unanswered, unreadBytes)
 	})
 }
--- a/pkg/ingress/conn_reader.go
+++ b/pkg/ingress/conn_reader.go
@@ -8,274 +8,282 @@
 	"time"
 )
 
-// readSize is what one read ahead takes at most, in bytes: the buffer that the
-// standard server reads heads with.
-const readSize = 4096
+// maxReadBytes is the largest number of bytes that one read of the read-ahead goroutine
+// returns. It is the size of the buffer that http.Server reads heads with.
+const maxReadBytes = 4096
 
-// chunkCost is what a piece that was read ahead holds besides its bytes: the row in
-// the list and the allocation's own. Without it 256 KB that come one byte at a time
-// would hold 16 MB.
-const chunkCost = 64
+// chunkOverheadBytes is the memory that a chunk takes up besides its data: its entry in
+// the list and the overhead of the allocation. Without it, 256 KB that arrive one byte at
+// a time would take up 16 MB.
+const chunkOverheadBytes = 64
 
-// chunk is what one read brought, and when.
+// chunk is the data of one read and the time of that read.
 type chunk struct {
-	data []byte
-	at   time.Time
+	data      []byte
+	arrivedAt time.Time
 }
 
-// inbound is the receiving half of a caller's connection. The standard server
-// reads heads and bodies from it; what it adds is to read ahead once bytes have
-// come behind a request that is not answered yet, so that the caller's leaving
-// is noticed whoever reads.
+// connReader is the receiving half of a caller's connection. http.Server reads heads and
+// bodies from it. Once bytes have arrived behind a request that is not answered yet, a
+// goroutine of the connReader reads ahead, so that it notices that the caller disconnects
+// while http.Server does not read.
 //
-// The server gets no more than one head from one Read. Thus bytes behind a
-// request without a body stay here, where they are seen. Finding the end of a
-// head is only a hint: where it errs, a request is answered in another way, and
-// nothing is framed otherwise.
-type inbound struct {
+// A Read never returns bytes behind the end of a head. Thus the bytes behind a request
+// without a body stay in the connReader, which knows of them. The end of a head that the
+// connReader finds is only a hint: http.Server alone decides where a request ends, and a
+// wrong hint changes only whether the answer to a request is detached.
+type connReader struct {
 	conn net.Conn
-	// most bounds the bytes read ahead.
-	most int
-	// left is told once that no more comes.
-	left func()
+	// maxBufferedBytes limits bufferedBytes.
+	maxBufferedBytes int
+	// onDisconnect is called once when no more bytes can arrive.
+	onDisconnect func()
 
+	// mu guards all fields below. Methods that do not lock it are called with it held.
 	mu      sync.Mutex
 	changed *sync.Cond
-	chunks  []chunk
-	// size is what the chunks hold in memory, in bytes.
-	size int
-	// arrived is when the bytes came that the server read last.
-	arrived time.Time
-	head    headEnd
-	inHead  bool
-	// afterHead counts the bytes that the server read since the end of a head.
-	afterHead int64
-	// direct is true while a Read waits on the connection itself, ahead once the
-	// connection is to be read ahead, pumping once pump does so: where a Read
-	// waits, when that ends.
-	direct  bool
-	ahead   bool
-	pumping bool
-	// watched is true while a request is held or runs; behind tells of bytes
-	// that came meanwhile.
-	watched bool
-	behind  chan struct{}
-	// err is how the connection ended.
+	// chunks holds the bytes that were read ahead, bufferedBytes the memory that they
+	// take up.
+	chunks        []chunk
+	bufferedBytes int
+	// arrivedAt is when the bytes arrived that http.Server read last.
+	arrivedAt time.Time
+	headEnd   headEndFinder
+	inHead    bool
+	// bytesAfterHead counts the bytes that http.Server has read since the end of the
+	// head.
+	bytesAfterHead int64
+	// readingDirectly is true while a Read waits for the connection itself. readAhead is
+	// true once the connection is to be read ahead, pumping once pump does so. Where a
+	// Read waits for the connection, pump starts after it.
+	readingDirectly bool
+	readAhead       bool
+	pumping         bool
+	// watching is true while a request waits to start or runs. moreBytes gets a value
+	// when bytes arrive behind that request.
+	watching  bool
+	moreBytes chan struct{}
+	// err is the error that ended the connection.
 	err error
-	// stopped is true once the server gets no more bytes.
+	// stopped is true once Read returns no more bytes.
 	stopped bool
-	// unread counts the bytes that came and were never handed out.
-	unread   int
-	deadline time.Time
-	timer    *time.Timer
+	// unreadBytes counts the bytes that arrived and that no Read has returned.
+	unreadBytes   int
+	deadline      time.Time
+	deadlineTimer *time.Timer
 }
 
-func newInbound(c net.Conn, most int, left func()) *inbound {
-	out := &inbound{conn: c, most: most, left: left, inHead: true, behind: make(chan struct{}, 1)}
+func newConnReader(c net.Conn, maxBufferedBytes int, onDisconnect func()) *connReader {
+	out := &connReader{conn: c, maxBufferedBytes: maxBufferedBytes, onDisconnect: onDisconnect, inHead: true, moreBytes: make(chan struct{}, 1)}
 	out.changed = sync.NewCond(&out.mu)
 	return out
 }
 
-// Read hands bytes to the server.
-func (in *inbound) Read(p []byte) (int, error) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
+// Read implements io.Reader for http.Server.
+func (r *connReader) Read(p []byte) (int, error) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for {
 		switch {
-		case in.stopped:
+		case r.stopped:
 			return 0, io.EOF
-		case len(in.chunks) > 0:
-			return in.take(p), nil
-		case in.err != nil:
-			return 0, in.err
-		case !in.pumping:
-			return in.readDirect(p)
-		case in.expired():
+		case len(r.chunks) > 0:
+			return r.readBuffered(p), nil
+		case r.err != nil:
+			return 0, r.err
+		case !r.pumping:
+			return r.readDirectly(p)
+		case r.deadlineExceeded():
 			return 0, os.ErrDeadlineExceeded
 		}
-		in.changed.Wait()
+		r.changed.Wait()
 	}
 }
 
-// take hands out bytes that were read ahead.
-func (in *inbound) take(p []byte) int {
-	first := &in.chunks[0]
-	n := in.upToHead(p[:copy(p, first.data)])
-	in.arrived = first.at
+// readBuffered returns bytes that were read ahead.
+func (r *connReader) readBuffered(p []byte) int {
+	first := &r.chunks[0]
+	n := r.endAtHead(p[:copy(p, first.data)])
+	r.arrivedAt = first.arrivedAt
 	first.data = first.data[n:]
-	in.size -= n
+	r.bufferedBytes -= n
 	if len(first.data) == 0 {
-		in.chunks = in.chunks[1:]
-		in.size -= chunkCost
+		r.chunks = r.chunks[1:]
+		r.bufferedBytes -= chunkOverheadBytes
 	}
-	in.changed.Broadcast()
+	r.changed.Broadcast()
 	return n
 }
 
-// readDirect reads the connection for a server that waits for nothing else.
-func (in *inbound) readDirect(p []byte) (int, error) {
-	in.direct = true
-	in.mu.Unlock()
-	n, err := in.conn.Read(p)
-	in.mu.Lock()
-	in.direct = false
+// readDirectly reads from the connection while pump does not run. It releases the lock
+// during the read, and buffers the bytes that arrive behind the end of a head.
+func (r *connReader) readDirectly(p []byte) (int, error) {
+	r.readingDirectly = true
+	r.mu.Unlock()
+	n, err := r.conn.Read(p)
+	r.mu.Lock()
+	r.readingDirectly = false
 	if err != nil && !isTimeout(err) {
-		in.fail(err)
+		r.fail(err)
 	}
-	if in.ahead {
-		in.readAhead()
+	if r.readAhead {
+		r.startReadAhead()
 	}
-	if in.stopped {
-		in.unread += n
+	if r.stopped {
+		r.unreadBytes += n
 		return 0, io.EOF
 	}
 	if n == 0 {
 		return 0, err
 	}
-	in.arrived = time.Now()
-	given := in.upToHead(p[:n])
-	if given < n {
-		in.push(p[given:n])
+	r.arrivedAt = time.Now()
+	returned := r.endAtHead(p[:n])
+	if returned < n {
+		r.buffer(p[returned:n])
 	}
-	if in.watched {
-		in.noteBehind()
+	if r.watching {
+		r.signalMoreBytes()
 	}
-	return given, nil
+	return returned, nil
 }
 
-// upToHead returns how many of the bytes the server gets: those up to the end
-// of the head, where one ends in them.
-func (in *inbound) upToHead(p []byte) int {
-	if !in.inHead {
-		in.afterHead += int64(len(p))
+// endAtHead returns how many bytes of p a Read returns: those up to the end of the head
+// where it is in p, all of them otherwise.
+func (r *connReader) endAtHead(p []byte) int {
+	if !r.inHead {
+		r.bytesAfterHead += int64(len(p))
 		return len(p)
 	}
-	if end := in.head.find(p); end > 0 {
-		in.inHead = false
+	if end := r.headEnd.find(p); end > 0 {
+		r.inHead = false
 		return end
 	}
 	return len(p)
 }
 
-func (in *inbound) push(p []byte) {
-	in.chunks = append(in.chunks, chunk{data: append([]byte(nil), p...), at: time.Now()})
-	in.size += len(p) + chunkCost
+// buffer adds a copy of p to the bytes that were read ahead.
+func (r *connReader) buffer(p []byte) {
+	r.chunks = append(r.chunks, chunk{data: append([]byte(nil), p...), arrivedAt: time.Now()})
+	r.bufferedBytes += len(p) + chunkOverheadBytes
 }
 
-// watch begins to tell of bytes behind the request that the server has read,
-// whose body has that length. Behind one of unknown length (below 0) there may be
-// some: the server may have read them with the last piece of the body.
-func (in *inbound) watch(body int64) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.inHead, in.watched = false, true
+// watch is called when http.Server has read a request whose body has bodyLength bytes.
+// From then on moreBytes tells of bytes behind it. A body of unknown length (below 0)
+// counts as followed by more bytes, because http.Server may have read them together with
+// the last piece of the body.
+func (r *connReader) watch(bodyLength int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.inHead, r.watching = false, true
 	select {
-	case <-in.behind:
+	case <-r.moreBytes:
 	default:
 	}
-	if len(in.chunks) > 0 || body < 0 || in.afterHead > body {
-		in.noteBehind()
+	if len(r.chunks) > 0 || bodyLength < 0 || r.bytesAfterHead > bodyLength {
+		r.signalMoreBytes()
 	}
 }
 
-// unwatch ends that: the answer is about to be written, and what comes from now
-// on may be the next request of a caller that sends one at a time.
-func (in *inbound) unwatch() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.watched = false
+// unwatch is called when the answer to the request is about to be written. Bytes that
+// arrive later may belong to a caller that sends its next request after each answer.
+func (r *connReader) unwatch() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.watching = false
 }
 
-// isAhead is true once bytes have come behind an unanswered request of this
-// connection.
-func (in *inbound) isAhead() bool {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.ahead
+// isReadAhead reports whether bytes have arrived behind an unanswered request of this
+// connection, so that it is read ahead.
+func (r *connReader) isReadAhead() bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.readAhead
 }
 
-func (in *inbound) lastArrival() time.Time {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.arrived
+// lastArrival returns when the bytes arrived that http.Server read last.
+func (r *connReader) lastArrival() time.Time {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.arrivedAt
 }
 
-// next notes that the server now waits for the next head.
-func (in *inbound) next() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.watched, in.inHead, in.head, in.afterHead = false, true, headEnd{}, 0
+// expectHead is called when http.Server starts to wait for the next head.
+func (r *connReader) expectHead() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.watching, r.inHead, r.headEnd, r.bytesAfterHead = false, true, headEndFinder{}, 0
 }
 
-// stop ends the server's reading.
-func (in *inbound) stop() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	if in.stopped {
+// stop makes Read return io.EOF from now on, and discards the buffered bytes.
+func (r *connReader) stop() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.stopped {
 		return
 	}
-	in.stopped = true
-	in.unread += in.size - chunkCost*len(in.chunks)
-	in.chunks, in.size = nil, 0
-	if in.timer != nil {
-		in.timer.Stop()
+	r.stopped = true
+	r.unreadBytes += r.bufferedBytes - chunkOverheadBytes*len(r.chunks)
+	r.chunks, r.bufferedBytes = nil, 0
+	if r.deadlineTimer != nil {
+		r.deadlineTimer.Stop()
 	}
-	if in.direct {
-		_ = in.conn.SetReadDeadline(longAgo)
+	if r.readingDirectly {
+		_ = r.conn.SetReadDeadline(pastDeadline)
 	}
-	in.changed.Broadcast()
+	r.changed.Broadcast()
 }
 
-// longAgo is a deadline that ends a read at once.
-var longAgo = time.Unix(1, 0)
+// pastDeadline is a deadline that ends a read at once.
+var pastDeadline = time.Unix(1, 0)
 
-// ended tells whether the caller has left, and how many bytes were not read.
-func (in *inbound) ended() (left bool, unread int) {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	return in.err != nil, in.unread
+// status reports whether the caller has disconnected, and the number of bytes that
+// arrived and that no Read has returned.
+func (r *connReader) status() (disconnected bool, unreadBytes int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.err != nil, r.unreadBytes
 }
 
-// SetReadDeadline bounds the server's reads.
-func (in *inbound) SetReadDeadline(t time.Time) error {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.deadline = t
-	if in.stopped {
+// SetReadDeadline sets the deadline of Read. The reads of pump have none.
+func (r *connReader) SetReadDeadline(t time.Time) error {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.deadline = t
+	if r.stopped {
 		return nil
 	}
-	if !in.pumping {
-		return in.conn.SetReadDeadline(t)
+	if !r.pumping {
+		return r.conn.SetReadDeadline(t)
 	}
-	in.setTimer()
+	r.resetDeadlineTimer()
 	return nil
 }
 
-// setTimer wakes a Read at its deadline; pump's own reads have none.
-func (in *inbound) setTimer() {
-	if in.timer != nil {
-		in.timer.Stop()
+// resetDeadlineTimer makes a Read that waits for pump return at the deadline.
+func (r *connReader) resetDeadlineTimer() {
+	if r.deadlineTimer != nil {
+		r.deadlineTimer.Stop()
 	}
-	in.timer = nil
-	if !in.deadline.IsZero() {
-		in.timer = time.AfterFunc(time.Until(in.deadline), in.wake)
+	r.deadlineTimer = nil
+	if !r.deadline.IsZero() {
+		r.deadlineTimer = time.AfterFunc(time.Until(r.deadline), r.wake)
 	}
-	in.changed.Broadcast()
+	r.changed.Broadcast()
 }
 
-func (in *inbound) wake() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.changed.Broadcast()
+// wake makes all goroutines that wait for a change check their conditions again.
+func (r *connReader) wake() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.changed.Broadcast()
 }
 
-func (in *inbound) expired() bool {
-	return !in.deadline.IsZero() && !time.Now().Before(in.deadline)
+func (r *connReader) deadlineExceeded() bool {
+	return !r.deadline.IsZero() && !time.Now().Before(r.deadline)
 }
 
-// isTimeout looks at the error alone, which connections do not wrap: the search
-// of errors.As was a tenth of the processor time in a profile of
-// BenchmarkRepeatableOneAtATime.
+// isTimeout reports whether err is a timeout. Connections do not wrap their errors, so
+// that it does without errors.As, which takes up much processor time.
 func isTimeout(err error) bool {
 	timeout, ok := err.(net.Error)
 	return ok && timeout.Timeout()
--- a/pkg/ingress/disconnect_and_stop_test.go
+++ b/pkg/ingress/disconnect_and_stop_test.go
@@ -18,8 +18,8 @@
 // that runs alone, none of which starts any more.
 func TestACallerThatLeavesCancelsAllItsRuns(t *testing.T) {
 	for name, s := range map[string]struct {
-		text, starts string
-		runs         int
+		text, startedIDs string
+		runs             int
 	}{
 		"side by side":             {get("a") + get("b") + get("c"), "a b c", 3},
 		"unread behind one alone":  {post("p", "x") + get("a") + post("q", "x"), "p", 1},
@@ -27,14 +27,14 @@
 		"a head cut in the middle": {get("a") + get("b")[:30], "a", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-				c := w.caller()
+			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+				c := env.caller()
 				c.send(s.text)
-				test.Eq(t, s.starts, w.backend.starts())
-				c.leave()
-				test.Eq(t, s.runs, w.backend.cancels())
+				test.Eq(t, s.startedIDs, env.backend.startedIDs())
+				c.disconnect()
+				test.Eq(t, s.runs, env.backend.cancelCount())
 				time.Sleep(10 * time.Second)
-				test.Eq(t, s.starts, w.backend.starts())
+				test.Eq(t, s.startedIDs, env.backend.startedIDs())
 			})
 		})
 	}
@@ -42,81 +42,81 @@
 
 // TestACallerThatLeavesBehindAFullBoundIsNoticedOnceThereIsRoom.
 func TestACallerThatLeavesBehindAFullBoundIsNoticedOnceThereIsRoom(t *testing.T) {
-	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 4096}, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 4096}, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		var all strings.Builder
 		for i := range 60 {
-			all.WriteString(big(fmt.Sprint("r", i)))
+			all.WriteString(paddedGet(fmt.Sprint("r", i)))
 		}
 		c.send(all.String())
-		test.Eq(t, "r0 r1", w.backend.starts())
-		c.leave()
-		w.backend.answer(t, "r0", "")
-		w.backend.answer(t, "r1", "")
+		test.Eq(t, "r0 r1", env.backend.startedIDs())
+		c.disconnect()
+		env.backend.answer(t, "r0", "")
+		env.backend.answer(t, "r1", "")
 		time.Sleep(time.Second)
-		test.Less(t, 10, strings.Count(w.backend.starts(), "r"))
-		w.backend.mu.Lock()
-		defer w.backend.mu.Unlock()
-		for id := range w.backend.running {
-			test.SliceContains(t, w.backend.cancelled, id)
+		test.Less(t, 10, strings.Count(env.backend.startedIDs(), "r"))
+		env.backend.mu.Lock()
+		defer env.backend.mu.Unlock()
+		for id := range env.backend.running {
+			test.SliceContains(t, env.backend.cancelled, id)
 		}
 	})
 }
 
 // TestAPlannedStopAnswersAllThatWasRead: the close is said on the last answer.
 func TestAPlannedStopAnswersAllThatWasRead(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(get("a") + get("b") + get("c"))
-		w.server.StopKeepAlives()
-		w.backend.answer(t, "b", "")
-		w.backend.answer(t, "a", "")
+		env.server.StopKeepAlives()
+		env.backend.answer(t, "b", "")
+		env.backend.answer(t, "a", "")
 		test.Eq(t, "a b", c.answers())
-		w.backend.answer(t, "c", "")
+		env.backend.answer(t, "c", "")
 		test.Eq(t, "a b c(close) end", c.answers())
 	})
 }
 
 // TestNothingStartsBehindTheAnswerThatCloses: it counts as not read.
 func TestNothingStartsBehindTheAnswerThatCloses(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(get("a") + get("b"))
-		w.server.StopKeepAlives()
+		env.server.StopKeepAlives()
 		c.send(post("p", "x") + get("c"))
-		w.backend.answer(t, "a", "")
-		w.backend.answer(t, "b", "")
+		env.backend.answer(t, "a", "")
+		env.backend.answer(t, "b", "")
 		synctest.Wait()
-		w.backend.answer(t, "p", "")
+		env.backend.answer(t, "p", "")
 		test.Eq(t, "a b p(close) end", c.answers())
-		test.Eq(t, "a b p", w.backend.starts())
+		test.Eq(t, "a b p", env.backend.startedIDs())
 	})
 }
 
 // TestAStopWithFullPipelinesWaitsForThem, and cuts what is left in the end.
 func TestAStopWithFullPipelinesWaitsForThem(t *testing.T) {
-	withPipeline(t, PipelineLimits{MaxRequests: 3, MaxBytes: 64 << 10}, func(t *testing.T, w *pipelineWorld) {
-		full, stuck, resting := w.caller(), w.caller(), w.caller()
+	withPipeline(t, PipelineLimits{MaxRequests: 3, MaxBytes: 64 << 10}, func(t *testing.T, env *pipelineEnv) {
+		full, stuck, resting := env.caller(), env.caller(), env.caller()
 		resting.send(get("r"))
-		w.backend.answer(t, "r", "")
+		env.backend.answer(t, "r", "")
 		full.send(get("a") + get("b") + get("c") + get("d"))
 		stuck.send(get("s") + get("t"))
 		var closed atomic.Bool
 		go func() {
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
-			w.server.StopKeepAlives()
-			w.server.Close(ctx)
+			env.server.StopKeepAlives()
+			env.server.Close(ctx)
 			closed.Store(true)
 		}()
 		time.Sleep(time.Second)
 		test.Eq(t, "r end", resting.answers())
 		for _, id := range []string{"c", "b", "a"} {
-			w.backend.answer(t, id, "")
+			env.backend.answer(t, id, "")
 		}
 		synctest.Wait()
-		if strings.Contains(w.backend.starts(), "d") {
-			w.backend.answer(t, "d", "")
+		if strings.Contains(env.backend.startedIDs(), "d") {
+			env.backend.answer(t, "d", "")
 			test.Eq(t, "a b c d(close) end", full.answers())
 		} else {
 			test.Eq(t, "a b c(close) end", full.answers())
@@ -125,21 +125,21 @@
 		time.Sleep(10 * time.Second)
 		test.True(t, closed.Load())
 		test.Eq(t, "end", stuck.answers())
-		test.Eq(t, 2, w.backend.cancels())
+		test.Eq(t, 2, env.backend.cancelCount())
 	})
 }
 
 func TestReplacedBoundsEndAPipelineOnItsLastAnswer(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(get("a") + get("b"))
-		w.limits.Store(&routing.Limits{IdleTimeout: time.Hour})
-		w.caller()
+		env.limits.Store(&routing.Limits{IdleTimeout: time.Hour})
+		env.caller()
 		synctest.Wait()
-		w.backend.answer(t, "a", "")
+		env.backend.answer(t, "a", "")
 		test.Eq(t, "a", c.answers())
-		w.backend.answer(t, "b", "")
+		env.backend.answer(t, "b", "")
 		test.Eq(t, "a b(close) end", c.answers())
-		test.SliceEmpty(t, w.server.acceptor.stillOpen())
+		test.SliceEmpty(t, env.server.acceptor.retiredWithConns())
 	})
 }
--- a/pkg/ingress/disconnect_tcp_test.go
+++ b/pkg/ingress/disconnect_tcp_test.go
@@ -19,17 +19,17 @@
 
 // onNetwork starts a server on a loopback socket, where resets and half-closes
 // are those of TCP.
-func onNetwork(t *testing.T, bounds PipelineLimits) (w *pipelineWorld, dial func() *net.TCPConn) {
-	w = newWorld(t, bounds)
+func startOnTCP(t *testing.T, bounds PipelineLimits) (env *pipelineEnv, dial func() *net.TCPConn) {
+	env = newPipelineEnv(t, bounds)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	w.server.listenOn(l)
+	env.server.serveListener(l)
 	t.Cleanup(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
-		w.server.Close(ctx)
+		env.server.Close(ctx)
 	})
-	return w, func() *net.TCPConn {
+	return env, func() *net.TCPConn {
 		c, err := net.Dial("tcp", l.Addr().String())
 		must.NoError(t, err)
 		t.Cleanup(func() { _ = c.Close() })
@@ -38,13 +38,13 @@
 }
 
 // until waits for something that other goroutines bring about.
-func until(t *testing.T, what string, done func() bool) {
+func waitUntil(t *testing.T, what string, done func() bool) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(done), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)), must.Sprint(what))
 }
 
 // statuses reads answers until the connection ends.
-func statuses(t *testing.T, c net.Conn) (out []int, bodies []string) {
+func readAnswers(t *testing.T, c net.Conn) (out []int, bodies []string) {
 	reader := bufio.NewReader(c)
 	for {
 		resp, err := http.ReadResponse(reader, nil)
@@ -61,68 +61,68 @@
 // TestAHalfCloseIsALeaving, as with the standard server: runs are cancelled, and
 // the caller is still told so.
 func TestAHalfCloseIsALeaving(t *testing.T) {
-	w, dial := onNetwork(t, manyBeside)
+	env, dial := startOnTCP(t, eightConcurrent)
 	c := dial()
 	_, err := io.WriteString(c, get("a")+get("b"))
 	must.NoError(t, err)
-	until(t, "both run", func() bool { return w.backend.starts() == "a b" })
+	waitUntil(t, "both run", func() bool { return env.backend.startedIDs() == "a b" })
 	must.NoError(t, c.CloseWrite())
-	got, _ := statuses(t, c)
+	got, _ := readAnswers(t, c)
 	test.Eq(t, []int{499, 499}, got)
-	test.Eq(t, 2, w.backend.cancels())
+	test.Eq(t, 2, env.backend.cancelCount())
 }
 
 // TestAResetCancels, also of requests that are not read yet.
 func TestAResetCancels(t *testing.T) {
-	w, dial := onNetwork(t, manyBeside)
+	env, dial := startOnTCP(t, eightConcurrent)
 	c := dial()
 	_, err := io.WriteString(c, get("a")+get("b")+post("p", "x"))
 	must.NoError(t, err)
-	until(t, "both run", func() bool { return w.backend.starts() == "a b" })
+	waitUntil(t, "both run", func() bool { return env.backend.startedIDs() == "a b" })
 	must.NoError(t, c.SetLinger(0))
 	must.NoError(t, c.Close())
-	until(t, "both are cancelled", func() bool { return w.backend.cancels() == 2 })
-	test.Eq(t, "a b", w.backend.starts())
+	waitUntil(t, "both are cancelled", func() bool { return env.backend.cancelCount() == 2 })
+	test.Eq(t, "a b", env.backend.startedIDs())
 }
 
 // TestALeavingBehindUnreadBytesIsNoticed: with more unread bytes than are read
 // ahead, the kernel is asked; nothing that waits starts any more.
 func TestALeavingBehindUnreadBytesIsNoticed(t *testing.T) {
-	w, dial := onNetwork(t, PipelineLimits{MaxRequests: 8, MaxBytes: 4096})
+	env, dial := startOnTCP(t, PipelineLimits{MaxRequests: 8, MaxBytes: 4096})
 	c := dial()
 	_, err := io.WriteString(c, post("p", "x")+strings.Repeat(post("q", strings.Repeat("x", 900)), 30))
 	must.NoError(t, err)
-	until(t, "the first runs", func() bool { return w.backend.starts() == "p" })
+	waitUntil(t, "the first runs", func() bool { return env.backend.startedIDs() == "p" })
 	must.NoError(t, c.Close())
-	until(t, "it is cancelled", func() bool { return w.backend.cancels() == 1 })
-	test.Eq(t, "p", w.backend.starts())
+	waitUntil(t, "it is cancelled", func() bool { return env.backend.cancelCount() == 1 })
+	test.Eq(t, "p", env.backend.startedIDs())
 }
 
 // TestUnreadBytesDestroyNoAnswer: a caller that has sent more behind the last
 // answer gets all answers whole, however late it reads them.
 func TestUnreadBytesDestroyNoAnswer(t *testing.T) {
-	w, dial := onNetwork(t, manyBeside)
+	env, dial := startOnTCP(t, eightConcurrent)
 	c := dial()
 	_, err := io.WriteString(c, get("a")+get("b"))
 	must.NoError(t, err)
-	until(t, "both run", func() bool { return w.backend.starts() == "a b" })
-	w.server.StopKeepAlives()
+	waitUntil(t, "both run", func() bool { return env.backend.startedIDs() == "a b" })
+	env.server.StopKeepAlives()
 	long := strings.Repeat("x", 300<<10)
-	stop := w.backend.answerAll(long)
+	stop := env.backend.answerAll(long)
 	defer stop()
 	_, err = io.WriteString(c, strings.Repeat(post("behind", strings.Repeat("y", 900)), 100))
 	must.NoError(t, err)
-	got, bodies := statuses(t, c)
+	got, bodies := readAnswers(t, c)
 	test.Greater(t, 1, len(got))
 	for i, body := range bodies {
 		test.Eq(t, 200, got[i])
 		test.Greater(t, len(long), len(body))
 	}
-	test.Eq(t, len(strings.Fields(w.backend.starts())), len(got))
+	test.Eq(t, len(strings.Fields(env.backend.startedIDs())), len(got))
 }
 
 // answerAll answers each call at once from now on, those that run already too.
-func (b *backends) answerAll(text string) (stop func()) {
+func (b *fakeBackend) answerAll(text string) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		for {
--- a/pkg/ingress/framing_test.go
+++ b/pkg/ingress/framing_test.go
@@ -22,12 +22,12 @@
 
 // recorder answers each call at once, and keeps what a backend server would
 // have got.
-type recorder struct {
+type recordingRunner struct {
 	mu    sync.Mutex
 	calls []string
 }
 
-func (r *recorder) Execute(c *wire.Call, body []byte, done func(call.Result)) func() {
+func (r *recordingRunner) Execute(c *wire.Call, body []byte, done func(call.Result)) func() {
 	slices.SortFunc(c.Headers, func(a, b wire.Header) int { return bytes.Compare([]byte(a.Name), []byte(b.Name)) })
 	text := fmt.Sprintf("%s %s %q %q %v %q", c.Method, c.Routed.Host, c.URI, c.Routed.ID, c.Headers, body)
 	r.mu.Lock()
@@ -39,23 +39,23 @@
 
 // played is what came of bytes that a caller sent: the calls, in whatever order
 // they ran, and all bytes that came back.
-type played struct {
+type exchange struct {
 	calls  []string
 	answer string
 }
 
-var dateLine = regexp.MustCompile(`Date: [^\r]*`)
+var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
 // play sends the pieces to a server of the world's settings and waits until it
 // has ended the connection.
-func play(t *testing.T, pieces [][]byte, serve func(w *pipelineWorld, l net.Listener) (stop func())) played {
-	var out played
+func runExchange(t *testing.T, pieces [][]byte, serve func(env *pipelineEnv, l net.Listener) (stop func())) exchange {
+	var out exchange
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, manyBeside)
-		seen := &recorder{}
-		w.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetRunner(seen)
+		env := newPipelineEnv(t, eightConcurrent)
+		seen := &recordingRunner{}
+		env.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetRunner(seen)
 		l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
-		stop := serve(w, l)
+		stop := serve(env, l)
 		caller := l.dial().conn
 		got := make(chan []byte, 1)
 		go func() {
@@ -68,7 +68,7 @@
 			}
 			synctest.Wait()
 		}
-		out.answer = dateLine.ReplaceAllString(string(<-got), "Date: D")
+		out.answer = dateHeader.ReplaceAllString(string(<-got), "Date: D")
 		_ = caller.Close()
 		stop()
 		synctest.Wait()
@@ -78,14 +78,14 @@
 	return out
 }
 
-func servePipelined(w *pipelineWorld, l net.Listener) func() {
-	w.server.listenOn(l)
-	return func() { w.server.Close(w.t.Context()) }
+func startIngress(env *pipelineEnv, l net.Listener) func() {
+	env.server.serveListener(l)
+	return func() { env.server.Close(env.t.Context()) }
 }
 
 // serveStandard is the same handler behind the standard library's server alone.
-func serveStandard(w *pipelineWorld, l net.Listener) func() {
-	server := &http.Server{Handler: w.server, ReadHeaderTimeout: defaultHeadTime, IdleTimeout: defaultIdleTime, MaxHeaderBytes: defaultMaxHead}
+func startStandardServer(env *pipelineEnv, l net.Listener) func() {
+	server := &http.Server{Handler: env.server, ReadHeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: defaultMaxHeadBytes}
 	go func() { _ = server.Serve(l) }()
 	return func() { _ = server.Close() }
 }
@@ -139,8 +139,8 @@
 	}
 	f.Fuzz(func(t *testing.T, data, cuts []byte) {
 		data = data[:min(len(data), 8<<10)]
-		want := play(t, split(data, nil), serveStandard)
-		got := play(t, split(data, cuts), servePipelined)
+		want := runExchange(t, split(data, nil), startStandardServer)
+		got := runExchange(t, split(data, cuts), startIngress)
 		test.Eq(t, want.calls, got.calls)
 		test.Eq(t, want.answer, got.answer)
 	})
@@ -153,7 +153,7 @@
 		"\r\nGET / HTTP/1.1\r\n\r\n": 20, "GET / HTTP/1.1\r\nA: b\r\n": 0, "a\n\r\r\n": 5,
 	} {
 		for cut := range len(text) {
-			var head headEnd
+			var head headEndFinder
 			end := head.find([]byte(text[:cut]))
 			if rest := head.find([]byte(text[cut:])); end == 0 && rest > 0 {
 				end = cut + rest
@@ -166,16 +166,16 @@
 // TestAFullHeadTimeIsGivenBehindOthers: the time of a head begins with its
 // first byte, as with the standard server.
 func TestAFullHeadTimeIsGivenBehindOthers(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(get("a") + get("b"))
-		time.Sleep(defaultHeadTime * 2)
+		time.Sleep(defaultHeadTimeout * 2)
 		c.send(get("c")[:30])
-		time.Sleep(defaultHeadTime / 2)
+		time.Sleep(defaultHeadTimeout / 2)
 		c.send(get("c")[30:])
-		test.Eq(t, "a b c", w.backend.starts())
+		test.Eq(t, "a b c", env.backend.startedIDs())
 		for _, id := range []string{"a", "b", "c"} {
-			w.backend.answer(t, id, "")
+			env.backend.answer(t, id, "")
 		}
 		test.Eq(t, "a b c", c.answers())
 	})
@@ -199,15 +199,15 @@
 		"unknown expectancy": {"GET /read/ HTTP/1.1" + end + "Expect: more\r\n\r\n", "a b 417(close) end"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-				c := w.caller()
+			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+				c := env.caller()
 				c.send(get("a") + get("b") + s.text)
 				test.Eq(t, "", c.answers())
-				w.backend.answer(t, "b", "")
-				w.backend.answer(t, "a", "")
+				env.backend.answer(t, "b", "")
+				env.backend.answer(t, "a", "")
 				time.Sleep(time.Second)
 				test.Eq(t, s.answers, c.answers())
-				test.Eq(t, "a b", w.backend.starts())
+				test.Eq(t, "a b", env.backend.startedIDs())
 			})
 		})
 	}
--- a/pkg/ingress/head_end.go
+++ b/pkg/ingress/head_end.go
@@ -1,26 +1,26 @@
 package ingress
 
-// headEnd finds the empty line at the end of a head, in whatever pieces the
-// head comes. Lines may end without a carriage return, as the standard server
-// reads them.
-type headEnd struct {
-	// newline is true after the end of a line, with or without a carriage
-	// return behind it.
-	newline bool
-	// any is true once the head has begun: empty lines before it are no end.
+// headEndFinder finds the empty line that ends the head of a request, also when the head
+// arrives in several pieces. Like http.Server, it accepts lines that end in a newline
+// without a carriage return.
+type headEndFinder struct {
+	// lineEnded is true after a newline, and after carriage returns that follow it.
+	lineEnded bool
+	// any is true once any byte of the head has been seen. Empty lines before the head
+	// do not end it.
 	any bool
 }
 
-// find returns the index behind the head's end, or 0.
-func (h *headEnd) find(p []byte) int {
+// find returns the index behind the end of the head, or 0 when it is not in p.
+func (h *headEndFinder) find(p []byte) int {
 	for i, b := range p {
 		switch {
-		case b == '\n' && h.newline && h.any:
+		case b == '\n' && h.lineEnded && h.any:
 			return i + 1
 		case b == '\n':
-			h.newline = true
+			h.lineEnded = true
 		case b != '\r':
-			h.newline, h.any = false, true
+			h.lineEnded, h.any = false, true
 		}
 	}
 	return 0
--- a/pkg/ingress/headers.go
+++ b/pkg/ingress/headers.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// hopByHop is true for headers of one connection only (RFC 9110, section
-// 7.6.1), and for those that the next hop sets itself.
-func hopByHop(name string) bool {
+// isHopByHop reports whether a header concerns one connection only (RFC 9110, section
+// 7.6.1) or is one that the next hop sets itself, such as Host and Content-Length.
+func isHopByHop(name string) bool {
 	switch http.CanonicalHeaderKey(name) {
 	case "Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization", "Proxy-Connection",
 		"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Host", "Expect":
@@ -16,9 +16,9 @@
 	return false
 }
 
-// connectionNames are the headers that the Connection header names: they, too,
-// concern this connection only.
-func connectionNames(h http.Header) map[string]bool {
+// connectionOptions returns the names of the headers that the Connection header lists.
+// They concern one connection only, too.
+func connectionOptions(h http.Header) map[string]bool {
 	var out map[string]bool
 	for _, value := range h["Connection"] {
 		for _, name := range strings.Split(value, ",") {
--- a/pkg/ingress/limited_server.go
+++ b/pkg/ingress/limited_server.go
@@ -11,125 +11,129 @@
 )
 
 const (
-	// defaultHeadTime is the time of a head until a placement names one.
-	defaultHeadTime = 10 * time.Second
-	// defaultIdleTime is how long a connection may rest until a placement names
-	// a bound.
-	defaultIdleTime = 2 * time.Minute
-	// defaultMaxHead bounds a request's head until a placement names a bound, in
-	// bytes.
-	defaultMaxHead = 64 << 10
-	// boundSlack is added to the times in a placement, so that a caller that
-	// uses them up meets no close, also while a processor quota holds the
-	// process up.
-	boundSlack = time.Second
+	// defaultHeadTimeout limits the time to receive a request's head where the
+	// placement sets no limit.
+	defaultHeadTimeout = 10 * time.Second
+	// defaultIdleTimeout limits how long a connection may stay idle where the
+	// placement sets no limit.
+	defaultIdleTimeout = 2 * time.Minute
+	// defaultMaxHeadBytes limits the size of a request's head where the placement
+	// sets no limit.
+	defaultMaxHeadBytes = 64 << 10
+	// timeoutSlack is added to the timeouts in a placement, so that a caller that
+	// uses them up does not find its connection closed, even while a processor
+	// quota delays the process.
+	timeoutSlack = time.Second
 )
 
-// bounds are what one connection may take. The standard server reads them when
-// it begins, so a change of them needs a server of its own.
-type bounds struct {
-	maxHead  int
-	headTime time.Duration
-	idleTime time.Duration
+// connLimits holds the limits of one connection. http.Server reads them when it starts,
+// so that new limits need a new http.Server.
+type connLimits struct {
+	maxHeadBytes int
+	headTimeout  time.Duration
+	idleTimeout  time.Duration
 }
 
-// boundsOf returns the bounds that limits set, with defaults where they say
-// nothing.
-func boundsOf(l routing.Limits) bounds {
-	out := bounds{maxHead: defaultMaxHead, headTime: defaultHeadTime, idleTime: defaultIdleTime}
+// connLimitsOf returns the limits that a placement sets, with defaults for those that it
+// does not set.
+func connLimitsOf(l routing.Limits) connLimits {
+	out := connLimits{maxHeadBytes: defaultMaxHeadBytes, headTimeout: defaultHeadTimeout, idleTimeout: defaultIdleTimeout}
 	if l.MaxHeaderBytes > 0 {
-		out.maxHead = l.MaxHeaderBytes
+		out.maxHeadBytes = l.MaxHeaderBytes
 	}
 	if l.HeaderTimeout > 0 {
-		out.headTime = l.HeaderTimeout + boundSlack
+		out.headTimeout = l.HeaderTimeout + timeoutSlack
 	}
 	if l.IdleTimeout > 0 {
-		out.idleTime = l.IdleTimeout + boundSlack
+		out.idleTimeout = l.IdleTimeout + timeoutSlack
 	}
 	return out
 }
 
-// boundedServer serves the connections that were opened under one set of
-// bounds. It implements net.Listener for its own HTTP server, which accepts
-// what hand passes on.
-type boundedServer struct {
-	bounds bounds
-	http   *http.Server
-	addr   net.Addr
-	hooks  hooks
-	conns  chan net.Conn
-	done   chan struct{}
-	close  sync.Once
-	// ended closes when the server is replaced and its last connection ended.
-	ended chan struct{}
-	end   sync.Once
+// limitedServer serves the connections that were opened while one set of limits was in
+// force. It implements net.Listener for its own http.Server, which accepts the
+// connections that serveConn is called with.
+type limitedServer struct {
+	limits     connLimits
+	httpServer *http.Server
+	addr       net.Addr
+	hooks      connHooks
+	conns      chan net.Conn
+	// done is closed by Close, once.
+	done  chan struct{}
+	close sync.Once
+	// drained is closed when the server is retired and its last connection has closed.
+	drained     chan struct{}
+	drainedOnce sync.Once
 
 	mu sync.Mutex
-	// open counts connections that have not ended.
-	open map[*conn]bool
-	// replaced is true once newer connections go to another server; it closes
-	// when its last connection has ended.
-	replaced bool
-}
-
-// newBoundedServer begins to serve the connections that are handed to it.
-func newBoundedServer(b bounds, addr net.Addr, handler http.Handler, h hooks) *boundedServer {
-	s := &boundedServer{
-		bounds: b, addr: addr, hooks: h, conns: make(chan net.Conn),
-		done: make(chan struct{}), ended: make(chan struct{}), open: map[*conn]bool{},
+	// open holds the connections that have not closed.
+	open map[*pipelinedConn]bool
+	// retired is true once the server gets no new connections, because another one has
+	// replaced it or the acceptor shuts down.
+	retired bool
+}
+
+// newLimitedServer starts a server.
+func newLimitedServer(limits connLimits, addr net.Addr, handler http.Handler, hooks connHooks) *limitedServer {
+	s := &limitedServer{
+		limits: limits, addr: addr, hooks: hooks, conns: make(chan net.Conn),
+		done: make(chan struct{}), drained: make(chan struct{}), open: map[*pipelinedConn]bool{},
 	}
-	s.http = &http.Server{
-		Handler:           s.ending(handler),
-		ReadHeaderTimeout: b.headTime,
-		// Connections count their idle time themselves, from the last answer.
+	s.httpServer = &http.Server{
+		Handler:           s.closeIfRetired(handler),
+		ReadHeaderTimeout: limits.headTimeout,
+		// pipelinedConn has an idle timeout of its own, which starts at the last answer.
 		IdleTimeout:    -1,
-		MaxHeaderBytes: b.maxHead,
-		ConnContext:    attach,
-		ConnState:      noteIdle,
+		MaxHeaderBytes: limits.maxHeadBytes,
+		ConnContext:    connContext,
+		ConnState:      onConnState,
 	}
-	go func() { _ = s.http.Serve(s) }()
+	go func() { _ = s.httpServer.Serve(s) }()
 	return s
 }
 
-// ending tells callers on connections with older bounds to open a new one.
-func (s *boundedServer) ending(next http.Handler) http.Handler {
+// closeIfRetired returns a handler whose answers close their connections once the server
+// is retired, so that callers open connections with the limits in force.
+func (s *limitedServer) closeIfRetired(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if s.isReplaced() {
+		if s.isRetired() {
 			w.Header().Set("Connection", "close")
 		}
 		next.ServeHTTP(w, r)
 	})
 }
 
-func (s *boundedServer) isReplaced() bool {
+func (s *limitedServer) isRetired() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.replaced
+	return s.retired
 }
 
-// hand passes a connection on.
-func (s *boundedServer) hand(c net.Conn) {
-	handed := s.opened(c)
+// serveConn hands a connection to the http.Server.
+func (s *limitedServer) serveConn(nc net.Conn) {
+	c := s.track(nc)
 	select {
-	case s.conns <- handed:
+	case s.conns <- c:
 	case <-s.done:
-		handed.end()
+		c.closeNow()
 	}
 }
 
-// noteIdle implements http.Server.ConnState.
-func noteIdle(c net.Conn, state http.ConnState) {
-	if of, ok := c.(*conn); ok && state == http.StateIdle {
-		of.idle()
+// onConnState implements http.Server.ConnState.
+func onConnState(nc net.Conn, state http.ConnState) {
+	if c, ok := nc.(*pipelinedConn); ok && state == http.StateIdle {
+		c.onIdle()
 	}
 }
 
-func (s *boundedServer) opened(c net.Conn) *conn {
-	var out *conn
-	out = newConn(c, connDeps{
-		idleTime: s.bounds.idleTime, bounds: s.hooks.pipelining,
-		closing: func() bool { return s.isReplaced() || s.hooks.isLeaving() },
-		closed:  func(unanswered, unread int) { s.closed(out, unanswered, unread) },
+// track wraps a connection and adds it to the open ones until it closes.
+func (s *limitedServer) track(nc net.Conn) *pipelinedConn {
+	var out *pipelinedConn
+	out = newPipelinedConn(nc, connOptions{
+		idleTimeout: s.limits.idleTimeout, limits: s.hooks.pipelineLimits,
+		closeAfterAnswer: func() bool { return s.isRetired() || s.hooks.areKeepAlivesStopped() },
+		onClosed:         func(unanswered, unreadBytes int) { s.untrack(out, unanswered, unreadBytes) },
 	})
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -137,62 +141,64 @@
 	return out
 }
 
-func (s *boundedServer) closed(c *conn, unanswered, unread int) {
+// untrack removes a connection that has closed.
+func (s *limitedServer) untrack(c *pipelinedConn, unanswered, unreadBytes int) {
 	s.mu.Lock()
 	delete(s.open, c)
 	s.mu.Unlock()
-	s.endIfOver()
-	s.hooks.noteClosed(unanswered, unread)
+	s.closeIfDrained()
+	s.hooks.reportClosed(unanswered, unreadBytes)
 }
 
-// endIfOver ends a server that gets no more connections and has none.
-func (s *boundedServer) endIfOver() {
+// closeIfDrained closes a retired server that has no open connections.
+func (s *limitedServer) closeIfDrained() {
 	s.mu.Lock()
-	over := s.replaced && len(s.open) == 0
+	isDrained := s.retired && len(s.open) == 0
 	s.mu.Unlock()
-	if over {
+	if isDrained {
 		_ = s.Close()
-		s.end.Do(func() { close(s.ended) })
+		s.drainedOnce.Do(func() { close(s.drained) })
 	}
 }
 
-// replace notes that newer connections go to another server.
-func (s *boundedServer) replace() {
+// retire is called when the server gets no new connections any more. The server closes
+// when its last connection has closed.
+func (s *limitedServer) retire() {
 	s.mu.Lock()
-	s.replaced = true
+	s.retired = true
 	s.mu.Unlock()
-	s.endIfOver()
+	s.closeIfDrained()
 }
 
-// shutdown ends resting connections, waits for requests until ctx ends, and
-// then ends those, too.
-func (s *boundedServer) shutdown(ctx context.Context) {
-	s.replace()
-	if err := s.http.Shutdown(ctx); err != nil {
-		_ = s.http.Close()
+// shutdown closes idle connections, waits for requests in flight until ctx ends, and
+// then closes the remaining connections.
+func (s *limitedServer) shutdown(ctx context.Context) {
+	s.retire()
+	if err := s.httpServer.Shutdown(ctx); err != nil {
+		_ = s.httpServer.Close()
 	}
 	select {
-	case <-s.ended:
+	case <-s.drained:
 	case <-ctx.Done():
-		s.endAll()
+		s.closeAll()
 	}
 }
 
-// endAll ends all connections at once.
-func (s *boundedServer) endAll() {
+// closeAll closes all connections without waiting for answers.
+func (s *limitedServer) closeAll() {
 	s.mu.Lock()
-	open := make([]*conn, 0, len(s.open))
+	open := make([]*pipelinedConn, 0, len(s.open))
 	for c := range s.open {
 		open = append(open, c)
 	}
 	s.mu.Unlock()
 	for _, c := range open {
-		c.end()
+		c.closeNow()
 	}
 }
 
 // Accept implements net.Listener.
-func (s *boundedServer) Accept() (net.Conn, error) {
+func (s *limitedServer) Accept() (net.Conn, error) {
 	select {
 	case c := <-s.conns:
 		return c, nil
@@ -202,10 +208,10 @@
 }
 
 // Close implements net.Listener.
-func (s *boundedServer) Close() error {
+func (s *limitedServer) Close() error {
 	s.close.Do(func() { close(s.done) })
 	return nil
 }
 
 // Addr implements net.Listener.
-func (s *boundedServer) Addr() net.Addr { return s.addr }
+func (s *limitedServer) Addr() net.Addr { return s.addr }
--- a/pkg/ingress/limited_server_test.go
+++ b/pkg/ingress/limited_server_test.go
@@ -65,7 +65,7 @@
 }
 
 // endsWithin tells whether the server ends the connection in that time.
-func (c *pipeCaller) endsWithin(d time.Duration) bool {
+func (c *pipeCaller) closesWithin(d time.Duration) bool {
 	_ = c.conn.SetReadDeadline(time.Now().Add(d))
 	_, err := io.Copy(io.Discard, c.reader)
 	return err == nil
@@ -102,8 +102,8 @@
 		slow := l.dial()
 		_, err := io.WriteString(slow.conn, "GET / HT")
 		must.NoError(t, err)
-		test.False(t, slow.endsWithin(3*time.Second))
-		test.True(t, slow.endsWithin(2*boundSlack))
+		test.False(t, slow.closesWithin(3*time.Second))
+		test.True(t, slow.closesWithin(2*timeoutSlack))
 	})
 }
 
@@ -114,8 +114,8 @@
 		limits.Store(&routing.Limits{IdleTimeout: 15 * time.Second})
 		caller := l.dial()
 		caller.get(t, 0)
-		test.False(t, caller.endsWithin(15*time.Second))
-		test.True(t, caller.endsWithin(2*boundSlack))
+		test.False(t, caller.closesWithin(15*time.Second))
+		test.True(t, caller.closesWithin(2*timeoutSlack))
 	})
 }
 
@@ -131,10 +131,10 @@
 		fresh := l.dial()
 		test.False(t, fresh.get(t, 0).Close)
 		test.True(t, old.get(t, 0).Close)
-		test.True(t, old.endsWithin(time.Millisecond))
+		test.True(t, old.closesWithin(time.Millisecond))
 		synctest.Wait()
-		test.SliceEmpty(t, a.stillOpen())
-		test.False(t, fresh.endsWithin(60*time.Second))
+		test.SliceEmpty(t, a.retiredWithConns())
+		test.False(t, fresh.closesWithin(60*time.Second))
 		test.False(t, fresh.get(t, 0).Close)
 	})
 }
--- a/pkg/ingress/peer_closed.go
+++ b/pkg/ingress/peer_closed.go
@@ -8,15 +8,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// hangupEvery is how often a connection whose bytes may not be read on is asked
-// whether its caller has left: well within the half second in which users expect
-// that nothing more is run for it.
-const hangupEvery = 100 * time.Millisecond
+// peerCheckInterval is how often peerClosed is called for a connection that is not read,
+// because too many bytes of it are buffered. Runs for a caller that has disconnected must
+// be cancelled within half a second.
+const peerCheckInterval = 100 * time.Millisecond
 
-// hungUp asks the kernel whether the other end has closed the connection or its
-// sending half, however many bytes wait before that. Connections that are no
-// sockets say nothing.
-func hungUp(c net.Conn) bool {
+// peerClosed asks the kernel whether the other end has closed the connection or its
+// sending half, even if unread bytes precede the close. It returns false for connections
+// that are not sockets, and true for sockets that are closed on this side.
+func peerClosed(c net.Conn) bool {
 	socket, ok := c.(syscall.Conn)
 	if !ok {
 		return false
@@ -25,12 +25,13 @@
 	if err != nil {
 		return true
 	}
-	var gone bool
+	var closed bool
 	err = raw.Control(func(fd uintptr) {
-		ask := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
-		// A failed question, as one that a signal cut short, is asked again.
-		n, err := unix.Poll(ask, 0)
-		gone = err == nil && n > 0 && ask[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		fds := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
+		// A poll that fails, as when a signal interrupts it, is repeated at the next
+		// call of peerClosed.
+		n, err := unix.Poll(fds, 0)
+		closed = err == nil && n > 0 && fds[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return gone || err != nil
+	return closed || err != nil
 }
--- a/pkg/ingress/pipeline_helpers_test.go
+++ b/pkg/ingress/pipeline_helpers_test.go
@@ -36,14 +36,14 @@
 
 // backends is a backend server of one slot too many: every call runs at once,
 // until the test answers it.
-type backends struct {
+type fakeBackend struct {
 	mu        sync.Mutex
 	running   map[string]*fakeRun
 	started   []string
 	cancelled []string
 }
 
-func (b *backends) Execute(c *wire.Call, body []byte, done func(call.Result)) (cancel func()) {
+func (b *fakeBackend) Execute(c *wire.Call, body []byte, done func(call.Result)) (cancel func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	id := c.Routed.ID
@@ -57,7 +57,7 @@
 }
 
 // answer ends a run; its body is its id and the text.
-func (b *backends) answer(t *testing.T, id, text string) {
+func (b *fakeBackend) answer(t *testing.T, id, text string) {
 	t.Helper()
 	b.mu.Lock()
 	run := b.running[id]
@@ -68,13 +68,13 @@
 }
 
 // starts are the ids of the calls that have started, sorted.
-func (b *backends) starts() string {
+func (b *fakeBackend) startedIDs() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return strings.Join(slices.Sorted(slices.Values(b.started)), " ")
 }
 
-func (b *backends) cancels() int {
+func (b *fakeBackend) cancelCount() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.cancelled)
@@ -82,16 +82,16 @@
 
 // pipelineWorld is a listener for routed requests under the fake clock, with a
 // repeatable route /read/ and another one, /post/.
-type pipelineWorld struct {
+type pipelineEnv struct {
 	t       *testing.T
 	server  *Server
-	backend *backends
+	backend *fakeBackend
 	view    *tables.View
 	listen  *pipeListener
 	limits  atomic.Pointer[routing.Limits]
 }
 
-func routesOf(l routing.Limits, readIsRepeatable bool) *placement.Compiled {
+func compilePlacement(l routing.Limits, readIsRepeatable bool) *placement.Compiled {
 	parts := []routing.Part{{Service: "s", Weight: 1}}
 	return placement.Compile(&placement.Document{Version: 1, Limits: l, Routes: []routing.Route{
 		{Name: "read", Host: "h", Prefix: "/read/", Repeatable: readIsRepeatable, Parts: parts, Timeout: time.Minute},
@@ -100,13 +100,13 @@
 }
 
 // newWorld makes a server without a listener of its own.
-func newWorld(t *testing.T, bounds PipelineLimits) *pipelineWorld {
+func newPipelineEnv(t *testing.T, bounds PipelineLimits) *pipelineEnv {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
 	s.Limits.PipelinedRequests, s.Limits.PipelinedBytes = bounds.MaxRequests, bounds.MaxBytes
-	out := &pipelineWorld{t: t, view: &tables.View{}, backend: &backends{running: map[string]*fakeRun{}}}
+	out := &pipelineEnv{t: t, view: &tables.View{}, backend: &fakeBackend{running: map[string]*fakeRun{}}}
 	out.limits.Store(&routing.Limits{MaxBodyBytes: 1000})
-	compiled := routesOf(*out.limits.Load(), true)
+	compiled := compilePlacement(*out.limits.Load(), true)
 	out.view.SetPlacement(compiled)
 	route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(100)}
 	route.SetRunner(out.backend)
@@ -120,29 +120,29 @@
 	return out
 }
 
-var manyBeside = PipelineLimits{MaxRequests: 8, MaxBytes: 64 << 10}
+var eightConcurrent = PipelineLimits{MaxRequests: 8, MaxBytes: 64 << 10}
 
 // withPipeline runs a test against a server on pipes in memory.
-func withPipeline(t *testing.T, bounds PipelineLimits, run func(t *testing.T, w *pipelineWorld)) {
+func withPipeline(t *testing.T, bounds PipelineLimits, run func(t *testing.T, env *pipelineEnv)) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWorld(t, bounds)
-		w.listen = &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
-		w.server.listenOn(&closedOnce{pipeListener: w.listen})
-		run(t, w)
+		env := newPipelineEnv(t, bounds)
+		env.listen = &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
+		env.server.serveListener(&closeOnceListener{pipeListener: env.listen})
+		run(t, env)
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		w.server.Close(ctx)
+		env.server.Close(ctx)
 		synctest.Wait()
 	})
 }
 
 // closedOnce lets a test stop a server that is stopped at its end again.
-type closedOnce struct {
+type closeOnceListener struct {
 	*pipeListener
 	once sync.Once
 }
 
-func (c *closedOnce) Close() error {
+func (c *closeOnceListener) Close() error {
 	c.once.Do(func() { _ = c.pipeListener.Close() })
 	return nil
 }
@@ -153,19 +153,19 @@
 	t    *testing.T
 	conn net.Conn
 	mu   sync.Mutex
-	got  []gotAnswer
+	got  []receivedAnswer
 	// ended is how the connection ended; nil: it has not.
 	ended error
 }
 
-type gotAnswer struct {
+type receivedAnswer struct {
 	status int
 	body   string
 	closes bool
 }
 
-func (w *pipelineWorld) caller() *pipelineCaller {
-	out := &pipelineCaller{t: w.t, conn: w.listen.dial().conn}
+func (env *pipelineEnv) caller() *pipelineCaller {
+	out := &pipelineCaller{t: env.t, conn: env.listen.dial().conn}
 	go out.read()
 	return out
 }
@@ -187,7 +187,7 @@
 			c.mu.Unlock()
 			return
 		}
-		c.got = append(c.got, gotAnswer{status: resp.StatusCode, body: string(body), closes: resp.Close})
+		c.got = append(c.got, receivedAnswer{status: resp.StatusCode, body: string(body), closes: resp.Close})
 		c.mu.Unlock()
 	}
 }
@@ -198,7 +198,7 @@
 	synctest.Wait()
 }
 
-func (c *pipelineCaller) leave() {
+func (c *pipelineCaller) disconnect() {
 	_ = c.conn.Close()
 	synctest.Wait()
 }
--- a/pkg/ingress/pipelining.go
+++ b/pkg/ingress/pipelining.go
@@ -11,158 +11,161 @@
 	"github.com/rushramp/rushramp/pkg/forward"
 )
 
-// outcome is how the run of a request ended.
+// outcome is how the forwarding of a request ended.
 type outcome struct {
 	result call.Result
-	// fault is what the run panicked with.
-	fault any
+	// panicked is the value of the panic that ended it, or nil.
+	panicked any
 }
 
-// serveInTurn runs a request beside those before it on its connection where it
-// may, and after them where it may not.
-func (s *Server) serveInTurn(c *conn, w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Reservation) {
-	size := sizeOf(req)
-	req.PipelinedBehind = c.begin(r.ContentLength)
-	to, beside, ok := s.admit(c, r, req, size)
+// servePipelined serves a request of a pipelinedConn. A repeatable request may run
+// concurrently with the other ones of its connection; any other request starts after all
+// earlier ones are answered.
+func (s *Server) servePipelined(c *pipelinedConn, w http.ResponseWriter, r *http.Request, req *forward.Request, reservation *bodies.Reservation) {
+	size := requestSize(req)
+	req.PipelinedBehind = c.beginRequest(r.ContentLength)
+	match, concurrent, ok := s.waitToStart(c, r, req, size)
 	if !ok {
-		abort(held)
+		abortHandler(reservation)
 	}
-	s.noteBehind(c, req)
-	if !beside {
-		s.answerNow(c, w, req, s.forward(r.Context(), to, req, held))
+	s.recordPipelined(c, req)
+	if !concurrent {
+		s.answerDirectly(c, w, req, s.forward(r.Context(), match, req, reservation))
 		return
 	}
-	place := func() *turn {
-		out := c.place(size, r.Close)
+	detach := func() *queuedAnswer {
+		out := c.detach(size, r.Close)
 		if out == nil {
-			abort(held)
+			abortHandler(reservation)
 		}
 		return out
 	}
-	s.serveBeside(c, w, req, place, func() outcome { return s.run(c, to, req, held) })
+	s.serveConcurrently(c, w, req, detach, func() outcome { return s.forwardRecovered(c, match, req, reservation) })
 }
 
-// abort ends the handler of a request whose connection an answer has closed: it
-// counts as not read.
-func abort(held *bodies.Reservation) {
-	held.Release()
+// abortHandler ends the handler of a request whose connection has closed after an earlier
+// answer. The request counts as not read.
+func abortHandler(reservation *bodies.Reservation) {
+	reservation.Release()
 	panic(http.ErrAbortHandler)
 }
 
-// admit waits until the request may start. beside is true when others may start
-// beside it.
-func (s *Server) admit(c *conn, r *http.Request, req *forward.Request, size int) (to forward.RouteMatch, beside, ok bool) {
-	to = s.forwarder.Match(req)
+// waitToStart waits until the request may start, and returns its route. concurrent is
+// true when other requests of the connection may run at the same time. ok is false when
+// the connection has closed.
+func (s *Server) waitToStart(c *pipelinedConn, r *http.Request, req *forward.Request, size int) (match forward.RouteMatch, concurrent, ok bool) {
+	match = s.forwarder.Match(req)
 	for {
-		beside = to.Repeatable() && r.ProtoAtLeast(1, 1) && c.deps.bounds.MaxRequests > 1
-		waited, ok := c.turns.enter(c.ctx, beside, size)
+		concurrent = match.Repeatable() && r.ProtoAtLeast(1, 1) && c.options.limits.MaxRequests > 1
+		waited, ok := c.answers.waitToStart(c.ctx, concurrent, size)
 		if !ok || !waited {
-			return to, beside, ok
+			return match, concurrent, ok
 		}
-		// Routes may have changed meanwhile.
-		again := s.forwarder.Match(req)
-		if again.Repeatable() == to.Repeatable() {
-			return again, beside, true
+		// The routes may have changed during the wait.
+		newMatch := s.forwarder.Match(req)
+		if newMatch.Repeatable() == match.Repeatable() {
+			return newMatch, concurrent, true
 		}
-		to = again
+		match = newMatch
 	}
 }
 
-// noteBehind notes a request that came while others of its connection were
-// unanswered.
-func (s *Server) noteBehind(c *conn, req *forward.Request) {
+// recordPipelined sets PipelineWait and updates the metrics for a request that arrived
+// while earlier requests of its connection were unanswered.
+func (s *Server) recordPipelined(c *pipelinedConn, req *forward.Request) {
 	if req.PipelinedBehind == 0 {
 		return
 	}
-	req.PipelineWait = time.Since(c.in.lastArrival())
+	req.PipelineWait = time.Since(c.reader.lastArrival())
 	s.Metrics.GetOrCreateCounter("rushramp_pipelined_total").Inc()
 	s.Metrics.GetOrCreateHistogram("rushramp_pipelined_depth").Update(float64(req.PipelinedBehind))
 	s.Metrics.GetOrCreateHistogram("rushramp_pipelined_wait_seconds").Update(req.PipelineWait.Seconds())
 }
 
-// serveBeside runs a request so that others may run beside it. As long as
-// nothing comes behind it, the standard server writes its answer.
-func (s *Server) serveBeside(c *conn, w http.ResponseWriter, req *forward.Request, place func() *turn, run func() outcome) {
+// serveConcurrently runs a request that other requests of its connection may run beside.
+// It detaches the request as soon as bytes have arrived behind it, so that http.Server
+// can read the next one. Otherwise http.Server writes the answer.
+func (s *Server) serveConcurrently(c *pipelinedConn, w http.ResponseWriter, req *forward.Request, detach func() *queuedAnswer, run func() outcome) {
 	ended := make(chan outcome, 1)
-	if c.in.isAhead() {
-		of := place()
-		s.start(func() { s.finish(c, of, req, run()) })
+	if c.reader.isReadAhead() {
+		queued := detach()
+		s.startWorker(func() { s.answerDetached(c, queued, req, run()) })
 		return
 	}
-	s.start(func() { ended <- run() })
+	s.startWorker(func() { ended <- run() })
 	select {
 	case o := <-ended:
-		if o.fault != nil {
-			panic(o.fault)
+		if o.panicked != nil {
+			panic(o.panicked)
 		}
-		s.answerNow(c, w, req, o.result)
-	case <-c.in.behind:
-		of := place()
-		go func() { s.finish(c, of, req, <-ended) }()
+		s.answerDirectly(c, w, req, o.result)
+	case <-c.reader.moreBytes:
+		queued := detach()
+		go func() { s.answerDetached(c, queued, req, <-ended) }()
 	}
 }
 
-// answerNow has the standard server write an answer. Whether the connection ends is
-// looked at here: the daemon may have begun to leave while the request ran.
-func (s *Server) answerNow(c *conn, w http.ResponseWriter, req *forward.Request, result call.Result) {
-	c.in.unwatch()
-	if c.deps.closing() {
+// answerDirectly lets http.Server write an answer. It decides here whether the connection
+// closes, because keep-alives may have been stopped while the request ran.
+func (s *Server) answerDirectly(c *pipelinedConn, w http.ResponseWriter, req *forward.Request, result call.Result) {
+	c.reader.unwatch()
+	if c.options.closeAfterAnswer() {
 		w.Header().Set("Connection", "close")
 	}
-	s.answer(w, req, result)
+	s.writeAnswer(w, req, result)
 }
 
-// start runs f on a goroutine that has run others before: a new one begins with
-// a small stack, whose growth costs 6 of 44 us of processor time a request
-// (BenchmarkRepeatableOneAtATime, medians of seven runs by turns).
-func (s *Server) start(f func()) {
+// startWorker runs f on a goroutine of the pool. A new goroutine would start with a small
+// stack, whose growth costs processor time on each request.
+func (s *Server) startWorker(f func()) {
 	if s.workers == nil || s.workers.Submit(f) != nil {
-		// The pool takes no more once the listener is closed.
+		// The pool accepts no work once the listener is closed.
 		go f()
 	}
 }
 
-// run takes a request to its end. The standard server would recover from a
-// fault of a handler; this does for runs that outlast theirs.
-func (s *Server) run(c *conn, to forward.RouteMatch, req *forward.Request, held *bodies.Reservation) (out outcome) {
+// forwardRecovered forwards a request and recovers from a panic, because the forwarding
+// may last longer than the handler, whose panics http.Server recovers from.
+func (s *Server) forwardRecovered(c *pipelinedConn, match forward.RouteMatch, req *forward.Request, reservation *bodies.Reservation) (out outcome) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			out.fault = fault
+		if value := recover(); value != nil {
+			out.panicked = value
 		}
 	}()
-	return outcome{result: s.forward(c.ctx, to, req, held)}
+	return outcome{result: s.forward(c.ctx, match, req, reservation)}
 }
 
-// finish hands the answer of a detached request to its connection. No fault of one
-// request ends the process: nobody else would recover from it here.
-func (s *Server) finish(c *conn, of *turn, req *forward.Request, o outcome) {
+// answerDetached passes the answer of a detached request to its connection. It recovers
+// from a panic, which would end the process otherwise.
+func (s *Server) answerDetached(c *pipelinedConn, queued *queuedAnswer, req *forward.Request, o outcome) {
 	defer func() {
-		if fault := recover(); fault != nil {
-			s.noteFault(c, req, fault)
+		if value := recover(); value != nil {
+			s.closeAfterPanic(c, req, value)
 		}
 	}()
-	if o.fault != nil {
-		s.noteFault(c, req, o.fault)
+	if o.panicked != nil {
+		s.closeAfterPanic(c, req, o.panicked)
 		return
 	}
-	out := newAnswer(req.Method)
-	s.answer(out, req, o.result)
-	c.finish(of, out)
+	out := newBufferedAnswer(req.Method)
+	s.writeAnswer(out, req, o.result)
+	c.deliver(queued, out)
 }
 
-// noteFault ends the connection of a request whose handling failed.
-func (s *Server) noteFault(c *conn, req *forward.Request, fault any) {
-	s.Log.Event(events.PipelineFault, events.F("request", req.ID), events.F("fault", fmt.Sprint(fault)))
-	c.end()
+// closeAfterPanic logs the value of a panic and closes the connection of its request.
+func (s *Server) closeAfterPanic(c *pipelinedConn, req *forward.Request, value any) {
+	s.Log.Event(events.PipelineFault, events.F("request", req.ID), events.F("fault", fmt.Sprint(value)))
+	c.closeNow()
 }
 
-// noteCut logs a connection that ended with requests unanswered or unread.
-func (s *Server) noteCut(unanswered, unread int) {
-	s.Log.Event(events.PipelineCut, events.F("unanswered", unanswered), events.F("unread_bytes", unread))
+// logPipelineCut logs that a connection has closed with unanswered requests or unread
+// bytes.
+func (s *Server) logPipelineCut(unanswered, unreadBytes int) {
+	s.Log.Event(events.PipelineCut, events.F("unanswered", unanswered), events.F("unread_bytes", unreadBytes))
 }
 
-// sizeOf is what a request holds in memory while it waits, in bytes.
-func sizeOf(req *forward.Request) int {
+// requestSize returns the memory that a request takes up, in bytes.
+func requestSize(req *forward.Request) int {
 	size := len(req.URI) + len(req.Body)
 	for _, h := range req.Headers {
 		size += len(h.Name) + len(h.Value)
--- a/pkg/ingress/pipelining_test.go
+++ b/pkg/ingress/pipelining_test.go
@@ -22,28 +22,28 @@
 	for name, send := range map[string]func(c *pipelineCaller){
 		"in one packet":          func(c *pipelineCaller) { c.send(get("a") + get("b") + get("c")) },
 		"one after the other":    func(c *pipelineCaller) { c.send(get("a")); c.send(get("b")); c.send(get("c")) },
-		"byte by byte":           func(c *pipelineCaller) { sendBytes(c, get("a")+get("b")+get("c")) },
+		"byte by byte":           func(c *pipelineCaller) { sendByteByByte(c, get("a")+get("b")+get("c")) },
 		"cut in the second head": func(c *pipelineCaller) { c.send(get("a") + get("b")[:20]); c.send(get("b")[20:] + get("c")) },
 	} {
 		t.Run(name, func(t *testing.T) {
-			withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-				c := w.caller()
+			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+				c := env.caller()
 				send(c)
-				test.Eq(t, "a b c", w.backend.starts())
-				w.backend.answer(t, "c", "3")
-				w.backend.answer(t, "b", "2")
+				test.Eq(t, "a b c", env.backend.startedIDs())
+				env.backend.answer(t, "c", "3")
+				env.backend.answer(t, "b", "2")
 				test.Eq(t, "", c.answers())
-				w.backend.answer(t, "a", "1")
+				env.backend.answer(t, "a", "1")
 				test.Eq(t, "a1 b2 c3", c.answers())
 				c.send(get("d"))
-				w.backend.answer(t, "d", "4")
+				env.backend.answer(t, "d", "4")
 				test.Eq(t, "a1 b2 c3 d4", c.answers())
 			})
 		})
 	}
 }
 
-func sendBytes(c *pipelineCaller, text string) {
+func sendByteByByte(c *pipelineCaller, text string) {
 	for i := range len(text) {
 		c.send(text[i : i+1])
 	}
@@ -52,23 +52,23 @@
 // TestARequestThatRunsOnceRunsAlone: it waits for all before it, and nothing
 // behind it starts before its answer.
 func TestARequestThatRunsOnceRunsAlone(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(get("a") + get("b") + post("p", "body") + get("c") + get("d") + post("q", ""))
-		test.Eq(t, "a b", w.backend.starts())
-		w.backend.answer(t, "b", "")
+		test.Eq(t, "a b", env.backend.startedIDs())
+		env.backend.answer(t, "b", "")
 		synctest.Wait()
-		test.Eq(t, "a b", w.backend.starts())
-		w.backend.answer(t, "a", "")
+		test.Eq(t, "a b", env.backend.startedIDs())
+		env.backend.answer(t, "a", "")
 		synctest.Wait()
-		test.Eq(t, "a b p", w.backend.starts())
-		w.backend.answer(t, "p", "")
+		test.Eq(t, "a b p", env.backend.startedIDs())
+		env.backend.answer(t, "p", "")
 		synctest.Wait()
-		test.Eq(t, "a b c d p", w.backend.starts())
-		w.backend.answer(t, "d", "")
-		w.backend.answer(t, "c", "")
+		test.Eq(t, "a b c d p", env.backend.startedIDs())
+		env.backend.answer(t, "d", "")
+		env.backend.answer(t, "c", "")
 		synctest.Wait()
-		w.backend.answer(t, "q", "")
+		env.backend.answer(t, "q", "")
 		test.Eq(t, "a b p c d q", c.answers())
 	})
 }
@@ -76,45 +76,45 @@
 // TestWhatIsBehindOneThatRunsOnceRunsSideBySide, also when all came in the
 // packet of its body.
 func TestWhatIsBehindOneThatRunsOnceRunsSideBySide(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(post("p", "body") + get("a") + get("b"))
-		test.Eq(t, "p", w.backend.starts())
-		w.backend.answer(t, "p", "")
+		test.Eq(t, "p", env.backend.startedIDs())
+		env.backend.answer(t, "p", "")
 		synctest.Wait()
-		test.Eq(t, "a b p", w.backend.starts())
-		w.backend.answer(t, "b", "")
-		w.backend.answer(t, "a", "")
+		test.Eq(t, "a b p", env.backend.startedIDs())
+		env.backend.answer(t, "b", "")
+		env.backend.answer(t, "a", "")
 		test.Eq(t, "p a b", c.answers())
 	})
 }
 
 func TestRequestsBesideOthersAreBounded(t *testing.T) {
 	scenarios := map[string]struct {
-		bounds PipelineLimits
-		texts  []string
-		starts string
+		bounds     PipelineLimits
+		texts      []string
+		startedIDs string
 	}{
 		"by number": {PipelineLimits{MaxRequests: 2, MaxBytes: 64 << 10}, []string{get("a"), get("b"), get("c")}, "a b"},
 		"one":       {PipelineLimits{MaxRequests: 1, MaxBytes: 64 << 10}, []string{get("a"), get("b")}, "a"},
-		"by bytes":  {PipelineLimits{MaxRequests: 8, MaxBytes: 1000}, []string{big("a"), big("b"), big("c")}, "a b"},
+		"by bytes":  {PipelineLimits{MaxRequests: 8, MaxBytes: 1000}, []string{paddedGet("a"), paddedGet("b"), paddedGet("c")}, "a b"},
 	}
 	for name, s := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			withPipeline(t, s.bounds, func(t *testing.T, w *pipelineWorld) {
-				c := w.caller()
+			withPipeline(t, s.bounds, func(t *testing.T, env *pipelineEnv) {
+				c := env.caller()
 				c.send(strings.Join(s.texts, ""))
-				test.Eq(t, s.starts, w.backend.starts())
-				w.backend.answer(t, "a", "")
+				test.Eq(t, s.startedIDs, env.backend.startedIDs())
+				env.backend.answer(t, "a", "")
 				test.Eq(t, "a", c.answers())
-				test.Greater(t, len(s.starts), len(w.backend.starts()))
+				test.Greater(t, len(s.startedIDs), len(env.backend.startedIDs()))
 			})
 		})
 	}
 }
 
 // big is a repeatable request of some 450 bytes.
-func big(id string) string {
+func paddedGet(id string) string {
 	return strings.Replace(get(id), "\r\n\r\n", "\r\nX-Pad: "+strings.Repeat("x", 430)+"\r\n\r\n", 1)
 }
 
@@ -124,13 +124,13 @@
 func TestAHeadCutInTheMiddleLosesNoAnswer(t *testing.T) {
 	first := strings.Index(get("c"), "\n") + 1
 	for at, want := range map[int]string{first: "a b(close) end", first + 3: "a b 400(close) end"} {
-		withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-			c := w.caller()
+		withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+			c := env.caller()
 			c.send(get("a") + get("b") + get("c")[:at])
-			time.Sleep(defaultHeadTime + time.Second)
-			test.Eq(t, 0, w.backend.cancels())
-			w.backend.answer(t, "b", "")
-			w.backend.answer(t, "a", "")
+			time.Sleep(defaultHeadTimeout + time.Second)
+			test.Eq(t, 0, env.backend.cancelCount())
+			env.backend.answer(t, "b", "")
+			env.backend.answer(t, "a", "")
 			test.Eq(t, want, c.answers())
 		})
 	}
@@ -139,17 +139,17 @@
 // TestIdleTimeCountsFromTheLastAnswer: a pipeline that runs for longer than the
 // idle time is not idle.
 func TestIdleTimeCountsFromTheLastAnswer(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		w.limits.Store(&routing.Limits{IdleTimeout: 5 * time.Second})
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		env.limits.Store(&routing.Limits{IdleTimeout: 5 * time.Second})
+		c := env.caller()
 		c.send(get("a") + get("b"))
 		time.Sleep(20 * time.Second)
-		w.backend.answer(t, "b", "")
-		w.backend.answer(t, "a", "")
+		env.backend.answer(t, "b", "")
+		env.backend.answer(t, "a", "")
 		test.Eq(t, "a b", c.answers())
 		time.Sleep(5 * time.Second)
 		test.Eq(t, "a b", c.answers())
-		time.Sleep(2 * boundSlack)
+		time.Sleep(2 * timeoutSlack)
 		test.Eq(t, "a b end", c.answers())
 	})
 }
@@ -157,21 +157,21 @@
 // TestASlowReaderHoldsItsOwnRequestsOnly: answers wait, their bytes count, and
 // no further request starts.
 func TestASlowReaderHoldsItsOwnRequestsOnly(t *testing.T) {
-	withPipeline(t, PipelineLimits{MaxRequests: 8, MaxBytes: 5000}, func(t *testing.T, w *pipelineWorld) {
-		slow := w.listen.dial()
+	withPipeline(t, PipelineLimits{MaxRequests: 8, MaxBytes: 5000}, func(t *testing.T, env *pipelineEnv) {
+		slow := env.listen.dial()
 		go func() { _, _ = io.WriteString(slow.conn, get("a")+get("b")) }()
 		synctest.Wait()
-		w.backend.answer(t, "b", strings.Repeat("x", 6000))
+		env.backend.answer(t, "b", strings.Repeat("x", 6000))
 		synctest.Wait()
 		go func() { _, _ = io.WriteString(slow.conn, get("c")) }()
 		synctest.Wait()
-		test.Eq(t, "a b", w.backend.starts())
-		w.backend.answer(t, "a", "")
+		test.Eq(t, "a b", env.backend.startedIDs())
+		env.backend.answer(t, "a", "")
 		synctest.Wait()
-		test.Eq(t, "a b", w.backend.starts())
-		other := w.caller()
+		test.Eq(t, "a b", env.backend.startedIDs())
+		other := env.caller()
 		other.send(get("o"))
-		w.backend.answer(t, "o", "")
+		env.backend.answer(t, "o", "")
 		test.Eq(t, "o", other.answers())
 		for _, want := range []string{"a", "b" + strings.Repeat("x", 6000)} {
 			resp, err := http.ReadResponse(slow.reader, nil)
@@ -181,7 +181,7 @@
 			test.Eq(t, want, string(body))
 		}
 		synctest.Wait()
-		test.Eq(t, "a b c o", w.backend.starts())
+		test.Eq(t, "a b c o", env.backend.startedIDs())
 		_ = slow.conn.Close()
 	})
 }
@@ -189,13 +189,13 @@
 // TestContinueIsSaidInItsPlace: a caller that asks before it sends its body is
 // told to once all before is answered.
 func TestContinueIsSaidInItsPlace(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.listen.dial()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.listen.dial()
 		head := "POST /post/x HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: p\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n"
 		go func() { _, _ = io.WriteString(c.conn, get("a")+get("b")+head) }()
 		synctest.Wait()
-		w.backend.answer(t, "b", "")
-		w.backend.answer(t, "a", "")
+		env.backend.answer(t, "b", "")
+		env.backend.answer(t, "a", "")
 		for _, want := range []int{200, 200, 100} {
 			resp, err := http.ReadResponse(c.reader, nil)
 			must.NoError(t, err)
@@ -204,8 +204,8 @@
 		}
 		go func() { _, _ = io.WriteString(c.conn, "body") }()
 		synctest.Wait()
-		test.Eq(t, "a b p", w.backend.starts())
-		w.backend.answer(t, "p", "")
+		test.Eq(t, "a b p", env.backend.startedIDs())
+		env.backend.answer(t, "p", "")
 		resp, err := http.ReadResponse(c.reader, nil)
 		must.NoError(t, err)
 		test.Eq(t, 200, resp.StatusCode)
@@ -216,65 +216,65 @@
 // TestACallersCloseIsHeeded: its last request runs beside the others, and its
 // answer closes.
 func TestACallersCloseIsHeeded(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		last := strings.Replace(get("b"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
 		c.send(get("a") + last + get("c"))
-		test.Eq(t, "a b", w.backend.starts())
-		w.backend.answer(t, "b", "")
-		w.backend.answer(t, "a", "")
+		test.Eq(t, "a b", env.backend.startedIDs())
+		env.backend.answer(t, "b", "")
+		env.backend.answer(t, "a", "")
 		test.Eq(t, "a b(close) end", c.answers())
-		test.Eq(t, "a b", w.backend.starts())
+		test.Eq(t, "a b", env.backend.startedIDs())
 	})
 }
 
 // TestWhatWaitedHasLessTimeLeft: a request's time counts from when it came.
 func TestWhatWaitedHasLessTimeLeft(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		p := strings.Replace(post("p", ""), "Content-Length", "Rushramp-Timeout: 3000\r\nContent-Length", 1)
 		c.send(get("a") + p)
 		time.Sleep(4 * time.Second)
-		w.backend.answer(t, "a", "")
+		env.backend.answer(t, "a", "")
 		test.Eq(t, fmt.Sprintf("a %d", errkind.DeadlineBeforeRun.Row().Status), c.answers())
-		test.Eq(t, "a", w.backend.starts())
+		test.Eq(t, "a", env.backend.startedIDs())
 	})
 }
 
 // TestARouteThatChangesWhileARequestWaits: it runs as the newer route says.
 func TestARouteThatChangesWhileARequestWaits(t *testing.T) {
-	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 64 << 10}, func(t *testing.T, w *pipelineWorld) {
-		c := w.caller()
+	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 64 << 10}, func(t *testing.T, env *pipelineEnv) {
+		c := env.caller()
 		c.send(get("a") + get("b") + get("c"))
-		test.Eq(t, "a b", w.backend.starts())
-		w.view.SetPlacement(routesOf(routing.Limits{}, false))
-		w.backend.answer(t, "a", "")
+		test.Eq(t, "a b", env.backend.startedIDs())
+		env.view.SetPlacement(compilePlacement(routing.Limits{}, false))
+		env.backend.answer(t, "a", "")
 		synctest.Wait()
-		test.Eq(t, "a b", w.backend.starts())
-		w.backend.answer(t, "b", "")
+		test.Eq(t, "a b", env.backend.startedIDs())
+		env.backend.answer(t, "b", "")
 		synctest.Wait()
-		test.Eq(t, "a b c", w.backend.starts())
-		w.backend.answer(t, "c", "")
+		test.Eq(t, "a b c", env.backend.startedIDs())
+		env.backend.answer(t, "c", "")
 		test.Eq(t, "a b c", c.answers())
 	})
 }
 
 // TestAFaultEndsItsConnectionOnly.
 func TestAFaultEndsItsConnectionOnly(t *testing.T) {
-	withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-		c, other := w.caller(), w.caller()
+	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+		c, other := env.caller(), env.caller()
 		c.send(get("a") + get("b"))
 		other.send(get("o"))
-		kind := w.view.Service("s").Match("GET", "/")
-		kind.LinkedCandidates[0].Endpoint.SetRunner(panicking{})
+		kind := env.view.Service("s").Match("GET", "/")
+		kind.LinkedCandidates[0].Endpoint.SetRunner(panickingRunner{})
 		c.send(get("c"))
 		test.Eq(t, "end", c.answers())
-		test.Eq(t, 2, w.backend.cancels())
-		w.backend.answer(t, "o", "")
+		test.Eq(t, 2, env.backend.cancelCount())
+		env.backend.answer(t, "o", "")
 		test.Eq(t, "o", other.answers())
 	})
 }
 
-type panicking struct{}
+type panickingRunner struct{}
 
-func (panicking) Execute(*wire.Call, []byte, func(call.Result)) func() { panic("fault") }
+func (panickingRunner) Execute(*wire.Call, []byte, func(call.Result)) func() { panic("fault") }
--- a/pkg/ingress/read_ahead.go
+++ b/pkg/ingress/read_ahead.go
@@ -5,81 +5,84 @@
 	"time"
 )
 
-func (in *inbound) noteBehind() {
+// signalMoreBytes tells the handler of the current request that bytes have arrived behind
+// it, and starts to read ahead.
+func (r *connReader) signalMoreBytes() {
 	select {
-	case in.behind <- struct{}{}:
+	case r.moreBytes <- struct{}{}:
 	default:
 	}
-	in.readAhead()
+	r.startReadAhead()
 }
 
-// readAhead lets pump read the connection from now on.
-func (in *inbound) readAhead() {
-	in.ahead = true
-	if in.pumping || in.direct || in.err != nil {
+// startReadAhead starts pump, unless it runs, the connection has ended, or a Read waits
+// for the connection. In the last case, that Read starts pump when it ends.
+func (r *connReader) startReadAhead() {
+	r.readAhead = true
+	if r.pumping || r.readingDirectly || r.err != nil {
 		return
 	}
-	in.pumping = true
-	_ = in.conn.SetReadDeadline(time.Time{})
-	in.setTimer()
-	go in.pump()
+	r.pumping = true
+	_ = r.conn.SetReadDeadline(time.Time{})
+	r.resetDeadlineTimer()
+	go r.pump()
 }
 
-// pump reads until the connection ends or the caller has left. Over the bound it
-// waits; once the server reads no more it throws away what comes, and waits for
-// the end only.
-func (in *inbound) pump() {
-	buf := make([]byte, readSize)
+// pump reads ahead until the connection ends. While the buffer is full, it waits. After
+// stop it discards what it reads, and only watches for the end of the connection.
+func (r *connReader) pump() {
+	buf := make([]byte, maxReadBytes)
 	for {
-		n, err := in.conn.Read(buf)
-		in.mu.Lock()
-		if in.stopped {
-			in.unread += n
+		n, err := r.conn.Read(buf)
+		r.mu.Lock()
+		if r.stopped {
+			r.unreadBytes += n
 		} else if n > 0 {
-			in.push(buf[:n])
+			r.buffer(buf[:n])
 		}
-		if n > 0 && in.watched {
-			in.noteBehind()
+		if n > 0 && r.watching {
+			r.signalMoreBytes()
 		}
 		if err != nil {
-			in.fail(err)
-			in.mu.Unlock()
+			r.fail(err)
+			r.mu.Unlock()
 			return
 		}
-		in.changed.Broadcast()
-		in.waitForRoom()
-		over := in.err != nil
-		in.mu.Unlock()
-		if over {
+		r.changed.Broadcast()
+		r.waitForBuffer()
+		ended := r.err != nil
+		r.mu.Unlock()
+		if ended {
 			return
 		}
 	}
 }
 
-// waitForRoom waits while the bytes read ahead reach the bound. The caller's
-// leaving would come behind what is not read then, so the kernel is asked.
-func (in *inbound) waitForRoom() {
-	for in.size >= in.most && !in.stopped && in.err == nil {
-		timer := time.AfterFunc(hangupEvery, in.wake)
-		in.changed.Wait()
+// waitForBuffer waits while the buffer is full. Since nothing is read meanwhile, it asks
+// the kernel whether the caller has disconnected.
+func (r *connReader) waitForBuffer() {
+	for r.bufferedBytes >= r.maxBufferedBytes && !r.stopped && r.err == nil {
+		timer := time.AfterFunc(peerCheckInterval, r.wake)
+		r.changed.Wait()
 		timer.Stop()
-		if in.size >= in.most && hungUp(in.conn) {
-			in.fail(io.EOF)
+		if r.bufferedBytes >= r.maxBufferedBytes && peerClosed(r.conn) {
+			r.fail(io.EOF)
 		}
 	}
 }
 
-// fail takes over that the connection has ended. As with the standard server,
-// the end of what a caller sends is its leaving, whether it still reads or not.
-func (in *inbound) fail(err error) {
-	in.err = err
-	in.changed.Broadcast()
-	in.left()
+// fail records the error that ended the connection. Like http.Server, it treats a caller
+// that has closed only its sending half as disconnected.
+func (r *connReader) fail(err error) {
+	r.err = err
+	r.changed.Broadcast()
+	r.onDisconnect()
 }
 
-// untilLeft goes on reading after stop, to notice that the caller leaves.
-func (in *inbound) untilLeft() {
-	in.mu.Lock()
-	defer in.mu.Unlock()
-	in.readAhead()
+// watchForDisconnect is called after stop. It keeps the connection being read, so that a
+// disconnect of the caller is noticed.
+func (r *connReader) watchForDisconnect() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.startReadAhead()
 }
--- a/pkg/ingress/read_ahead_test.go
+++ b/pkg/ingress/read_ahead_test.go
@@ -16,16 +16,16 @@
 func TestALeavingBehindAChunkedBodyIsNoticed(t *testing.T) {
 	const tries = 200
 	for range tries {
-		w, dial := onNetwork(t, manyBeside)
+		env, dial := startOnTCP(t, eightConcurrent)
 		c := dial()
 		_ = c.SetNoDelay(true)
 		_, _ = io.WriteString(c, "POST /read/x HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: a\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nx\r\n0\r\n")
 		time.Sleep(2 * time.Millisecond)
 		_, _ = io.WriteString(c, "\r\n")
 		_, _ = io.WriteString(c, get("b"))
-		until(t, "a runs", func() bool { return strings.HasPrefix(w.backend.starts(), "a") })
+		waitUntil(t, "a runs", func() bool { return strings.HasPrefix(env.backend.startedIDs(), "a") })
 		_ = c.Close()
-		until(t, "a is cancelled", func() bool { return w.backend.cancels() > 0 })
+		waitUntil(t, "a is cancelled", func() bool { return env.backend.cancelCount() > 0 })
 	}
 }
 
@@ -34,9 +34,9 @@
 func TestBytesReadAheadAreBoundedInMemory(t *testing.T) {
 	const most = 256 << 10
 	server, client := net.Pipe()
-	in := newInbound(server, most, func() {})
+	in := newConnReader(server, most, func() {})
 	in.mu.Lock()
-	in.readAhead()
+	in.startReadAhead()
 	in.mu.Unlock()
 	sent := 0
 	for {
@@ -47,12 +47,12 @@
 		sent++
 	}
 	in.mu.Lock()
-	pieces, size := len(in.chunks), in.size
+	pieces, size := len(in.chunks), in.bufferedBytes
 	in.mu.Unlock()
-	test.LessEq(t, most/chunkCost, pieces)
-	test.LessEq(t, most+chunkCost+1, size)
+	test.LessEq(t, most/chunkOverheadBytes, pieces)
+	test.LessEq(t, most+chunkOverheadBytes+1, size)
 	in.stop()
-	_, unread := in.ended()
+	_, unread := in.status()
 	test.Eq(t, sent, unread)
 	_ = client.Close()
 	_ = server.Close()
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -1,8 +1,9 @@
-// Package ingress is the listener for routed requests: HTTP in, HTTP out.
+// Package ingress is the HTTP listener for routed requests.
 //
-// It stands on the standard library's server and not on hertz: that one tells
-// when a caller leaves, ends resting connections alone at a planned stop, and
-// bounds the time of a head apart from that of a body. docs/design/libraries.md.
+// It uses http.Server of the standard library instead of hertz, because http.Server
+// reports that a caller disconnects, closes idle connections first at a planned stop, and
+// has a timeout for the head of a request that is separate from that for its body.
+// Source: docs/design/libraries.md.
 package ingress
 
 import (
@@ -27,70 +28,77 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Headers names the headers that callers and daemon exchange.
+// Headers holds the names of the headers that a caller and the daemon exchange.
 type Headers struct {
+	// RequestID carries the id of the request, in the request and in its answer.
 	RequestID string
+	// TimeoutMS carries the time that the caller allows, in milliseconds.
 	TimeoutMS string
-	// Caller names the service on whose VM a request began; what callers send
-	// in it goes no further.
+	// Caller carries the name of the service on whose VM a request began. The daemon
+	// sets it for the backend server and drops what callers send in it.
 	Caller string
-	// Team names the team whose key a request carried; what callers send in it goes no
-	// further.
+	// Team carries the name of the team whose key came with a request. The daemon sets
+	// it for the backend server and drops what callers send in it.
 	Team string
 }
 
-// DefaultHeaders are the names that the product itself uses.
+// DefaultHeaders returns the names that rushramp uses where the platform has none of its
+// own.
 func DefaultHeaders() Headers {
 	return Headers{RequestID: "Rushramp-Request-Id", TimeoutMS: "Rushramp-Timeout", Caller: "Rushramp-Caller", Team: "Rushramp-Team"}
 }
 
-// Server is the listener for routed requests.
+// Server listens for routed requests, forwards them and writes their answers. It is safe
+// for concurrent use.
 type Server struct {
 	*common.Common
 	headers   Headers
 	forwarder *forward.Forwarder
 	limits    func() routing.Limits
 	acceptor  *acceptor
-	// workers run requests that others may run beside.
-	workers *ants.Pool
-	leaving atomic.Bool
+	// workers is the pool of goroutines for requests that run concurrently with others of
+	// their connection.
+	workers           *ants.Pool
+	keepAlivesStopped atomic.Bool
 }
 
-// Start opens the listener in the settings. limits returns those in force.
+// Start listens on the address listen.routed of the settings. limits returns the limits
+// of the placement in force. Start returns an error when the address cannot be opened.
 func Start(c *common.Common, h Headers, f *forward.Forwarder, limits func() routing.Limits) (*Server, error) {
 	listener, err := net.Listen("tcp", c.Settings.Listen.Routed)
 	if err != nil {
 		return nil, errors.Errorf("cannot listen on %s: %v. Choose an address of this VM that no other process uses.", c.Settings.Listen.Routed, err)
 	}
 	s := &Server{Common: c, headers: h, forwarder: f, limits: limits}
-	return s, s.listenOn(listener)
+	return s, s.serveListener(listener)
 }
 
-// listenOn begins to accept connections.
-func (s *Server) listenOn(l net.Listener) error {
+// serveListener starts to accept connections from l.
+func (s *Server) serveListener(l net.Listener) error {
 	var err error
-	if s.workers, err = ants.NewPool(unboundedPool); err != nil {
-		return errors.Wrap(err, "no pool for requests")
+	if s.workers, err = ants.NewPool(unlimitedWorkers); err != nil {
+		return errors.Wrap(err, "cannot create the worker pool for requests")
 	}
-	bounds := s.Settings.Limits
+	limits := s.Settings.Limits
 	s.acceptor = newAcceptor(l, s, s.limits)
-	s.acceptor.hooks = hooks{
-		pipelining: PipelineLimits{MaxRequests: bounds.PipelinedRequests, MaxBytes: bounds.PipelinedBytes},
-		leaving:    s.leaving.Load, closed: s.noteCut,
+	s.acceptor.hooks = connHooks{
+		pipelineLimits:    PipelineLimits{MaxRequests: limits.PipelinedRequests, MaxBytes: limits.PipelinedBytes},
+		keepAlivesStopped: s.keepAlivesStopped.Load, onClosed: s.logPipelineCut,
 	}
 	go s.acceptor.run()
 	return nil
 }
 
-// unboundedPool: requests are bounded by connection and by the gates, and one
-// that had to wait for a worker would lose the time that it has.
-const unboundedPool = -1
+// unlimitedWorkers is the size of the worker pool. The pool has no limit, because a
+// request that waits for a worker would lose part of its timeout; PipelineLimits and the
+// gates limit the requests already.
+const unlimitedWorkers = -1
 
-// StopKeepAlives lets callers know on each answer that the connection ends.
-func (s *Server) StopKeepAlives() { s.leaving.Store(true) }
+// StopKeepAlives makes each answer close its connection from now on.
+func (s *Server) StopKeepAlives() { s.keepAlivesStopped.Store(true) }
 
-// Close ends resting connections, waits for requests until ctx ends, and then
-// ends those, too.
+// Close stops listening, closes idle connections, waits for requests in flight until ctx
+// ends, and then closes the remaining connections.
 func (s *Server) Close(ctx context.Context) {
 	s.acceptor.shutdown(ctx)
 	s.workers.Release()
@@ -98,42 +106,46 @@
 
 // ServeHTTP implements http.Handler.
 func (s *Server) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if s.leaving.Load() {
+	if s.keepAlivesStopped.Load() {
 		w.Header().Set("Connection", "close")
 	}
-	held, handed := s.Bodies.NewReservation(), false
+	reservation, served := s.Bodies.NewReservation(), false
 	defer func() {
-		// A request that ran frees its room when it ends, which may be later.
-		if !handed {
-			held.Release()
+		// The reservation of a request that was served is released when the request
+		// ends, which may be after this handler.
+		if !served {
+			reservation.Release()
 		}
 	}()
-	req, refusal := s.read(w, r, held)
+	req, refusal := s.readRequest(w, r, reservation)
 	if refusal != nil {
 		s.refuse(w, refusal, 0)
 		return
 	}
-	s.serve(w, r, req, held)
-	handed = true
+	s.serve(w, r, req, reservation)
+	served = true
 }
 
-// serve runs a request that was read.
-func (s *Server) serve(w http.ResponseWriter, r *http.Request, req *forward.Request, held *bodies.Reservation) {
+// serve forwards a request and writes its answer. For a detached request, it returns
+// before that.
+func (s *Server) serve(w http.ResponseWriter, r *http.Request, req *forward.Request, reservation *bodies.Reservation) {
 	if c := connOf(r); c != nil {
-		s.serveInTurn(c, w, r, req, held)
+		s.servePipelined(c, w, r, req, reservation)
 		return
 	}
-	s.answer(w, req, s.forward(r.Context(), s.forwarder.Match(req), req, held))
+	s.writeAnswer(w, req, s.forward(r.Context(), s.forwarder.Match(req), req, reservation))
 }
 
-// forward takes a request to its end, and then frees the room of its body.
-func (s *Server) forward(ctx context.Context, to forward.RouteMatch, req *forward.Request, held *bodies.Reservation) call.Result {
-	defer held.Release()
-	return s.forwarder.ForwardMatched(ctx, to, req)
+// forward forwards a request, waits for its result and releases the reservation of its
+// body.
+func (s *Server) forward(ctx context.Context, match forward.RouteMatch, req *forward.Request, reservation *bodies.Reservation) call.Result {
+	defer reservation.Release()
+	return s.forwarder.ForwardMatched(ctx, match, req)
 }
 
-// read takes the whole request in, within its bounds.
-func (s *Server) read(w http.ResponseWriter, r *http.Request, held *bodies.Reservation) (*forward.Request, *errkind.Error) {
+// readRequest reads the whole request. It refuses a request without an id, with an
+// invalid timeout, or with a body that receiveBody refuses.
+func (s *Server) readRequest(w http.ResponseWriter, r *http.Request, reservation *bodies.Reservation) (*forward.Request, *errkind.Error) {
 	out := &forward.Request{
 		ID: r.Header.Get(s.headers.RequestID), Host: r.Host, Method: r.Method,
 		URI: r.RequestURI, Path: r.URL.EscapedPath(),
@@ -142,32 +154,34 @@
 		return nil, errkind.New(errkind.BadRequest, "the request has no %s header", s.headers.RequestID)
 	}
 	var refusal *errkind.Error
-	if out.Timeout, refusal = timeoutOf(r.Header.Get(s.headers.TimeoutMS)); refusal != nil {
+	if out.Timeout, refusal = parseTimeout(r.Header.Get(s.headers.TimeoutMS)); refusal != nil {
 		return nil, refusal
 	}
-	out.TeamKey = keyOf(r.Header)
-	out.Headers = s.requestHeaders(r.Header)
-	out.Body, refusal = s.body(w, r, out, held)
+	out.TeamKey = teamKeyOf(r.Header)
+	out.Headers = s.headersToForward(r.Header)
+	out.Body, refusal = s.receiveBody(w, r, out, reservation)
 	return out, refusal
 }
 
-// timeoutOf reads a number of milliseconds; an empty text stands for none.
-func timeoutOf(text string) (time.Duration, *errkind.Error) {
+// parseTimeout parses a timeout in milliseconds, of one hour at most. It returns 0 for an
+// empty text, and a refusal for an invalid one.
+func parseTimeout(text string) (time.Duration, *errkind.Error) {
 	if text == "" {
 		return 0, nil
 	}
 	ms, err := strconv.ParseFloat(text, 64)
 	if err != nil || !(ms >= 0 && ms <= float64(time.Hour.Milliseconds())) {
-		return 0, errkind.New(errkind.BadRequest, "%q is no number of milliseconds", text)
+		return 0, errkind.New(errkind.BadRequest, "the timeout %q is not a number of milliseconds up to one hour", text)
 	}
 	return max(time.Duration(ms*float64(time.Millisecond)), 1), nil
 }
 
-// answer passes on what the backend server answered, whole and unchanged.
-func (s *Server) answer(w http.ResponseWriter, req *forward.Request, result call.Result) {
+// writeAnswer writes the answer of the backend server, without its hop-by-hop headers, or
+// the refusal in result.
+func (s *Server) writeAnswer(w http.ResponseWriter, req *forward.Request, result call.Result) {
 	w.Header().Set(s.headers.RequestID, req.ID)
-	if result.Refusal == nil && !isFinal(result.Answer.Status) {
-		result.Refusal = errkind.New(errkind.BackendFailed, "the answer's status %d ends no request", result.Answer.Status)
+	if result.Refusal == nil && !isFinalStatus(result.Answer.Status) {
+		result.Refusal = errkind.New(errkind.BackendFailed, "the answer's status %d is not a final status", result.Answer.Status)
 	}
 	if result.Refusal != nil {
 		s.refuse(w, result.Refusal, result.RetryAfter)
@@ -175,28 +189,29 @@
 	}
 	header := w.Header()
 	for _, h := range result.Answer.Headers {
-		if !hopByHop(h.Name) {
+		if !isHopByHop(h.Name) {
 			header.Add(h.Name, h.Value)
 		}
 	}
 	if header.Get("Content-Type") == "" {
-		// A nil value keeps the server from guessing one.
+		// A nil value keeps http.Server from guessing the type.
 		header["Content-Type"] = nil
 	}
 	header.Set("Content-Length", strconv.Itoa(len(result.Answer.Body)))
 	w.WriteHeader(result.Answer.Status)
-	// A caller that left is told nothing; the connection ends by itself.
+	// Writing fails when the caller has disconnected, and nobody is left to tell.
 	_, _ = w.Write(result.Answer.Body)
 }
 
-// isFinal is true for a status that ends a request. Behind any other one a caller
-// would take the answer of its next request for this one's.
-func isFinal(status int) bool {
-	const least, most = 200, 999
-	return status >= least && status <= most
+// isFinalStatus reports whether a status ends a request. After any other status, a caller
+// would take the answer to its next request for the answer to this one.
+func isFinalStatus(status int) bool {
+	const lowest, highest = 200, 999
+	return status >= lowest && status <= highest
 }
 
-// refuse answers at once with what the table says of the kind.
+// refuse writes the answer for a refusal, with the status and the advice of its kind.
+// retryAfter replaces the kind's own Retry-After time unless it is 0.
 func (s *Server) refuse(w http.ResponseWriter, refusal *errkind.Error, retryAfter time.Duration) {
 	row := refusal.Kind.Row()
 	if retryAfter <= 0 {
@@ -204,7 +219,7 @@
 	}
 	status := row.Status
 	if refusal.Ran == errkind.RanMaybe && status == http.StatusServiceUnavailable {
-		// 503 is a promise that the request has not run.
+		// Status 503 promises that the request has not run.
 		status = http.StatusBadGateway
 	}
 	header := w.Header()
@@ -212,7 +227,7 @@
 	header.Set("Rushramp-Ran", refusal.Ran.String())
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	if status == http.StatusUnauthorized {
-		header.Set("WWW-Authenticate", keyScheme)
+		header.Set("WWW-Authenticate", teamKeyScheme)
 	}
 	if refusal.Ran == errkind.RanNo && retryAfter > 0 {
 		header.Set("Retry-After", strconv.FormatFloat(retryAfter.Seconds(), 'f', -1, 64))
@@ -223,10 +238,10 @@
 	_, _ = io.WriteString(w, text)
 }
 
-// ownHeader is true for headers that the executor sets itself, so that they
-// need not travel to it.
-func (s *Server) ownHeader(name string) bool {
-	// Backend servers may read an underscore as a hyphen, as CGI does the other way.
+// isSetByExecutor reports whether the executor sets the header itself, so that the
+// caller's header is not forwarded.
+func (s *Server) isSetByExecutor(name string) bool {
+	// A backend server may treat underscores and hyphens in names as equal, as with CGI.
 	switch http.CanonicalHeaderKey(strings.ReplaceAll(name, "_", "-")) {
 	case http.CanonicalHeaderKey(s.headers.Caller), http.CanonicalHeaderKey(s.headers.Team), http.CanonicalHeaderKey(s.headers.RequestID), http.CanonicalHeaderKey(s.headers.TimeoutMS):
 		return true
@@ -234,11 +249,13 @@
 	return false
 }
 
-func (s *Server) requestHeaders(from http.Header) []wire.Header {
-	out := make([]wire.Header, 0, len(from))
-	named := connectionNames(from)
-	for name, values := range from {
-		if hopByHop(name) || named[name] || s.ownHeader(name) {
+// headersToForward returns the caller's headers without those that are hop-by-hop or set
+// by the executor.
+func (s *Server) headersToForward(header http.Header) []wire.Header {
+	out := make([]wire.Header, 0, len(header))
+	options := connectionOptions(header)
+	for name, values := range header {
+		if isHopByHop(name) || options[name] || s.isSetByExecutor(name) {
 			continue
 		}
 		for _, v := range values {
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -134,12 +134,12 @@
 
 func TestTimeouts(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "800": 800 * time.Millisecond, "0.5": 500 * time.Microsecond, "0": 1} {
-		got, refusal := timeoutOf(text)
+		got, refusal := parseTimeout(text)
 		must.Nil(t, refusal, must.Sprint(text))
 		test.Eq(t, want, got, test.Sprint(text))
 	}
 	for _, text := range []string{"x", "-1", "NaN", fmt.Sprint(1e12)} {
-		_, refusal := timeoutOf(text)
+		_, refusal := parseTimeout(text)
 		test.NotNil(t, refusal, test.Sprint(text))
 	}
 }
--- a/pkg/ingress/stop_keep_alives_test.go
+++ b/pkg/ingress/stop_keep_alives_test.go
@@ -15,14 +15,14 @@
 		"other, alone":       {post("a", ""), "a", "a(close) end"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			withPipeline(t, manyBeside, func(t *testing.T, w *pipelineWorld) {
-				c := w.caller()
+			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
+				c := env.caller()
 				c.send(s.text)
-				w.server.StopKeepAlives()
+				env.server.StopKeepAlives()
 				if name == "repeatable, behind" {
-					w.backend.answer(t, "x", "")
+					env.backend.answer(t, "x", "")
 				}
-				w.backend.answer(t, s.id, "")
+				env.backend.answer(t, s.id, "")
 				test.StrHasPrefix(t, s.want[:len(s.want)-4], c.answers())
 			})
 		})
--- a/pkg/ingress/team_key_test.go
+++ b/pkg/ingress/team_key_test.go
@@ -14,12 +14,12 @@
 
 func TestKeysOfHeaders(t *testing.T) {
 	for _, values := range [][]string{{"Bearer k"}, {"bearer  k "}, {"BEARER k"}} {
-		got := keyOf(http.Header{"Authorization": values})
+		got := teamKeyOf(http.Header{"Authorization": values})
 		test.True(t, got.Given)
 		test.Eq(t, teams.DigestOf("k"), got.Digest, test.Sprint(values))
 	}
 	for _, values := range [][]string{nil, {""}, {"Bearer"}, {"Bearer "}, {"Basic k"}, {"k"}, {"Bearer k", "Bearer k"}} {
-		test.False(t, keyOf(http.Header{"Authorization": values}).Given, test.Sprint(values))
+		test.False(t, teamKeyOf(http.Header{"Authorization": values}).Given, test.Sprint(values))
 	}
 }
 
