--- a/pkg/ingress/answer_bytes_test.go
+++ b/pkg/ingress/answer_bytes_test.go
@@ -16,27 +16,28 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// finishWith ends a run with any result.
-func (b *fakeBackend) answerWith(t *testing.T, id string, r call.Result) {
+// answerWith ends the run of a request with any result.
+func (b *fakeBackend) answerWith(t *testing.T, id string, result call.Result) {
 	t.Helper()
 	b.mu.Lock()
 	run := b.running[id]
 	delete(b.running, id)
 	b.mu.Unlock()
 	must.NotNil(t, run, must.Sprint(id))
-	run.done(r)
+	run.onDone(result)
 }
 
-// rawAnswer returns the bytes that come back for a text, where runs end in an order.
-func rawAnswer(t *testing.T, text string, answers map[string]call.Result, order []string) string {
+// rawAnswers sends the requests in text, ends their runs in the given order with the given
+// results, and returns the bytes that come back.
+func rawAnswers(t *testing.T, text string, results map[string]call.Result, order []string) string {
 	var out strings.Builder
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
-		conn := env.listen.dial().conn
+		conn := env.listener.dial().conn
 		go func() { _, _ = io.Copy(&out, conn) }()
 		go func() { _, _ = io.WriteString(conn, text) }()
 		synctest.Wait()
 		for _, id := range order {
-			env.backend.answerWith(t, id, answers[id])
+			env.backend.answerWith(t, id, results[id])
 			synctest.Wait()
 		}
 		_ = conn.Close()
@@ -45,9 +46,8 @@
 	return out.String()
 }
 
-// TestDetachedAnswersAreThoseOfTheServer: an answer that waited for its
-// turn is, byte for byte, the one that the standard server would write.
-func TestDetachedAnswersAreThoseOfTheServer(t *testing.T) {
+// TestDetachedAnswersEqualThoseOfHTTPServer byte for byte.
+func TestDetachedAnswersEqualThoseOfHTTPServer(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "DELETE", "POST"} {
 		for _, status := range []int{42, 100, 101, 103, 199, 200, 204, 205, 206, 299, 301, 304, 404, 418, 599, 799, 1000} {
 			for name, headers := range map[string][]wire.Header{
@@ -63,9 +63,9 @@
 						if method == "POST" {
 							a = strings.Replace(a, "\r\n\r\n", "\r\nContent-Length: 0\r\n\r\n", 1)
 						}
-						alone := rawAnswer(t, a, map[string]call.Result{"a": result}, []string{"a"})
+						alone := rawAnswers(t, a, map[string]call.Result{"a": result}, []string{"a"})
 						second := call.Result{Offered: true, Answer: &call.Answer{Status: 200, Body: []byte("B")}}
-						both := rawAnswer(t, a+get("b"), map[string]call.Result{"a": result, "b": second}, []string{"a", "b"})
+						both := rawAnswers(t, a+get("b"), map[string]call.Result{"a": result, "b": second}, []string{"a", "b"})
 						test.StrHasPrefix(t, alone, both)
 						if alone == "" {
 							test.Eq(t, "", both)
@@ -77,19 +77,19 @@
 	}
 }
 
-// TestAnInformationalStatusMixesNoAnswers: a backend server whose answer
-// carries a status that ends nothing (1xx) must not make the answer of the next
-// request that of this one.
-func TestAnInformationalStatusMixesNoAnswers(t *testing.T) {
+// TestInformationalStatusDoesNotMixUpAnswers: when a backend server answers with a status
+// that does not end a request (1xx), the caller must not take the answer to its next request
+// for the answer to this one.
+func TestInformationalStatusDoesNotMixUpAnswers(t *testing.T) {
 	for _, status := range []int{100, 103, 199} {
 		bad := call.Result{Offered: true, Answer: &call.Answer{Status: status}}
 		good := call.Result{Offered: true, Answer: &call.Answer{Status: 200, Body: []byte("B")}}
-		raw := rawAnswer(t, get("a")+get("b"), map[string]call.Result{"a": bad, "b": good}, []string{"a", "b"})
+		raw := rawAnswers(t, get("a")+get("b"), map[string]call.Result{"a": bad, "b": good}, []string{"a", "b"})
 		reader := bufio.NewReader(strings.NewReader(raw))
 		for {
 			resp, err := http.ReadResponse(reader, nil)
 			if err != nil {
-				break // no answer at all is no mix
+				break // without a final answer, none can be mixed up
 			}
 			if resp.StatusCode < 200 {
 				continue
@@ -100,11 +100,11 @@
 	}
 }
 
-// TestAStatusThatIsNoneIsNotPassedOn: it would go out as a malformed line.
-func TestAStatusThatIsNoneIsNotPassedOn(t *testing.T) {
+// TestInvalidStatusIsNotPassedOn: it would make a malformed status line.
+func TestInvalidStatusIsNotPassedOn(t *testing.T) {
 	for _, status := range []int{7, 42, 1000} {
 		bad := call.Result{Offered: true, Answer: &call.Answer{Status: status, Body: []byte("x")}}
-		raw := rawAnswer(t, get("a")+get("b"), map[string]call.Result{"a": bad, "b": bad}, []string{"a"})
+		raw := rawAnswers(t, get("a")+get("b"), map[string]call.Result{"a": bad, "b": bad}, []string{"a"})
 		test.False(t, strings.HasPrefix(raw, fmt.Sprintf("HTTP/1.1 %d ", status)), test.Sprint(raw))
 	}
 }
--- a/pkg/ingress/bench_test.go
+++ b/pkg/ingress/bench_test.go
@@ -21,8 +21,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// benchListener starts a server whose backend server answers 5 kB at once, the
-// users' mean.
+// dialBenchServer starts a server and returns a connection to it. Its backend server
+// answers at once with 5 kB, the mean size of the users' answers.
 func dialBenchServer(b *testing.B) net.Conn {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
@@ -32,12 +32,12 @@
 		{Name: "o", Host: "h", Prefix: "/o/", Parts: []routing.Part{{Service: "s", Weight: 1}}},
 	}})
 	view.SetPlacement(compiled)
-	route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
+	endpoint := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
 	body := make([]byte, 5000)
-	route.SetRunner(runnerFunc(func(*wire.Call, []byte) call.Result {
+	endpoint.SetRunner(runnerFunc(func(*wire.Call, []byte) call.Result {
 		return call.Result{Answer: &call.Answer{Status: 200, Body: body}}
 	}))
-	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
+	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: endpoint, Load: endpoint.Load}}}
 	view.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{kind}))
 	c := common.NewCommon(events.Discard(), &s)
 	server := &Server{Common: c, headers: DefaultHeaders(), forwarder: forward.NewForwarder(c, view, nil), limits: func() routing.Limits { return routing.Limits{} }}
@@ -51,13 +51,13 @@
 	return conn
 }
 
-// benchRequests sends requests of one connection, so many at a time, and waits
-// for their answers.
+// benchmarkRequests sends requests on one connection, atOnce in one write, and waits for
+// their answers before it sends the next ones.
 func benchmarkRequests(b *testing.B, path string, atOnce int) {
 	conn := dialBenchServer(b)
 	reader := bufio.NewReader(conn)
-	one := "GET " + path + " HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\nRushramp-Timeout: 2500\r\nAccept: */*\r\n\r\n"
-	text := strings.Repeat(one, atOnce)
+	request := "GET " + path + " HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\nRushramp-Timeout: 2500\r\nAccept: */*\r\n\r\n"
+	text := strings.Repeat(request, atOnce)
 	b.ReportAllocs()
 	for range b.N / atOnce {
 		_, err := io.WriteString(conn, text)
--- a/pkg/ingress/body_test.go
+++ b/pkg/ingress/body_test.go
@@ -17,24 +17,26 @@
 	"github.com/rushramp/rushramp/pkg/errkind"
 )
 
-// withRoom runs a test against a server with room for so many bytes of bodies.
-func withBodyBudget(t *testing.T, room int, run func(t *testing.T, env *pipelineEnv)) {
+// withBodyBudget runs a test against a server that may hold limit bytes of request bodies.
+// It checks that all reservations are released in the end.
+func withBodyBudget(t *testing.T, limit int, run func(t *testing.T, env *pipelineEnv)) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
-		env.server.Bodies = bodies.NewBudget(room, metrics.NewSet())
+		env.server.Bodies = bodies.NewBudget(limit, metrics.NewSet())
 		run(t, env)
 		synctest.Wait()
 		test.Eq(t, 0, env.server.Bodies.Reserved())
 	})
 }
 
+// chunkedPost returns the text of a post request with a chunked body.
 func chunkedPost(id, body string) string {
 	head, _, _ := strings.Cut(post(id, ""), "Content-Length")
 	return head + fmt.Sprintf("Transfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(body), body)
 }
 
-// TestABodyWithoutRoomIsRefusedAsNotRun, whether its length is known or not, and
-// room comes back with the end of those that hold it.
-func TestABodyWithoutRoomIsRefusedAsNotRun(t *testing.T) {
+// TestBodyOverTheBudgetIsRefusedAsNotRun checks bodies of known and of unknown length.
+// When the first request has ended, a third one gets its reservation.
+func TestBodyOverTheBudgetIsRefusedAsNotRun(t *testing.T) {
 	for name, send := range map[string]func(id, body string) string{"with a length": post, "in chunks": chunkedPost} {
 		t.Run(name, func(t *testing.T) {
 			withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
@@ -55,16 +57,17 @@
 	}
 }
 
-// TestACallerThatStallsMidwayHoldsRoomForItsTimeOnly.
-func TestACallerThatStallsMidwayHoldsRoomForItsTimeOnly(t *testing.T) {
+// TestStalledBodyReleasesItsReservationAtItsTimeout checks a request with a timeout of its
+// own and one whose body is limited by maxBodyTime alone.
+func TestStalledBodyReleasesItsReservationAtItsTimeout(t *testing.T) {
 	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
-		given, open := env.caller(), env.caller()
+		withTimeout, withoutTimeout := env.caller(), env.caller()
 		half := post("a", strings.Repeat("x", 400))[:200]
-		given.send(strings.Replace(half, "Content-Length", "Rushramp-Timeout: 3000\r\nContent-Length", 1))
-		open.send(half)
+		withTimeout.send(strings.Replace(half, "Content-Length", "Rushramp-Timeout: 3000\r\nContent-Length", 1))
+		withoutTimeout.send(half)
 		test.Eq(t, 800, env.server.Bodies.Reserved())
 		time.Sleep(4 * time.Second)
-		test.StrHasPrefix(t, fmt.Sprint(errkind.DeadlineBeforeRun.Row().Status), given.answers())
+		test.StrHasPrefix(t, fmt.Sprint(errkind.DeadlineBeforeRun.Row().Status), withTimeout.answers())
 		test.Eq(t, 400, env.server.Bodies.Reserved())
 		time.Sleep(maxBodyTime)
 		test.Eq(t, 0, env.server.Bodies.Reserved())
@@ -72,9 +75,9 @@
 	})
 }
 
-// TestRoomComesBackFromRequestsThatNeverStart: behind an answer that closes, and
-// of a caller that leaves.
-func TestRoomComesBackFromRequestsThatNeverStart(t *testing.T) {
+// TestRequestThatNeverStartsReleasesItsReservation checks a request that waits for an
+// earlier one when its caller disconnects.
+func TestRequestThatNeverStartsReleasesItsReservation(t *testing.T) {
 	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(get("a") + post("p", strings.Repeat("x", 500)))
@@ -85,17 +88,19 @@
 	})
 }
 
+// postWithTimeout returns the text of a post request with a timeout in milliseconds.
 func postWithTimeout(id, body string, ms int) string {
 	return strings.Replace(post(id, body), "Content-Length", fmt.Sprintf("Rushramp-Timeout: %d\r\nContent-Length", ms), 1)
 }
 
-// TestAStallingCallerTakesTheRoomForAMinuteAtMost: one that states a large body and an hour, and sends nothing, takes all the
-// room for an hour.
-func TestAStallingCallerTakesTheRoomForAMinuteAtMost(t *testing.T) {
+// TestStalledBodyReleasesItsReservationAfterMaxBodyTime: without maxBodyTime, a caller that
+// announces a large body and a timeout of an hour, and sends no body, would keep the whole
+// budget reserved for an hour.
+func TestStalledBodyReleasesItsReservationAfterMaxBodyTime(t *testing.T) {
 	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
-		staller := env.caller()
-		whole := postWithTimeout("a", strings.Repeat("x", 1000), 3600_000)
-		staller.send(whole[:len(whole)-1000])
+		stalled := env.caller()
+		text := postWithTimeout("a", strings.Repeat("x", 1000), 3600_000)
+		stalled.send(text[:len(text)-1000])
 		time.Sleep(2 * maxBodyTime)
 		small := env.caller()
 		small.send(post("b", "x"))
@@ -103,17 +108,17 @@
 		test.Eq(t, 0, env.server.Bodies.Reserved()-1, test.Sprint("after two minutes"))
 		env.backend.answer(t, "b", "")
 		test.Eq(t, "b", small.answers())
-		staller.disconnect()
+		stalled.disconnect()
 	})
 }
 
-// panics is a body whose reading panics.
+// panickingReader is a body whose Read panics.
 type panickingReader struct{}
 
 func (panickingReader) Read([]byte) (int, error) { panic(http.ErrAbortHandler) }
 
-// TestAPanicKeepsNoRoom: whatever goes wrong before a request runs.
-func TestAPanicKeepsNoRoom(t *testing.T) {
+// TestPanicReleasesTheReservation checks a panic before the request runs.
+func TestPanicReleasesTheReservation(t *testing.T) {
 	withBodyBudget(t, 1000, func(t *testing.T, env *pipelineEnv) {
 		r := httptest.NewRequest(http.MethodPost, "http://h/post/a", io.NopCloser(panickingReader{}))
 		r.ContentLength = 600
--- a/pkg/ingress/close_race_test.go
+++ b/pkg/ingress/close_race_test.go
@@ -11,27 +11,27 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestAnAnswerIsNotLostToACloseThatCameBehindTheOneBefore plays one order of two
-// goroutines: the run of a has written the last answer there was and is about to
-// look whether the connection is over (conn.finish, between turns.finish and
-// allAnswered); just then the server places b, whose handler said Connection: close,
-// and closes the connection for reading.
-func TestAnAnswerIsNotLostToACloseThatCameBehindTheOneBefore(t *testing.T) {
+// TestCloseBehindAnAnswerDoesNotLoseTheNextOne replays one interleaving of two goroutines.
+// The goroutine that answers request a has emptied the queue and is about to check whether
+// the connection is finished (in pipelinedConn.deliver, between answerQueue.deliver and
+// onQueueEmpty). At that moment the handler of request b, which asks for Connection: close,
+// detaches b, and http.Server closes the connection. The answer to b must still be written.
+func TestCloseBehindAnAnswerDoesNotLoseTheNextOne(t *testing.T) {
 	server, client := net.Pipe()
 	c := newPipelinedConn(server, connOptions{
 		idleTimeout: time.Minute, limits: eightConcurrent,
 		closeAfterAnswer: func() bool { return false }, onClosed: func(int, int) {},
 	})
-	got := make(chan string, 2)
+	answeredIDs := make(chan string, 2)
 	go func() {
-		defer close(got)
+		defer close(answeredIDs)
 		reader := bufio.NewReader(client)
 		for range 2 {
 			resp, err := http.ReadResponse(reader, nil)
 			if err != nil {
 				return
 			}
-			got <- resp.Header.Get("Id")
+			answeredIDs <- resp.Header.Get("Id")
 		}
 	}()
 	answerOf := func(id string) *bufferedAnswer {
@@ -45,12 +45,12 @@
 	empty, err := c.answers.deliver(a, answerOf("a"))
 	must.NoError(t, err)
 	must.True(t, empty)
-	test.Eq(t, "a", <-got)
+	test.Eq(t, "a", <-answeredIDs)
 
 	b := c.detach(1, true)
 	must.NoError(t, c.Close())
 
 	c.onQueueEmpty()
 	c.deliver(b, answerOf("b"))
-	test.Eq(t, "b", <-got)
+	test.Eq(t, "b", <-answeredIDs)
 }
--- a/pkg/ingress/disconnect_and_stop_test.go
+++ b/pkg/ingress/disconnect_and_stop_test.go
@@ -14,17 +14,17 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// TestACallerThatLeavesCancelsAllItsRuns, also with requests unread behind one
-// that runs alone, none of which starts any more.
-func TestACallerThatLeavesCancelsAllItsRuns(t *testing.T) {
+// TestDisconnectCancelsAllRuns also checks that no request starts that waits or is not
+// read yet.
+func TestDisconnectCancelsAllRuns(t *testing.T) {
 	for name, s := range map[string]struct {
 		text, startedIDs string
-		runs             int
+		cancelled        int
 	}{
-		"side by side":             {get("a") + get("b") + get("c"), "a b c", 3},
-		"unread behind one alone":  {post("p", "x") + get("a") + post("q", "x"), "p", 1},
-		"waiting behind the first": {get("a") + post("p", "x") + get("b"), "a", 1},
-		"a head cut in the middle": {get("a") + get("b")[:30], "a", 1},
+		"concurrent": {get("a") + get("b") + get("c"), "a b c", 3},
+		"unread behind one that is not repeatable": {post("p", "x") + get("a") + post("q", "x"), "p", 1},
+		"waiting behind the first":                 {get("a") + post("p", "x") + get("b"), "a", 1},
+		"an incomplete head":                       {get("a") + get("b")[:30], "a", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
@@ -32,7 +32,7 @@
 				c.send(s.text)
 				test.Eq(t, s.startedIDs, env.backend.startedIDs())
 				c.disconnect()
-				test.Eq(t, s.runs, env.backend.cancelCount())
+				test.Eq(t, s.cancelled, env.backend.cancelCount())
 				time.Sleep(10 * time.Second)
 				test.Eq(t, s.startedIDs, env.backend.startedIDs())
 			})
@@ -40,8 +40,9 @@
 	}
 }
 
-// TestACallerThatLeavesBehindAFullBoundIsNoticedOnceThereIsRoom.
-func TestACallerThatLeavesBehindAFullBoundIsNoticedOnceThereIsRoom(t *testing.T) {
+// TestDisconnectBehindAFullBufferIsNoticedOnceItHasSpace: a pipe is no socket, so that
+// peerClosed cannot notice the disconnect before that.
+func TestDisconnectBehindAFullBufferIsNoticedOnceItHasSpace(t *testing.T) {
 	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 4096}, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		var all strings.Builder
@@ -63,8 +64,8 @@
 	})
 }
 
-// TestAPlannedStopAnswersAllThatWasRead: the close is said on the last answer.
-func TestAPlannedStopAnswersAllThatWasRead(t *testing.T) {
+// TestPlannedStopAnswersAllRequestsRead: only the last answer closes the connection.
+func TestPlannedStopAnswersAllRequestsRead(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(get("a") + get("b") + get("c"))
@@ -77,8 +78,8 @@
 	})
 }
 
-// TestNothingStartsBehindTheAnswerThatCloses: it counts as not read.
-func TestNothingStartsBehindTheAnswerThatCloses(t *testing.T) {
+// TestNoRequestStartsAfterTheClosingAnswer: such a request counts as not read.
+func TestNoRequestStartsAfterTheClosingAnswer(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(get("a") + get("b"))
@@ -93,11 +94,12 @@
 	})
 }
 
-// TestAStopWithFullPipelinesWaitsForThem, and cuts what is left in the end.
-func TestAStopWithFullPipelinesWaitsForThem(t *testing.T) {
+// TestCloseWaitsForRunningPipelines until its context ends. Then it closes the connections
+// that are left.
+func TestCloseWaitsForRunningPipelines(t *testing.T) {
 	withPipeline(t, PipelineLimits{MaxRequests: 3, MaxBytes: 64 << 10}, func(t *testing.T, env *pipelineEnv) {
-		full, stuck, resting := env.caller(), env.caller(), env.caller()
-		resting.send(get("r"))
+		full, stuck, idle := env.caller(), env.caller(), env.caller()
+		idle.send(get("r"))
 		env.backend.answer(t, "r", "")
 		full.send(get("a") + get("b") + get("c") + get("d"))
 		stuck.send(get("s") + get("t"))
@@ -110,7 +112,7 @@
 			closed.Store(true)
 		}()
 		time.Sleep(time.Second)
-		test.Eq(t, "r end", resting.answers())
+		test.Eq(t, "r end", idle.answers())
 		for _, id := range []string{"c", "b", "a"} {
 			env.backend.answer(t, id, "")
 		}
@@ -129,7 +131,7 @@
 	})
 }
 
-func TestReplacedBoundsEndAPipelineOnItsLastAnswer(t *testing.T) {
+func TestNewLimitsCloseAPipelineAfterItsLastAnswer(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(get("a") + get("b"))
--- a/pkg/ingress/disconnect_tcp_test.go
+++ b/pkg/ingress/disconnect_tcp_test.go
@@ -17,10 +17,10 @@
 	"github.com/rushramp/rushramp/pkg/call"
 )
 
-// onNetwork starts a server on a loopback socket, where resets and half-closes
-// are those of TCP.
-func startOnTCP(t *testing.T, bounds PipelineLimits) (env *pipelineEnv, dial func() *net.TCPConn) {
-	env = newPipelineEnv(t, bounds)
+// startOnTCP starts a server on a loopback socket, for tests with resets and half-closes
+// of TCP. dial opens a connection to it.
+func startOnTCP(t *testing.T, limits PipelineLimits) (env *pipelineEnv, dial func() *net.TCPConn) {
+	env = newPipelineEnv(t, limits)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
 	env.server.serveListener(l)
@@ -37,43 +37,44 @@
 	}
 }
 
-// until waits for something that other goroutines bring about.
-func waitUntil(t *testing.T, what string, done func() bool) {
+// waitUntil waits until condition is true; what names it in the message of a failure.
+func waitUntil(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(done), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)), must.Sprint(what))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(condition), wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)), must.Sprint(what))
 }
 
-// statuses reads answers until the connection ends.
-func readAnswers(t *testing.T, c net.Conn) (out []int, bodies []string) {
+// readAnswers reads answers until the connection ends, and returns their statuses and
+// bodies.
+func readAnswers(t *testing.T, c net.Conn) (statuses []int, bodies []string) {
 	reader := bufio.NewReader(c)
 	for {
 		resp, err := http.ReadResponse(reader, nil)
 		if err != nil {
 			test.ErrorIs(t, err, io.ErrUnexpectedEOF)
-			return out, bodies
+			return statuses, bodies
 		}
 		body, err := io.ReadAll(resp.Body)
 		must.NoError(t, err)
-		out, bodies = append(out, resp.StatusCode), append(bodies, string(body))
+		statuses, bodies = append(statuses, resp.StatusCode), append(bodies, string(body))
 	}
 }
 
-// TestAHalfCloseIsALeaving, as with the standard server: runs are cancelled, and
-// the caller is still told so.
-func TestAHalfCloseIsALeaving(t *testing.T) {
+// TestHalfCloseCountsAsDisconnect: like http.Server, the listener cancels the runs of a
+// caller that closes its sending half. The caller still gets an answer to each request.
+func TestHalfCloseCountsAsDisconnect(t *testing.T) {
 	env, dial := startOnTCP(t, eightConcurrent)
 	c := dial()
 	_, err := io.WriteString(c, get("a")+get("b"))
 	must.NoError(t, err)
 	waitUntil(t, "both run", func() bool { return env.backend.startedIDs() == "a b" })
 	must.NoError(t, c.CloseWrite())
-	got, _ := readAnswers(t, c)
-	test.Eq(t, []int{499, 499}, got)
+	statuses, _ := readAnswers(t, c)
+	test.Eq(t, []int{499, 499}, statuses)
 	test.Eq(t, 2, env.backend.cancelCount())
 }
 
-// TestAResetCancels, also of requests that are not read yet.
-func TestAResetCancels(t *testing.T) {
+// TestResetCancelsRuns also checks that a request that waits does not start.
+func TestResetCancelsRuns(t *testing.T) {
 	env, dial := startOnTCP(t, eightConcurrent)
 	c := dial()
 	_, err := io.WriteString(c, get("a")+get("b")+post("p", "x"))
@@ -85,9 +86,9 @@
 	test.Eq(t, "a b", env.backend.startedIDs())
 }
 
-// TestALeavingBehindUnreadBytesIsNoticed: with more unread bytes than are read
-// ahead, the kernel is asked; nothing that waits starts any more.
-func TestALeavingBehindUnreadBytesIsNoticed(t *testing.T) {
+// TestDisconnectBehindUnreadBytesIsNoticed: the caller has sent more bytes than are read
+// ahead, so that only peerClosed can notice its disconnect. No waiting request starts.
+func TestDisconnectBehindUnreadBytesIsNoticed(t *testing.T) {
 	env, dial := startOnTCP(t, PipelineLimits{MaxRequests: 8, MaxBytes: 4096})
 	c := dial()
 	_, err := io.WriteString(c, post("p", "x")+strings.Repeat(post("q", strings.Repeat("x", 900)), 30))
@@ -98,8 +99,8 @@
 	test.Eq(t, "p", env.backend.startedIDs())
 }
 
-// TestUnreadBytesDestroyNoAnswer: a caller that has sent more behind the last
-// answer gets all answers whole, however late it reads them.
+// TestUnreadBytesDestroyNoAnswer: a caller that has sent requests behind the one whose
+// answer closes the connection receives all answers whole.
 func TestUnreadBytesDestroyNoAnswer(t *testing.T) {
 	env, dial := startOnTCP(t, eightConcurrent)
 	c := dial()
@@ -107,22 +108,23 @@
 	must.NoError(t, err)
 	waitUntil(t, "both run", func() bool { return env.backend.startedIDs() == "a b" })
 	env.server.StopKeepAlives()
-	long := strings.Repeat("x", 300<<10)
-	stop := env.backend.answerAll(long)
+	suffix := strings.Repeat("x", 300<<10)
+	stop := env.backend.answerAll(suffix)
 	defer stop()
 	_, err = io.WriteString(c, strings.Repeat(post("behind", strings.Repeat("y", 900)), 100))
 	must.NoError(t, err)
-	got, bodies := readAnswers(t, c)
-	test.Greater(t, 1, len(got))
+	statuses, bodies := readAnswers(t, c)
+	test.Greater(t, 1, len(statuses))
 	for i, body := range bodies {
-		test.Eq(t, 200, got[i])
-		test.Greater(t, len(long), len(body))
+		test.Eq(t, 200, statuses[i])
+		test.Greater(t, len(suffix), len(body))
 	}
-	test.Eq(t, len(strings.Fields(env.backend.startedIDs())), len(got))
+	test.Eq(t, len(strings.Fields(env.backend.startedIDs())), len(statuses))
 }
 
-// answerAll answers each call at once from now on, those that run already too.
-func (b *fakeBackend) answerAll(text string) (stop func()) {
+// answerAll answers all running calls and, until stop is called, each new one. The body of
+// an answer is the id of its request and suffix.
+func (b *fakeBackend) answerAll(suffix string) (stop func()) {
 	done := make(chan struct{})
 	go func() {
 		for {
@@ -136,7 +138,7 @@
 			b.running = map[string]*fakeRun{}
 			b.mu.Unlock()
 			for id, run := range running {
-				run.done(call.Result{Offered: true, Answer: &call.Answer{Status: 200, Body: []byte(id + text)}})
+				run.onDone(call.Result{Offered: true, Answer: &call.Answer{Status: 200, Body: []byte(id + suffix)}})
 			}
 		}
 	}()
--- a/pkg/ingress/framing_test.go
+++ b/pkg/ingress/framing_test.go
@@ -20,8 +20,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// recorder answers each call at once, and keeps what a backend server would
-// have got.
+// recordingRunner answers each call at once and records what a backend server would have
+// received.
 type recordingRunner struct {
 	mu    sync.Mutex
 	calls []string
@@ -37,30 +37,30 @@
 	return func() {}
 }
 
-// played is what came of bytes that a caller sent: the calls, in whatever order
-// they ran, and all bytes that came back.
+// exchange is the outcome of the bytes that a caller sent: the calls, sorted, and all
+// bytes that came back.
 type exchange struct {
-	calls  []string
-	answer string
+	calls   []string
+	answers string
 }
 
 var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
-// play sends the pieces to a server of the world's settings and waits until it
-// has ended the connection.
+// runExchange sends the pieces one after another to a new server, which serve starts, and
+// waits until that server has closed the connection.
 func runExchange(t *testing.T, pieces [][]byte, serve func(env *pipelineEnv, l net.Listener) (stop func())) exchange {
 	var out exchange
 	synctest.Test(t, func(t *testing.T) {
 		env := newPipelineEnv(t, eightConcurrent)
-		seen := &recordingRunner{}
-		env.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetRunner(seen)
+		runner := &recordingRunner{}
+		env.view.Service("s").Match("GET", "/").LinkedCandidates[0].Endpoint.SetRunner(runner)
 		l := &pipeListener{conns: make(chan net.Conn), done: make(chan struct{})}
 		stop := serve(env, l)
 		caller := l.dial().conn
-		got := make(chan []byte, 1)
+		received := make(chan []byte, 1)
 		go func() {
 			all, _ := io.ReadAll(caller)
-			got <- all
+			received <- all
 		}()
 		for _, piece := range pieces {
 			if _, err := caller.Write(piece); err != nil {
@@ -68,35 +68,37 @@
 			}
 			synctest.Wait()
 		}
-		out.answer = dateHeader.ReplaceAllString(string(<-got), "Date: D")
+		out.answers = dateHeader.ReplaceAllString(string(<-received), "Date: D")
 		_ = caller.Close()
 		stop()
 		synctest.Wait()
-		slices.Sort(seen.calls)
-		out.calls = seen.calls
+		slices.Sort(runner.calls)
+		out.calls = runner.calls
 	})
 	return out
 }
 
+// startIngress serves l with pipelining, as Start does.
 func startIngress(env *pipelineEnv, l net.Listener) func() {
 	env.server.serveListener(l)
 	return func() { env.server.Close(env.t.Context()) }
 }
 
-// serveStandard is the same handler behind the standard library's server alone.
+// startStandardServer serves l with the same handler on an http.Server alone.
 func startStandardServer(env *pipelineEnv, l net.Listener) func() {
 	server := &http.Server{Handler: env.server, ReadHeaderTimeout: defaultHeadTimeout, IdleTimeout: defaultIdleTimeout, MaxHeaderBytes: defaultMaxHeadBytes}
 	go func() { _ = server.Serve(l) }()
 	return func() { _ = server.Close() }
 }
 
-// split cuts data into pieces of the sizes that cuts names in turn.
-func split(data, cuts []byte) [][]byte {
+// split cuts data into pieces. The i-th piece has 1 + sizes[i] bytes; the last one has the
+// rest.
+func split(data, sizes []byte) [][]byte {
 	var out [][]byte
 	for i := 0; len(data) > 0; i++ {
 		n := len(data)
-		if i < len(cuts) {
-			n = min(n, 1+int(cuts[i]))
+		if i < len(sizes) {
+			n = min(n, 1+int(sizes[i]))
 		}
 		out = append(out, data[:n])
 		data = data[n:]
@@ -104,9 +106,8 @@
 	return out
 }
 
-// FuzzFraming: in whatever pieces bytes come, they are the same requests, and
-// get the same answers byte for byte, as with the standard library's server
-// alone.
+// FuzzFraming checks that the listener reads the same requests from a stream of bytes as
+// http.Server alone, and returns the same bytes, whatever pieces the stream arrives in.
 func FuzzFraming(f *testing.F) {
 	const id = "Host: h\r\nRushramp-Request-Id: i\r\n"
 	for _, text := range []string{
@@ -137,25 +138,24 @@
 		f.Add([]byte(text), []byte{})
 		f.Add([]byte(text), []byte{0, 1, 70, 0, 2, 69, 71, 3})
 	}
-	f.Fuzz(func(t *testing.T, data, cuts []byte) {
+	f.Fuzz(func(t *testing.T, data, sizes []byte) {
 		data = data[:min(len(data), 8<<10)]
 		want := runExchange(t, split(data, nil), startStandardServer)
-		got := runExchange(t, split(data, cuts), startIngress)
+		got := runExchange(t, split(data, sizes), startIngress)
 		test.Eq(t, want.calls, got.calls)
-		test.Eq(t, want.answer, got.answer)
+		test.Eq(t, want.answers, got.answers)
 	})
 }
 
-// TestTheEndOfAHeadIsFoundInAnyPieces.
-func TestTheEndOfAHeadIsFoundInAnyPieces(t *testing.T) {
+func TestHeadEndIsFoundWhereverTheHeadIsSplit(t *testing.T) {
 	for text, want := range map[string]int{
 		"GET / HTTP/1.1\r\nA: b\r\n\r\nrest": 24, "GET / HTTP/1.1\nA: b\n\nrest": 21,
 		"\r\nGET / HTTP/1.1\r\n\r\n": 20, "GET / HTTP/1.1\r\nA: b\r\n": 0, "a\n\r\r\n": 5,
 	} {
 		for cut := range len(text) {
-			var head headEndFinder
-			end := head.find([]byte(text[:cut]))
-			if rest := head.find([]byte(text[cut:])); end == 0 && rest > 0 {
+			var finder headEndFinder
+			end := finder.find([]byte(text[:cut]))
+			if rest := finder.find([]byte(text[cut:])); end == 0 && rest > 0 {
 				end = cut + rest
 			}
 			test.Eq(t, want, end, test.Sprintf("%q at %d", text, cut))
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestAFullHeadTimeIsGivenBehindOthers: the time of a head begins with its
-// first byte, as with the standard server.
-func TestAFullHeadTimeIsGivenBehindOthers(t *testing.T) {
+// TestHeadTimeoutStartsWithTheFirstByteOfTheHead, like that of http.Server, also while
+// earlier requests are unanswered.
+func TestHeadTimeoutStartsWithTheFirstByteOfTheHead(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(get("a") + get("b"))
@@ -181,22 +181,22 @@
 	})
 }
 
-// TestRefusalsStandInTheirPlace: what the daemon or the standard server answers
-// by itself comes behind all answers before it.
-func TestRefusalsStandInTheirPlace(t *testing.T) {
+// TestRefusalsAreWrittenInOrder: a refusal by the listener or by http.Server is written
+// after the answers to all earlier requests.
+func TestRefusalsAreWrittenInOrder(t *testing.T) {
 	const end = "\r\nHost: h\r\nRushramp-Request-Id: x\r\n"
 	for name, s := range map[string]struct{ text, answers string }{
-		"no id":              {"GET /read/ HTTP/1.1\r\nHost: h\r\n\r\n", "a b 400"},
-		"no route":           {"GET /none/ HTTP/1.1" + end + "\r\n", "a b 404"},
-		"body too large":     {"POST /post/ HTTP/1.1" + end + "Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000), "a b 413(close) end"},
-		"chunks too large":   {"POST /post/ HTTP/1.1" + end + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n", "a b 413(close) end"},
-		"head too large":     {"GET /read/ HTTP/1.1" + end + "X: " + strings.Repeat("x", 80_000) + "\r\n\r\n", "a b 431(close) end"},
-		"bad head":           {"GET /read/ HTTP/1.1" + end + "bad line\r\n\r\n", "a b 400(close) end"},
-		"two lengths":        {"POST /post/ HTTP/1.1" + end + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n12", "a b 400(close) end"},
-		"unknown coding":     {"POST /post/ HTTP/1.1" + end + "Transfer-Encoding: gzip\r\n\r\n", "a b 501(close) end"},
-		"no host":            {"GET /read/ HTTP/1.1\r\nRushramp-Request-Id: x\r\n\r\n", "a b 400(close) end"},
-		"unknown version":    {"GET /read/ HTTP/3.0" + end + "\r\n", "a b 505(close) end"},
-		"unknown expectancy": {"GET /read/ HTTP/1.1" + end + "Expect: more\r\n\r\n", "a b 417(close) end"},
+		"no id":               {"GET /read/ HTTP/1.1\r\nHost: h\r\n\r\n", "a b 400"},
+		"no route":            {"GET /none/ HTTP/1.1" + end + "\r\n", "a b 404"},
+		"body too large":      {"POST /post/ HTTP/1.1" + end + "Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000), "a b 413(close) end"},
+		"chunks too large":    {"POST /post/ HTTP/1.1" + end + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n", "a b 413(close) end"},
+		"head too large":      {"GET /read/ HTTP/1.1" + end + "X: " + strings.Repeat("x", 80_000) + "\r\n\r\n", "a b 431(close) end"},
+		"bad head":            {"GET /read/ HTTP/1.1" + end + "bad line\r\n\r\n", "a b 400(close) end"},
+		"two lengths":         {"POST /post/ HTTP/1.1" + end + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n12", "a b 400(close) end"},
+		"unknown coding":      {"POST /post/ HTTP/1.1" + end + "Transfer-Encoding: gzip\r\n\r\n", "a b 501(close) end"},
+		"no host":             {"GET /read/ HTTP/1.1\r\nRushramp-Request-Id: x\r\n\r\n", "a b 400(close) end"},
+		"unknown version":     {"GET /read/ HTTP/3.0" + end + "\r\n", "a b 505(close) end"},
+		"unknown expectation": {"GET /read/ HTTP/1.1" + end + "Expect: more\r\n\r\n", "a b 417(close) end"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
--- a/pkg/ingress/limited_server_test.go
+++ b/pkg/ingress/limited_server_test.go
@@ -18,8 +18,8 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// pipeListener is a listener whose connections are pipes in memory, so that
-// tests run under the fake clock.
+// pipeListener is a net.Listener whose connections are in-memory pipes, so that tests run
+// under the fake clock of synctest.
 type pipeListener struct {
 	conns chan net.Conn
 	done  chan struct{}
@@ -39,23 +39,24 @@
 
 // dial opens a connection to the listener.
 func (p *pipeListener) dial() *pipeCaller {
-	near, far := net.Pipe()
-	p.conns <- far
-	return &pipeCaller{conn: near, reader: bufio.NewReader(near)}
+	client, server := net.Pipe()
+	p.conns <- server
+	return &pipeCaller{conn: client, reader: bufio.NewReader(client)}
 }
 
+// pipeCaller is the caller's end of a connection to a pipeListener.
 type pipeCaller struct {
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-// get sends a request, with a head of the given size besides, and reads the
+// roundTrip sends a request whose head has a header of padBytes bytes, and reads the
 // answer.
-func (c *pipeCaller) get(t *testing.T, headBytes int) *http.Response {
+func (c *pipeCaller) roundTrip(t *testing.T, padBytes int) *http.Response {
 	t.Helper()
 	_ = c.conn.SetReadDeadline(time.Time{})
 	go func() {
-		_, _ = io.WriteString(c.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Pad: "+strings.Repeat("x", headBytes)+"\r\n\r\n")
+		_, _ = io.WriteString(c.conn, "GET / HTTP/1.1\r\nHost: h\r\nX-Pad: "+strings.Repeat("x", padBytes)+"\r\n\r\n")
 	}()
 	resp, err := http.ReadResponse(c.reader, nil)
 	must.NoError(t, err)
@@ -64,14 +65,14 @@
 	return resp
 }
 
-// endsWithin tells whether the server ends the connection in that time.
+// closesWithin reports whether the server closes the connection within d.
 func (c *pipeCaller) closesWithin(d time.Duration) bool {
 	_ = c.conn.SetReadDeadline(time.Now().Add(d))
 	_, err := io.Copy(io.Discard, c.reader)
 	return err == nil
 }
 
-// withAcceptor runs a test against an acceptor under the fake clock.
+// withAcceptor runs a test against an acceptor under the fake clock of synctest.
 func withAcceptor(t *testing.T, run func(t *testing.T, limits *atomic.Pointer[routing.Limits], l *pipeListener, a *acceptor)) {
 	synctest.Test(t, func(t *testing.T) {
 		var limits atomic.Pointer[routing.Limits]
@@ -88,15 +89,15 @@
 	})
 }
 
-func TestAHeadOverThePlacementsBoundIsRefused(t *testing.T) {
+func TestHeadLargerThanThePlacementAllowsIsRefused(t *testing.T) {
 	withAcceptor(t, func(t *testing.T, limits *atomic.Pointer[routing.Limits], l *pipeListener, _ *acceptor) {
 		limits.Store(&routing.Limits{MaxHeaderBytes: 2000})
-		test.Eq(t, http.StatusOK, l.dial().get(t, 1500).StatusCode)
-		test.Eq(t, http.StatusRequestHeaderFieldsTooLarge, l.dial().get(t, 10_000).StatusCode)
+		test.Eq(t, http.StatusOK, l.dial().roundTrip(t, 1500).StatusCode)
+		test.Eq(t, http.StatusRequestHeaderFieldsTooLarge, l.dial().roundTrip(t, 10_000).StatusCode)
 	})
 }
 
-func TestAHeadThatTakesTooLongEndsItsConnection(t *testing.T) {
+func TestSlowHeadClosesItsConnection(t *testing.T) {
 	withAcceptor(t, func(t *testing.T, limits *atomic.Pointer[routing.Limits], l *pipeListener, _ *acceptor) {
 		limits.Store(&routing.Limits{HeaderTimeout: 3 * time.Second})
 		slow := l.dial()
@@ -107,34 +108,34 @@
 	})
 }
 
-// TestAConnectionMayRestForAsLongAsThePlacementSays: neither shorter, so that
-// its caller meets no close, nor much longer.
-func TestAConnectionMayRestForAsLongAsThePlacementSays(t *testing.T) {
+// TestIdleConnectionClosesAfterThePlacementsIdleTimeout checks that the connection closes
+// neither earlier nor much later.
+func TestIdleConnectionClosesAfterThePlacementsIdleTimeout(t *testing.T) {
 	withAcceptor(t, func(t *testing.T, limits *atomic.Pointer[routing.Limits], l *pipeListener, _ *acceptor) {
 		limits.Store(&routing.Limits{IdleTimeout: 15 * time.Second})
 		caller := l.dial()
-		caller.get(t, 0)
+		caller.roundTrip(t, 0)
 		test.False(t, caller.closesWithin(15*time.Second))
 		test.True(t, caller.closesWithin(2*timeoutSlack))
 	})
 }
 
-// TestConnectionsWithOlderBoundsMoveOver: a caller on a connection that was
-// opened under another idle time is told to open a new one, and the server of
-// the older bounds ends with its last connection.
-func TestConnectionsWithOlderBoundsMoveOver(t *testing.T) {
+// TestConnectionsOpenedUnderOldLimitsAreClosed: the next answer closes a connection that
+// was opened under another idle timeout, and the server with the old limits closes with
+// its last connection.
+func TestConnectionsOpenedUnderOldLimitsAreClosed(t *testing.T) {
 	withAcceptor(t, func(t *testing.T, limits *atomic.Pointer[routing.Limits], l *pipeListener, a *acceptor) {
 		limits.Store(&routing.Limits{IdleTimeout: 15 * time.Second})
 		old := l.dial()
-		test.False(t, old.get(t, 0).Close)
+		test.False(t, old.roundTrip(t, 0).Close)
 		limits.Store(&routing.Limits{IdleTimeout: 60 * time.Second})
 		fresh := l.dial()
-		test.False(t, fresh.get(t, 0).Close)
-		test.True(t, old.get(t, 0).Close)
+		test.False(t, fresh.roundTrip(t, 0).Close)
+		test.True(t, old.roundTrip(t, 0).Close)
 		test.True(t, old.closesWithin(time.Millisecond))
 		synctest.Wait()
 		test.SliceEmpty(t, a.retiredWithConns())
 		test.False(t, fresh.closesWithin(60*time.Second))
-		test.False(t, fresh.get(t, 0).Close)
+		test.False(t, fresh.roundTrip(t, 0).Close)
 	})
 }
--- a/pkg/ingress/pipelining_test.go
+++ b/pkg/ingress/pipelining_test.go
@@ -18,12 +18,12 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-func TestRepeatableRequestsRunSideBySideAndAreAnsweredInOrder(t *testing.T) {
+func TestRepeatableRequestsRunConcurrentlyAndAreAnsweredInOrder(t *testing.T) {
 	for name, send := range map[string]func(c *pipelineCaller){
-		"in one packet":          func(c *pipelineCaller) { c.send(get("a") + get("b") + get("c")) },
-		"one after the other":    func(c *pipelineCaller) { c.send(get("a")); c.send(get("b")); c.send(get("c")) },
-		"byte by byte":           func(c *pipelineCaller) { sendByteByByte(c, get("a")+get("b")+get("c")) },
-		"cut in the second head": func(c *pipelineCaller) { c.send(get("a") + get("b")[:20]); c.send(get("b")[20:] + get("c")) },
+		"in one packet":            func(c *pipelineCaller) { c.send(get("a") + get("b") + get("c")) },
+		"one after the other":      func(c *pipelineCaller) { c.send(get("a")); c.send(get("b")); c.send(get("c")) },
+		"byte by byte":             func(c *pipelineCaller) { sendByteByByte(c, get("a")+get("b")+get("c")) },
+		"split in the second head": func(c *pipelineCaller) { c.send(get("a") + get("b")[:20]); c.send(get("b")[20:] + get("c")) },
 	} {
 		t.Run(name, func(t *testing.T) {
 			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
@@ -43,15 +43,16 @@
 	}
 }
 
+// sendByteByByte sends each byte of text in a write of its own.
 func sendByteByByte(c *pipelineCaller, text string) {
 	for i := range len(text) {
 		c.send(text[i : i+1])
 	}
 }
 
-// TestARequestThatRunsOnceRunsAlone: it waits for all before it, and nothing
-// behind it starts before its answer.
-func TestARequestThatRunsOnceRunsAlone(t *testing.T) {
+// TestNonRepeatableRequestRunsAlone: it starts after all earlier requests are answered, and
+// no later request starts before it is answered.
+func TestNonRepeatableRequestRunsAlone(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(get("a") + get("b") + post("p", "body") + get("c") + get("d") + post("q", ""))
@@ -73,9 +74,9 @@
 	})
 }
 
-// TestWhatIsBehindOneThatRunsOnceRunsSideBySide, also when all came in the
-// packet of its body.
-func TestWhatIsBehindOneThatRunsOnceRunsSideBySide(t *testing.T) {
+// TestRequestsBehindANonRepeatableOneRunConcurrently, even if all of them arrive in one
+// piece with its body.
+func TestRequestsBehindANonRepeatableOneRunConcurrently(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(post("p", "body") + get("a") + get("b"))
@@ -89,9 +90,9 @@
 	})
 }
 
-func TestRequestsBesideOthersAreBounded(t *testing.T) {
+func TestConcurrentRequestsAreLimited(t *testing.T) {
 	scenarios := map[string]struct {
-		bounds     PipelineLimits
+		limits     PipelineLimits
 		texts      []string
 		startedIDs string
 	}{
@@ -101,7 +102,7 @@
 	}
 	for name, s := range scenarios {
 		t.Run(name, func(t *testing.T) {
-			withPipeline(t, s.bounds, func(t *testing.T, env *pipelineEnv) {
+			withPipeline(t, s.limits, func(t *testing.T, env *pipelineEnv) {
 				c := env.caller()
 				c.send(strings.Join(s.texts, ""))
 				test.Eq(t, s.startedIDs, env.backend.startedIDs())
@@ -113,20 +114,20 @@
 	}
 }
 
-// big is a repeatable request of some 450 bytes.
+// paddedGet returns the text of a repeatable request that takes up about 450 bytes.
 func paddedGet(id string) string {
 	return strings.Replace(get(id), "\r\n\r\n", "\r\nX-Pad: "+strings.Repeat("x", 430)+"\r\n\r\n", 1)
 }
 
-// TestAHeadCutInTheMiddleLosesNoAnswer: as with the standard server, a line
-// that was cut is answered by 400 once its time is over, a missing line by
+// TestIncompleteHeadLosesNoAnswer: like http.Server, the listener answers a head that ends
+// within a line with 400 after the head timeout, and one that ends between two lines with
 // nothing.
-func TestAHeadCutInTheMiddleLosesNoAnswer(t *testing.T) {
-	first := strings.Index(get("c"), "\n") + 1
-	for at, want := range map[int]string{first: "a b(close) end", first + 3: "a b 400(close) end"} {
+func TestIncompleteHeadLosesNoAnswer(t *testing.T) {
+	firstLineEnd := strings.Index(get("c"), "\n") + 1
+	for length, want := range map[int]string{firstLineEnd: "a b(close) end", firstLineEnd + 3: "a b 400(close) end"} {
 		withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 			c := env.caller()
-			c.send(get("a") + get("b") + get("c")[:at])
+			c.send(get("a") + get("b") + get("c")[:length])
 			time.Sleep(defaultHeadTimeout + time.Second)
 			test.Eq(t, 0, env.backend.cancelCount())
 			env.backend.answer(t, "b", "")
@@ -136,9 +137,9 @@
 	}
 }
 
-// TestIdleTimeCountsFromTheLastAnswer: a pipeline that runs for longer than the
-// idle time is not idle.
-func TestIdleTimeCountsFromTheLastAnswer(t *testing.T) {
+// TestIdleTimeoutStartsAtTheLastAnswer: a connection with unanswered requests is not idle,
+// even if they run for longer than the idle timeout.
+func TestIdleTimeoutStartsAtTheLastAnswer(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		env.limits.Store(&routing.Limits{IdleTimeout: 5 * time.Second})
 		c := env.caller()
@@ -154,11 +155,11 @@
 	})
 }
 
-// TestASlowReaderHoldsItsOwnRequestsOnly: answers wait, their bytes count, and
-// no further request starts.
-func TestASlowReaderHoldsItsOwnRequestsOnly(t *testing.T) {
+// TestSlowReaderDelaysOnlyItsOwnRequests: while a caller does not read, its answers count
+// towards MaxBytes, and no further request of its connection starts.
+func TestSlowReaderDelaysOnlyItsOwnRequests(t *testing.T) {
 	withPipeline(t, PipelineLimits{MaxRequests: 8, MaxBytes: 5000}, func(t *testing.T, env *pipelineEnv) {
-		slow := env.listen.dial()
+		slow := env.listener.dial()
 		go func() { _, _ = io.WriteString(slow.conn, get("a")+get("b")) }()
 		synctest.Wait()
 		env.backend.answer(t, "b", strings.Repeat("x", 6000))
@@ -186,11 +187,11 @@
 	})
 }
 
-// TestContinueIsSaidInItsPlace: a caller that asks before it sends its body is
-// told to once all before is answered.
-func TestContinueIsSaidInItsPlace(t *testing.T) {
+// TestContinueIsSentInOrder: a caller that sends Expect: 100-continue gets status 100 after
+// the answers to all earlier requests.
+func TestContinueIsSentInOrder(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
-		c := env.listen.dial()
+		c := env.listener.dial()
 		head := "POST /post/x HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: p\r\nContent-Length: 4\r\nExpect: 100-continue\r\n\r\n"
 		go func() { _, _ = io.WriteString(c.conn, get("a")+get("b")+head) }()
 		synctest.Wait()
@@ -213,9 +214,9 @@
 	})
 }
 
-// TestACallersCloseIsHeeded: its last request runs beside the others, and its
-// answer closes.
-func TestACallersCloseIsHeeded(t *testing.T) {
+// TestConnectionCloseOfACallerIsHonoured: the request that carries it runs concurrently
+// with the earlier ones, its answer closes the connection, and no later request starts.
+func TestConnectionCloseOfACallerIsHonoured(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		last := strings.Replace(get("b"), "\r\n\r\n", "\r\nConnection: close\r\n\r\n", 1)
@@ -228,8 +229,8 @@
 	})
 }
 
-// TestWhatWaitedHasLessTimeLeft: a request's time counts from when it came.
-func TestWhatWaitedHasLessTimeLeft(t *testing.T) {
+// TestWaitCountsTowardsTheTimeout: the timeout of a request starts when it arrives.
+func TestWaitCountsTowardsTheTimeout(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		p := strings.Replace(post("p", ""), "Content-Length", "Rushramp-Timeout: 3000\r\nContent-Length", 1)
@@ -241,8 +242,9 @@
 	})
 }
 
-// TestARouteThatChangesWhileARequestWaits: it runs as the newer route says.
-func TestARouteThatChangesWhileARequestWaits(t *testing.T) {
+// TestRouteChangeDuringTheWaitApplies: c runs alone, because its route is no longer
+// repeatable.
+func TestRouteChangeDuringTheWaitApplies(t *testing.T) {
 	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 64 << 10}, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
 		c.send(get("a") + get("b") + get("c"))
@@ -259,8 +261,7 @@
 	})
 }
 
-// TestAFaultEndsItsConnectionOnly.
-func TestAFaultEndsItsConnectionOnly(t *testing.T) {
+func TestPanicClosesOnlyItsConnection(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c, other := env.caller(), env.caller()
 		c.send(get("a") + get("b"))
@@ -275,6 +276,7 @@
 	})
 }
 
+// panickingRunner panics in each call.
 type panickingRunner struct{}
 
 func (panickingRunner) Execute(*wire.Call, []byte, func(call.Result)) func() { panic("fault") }
--- a/pkg/ingress/read_ahead_test.go
+++ b/pkg/ingress/read_ahead_test.go
@@ -11,9 +11,9 @@
 	"github.com/shoenig/test/must"
 )
 
-// TestALeavingBehindAChunkedBodyIsNoticed: the next request's first bytes
-// come just behind the last chunk, before the handler has begun.
-func TestALeavingBehindAChunkedBodyIsNoticed(t *testing.T) {
+// TestDisconnectBehindAChunkedBodyIsNoticed: the first bytes of the next request arrive
+// right after the last chunk, before the handler has started.
+func TestDisconnectBehindAChunkedBodyIsNoticed(t *testing.T) {
 	const tries = 200
 	for range tries {
 		env, dial := startOnTCP(t, eightConcurrent)
@@ -29,15 +29,15 @@
 	}
 }
 
-// TestBytesReadAheadAreBoundedInMemory: what the bound says is what a connection
-// holds, in whatever pieces its bytes come, and unread bytes are counted as they came.
-func TestBytesReadAheadAreBoundedInMemory(t *testing.T) {
-	const most = 256 << 10
+// TestReadAheadMemoryIsLimited: the limit holds for the memory of the buffered bytes even
+// if they arrive one by one. The unread bytes are counted without the overhead.
+func TestReadAheadMemoryIsLimited(t *testing.T) {
+	const maxBufferedBytes = 256 << 10
 	server, client := net.Pipe()
-	in := newConnReader(server, most, func() {})
-	in.mu.Lock()
-	in.startReadAhead()
-	in.mu.Unlock()
+	reader := newConnReader(server, maxBufferedBytes, func() {})
+	reader.mu.Lock()
+	reader.startReadAhead()
+	reader.mu.Unlock()
 	sent := 0
 	for {
 		must.NoError(t, client.SetWriteDeadline(time.Now().Add(200*time.Millisecond)))
@@ -46,14 +46,14 @@
 		}
 		sent++
 	}
-	in.mu.Lock()
-	pieces, size := len(in.chunks), in.bufferedBytes
-	in.mu.Unlock()
-	test.LessEq(t, most/chunkOverheadBytes, pieces)
-	test.LessEq(t, most+chunkOverheadBytes+1, size)
-	in.stop()
-	_, unread := in.status()
-	test.Eq(t, sent, unread)
+	reader.mu.Lock()
+	chunks, bufferedBytes := len(reader.chunks), reader.bufferedBytes
+	reader.mu.Unlock()
+	test.LessEq(t, maxBufferedBytes/chunkOverheadBytes, chunks)
+	test.LessEq(t, maxBufferedBytes+chunkOverheadBytes+1, bufferedBytes)
+	reader.stop()
+	_, unreadBytes := reader.status()
+	test.Eq(t, sent, unreadBytes)
 	_ = client.Close()
 	_ = server.Close()
 }
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -26,7 +26,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// runnerFunc makes a function a runner.
+// runnerFunc is a runner whose calls end at once with the result of the function.
 type runnerFunc func(c *wire.Call, body []byte) call.Result
 
 func (f runnerFunc) Execute(c *wire.Call, body []byte, done func(call.Result)) func() {
@@ -34,6 +34,8 @@
 	return func() {}
 }
 
+// newServer starts a Server with the route /p/ behind an http.Server, and returns it and
+// its address. run answers the calls.
 func newServer(t *testing.T, run runnerFunc) (*Server, string) {
 	s := settings.Default()
 	s.VM = settings.VM{ID: "vm", DataCentre: "here"}
@@ -42,9 +44,9 @@
 		Name: "r", Host: "h", Prefix: "/p/", Parts: []routing.Part{{Service: "s", Weight: 1}}, Timeout: time.Minute,
 	}}, Limits: routing.Limits{MaxBodyBytes: 1000}})
 	view.SetPlacement(compiled)
-	route := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
-	route.SetRunner(run)
-	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: route, Load: route.Load}}}
+	endpoint := &tables.Endpoint{DataCentre: "here", Load: tables.NewLoad(4)}
+	endpoint.SetRunner(run)
+	kind := &tables.KindView{Kind: compiled.Service("s").Kinds[0], LinkedCandidates: []tables.Candidate{{Endpoint: endpoint, Load: endpoint.Load}}}
 	view.SetService("s", tables.NewServiceView(compiled.Service("s"), []*tables.KindView{kind}))
 	c := common.NewCommon(events.Discard(), &s)
 	server := &Server{
@@ -56,8 +58,8 @@
 	return server, strings.TrimPrefix(h.URL, "http://")
 }
 
-// raw sends text and reads one answer.
-func raw(t *testing.T, address, text string) (*http.Response, string) {
+// sendRaw sends text on a new connection and reads one answer.
+func sendRaw(t *testing.T, address, text string) (*http.Response, string) {
 	c, err := net.Dial("tcp", address)
 	must.NoError(t, err)
 	defer func() { _ = c.Close() }()
@@ -70,7 +72,7 @@
 	return resp, string(body)
 }
 
-func TestHeadersAndBodiesGoThrough(t *testing.T) {
+func TestHeadersAndBodiesAreForwarded(t *testing.T) {
 	var seen wire.Call
 	var sent string
 	_, address := newServer(t, func(c *wire.Call, body []byte) call.Result {
@@ -79,7 +81,7 @@
 			{Name: "X-Seal", Value: "s1"}, {Name: "Connection", Value: "close"}, {Name: "Transfer-Encoding", Value: "chunked"},
 		}}}
 	})
-	resp, body := raw(t, address, "POST /p/x%2fy?q=1 HTTP/1.1\r\nHost: h:80\r\nRushramp-Request-Id: id-7\r\nRushramp-Timeout: 800\r\n"+
+	resp, body := sendRaw(t, address, "POST /p/x%2fy?q=1 HTTP/1.1\r\nHost: h:80\r\nRushramp-Request-Id: id-7\r\nRushramp-Timeout: 800\r\n"+
 		"Rushramp-Caller: forged\r\nX-Own: v\r\nConnection: X-Hop\r\nX-Hop: 1\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")
 	test.Eq(t, 201, resp.StatusCode)
 	test.Eq(t, "done", body)
@@ -100,39 +102,39 @@
 		status     int
 		retryAfter string
 	}{
-		{"not run: 503 with a time to come back", head + "\r\n", call.Refused(errkind.Overloaded, "full"), 503, "0.3"},
-		{"maybe run: never 503", head + "\r\n", call.Result{Refusal: errkind.New(errkind.BackendRefused, "").Maybe(), Offered: true}, 502, ""},
+		{"not run: 503 with Retry-After", head + "\r\n", call.Refused(errkind.Overloaded, "full"), 503, "0.3"},
+		{"maybe run: not 503", head + "\r\n", call.Result{Refusal: errkind.New(errkind.BackendRefused, "").Maybe(), Offered: true}, 502, ""},
 		{"lost", head + "\r\n", call.Refused(errkind.LinkLost, "lost"), 502, ""},
 		{"no id", "GET /p/ HTTP/1.1\r\nHost: h\r\n\r\n", call.Result{}, 400, ""},
 		{"no route", "GET /q/ HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\n\r\n", call.Result{}, 404, ""},
-		{"no number", head + "Rushramp-Timeout: soon\r\n\r\n", call.Result{}, 400, ""},
-		{"body over the bound", head + "Content-Length: 1001\r\n\r\n", call.Result{}, 413, ""},
-		{"chunks over the bound", head + "Transfer-Encoding: chunked\r\n\r\n400\r\n" + strings.Repeat("x", 1024) + "\r\n0\r\n\r\n", call.Result{}, 413, ""},
+		{"timeout is not a number", head + "Rushramp-Timeout: soon\r\n\r\n", call.Result{}, 400, ""},
+		{"body over the limit", head + "Content-Length: 1001\r\n\r\n", call.Result{}, 413, ""},
+		{"chunks over the limit", head + "Transfer-Encoding: chunked\r\n\r\n400\r\n" + strings.Repeat("x", 1024) + "\r\n0\r\n\r\n", call.Result{}, 413, ""},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			_, address := newServer(t, func(*wire.Call, []byte) call.Result { return s.result })
-			resp, _ := raw(t, address, s.text)
+			resp, _ := sendRaw(t, address, s.text)
 			test.Eq(t, s.status, resp.StatusCode)
 			test.Eq(t, s.retryAfter, resp.Header.Get("Retry-After"))
 		})
 	}
 }
 
-func TestADrainingListenerSaysSoOnEachAnswer(t *testing.T) {
+func TestStopKeepAlivesClosesTheConnectionOnEachAnswer(t *testing.T) {
 	s, address := newServer(t, func(*wire.Call, []byte) call.Result {
 		return call.Result{Answer: &call.Answer{Status: 200}}
 	})
 	text := "GET /p/ HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\n\r\n"
-	resp, _ := raw(t, address, text)
+	resp, _ := sendRaw(t, address, text)
 	test.False(t, resp.Close)
 	s.StopKeepAlives()
-	resp, _ = raw(t, address, text)
+	resp, _ = sendRaw(t, address, text)
 	test.Eq(t, 200, resp.StatusCode)
 	test.True(t, resp.Close)
 }
 
-func TestTimeouts(t *testing.T) {
+func TestParseTimeout(t *testing.T) {
 	for text, want := range map[string]time.Duration{"": 0, "800": 800 * time.Millisecond, "0.5": 500 * time.Microsecond, "0": 1} {
 		got, refusal := parseTimeout(text)
 		must.Nil(t, refusal, must.Sprint(text))
--- a/pkg/ingress/team_key_test.go
+++ b/pkg/ingress/team_key_test.go
@@ -12,7 +12,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-func TestKeysOfHeaders(t *testing.T) {
+func TestTeamKeyOfHeaders(t *testing.T) {
 	for _, values := range [][]string{{"Bearer k"}, {"bearer  k "}, {"BEARER k"}} {
 		got := teamKeyOf(http.Header{"Authorization": values})
 		test.True(t, got.Given)
@@ -23,14 +23,15 @@
 	}
 }
 
-// TestACallersTeamGoesNoFurther in any spelling, however often it is sent.
-func TestACallersTeamGoesNoFurther(t *testing.T) {
+// TestTeamHeadersOfCallersAreDropped in any spelling, and also when there are several of
+// them.
+func TestTeamHeadersOfCallersAreDropped(t *testing.T) {
 	var seen wire.Call
 	_, address := newServer(t, func(c *wire.Call, _ []byte) call.Result {
 		seen = *c
 		return call.Result{Answer: &call.Answer{Status: 200}}
 	})
-	resp, _ := raw(t, address, "GET /p/ HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\n"+
+	resp, _ := sendRaw(t, address, "GET /p/ HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\n"+
 		"rushramp-team: a\r\nRUSHRAMP-TEAM: b\r\nRushramp_Team: c\r\nrushramp_Caller: d\r\nX-Own: v\r\n\r\n")
 	must.Eq(t, 200, resp.StatusCode)
 	test.Eq(t, []wire.Header{{Name: "X-Own", Value: "v"}}, seen.Headers)
