--- a/pkg/ingress/conn_reader.go
+++ b/pkg/ingress/conn_reader.go
@@ -28,10 +28,10 @@
 // goroutine of the connReader reads ahead, so that it notices that the caller disconnects
 // while http.Server does not read.
 //
-// A Read never returns bytes behind the end of a head. Thus the bytes behind a request
-// without a body stay in the connReader, which knows of them. The end of a head that the
-// connReader finds is only a hint: http.Server alone decides where a request ends, and a
-// wrong hint changes only whether the answer to a request is detached.
+// A Read that returns the end of a head returns no bytes behind it. Thus the bytes behind a
+// request without a body stay in the connReader, which knows of them. The end of a head that
+// the connReader finds is only a hint: http.Server alone decides where a request ends, and a
+// wrong hint changes only whether a request is detached.
 type connReader struct {
 	conn net.Conn
 	// maxBufferedBytes limits bufferedBytes.
@@ -39,7 +39,7 @@
 	// onDisconnect is called once when no more bytes can arrive.
 	onDisconnect func()
 
-	// mu guards all fields below. Methods that do not lock it are called with it held.
+	// mu guards the fields below. Methods that do not lock it are called with it held.
 	mu      sync.Mutex
 	changed *sync.Cond
 	// chunks holds the bytes that were read ahead, bufferedBytes the memory that they
--- a/pkg/ingress/framing_test.go
+++ b/pkg/ingress/framing_test.go
@@ -27,13 +27,13 @@
 	calls []string
 }
 
-func (r *recordingRunner) Execute(c *wire.Call, body []byte, done func(call.Result)) func() {
+func (r *recordingRunner) Execute(c *wire.Call, body []byte, onDone func(call.Result)) func() {
 	slices.SortFunc(c.Headers, func(a, b wire.Header) int { return bytes.Compare([]byte(a.Name), []byte(b.Name)) })
 	text := fmt.Sprintf("%s %s %q %q %v %q", c.Method, c.Routed.Host, c.URI, c.Routed.ID, c.Headers, body)
 	r.mu.Lock()
 	r.calls = append(r.calls, text)
 	r.mu.Unlock()
-	done(call.Result{Offered: true, Answer: &call.Answer{Status: 200, Body: []byte(c.URI)}})
+	onDone(call.Result{Offered: true, Answer: &call.Answer{Status: 200, Body: []byte(c.URI)}})
 	return func() {}
 }
 
@@ -44,6 +44,7 @@
 	answers string
 }
 
+// dateHeader matches the Date header, whose value depends on the time.
 var dateHeader = regexp.MustCompile(`Date: [^\r]*`)
 
 // runExchange sends the pieces one after another to a new server, which serve starts, and
@@ -109,28 +110,28 @@
 // FuzzFraming checks that the listener reads the same requests from a stream of bytes as
 // http.Server alone, and returns the same bytes, whatever pieces the stream arrives in.
 func FuzzFraming(f *testing.F) {
-	const id = "Host: h\r\nRushramp-Request-Id: i\r\n"
+	const headers = "Host: h\r\nRushramp-Request-Id: i\r\n"
 	for _, text := range []string{
 		get("a") + get("b") + get("c"),
 		get("a") + post("p", "GET /read/ HTTP/1.1\r\n\r\n") + get("b") + get("c"),
 		post("p", "x") + "\r\n" + get("a") + "\r\n\r\n" + get("b"),
-		get("a") + "POST /post/ HTTP/1.1\r\n" + id + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get("b"),
-		get("a") + "POST /post/ HTTP/1.1\r\n" + id + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get("b"),
-		get("a") + "POST /post/ HTTP/1.1\r\n" + id + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd" + get("b"),
+		get("a") + "POST /post/ HTTP/1.1\r\n" + headers + "Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get("b"),
+		get("a") + "POST /post/ HTTP/1.1\r\n" + headers + "Transfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n3\r\nabc\r\n0\r\n\r\n" + get("b"),
+		get("a") + "POST /post/ HTTP/1.1\r\n" + headers + "Content-Length: 3\r\nContent-Length: 4\r\n\r\nabcd" + get("b"),
 		get("a") + "GET /read/ HTTP/1.1\n" + "Host: h\nRushramp-Request-Id: i\n\n" + get("b"),
-		get("a") + "GET /read/ HTTP/1.1\r\n" + id + "Bad Name: x\r\n\r\n" + get("b"),
-		get("a") + "GET /read/ HTTP/1.1\r\n" + id + "X: a\rb\r\n\r\n" + get("b"),
-		get("a") + "GET /read/ HTTP/1.1\r\n" + id + " folded: x\r\n\r\n" + get("b"),
+		get("a") + "GET /read/ HTTP/1.1\r\n" + headers + "Bad Name: x\r\n\r\n" + get("b"),
+		get("a") + "GET /read/ HTTP/1.1\r\n" + headers + "X: a\rb\r\n\r\n" + get("b"),
+		get("a") + "GET /read/ HTTP/1.1\r\n" + headers + " folded: x\r\n\r\n" + get("b"),
 		get("a") + "GET http://h/read/ HTTP/1.1\r\nRushramp-Request-Id: i\r\n\r\n" + get("b"),
 		get("a") + "GET http://h/read/ HTTP/1.1\r\nHost: a b\r\nRushramp-Request-Id: i\r\n\r\n" + get("b"),
-		get("a") + "GET /read/ HTTP/1.1\r\nHost: h\r\n" + id + "\r\n" + get("b"),
-		get("a") + "GET /read/ HTTP/1.0\r\n" + id + "Connection: keep-alive\r\n\r\n" + get("b"),
-		get("a") + "GET /read/ HTTP/1.0\r\n" + id + "\r\n" + get("b"),
-		get("a") + "HEAD /read/ HTTP/1.1\r\n" + id + "\r\n" + get("b"),
-		get("a") + "GET /read/ HTTP/1.1\r\n" + id + "Connection: close\r\n\r\n" + get("b"),
-		get("a") + "POST /post/ HTTP/1.1\r\n" + id + "Expect: 100-continue\r\nContent-Length: 3\r\n\r\nabc" + get("b"),
-		get("a") + "GET /read/ HTTP/1.1\r\n" + id + "Content-Length: 2\r\n\r\nxy" + get("b") + get("c"),
-		get("a") + "POST /post/ HTTP/1.1\r\n" + id + "Content-Length: +3\r\n\r\nabc" + get("b"),
+		get("a") + "GET /read/ HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n" + get("b"),
+		get("a") + "GET /read/ HTTP/1.0\r\n" + headers + "Connection: keep-alive\r\n\r\n" + get("b"),
+		get("a") + "GET /read/ HTTP/1.0\r\n" + headers + "\r\n" + get("b"),
+		get("a") + "HEAD /read/ HTTP/1.1\r\n" + headers + "\r\n" + get("b"),
+		get("a") + "GET /read/ HTTP/1.1\r\n" + headers + "Connection: close\r\n\r\n" + get("b"),
+		get("a") + "POST /post/ HTTP/1.1\r\n" + headers + "Expect: 100-continue\r\nContent-Length: 3\r\n\r\nabc" + get("b"),
+		get("a") + "GET /read/ HTTP/1.1\r\n" + headers + "Content-Length: 2\r\n\r\nxy" + get("b") + get("c"),
+		get("a") + "POST /post/ HTTP/1.1\r\n" + headers + "Content-Length: +3\r\n\r\nabc" + get("b"),
 		get("a") + "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + get("b"),
 		get("a") + "\x00\r\n\r\n" + get("b"),
 		"\r\n\r\n" + get("a") + get("b")[:40],
@@ -158,7 +159,7 @@
 			if rest := finder.find([]byte(text[cut:])); end == 0 && rest > 0 {
 				end = cut + rest
 			}
-			test.Eq(t, want, end, test.Sprintf("%q at %d", text, cut))
+			test.Eq(t, want, end, test.Sprintf("%q cut at %d", text, cut))
 		}
 	}
 }
@@ -184,19 +185,19 @@
 // TestRefusalsAreWrittenInOrder: a refusal by the listener or by http.Server is written
 // after the answers to all earlier requests.
 func TestRefusalsAreWrittenInOrder(t *testing.T) {
-	const end = "\r\nHost: h\r\nRushramp-Request-Id: x\r\n"
+	const headers = "\r\nHost: h\r\nRushramp-Request-Id: x\r\n"
 	for name, s := range map[string]struct{ text, answers string }{
 		"no id":               {"GET /read/ HTTP/1.1\r\nHost: h\r\n\r\n", "a b 400"},
-		"no route":            {"GET /none/ HTTP/1.1" + end + "\r\n", "a b 404"},
-		"body too large":      {"POST /post/ HTTP/1.1" + end + "Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000), "a b 413(close) end"},
-		"chunks too large":    {"POST /post/ HTTP/1.1" + end + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n", "a b 413(close) end"},
-		"head too large":      {"GET /read/ HTTP/1.1" + end + "X: " + strings.Repeat("x", 80_000) + "\r\n\r\n", "a b 431(close) end"},
-		"bad head":            {"GET /read/ HTTP/1.1" + end + "bad line\r\n\r\n", "a b 400(close) end"},
-		"two lengths":         {"POST /post/ HTTP/1.1" + end + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n12", "a b 400(close) end"},
-		"unknown coding":      {"POST /post/ HTTP/1.1" + end + "Transfer-Encoding: gzip\r\n\r\n", "a b 501(close) end"},
+		"no route":            {"GET /none/ HTTP/1.1" + headers + "\r\n", "a b 404"},
+		"body too large":      {"POST /post/ HTTP/1.1" + headers + "Content-Length: 2000\r\n\r\n" + strings.Repeat("x", 2000), "a b 413(close) end"},
+		"chunks too large":    {"POST /post/ HTTP/1.1" + headers + "Transfer-Encoding: chunked\r\n\r\n7d0\r\n" + strings.Repeat("x", 2000) + "\r\n0\r\n\r\n", "a b 413(close) end"},
+		"head too large":      {"GET /read/ HTTP/1.1" + headers + "X: " + strings.Repeat("x", 80_000) + "\r\n\r\n", "a b 431(close) end"},
+		"bad head":            {"GET /read/ HTTP/1.1" + headers + "bad line\r\n\r\n", "a b 400(close) end"},
+		"two lengths":         {"POST /post/ HTTP/1.1" + headers + "Content-Length: 1\r\nContent-Length: 2\r\n\r\n12", "a b 400(close) end"},
+		"unknown coding":      {"POST /post/ HTTP/1.1" + headers + "Transfer-Encoding: gzip\r\n\r\n", "a b 501(close) end"},
 		"no host":             {"GET /read/ HTTP/1.1\r\nRushramp-Request-Id: x\r\n\r\n", "a b 400(close) end"},
-		"unknown version":     {"GET /read/ HTTP/3.0" + end + "\r\n", "a b 505(close) end"},
-		"unknown expectation": {"GET /read/ HTTP/1.1" + end + "Expect: more\r\n\r\n", "a b 417(close) end"},
+		"unknown version":     {"GET /read/ HTTP/3.0" + headers + "\r\n", "a b 505(close) end"},
+		"unknown expectation": {"GET /read/ HTTP/1.1" + headers + "Expect: more\r\n\r\n", "a b 417(close) end"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
--- a/pkg/ingress/limited_server.go
+++ b/pkg/ingress/limited_server.go
@@ -161,8 +161,8 @@
 	}
 }
 
-// retire is called when the server gets no new connections any more. The server closes
-// when its last connection has closed.
+// retire marks a server that gets no new connections. It closes when its last connection
+// has closed.
 func (s *limitedServer) retire() {
 	s.mu.Lock()
 	s.retired = true
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -1,8 +1,8 @@
 // Package ingress is the HTTP listener for routed requests.
 //
 // It uses http.Server of the standard library instead of hertz, because http.Server
-// reports that a caller disconnects, closes idle connections first at a planned stop, and
-// has a timeout for the head of a request that is separate from that for its body.
+// reports that a caller disconnects, closes only idle connections at a planned stop, and
+// limits the time for a request's head apart from the time for its body.
 // Source: docs/design/libraries.md.
 package ingress
 
--- a/pkg/ingress/server_test.go
+++ b/pkg/ingress/server_test.go
@@ -29,8 +29,8 @@
 // runnerFunc is a runner whose calls end at once with the result of the function.
 type runnerFunc func(c *wire.Call, body []byte) call.Result
 
-func (f runnerFunc) Execute(c *wire.Call, body []byte, done func(call.Result)) func() {
-	done(f(c, body))
+func (f runnerFunc) Execute(c *wire.Call, body []byte, onDone func(call.Result)) func() {
+	onDone(f(c, body))
 	return func() {}
 }
 
@@ -94,7 +94,7 @@
 	test.Between(t, 0, seen.Remaining, 800*time.Millisecond)
 }
 
-func TestRefusals(t *testing.T) {
+func TestRefusalStatusAndRetryAfter(t *testing.T) {
 	const head = "POST /p/ HTTP/1.1\r\nHost: h\r\nRushramp-Request-Id: i\r\n"
 	scenarios := []struct {
 		name, text string
