--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -11,12 +11,12 @@
 // TestSuspendedTimeCounts at the first reading after it, each time.
 func TestSuspendedTimeCounts(t *testing.T) {
 	c, f := NewManual()
-	f.Pass(time.Second)
+	f.Advance(time.Second)
 	test.Eq(t, int64(time.Second), c.Now())
 	test.Eq(t, 1, f.asked, test.Sprint("while the clocks agree nobody is asked"))
 	f.Suspend(10 * time.Second)
 	test.Eq(t, int64(11*time.Second), c.Now())
-	f.Pass(time.Second)
+	f.Advance(time.Second)
 	f.Suspend(time.Second)
 	test.Eq(t, int64(13*time.Second), c.Now())
 	test.Eq(t, 11*time.Second, c.Suspended())
@@ -27,17 +27,17 @@
 func TestATimeOfDayThatIsSetChangesNothing(t *testing.T) {
 	c, f := NewManual()
 	for _, step := range []time.Duration{3 * time.Second, -5 * time.Second, time.Hour} {
-		f.Set(step)
-		f.Pass(time.Millisecond)
+		f.StepTimeOfDay(step)
+		f.Advance(time.Millisecond)
 		before := c.Now()
 		test.Eq(t, f.steady, before)
 	}
 	// It is set back by as much as the VM was suspended: that shows with the next
 	// difference.
 	f.Suspend(4 * time.Second)
-	f.Set(-4 * time.Second)
+	f.StepTimeOfDay(-4 * time.Second)
 	test.Eq(t, f.steady, c.Now())
-	f.Set(time.Second)
+	f.StepTimeOfDay(time.Second)
 	test.Eq(t, f.steady+int64(4*time.Second), c.Now())
 }
 
@@ -46,7 +46,7 @@
 	f := &Manual{none: true}
 	c := newClock(f)
 	f.Suspend(10 * time.Second)
-	f.Pass(time.Second)
+	f.Advance(time.Second)
 	test.Eq(t, int64(time.Second), c.Now())
 }
 
--- a/pkg/clock/manual.go
+++ b/pkg/clock/manual.go
@@ -23,14 +23,14 @@
 	return newClock(m), m
 }
 
-// Pass lets time pass while the VM runs.
-func (m *Manual) Pass(d time.Duration) { m.move(d, d, d) }
+// Advance lets time pass while the VM runs.
+func (m *Manual) Advance(d time.Duration) { m.move(d, d, d) }
 
 // Suspend lets time pass while it is suspended.
 func (m *Manual) Suspend(d time.Duration) { m.move(d, 0, d) }
 
-// Set sets the time of day forward, or back.
-func (m *Manual) Set(by time.Duration) { m.move(by, 0, 0) }
+// StepTimeOfDay sets the time of day forward, or back.
+func (m *Manual) StepTimeOfDay(by time.Duration) { m.move(by, 0, 0) }
 
 func (m *Manual) move(ofDay, steady, all time.Duration) {
 	m.mu.Lock()
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -130,7 +130,7 @@
 	d.env = &systems.Env{
 		Common: c, World: d.World, Platform: opts.Platform, Store: d.store,
 		Executor: d.Executor, Control: d.control, DaemonContext: background,
-		DialOptions:   link.DialOptions{Dial: opts.Dial, TLS: reloader.Client(), Pace: link.NewPace(s.Links.Heartbeat)},
+		DialOptions:   link.DialOptions{Dial: opts.Dial, TLS: reloader.Client(), HeartbeatTiming: link.NewHeartbeatTiming(s.Links.Heartbeat)},
 		SweepOnceRows: claims.Sweep,
 		Leave:         d.Leave,
 		Feed:          adapter.Feed, Registrar: adapter.Registrar,
@@ -213,7 +213,7 @@
 	if err != nil {
 		return errors.Errorf("cannot listen on %s: %v. Choose an address of this VM that no other process uses.", d.Settings.Listen.Links, err)
 	}
-	links := link.Listen(d.Common, d.control, d.runner(), listener, d.certs.Server(), d.env.DialOptions.Pace)
+	links := link.Listen(d.Common, d.control, d.runner(), listener, d.certs.Server(), d.env.DialOptions.HeartbeatTiming)
 	d.stops = append(d.stops, links.Close)
 	starts := []func() (func(), error){
 		func() (func(), error) { return startMetrics(d) },
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -141,7 +141,7 @@
 		Routed: wire.Routed{
 			ID: a.req.ID, Host: a.req.Host, Caller: a.forwarder.Settings.BackendServer.Service,
 			Repeatable: a.route.Repeatable, Priority: a.route.Priority, Soft: soft,
-			Near: a.proximityOf(candidate) == proximity.SameDataCentre, Target: a.target - elapsed,
+			Near: a.proximityOf(candidate) == proximity.SameDataCentre, TargetRemaining: a.target - elapsed,
 		},
 	}
 	if a.team != nil {
--- a/pkg/gate/status.go
+++ b/pkg/gate/status.go
@@ -12,13 +12,13 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return wire.Stamp{
-		Seq:       g.stampSeq.Add(1),
-		Running:   uint32(g.running),
-		Queued:    uint32(g.queue.len()),
-		Limit:     uint32(g.limit(now)),
-		ServiceUS: uint32(min(g.serviceTime.current(now).Microseconds(), 1<<31)),
-		Slowdown:  speed.ToPercent(g.speed.Slowdown()),
-		Usual:     encodeNormalSlowdown(g.normalSlowdown(now)),
+		Seq:            g.stampSeq.Add(1),
+		Running:        uint32(g.running),
+		Queued:         uint32(g.queue.len()),
+		Limit:          uint32(g.limit(now)),
+		ServiceUS:      uint32(min(g.serviceTime.current(now).Microseconds(), 1<<31)),
+		Slowdown:       speed.ToPercent(g.speed.Slowdown()),
+		NormalSlowdown: encodeNormalSlowdown(g.normalSlowdown(now)),
 	}
 }
 
--- a/pkg/link/bodies_test.go
+++ b/pkg/link/bodies_test.go
@@ -30,7 +30,7 @@
 	runs := runnerFunc(func(_ *wire.Call, _ []byte, done func(call.Result)) func() {
 		return func() { done(call.Refused(errkind.CallerGone, "")) }
 	})
-	server := Listen(common.NewCommon(events.Discard(), &s), &quietControl{up: make(chan *Peer, 10)}, runs, listener, nil, NewPace(testHeartbeat))
+	server := Listen(common.NewCommon(events.Discard(), &s), &quietControl{up: make(chan *Peer, 10)}, runs, listener, nil, NewHeartbeatTiming(testHeartbeat))
 	t.Cleanup(server.Close)
 	return server
 }
@@ -46,7 +46,7 @@
 func TestAnExecutorWithoutRoomRefusesAsNotRun(t *testing.T) {
 	server := smallExecutor(t, 100<<10)
 	control := &quietControl{up: make(chan *Peer, 10)}
-	client, err := DialClient(context.Background(), testCommon(), control, server.address, DialOptions{Pace: NewPace(testHeartbeat)})
+	client, err := DialClient(context.Background(), testCommon(), control, server.address, DialOptions{HeartbeatTiming: NewHeartbeatTiming(testHeartbeat)})
 	must.NoError(t, err)
 	go client.Run()
 	defer client.Close()
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -29,14 +29,14 @@
 	Dial Dial
 	// TLS is nil for plain text.
 	TLS *tls.Config
-	// Pace is how often idle links carry a heartbeat.
-	Pace *Pace
+	// HeartbeatTiming is how often idle links carry a heartbeat.
+	HeartbeatTiming *HeartbeatTiming
 }
 
 // Client is the entry's side of a link: it sends calls and waits for answers.
 type Client struct {
 	*Peer
-	control Control
+	control Handler
 	maxBody int
 	here    proximity.Location
 
@@ -55,7 +55,7 @@
 }
 
 // DialClient opens a link to the daemon at address and greets it.
-func DialClient(ctx context.Context, c *common.Common, control Control, address string, opts DialOptions) (*Client, error) {
+func DialClient(ctx context.Context, c *common.Common, control Handler, address string, opts DialOptions) (*Client, error) {
 	dialer := websocket.Dialer{NetDialContext: opts.Dial, TLSClientConfig: opts.TLS, HandshakeTimeout: writeTime}
 	scheme := "ws://"
 	if opts.TLS != nil {
@@ -71,7 +71,7 @@
 		return nil, err
 	}
 	cl := &Client{
-		Peer:    &Peer{Conn: newConn(ws, codec, c.Traffic, opts.Pace), Outgoing: true},
+		Peer:    &Peer{Conn: newConn(ws, codec, c.Traffic, opts.HeartbeatTiming), Outgoing: true},
 		control: control, here: c.Here(),
 		maxBody: c.Settings.Limits.MaxBodyBytes,
 		pending: map[uint64]*pending{},
@@ -94,7 +94,7 @@
 		cl.setPlace(cl.here.To(cl.Hello.DataCentre, cl.Hello.Region))
 		cl.ping()
 		cl.control.Up(cl.Peer)
-		cl.control.News(cl.Peer, &cl.Hello.State)
+		cl.control.PeerState(cl.Peer, &cl.Hello.State)
 	}, cl.receive)
 	cl.failAll()
 	cl.control.Down(cl.Peer, err)
@@ -149,7 +149,7 @@
 		return cl.receiveChunk(f)
 	case *wire.Refusal:
 		refusal := &errkind.Error{Kind: errkind.Parse(f.Kind), Ran: errkind.Ran(f.Ran), Detail: f.Detail}
-		cl.finish(f.ID, call.Result{Refusal: refusal, FromExecutor: true, Stamp: f.Stamp, NextClaim: f.Next, Offered: f.Offered, Origin: f.Origin})
+		cl.finish(f.ID, call.Result{Refusal: refusal, FromExecutor: true, Stamp: f.Stamp, NextClaim: f.NextClaim, Offered: f.Offered, Origin: f.Origin})
 		return nil
 	}
 	if cl.Peer.control(cl.control, frame) {
@@ -244,5 +244,5 @@
 	}
 }
 
-// Late counts frames for calls that had ended.
-func (cl *Client) Late() int64 { return cl.late.Load() }
+// LateFrames counts frames for calls that had ended.
+func (cl *Client) LateFrames() int64 { return cl.late.Load() }
--- a/pkg/link/conn.go
+++ b/pkg/link/conn.go
@@ -42,7 +42,7 @@
 type Conn struct {
 	ws    *websocket.Conn
 	codec *wire.Codec
-	pace  *Pace
+	pace  *HeartbeatTiming
 	start time.Time
 
 	mu       sync.Mutex
@@ -73,12 +73,12 @@
 }
 
 // newConn starts the writer.
-func newConn(ws *websocket.Conn, codec *wire.Codec, account *traffic.Counters, pace *Pace) *Conn {
+func newConn(ws *websocket.Conn, codec *wire.Codec, account *traffic.Counters, pace *HeartbeatTiming) *Conn {
 	c := &Conn{ws: ws, codec: codec, account: account, pace: pace, start: time.Now(), lastSent: time.Now()}
 	c.wake = sync.NewCond(&c.mu)
 	ws.SetReadLimit(wire.MaxMessage)
 	// Where the system has no such bound, small frames wait behind whole bodies.
-	_ = netdial.BoundUnsent(ws.NetConn(), unsentBytes)
+	_ = netdial.LimitUnsent(ws.NetConn(), unsentBytes)
 	ws.SetPongHandler(c.pong)
 	go c.writeLoop()
 	return c
@@ -87,7 +87,7 @@
 // NewClosedConn makes a connection that was closed: it takes no frame. It stands
 // in for a link in tests of what systems decide.
 func NewClosedConn() *Conn {
-	c := &Conn{closed: true, start: time.Now(), pace: NewPace(time.Minute)}
+	c := &Conn{closed: true, start: time.Now(), pace: NewHeartbeatTiming(time.Minute)}
 	c.wake = sync.NewCond(&c.mu)
 	return c
 }
@@ -96,8 +96,8 @@
 // meets the busiest moment of a link, the greeting; the shortest counts.
 const mostPings = 4
 
-// MeasureAgain pings the peer once more, a few times in a link's life.
-func (c *Conn) MeasureAgain() {
+// MeasureRoundTrip pings the peer once more, a few times in a link's life.
+func (c *Conn) MeasureRoundTrip() {
 	if c.pings.Load() < mostPings {
 		c.ping()
 	}
@@ -118,9 +118,9 @@
 	go c.ping()
 }
 
-// Unanswered is for how long the peer has owed a sign of life that it was asked
+// UnansweredFor is for how long the peer has owed a sign of life that it was asked
 // for; 0: it owes none.
-func (c *Conn) Unanswered() time.Duration {
+func (c *Conn) UnansweredFor() time.Duration {
 	asked := c.askedAt.Load()
 	if asked <= c.heardAt.Load() {
 		return 0
@@ -150,8 +150,8 @@
 	return nil
 }
 
-// RoundTrip is the measured time to the peer and back; 0 when not known yet.
-func (c *Conn) RoundTrip() time.Duration { return time.Duration(c.roundTrip.Load()) }
+// MinRTT is the measured time to the peer and back; 0 when not known yet.
+func (c *Conn) MinRTT() time.Duration { return time.Duration(c.roundTrip.Load()) }
 
 // Send queues frames, in order. It returns ErrClosed when the link is closed;
 // otherwise the frames may or may not reach the peer.
@@ -199,15 +199,15 @@
 // setPlace notes how far the peer is.
 func (c *Conn) setPlace(p proximity.Level) { c.place.Store(uint32(p)) }
 
-// Place is how far the peer is; Unknown until it has greeted.
-func (c *Conn) Place() proximity.Level { return proximity.Level(c.place.Load()) }
+// Proximity is how far the peer is; Unknown until it has greeted.
+func (c *Conn) Proximity() proximity.Level { return proximity.Level(c.place.Load()) }
 
 // HeartbeatDue is true when nothing was sent for the idle time. A longer one than
 // the peer was told of holds once it was: that heartbeat goes at the former pace.
 func (c *Conn) HeartbeatDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle := c.pace.Idle(c.Place())
+	idle := c.pace.Idle(c.Proximity())
 	if c.saidIdle > 0 {
 		idle = min(idle, c.saidIdle)
 	}
@@ -217,7 +217,7 @@
 // patience is for how long the peer may say nothing before the link ends: as this
 // side reckons from the size of the fleet, or longer where the peer said so.
 func (c *Conn) patience() time.Duration {
-	return max(c.pace.Silence(), MissedHeartbeats*time.Duration(c.peerIdle.Load()))
+	return max(c.pace.SilenceTimeout(), MaxMissedHeartbeats*time.Duration(c.peerIdle.Load()))
 }
 
 // idleOf is what a frame says of how long its sender may be silent; 0: nothing.
@@ -276,7 +276,7 @@
 		if err := c.codec.Append(buf, frame); err != nil {
 			return err
 		}
-		c.account.CountSent(c.Place(), frame.Type(), buf.Len()-before)
+		c.account.CountSent(c.Proximity(), frame.Type(), buf.Len()-before)
 		if buf.Len() < batchBytes && i < len(batch)-1 {
 			continue
 		}
--- a/pkg/link/link_test.go
+++ b/pkg/link/link_test.go
@@ -31,7 +31,7 @@
 func (q *quietControl) State() *wire.State                 { return &wire.State{} }
 func (q *quietControl) Up(peer *Peer)                      { q.up <- peer }
 func (q *quietControl) Down(*Peer, error)                  {}
-func (q *quietControl) News(*Peer, *wire.State)            {}
+func (q *quietControl) PeerState(*Peer, *wire.State)       {}
 func (q *quietControl) Pull(*Peer, *wire.Pull)             {}
 func (q *quietControl) Members(*Peer, *wire.Members)       {}
 func (q *quietControl) MembersAsk(*Peer, *wire.MembersAsk) {}
@@ -69,9 +69,9 @@
 func pair(t *testing.T, runner call.Runner) (*Client, *Server) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	server := Listen(testCommon(), &quietControl{up: make(chan *Peer, 10)}, runner, listener, nil, NewPace(testHeartbeat))
+	server := Listen(testCommon(), &quietControl{up: make(chan *Peer, 10)}, runner, listener, nil, NewHeartbeatTiming(testHeartbeat))
 	control := &quietControl{up: make(chan *Peer, 10)}
-	client, err := DialClient(context.Background(), testCommon(), control, listener.Addr().String(), DialOptions{Pace: NewPace(testHeartbeat)})
+	client, err := DialClient(context.Background(), testCommon(), control, listener.Addr().String(), DialOptions{HeartbeatTiming: NewHeartbeatTiming(testHeartbeat)})
 	must.NoError(t, err)
 	ended := make(chan struct{})
 	go func() {
@@ -118,7 +118,7 @@
 		}()
 	}
 	wait.Wait()
-	test.Eq(t, 0, client.Late())
+	test.Eq(t, 0, client.LateFrames())
 }
 
 func TestALinkThatEndsLeavesCallsAsMaybe(t *testing.T) {
@@ -194,7 +194,7 @@
 	must.NoError(t, client.receive(&wire.Answer{ID: 1}))
 	must.NoError(t, client.receive(&wire.Chunk{ID: 1}))
 	must.NoError(t, client.receive(&wire.Refusal{ID: 1}))
-	test.Eq(t, 3, client.Late())
+	test.Eq(t, 3, client.LateFrames())
 }
 
 func TestACutAnswerNeverLooksWhole(t *testing.T) {
@@ -227,9 +227,9 @@
 func BenchmarkRoundTrip(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
-	server := Listen(testCommon(), &quietControl{up: make(chan *Peer, 1)}, runnerFunc(echo), listener, nil, NewPace(testHeartbeat))
+	server := Listen(testCommon(), &quietControl{up: make(chan *Peer, 1)}, runnerFunc(echo), listener, nil, NewHeartbeatTiming(testHeartbeat))
 	defer server.Close()
-	client, err := DialClient(context.Background(), testCommon(), &quietControl{up: make(chan *Peer, 1)}, listener.Addr().String(), DialOptions{Pace: NewPace(testHeartbeat)})
+	client, err := DialClient(context.Background(), testCommon(), &quietControl{up: make(chan *Peer, 1)}, listener.Addr().String(), DialOptions{HeartbeatTiming: NewHeartbeatTiming(testHeartbeat)})
 	must.NoError(b, err)
 	go client.Run()
 	defer client.Close()
@@ -244,11 +244,11 @@
 // heartbeats, which are rare in a large fleet.
 func TestAPeerThatOwesASignOfLifeIsKnown(t *testing.T) {
 	c := &Conn{start: time.Now().Add(-time.Minute)}
-	test.Eq(t, 0, c.Unanswered(), test.Sprint("it was not asked"))
+	test.Eq(t, 0, c.UnansweredFor(), test.Sprint("it was not asked"))
 	asked := int64(time.Since(c.start)) - int64(time.Second)
 	c.askedAt.Store(asked)
 	c.heardAt.Store(asked - 1)
-	test.GreaterEq(t, time.Second, c.Unanswered())
+	test.GreaterEq(t, time.Second, c.UnansweredFor())
 	c.heardAt.Store(asked)
-	test.Eq(t, 0, c.Unanswered(), test.Sprint("it answered"))
+	test.Eq(t, 0, c.UnansweredFor(), test.Sprint("it answered"))
 }
--- a/pkg/link/pace_test.go
+++ b/pkg/link/pace_test.go
@@ -17,7 +17,7 @@
 func TestARarerHeartbeatWaitsUntilThePeerWasTold(t *testing.T) {
 	c := NewClosedConn()
 	c.closed = false
-	c.pace = NewPace(500 * time.Millisecond)
+	c.pace = NewHeartbeatTiming(500 * time.Millisecond)
 	must.NoError(t, c.Send(&wire.Hello{State: wire.State{IdleTenths: 5}}))
 	c.pace.Set(2*time.Second, 6*time.Second)
 	at := c.lastSent.Add(time.Second)
@@ -32,7 +32,7 @@
 // TestHeartbeatsAcrossRegionsAreRarer, once the peer was told, and never rarer than a
 // peer may ask for.
 func TestHeartbeatsAcrossRegionsAreRarer(t *testing.T) {
-	pace := NewPace(500 * time.Millisecond)
+	pace := NewHeartbeatTiming(500 * time.Millisecond)
 	for _, at := range []proximity.Level{proximity.Unknown, proximity.SameDataCentre, proximity.Region} {
 		test.Eq(t, 500*time.Millisecond, pace.Idle(at))
 	}
@@ -44,7 +44,7 @@
 
 	c := NewClosedConn()
 	c.closed = false
-	c.pace = NewPace(time.Second)
+	c.pace = NewHeartbeatTiming(time.Second)
 	c.setPlace(proximity.OtherRegion)
 	must.NoError(t, c.Send(&wire.Hello{State: wire.State{IdleTenths: 10}}))
 	test.True(t, c.HeartbeatDue(c.lastSent.Add(time.Second)), test.Sprint("the peer was told of a second"))
@@ -56,12 +56,12 @@
 // TestALinkIsAsPatientAsItsPeerSaid, and never less than it reckons itself.
 func TestALinkIsAsPatientAsItsPeerSaid(t *testing.T) {
 	c := NewClosedConn()
-	c.pace = NewPace(500 * time.Millisecond)
+	c.pace = NewHeartbeatTiming(500 * time.Millisecond)
 	codec, err := wire.NewCodec()
 	must.NoError(t, err)
 	c.codec = codec
 	test.Eq(t, 1500*time.Millisecond, c.patience())
-	for tenths, want := range map[uint32]time.Duration{20: 6 * time.Second, 1_000_000: MissedHeartbeats * longestIdle, 0: 6 * time.Second, 1: 1500 * time.Millisecond} {
+	for tenths, want := range map[uint32]time.Duration{20: 6 * time.Second, 1_000_000: MaxMissedHeartbeats * longestIdle, 0: 6 * time.Second, 1: 1500 * time.Millisecond} {
 		c.peerIdle.Store(int64(2 * time.Second))
 		must.NoError(t, c.readMessage(encoded(t, codec, &wire.State{IdleTenths: tenths}), func(wire.Frame) error { return nil }))
 		test.Eq(t, want, c.patience())
--- a/pkg/link/peer.go
+++ b/pkg/link/peer.go
@@ -6,8 +6,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Control receives what links carry besides calls. Its methods must not block.
-type Control interface {
+// Handler receives what links carry besides calls. Its methods must not block.
+type Handler interface {
 	// Hello returns what this daemon says first on a link.
 	Hello() *wire.Hello
 	// State returns the heartbeat's content.
@@ -15,8 +15,8 @@
 	// Up tells of a new link, Down of its end.
 	Up(peer *Peer)
 	Down(peer *Peer, cause error)
-	// News takes a peer's state.
-	News(peer *Peer, state *wire.State)
+	// PeerState takes a peer's state.
+	PeerState(peer *Peer, state *wire.State)
 	// Pull answers a peer that is behind with its placement.
 	Pull(peer *Peer, pull *wire.Pull)
 	// Update takes a placement that was pulled.
@@ -67,10 +67,10 @@
 }
 
 // control handles the frames that both sides know. handled is false for others.
-func (p *Peer) control(c Control, frame wire.Frame) (handled bool) {
+func (p *Peer) control(c Handler, frame wire.Frame) (handled bool) {
 	switch f := frame.(type) {
 	case *wire.State:
-		c.News(p, f)
+		c.PeerState(p, f)
 	case *wire.Pull:
 		c.Pull(p, f)
 	case *wire.Update:
--- a/pkg/link/server.go
+++ b/pkg/link/server.go
@@ -23,10 +23,10 @@
 // Server accepts links.
 type Server struct {
 	*common.Common
-	control Control
+	control Handler
 	// runner is nil on a daemon that is an entry only.
 	runner   call.Runner
-	pace     *Pace
+	pace     *HeartbeatTiming
 	upgrader websocket.Upgrader
 	http     *http.Server
 	address  string
@@ -36,7 +36,7 @@
 }
 
 // Listen accepts links on listener until Close.
-func Listen(c *common.Common, control Control, runner call.Runner, listener net.Listener, conf *tls.Config, pace *Pace) *Server {
+func Listen(c *common.Common, control Handler, runner call.Runner, listener net.Listener, conf *tls.Config, pace *HeartbeatTiming) *Server {
 	s := &Server{Common: c, control: control, runner: runner, pace: pace, peers: map[*Peer]struct{}{}, address: listener.Addr().String()}
 	mux := http.NewServeMux()
 	mux.HandleFunc(path, s.accept)
@@ -140,7 +140,7 @@
 	s.server.peers[s.Peer] = struct{}{}
 	s.server.mu.Unlock()
 	s.server.control.Up(s.Peer)
-	s.server.control.News(s.Peer, &s.Hello.State)
+	s.server.control.PeerState(s.Peer, &s.Hello.State)
 }
 
 func (s *session) down(cause error) {
@@ -285,7 +285,7 @@
 func (s *session) refuse(id uint64, result call.Result) {
 	_ = s.Send(&wire.Refusal{
 		ID: id, Kind: uint8(result.Refusal.Kind), Ran: uint8(result.Refusal.Ran),
-		Detail: result.Refusal.Detail, Stamp: result.Stamp, Next: result.NextClaim, Offered: result.Offered, Origin: result.Origin,
+		Detail: result.Refusal.Detail, Stamp: result.Stamp, NextClaim: result.NextClaim, Offered: result.Offered, Origin: result.Origin,
 	})
 }
 
--- a/pkg/link/slow_bench_test.go
+++ b/pkg/link/slow_bench_test.go
@@ -86,11 +86,11 @@
 func BenchmarkSmallCallsBesideLargeBodies(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
-	server := Listen(testCommon(), &quietControl{up: make(chan *Peer, 10)}, runnerFunc(echo), listener, nil, NewPace(testHeartbeat))
+	server := Listen(testCommon(), &quietControl{up: make(chan *Peer, 10)}, runnerFunc(echo), listener, nil, NewHeartbeatTiming(testHeartbeat))
 	defer server.Close()
 	slow := &slowNetwork{to: listener.Addr().String(), rate: 10_000_000 / 8}
 	control := &quietControl{up: make(chan *Peer, 10)}
-	client, err := DialClient(context.Background(), testCommon(), control, listener.Addr().String(), DialOptions{Dial: slow.dial, Pace: NewPace(testHeartbeat)})
+	client, err := DialClient(context.Background(), testCommon(), control, listener.Addr().String(), DialOptions{Dial: slow.dial, HeartbeatTiming: NewHeartbeatTiming(testHeartbeat)})
 	must.NoError(b, err)
 	go client.Run()
 	defer client.Close()
--- a/pkg/netdial/unsent.go
+++ b/pkg/netdial/unsent.go
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// BoundUnsent bounds the bytes of a connection that wait in the kernel before
+// LimitUnsent bounds the bytes of a connection that wait in the kernel before
 // they are sent the first time: whoever writes more waits, and may let something
 // urgent go first. The bytes under way to the other end are not counted.
-func BoundUnsent(c net.Conn, bytes int) error {
+func LimitUnsent(c net.Conn, bytes int) error {
 	if inner, ok := c.(interface{ NetConn() net.Conn }); ok {
 		// TLS over a socket.
 		c = inner.NetConn()
--- a/pkg/runner/cold_test.go
+++ b/pkg/runner/cold_test.go
@@ -34,7 +34,7 @@
 	}
 	_, cancel := execute(r, routedCall("waits"))
 	hasty := routedCall("hasty")
-	hasty.Routed.Target = 500 * time.Millisecond
+	hasty.Routed.TargetRemaining = 500 * time.Millisecond
 	results, _ := execute(r, hasty)
 	got := <-results
 	must.NotNil(t, got.Refusal)
@@ -79,7 +79,7 @@
 	r, lifecycle := newTestRunner(t, newHeld(), 10)
 	withColdService(r)
 	c := routedCall("call")
-	c.Routed.Target = 120 * time.Millisecond
+	c.Routed.TargetRemaining = 120 * time.Millisecond
 	const now = int64(time.Second)
 	run := &routedRun{owner: r, call: c, deadline: now + int64(time.Minute)}
 	test.Eq(t, run.deadline, r.endBy(now, run, true))
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -20,7 +20,7 @@
 	fields := []events.Field{
 		events.F("request", c.Routed.ID), events.F("route", c.Kind), events.F("service", c.Service),
 		events.F("version", c.Placement), events.F("team", c.Routed.Team), events.F("priority", c.Routed.Priority), events.F("soft", c.Routed.Soft),
-		events.F("left", events.Milliseconds(c.Remaining)), events.F("target_left", events.Milliseconds(c.Routed.Target)),
+		events.F("left", events.Milliseconds(c.Remaining)), events.F("target_left", events.Milliseconds(c.Routed.TargetRemaining)),
 		events.F("expected_work", events.Milliseconds(run.job.Work)), events.F("called", run.job.Nested), events.F("held", run.job.Held()),
 		events.F("gate", strconv.Itoa(int(result.Stamp.Running))+"+"+strconv.Itoa(int(result.Stamp.Queued))+"/"+strconv.Itoa(int(result.Stamp.Limit))),
 		events.F("slowdown", result.Stamp.Slowdown), events.F("load_age", events.Milliseconds(run.owner.load.Age(run.owner.Now()))),
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -48,7 +48,7 @@
 	if called && !r.cold.Load() {
 		return run.deadline
 	}
-	return min(run.deadline, now+int64(run.call.Routed.Target))
+	return min(run.deadline, now+int64(run.call.Routed.TargetRemaining))
 }
 
 // admit takes the request to the gate, which starts it, lets it wait or refuses
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -247,7 +247,7 @@
 	run.origin = r.origins.note(c.Kind, c.Routed.Caller)
 	called := run.origin == wire.OriginService
 	run.job = gate.Job{
-		Rank: rankOf(c), Team: c.Routed.Team, Nested: called, Deadline: run.deadline, Work: r.work.LookupOrEstimate(c.Kind, c.Routed.Target),
+		Rank: rankOf(c), Team: c.Routed.Team, Nested: called, Deadline: run.deadline, Work: r.work.LookupOrEstimate(c.Kind, c.Routed.TargetRemaining),
 		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.endBy(now, run, called), Start: run.start, SendBack: run.sendBack, Dismiss: run.dismiss,
 	}
 	if !r.looksFirst(now, run) {
--- a/pkg/runner/runner_test.go
+++ b/pkg/runner/runner_test.go
@@ -75,7 +75,7 @@
 func routedCall(id string) *wire.Call {
 	return &wire.Call{
 		Service: "s", Kind: "route", Method: "GET", URI: "/", Remaining: time.Minute,
-		Routed: wire.Routed{ID: id, Host: "h", Caller: "front", Repeatable: true, Target: time.Minute},
+		Routed: wire.Routed{ID: id, Host: "h", Caller: "front", Repeatable: true, TargetRemaining: time.Minute},
 	}
 }
 
@@ -191,7 +191,7 @@
 	busy, _ := execute(r, routedCall("a"))
 	<-h.came
 	late := routedCall("b")
-	late.Routed.Target = 1500 * time.Millisecond
+	late.Routed.TargetRemaining = 1500 * time.Millisecond
 	results, _ := execute(r, late)
 	got := <-results
 	must.NotNil(t, got.Refusal)
--- a/pkg/runner/speed_check_test.go
+++ b/pkg/runner/speed_check_test.go
@@ -82,7 +82,7 @@
 // heldCall is a call that a gate holds in a slow spell.
 func heldCall(id string) *wire.Call {
 	c := routedCall(id)
-	c.Routed.Target = time.Second
+	c.Routed.TargetRemaining = time.Second
 	return c
 }
 
--- a/pkg/systems/antientropy.go
+++ b/pkg/systems/antientropy.go
@@ -64,12 +64,12 @@
 func (a *antiEntropy) recordDigest(now int64, received tables.PeerState) {
 	row := a.World.Peers.GetOrAdd(received.Peer)
 	switch {
-	case received.State.Members == a.digest:
+	case received.State.MembersDigest == a.digest:
 		row.MembersDifferSince = 0
-	case row.MembersDifferSince == 0 || received.State.Members != row.MembersDigest:
+	case row.MembersDifferSince == 0 || received.State.MembersDigest != row.MembersDigest:
 		row.MembersDifferSince = now
 	}
-	row.MembersDigest = received.State.Members
+	row.MembersDigest = received.State.MembersDigest
 	if _, known := a.World.Members.Find(received.Peer.Hello.VM); !known && row.MembersDifferSince != 0 {
 		// This daemon does not know the peer itself, so the peer's table is newer.
 		row.MembersDifferSince = min(row.MembersDifferSince, now-int64(settleTime))
--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -9,7 +9,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Control posts the frames and events of links to the inbox. It implements link.Control
+// Control posts the frames and events of links to the inbox. It implements link.Handler
 // for accepted links.
 type Control struct {
 	*common.Common
@@ -21,7 +21,7 @@
 	state *latestState
 }
 
-var _ link.Control = (*Control)(nil)
+var _ link.Handler = (*Control)(nil)
 
 // NewControl returns the control of a daemon. incarnation must be higher than that of
 // earlier processes on this VM.
@@ -35,7 +35,7 @@
 // processes on this VM.
 func (c *Control) Incarnation() uint64 { return c.incarnation.Load() }
 
-// Hello implements link.Control.
+// Hello implements link.Handler.
 func (c *Control) Hello() *wire.Hello {
 	return &wire.Hello{
 		VM:          c.Settings.VM.ID,
@@ -46,13 +46,13 @@
 	}
 }
 
-// State implements link.Control.
+// State implements link.Handler.
 func (c *Control) State() *wire.State { return c.state.get(c.World.View) }
 
-// Up implements link.Control.
+// Up implements link.Handler.
 func (c *Control) Up(peer *link.Peer) { c.post(tables.LinkEvent{Peer: peer, Up: true}) }
 
-// Down implements link.Control.
+// Down implements link.Handler.
 func (c *Control) Down(peer *link.Peer, cause error) {
 	c.post(tables.LinkEvent{Peer: peer, Cause: cause})
 }
@@ -61,9 +61,9 @@
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
 }
 
-// News implements link.Control. The systems run at once if the peer is leaving or knows a
+// PeerState implements link.Handler. The systems run at once if the peer is leaving or knows a
 // newer placement or evacuation.
-func (c *Control) News(peer *link.Peer, state *wire.State) {
+func (c *Control) PeerState(peer *link.Peer, state *wire.State) {
 	urgent := state.Leaving || state.Placement > c.placementVersion() || c.hasNewerEvacuation(state)
 	n := tables.PeerState{Peer: peer, State: state, At: c.Now()}
 	c.World.Inbox.Post(urgent, func(m *tables.Mail) { m.PeerStates = append(m.PeerStates, n) })
@@ -83,56 +83,56 @@
 	return 0
 }
 
-// Pull implements link.Control.
+// Pull implements link.Handler.
 func (c *Control) Pull(peer *link.Peer, pull *wire.Pull) {
 	p := tables.PeerPull{Peer: peer, Have: pull.Have}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.Pulls = append(m.Pulls, p) })
 }
 
-// Update implements link.Control.
+// Update implements link.Handler.
 func (c *Control) Update(peer *link.Peer, update *wire.Update) {
 	u := tables.PeerUpdate{Peer: peer, Update: update}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, u) })
 }
 
-// Members implements link.Control.
+// Members implements link.Handler.
 func (c *Control) Members(peer *link.Peer, members *wire.Members) {
 	rows := tables.PeerMembers{Peer: peer, Rows: members.Rows}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.Members = append(m.Members, rows) })
 }
 
-// MembersAsk implements link.Control.
+// MembersAsk implements link.Handler.
 func (c *Control) MembersAsk(peer *link.Peer, ask *wire.MembersAsk) {
 	a := tables.PeerMembersAsk{Peer: peer, Buckets: ask.Buckets}
 	c.World.Inbox.Post(false, func(m *tables.Mail) { m.MembersAsks = append(m.MembersAsks, a) })
 }
 
-// Departures implements link.Control.
+// Departures implements link.Handler.
 func (c *Control) Departures(peer *link.Peer, frame *wire.Departures) {
 	d := tables.PeerDepartures{Peer: peer, Frame: frame}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PeerDepartures = append(m.PeerDepartures, d) })
 }
 
-// RolloutNews implements link.Control. The systems run at once because the news may
+// RolloutNews implements link.Handler. The systems run at once because the news may
 // contain the stop of a roll-out.
 func (c *Control) RolloutNews(peer *link.Peer, news *wire.RolloutNews) {
-	n := tables.PeerRollouts{Peer: peer, News: news.News}
+	n := tables.PeerRollouts{Peer: peer, News: news.Update}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutNews = append(m.RolloutNews, n) })
 }
 
-// RolloutReport implements link.Control.
+// RolloutReport implements link.Handler.
 func (c *Control) RolloutReport(_ *link.Peer, report *wire.RolloutReport) {
 	c.World.Inbox.Post(false, func(m *tables.Mail) { m.RolloutReports = append(m.RolloutReports, report.Report) })
 }
 
-// Quarantine implements link.Control. The systems run at once because each further run of
+// Quarantine implements link.Handler. The systems run at once because each further run of
 // a quarantined request may crash a backend server.
 func (c *Control) Quarantine(peer *link.Peer, frame *wire.Quarantine) {
 	q := tables.PeerQuarantine{Peer: peer, Frame: frame}
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PeerQuarantines = append(m.PeerQuarantines, q) })
 }
 
-// QuotaAsk implements link.Control. It answers at once, without waiting for a tick,
+// QuotaAsk implements link.Handler. It answers at once, without waiting for a tick,
 // because requests wait for the grant.
 func (c *Control) QuotaAsk(peer *link.Peer, ask *wire.QuotaAsk) {
 	if c.Quota == nil {
@@ -143,7 +143,7 @@
 	_ = peer.Send(&wire.QuotaGrant{Grant: grant})
 }
 
-// QuotaGrant implements link.Control.
+// QuotaGrant implements link.Handler.
 func (c *Control) QuotaGrant(peer *link.Peer, grant *wire.QuotaGrant) {
 	if c.Quota != nil {
 		c.Quota.HandleGrant(c.Now(), processID(peer), &grant.Grant)
@@ -152,7 +152,7 @@
 
 // endpointControl is the control of a link that this daemon opened to an endpoint.
 type endpointControl struct {
-	link.Control
+	link.Handler
 	world    *tables.World
 	endpoint *tables.Endpoint
 	client   *link.Client
@@ -161,12 +161,12 @@
 // Opened implements link.Opener. It is called before the first frame is received.
 func (c *endpointControl) Opened(client *link.Client) { c.client = client }
 
-// Up implements link.Control.
+// Up implements link.Handler.
 func (c *endpointControl) Up(peer *link.Peer) {
 	c.post(tables.LinkEvent{Peer: peer, Client: c.client, Endpoint: c.endpoint, Up: true})
 }
 
-// Down implements link.Control.
+// Down implements link.Handler.
 func (c *endpointControl) Down(peer *link.Peer, cause error) {
 	c.post(tables.LinkEvent{Peer: peer, Client: c.client, Endpoint: c.endpoint, Cause: cause})
 }
--- a/pkg/systems/diallimiter_test.go
+++ b/pkg/systems/diallimiter_test.go
@@ -67,7 +67,7 @@
 			env.World.RequestedServices[service] = struct{}{}
 			for n := range 30 {
 				env.World.Members.Merge(1, nil, wire.Member{
-					VM: fmt.Sprint(service, n), DataCentre: "here", Service: service, Links: service,
+					VM: fmt.Sprint(service, n), DataCentre: "here", Service: service, LinkAddress: service,
 				})
 			}
 		}
--- a/pkg/systems/heartbeatpace.go
+++ b/pkg/systems/heartbeatpace.go
@@ -30,10 +30,10 @@
 // true at the first start of the fleet.
 func (heartbeatPace) intervals(now int64, members int, firstStart bool) (interval, silence time.Duration) {
 	if firstStart && now < int64(firstStartPaceTime) {
-		return maxPace, link.MissedHeartbeats * maxPace
+		return maxPace, link.MaxMissedHeartbeats * maxPace
 	}
 	interval = paceFor(members)
-	return interval, link.MissedHeartbeats * interval
+	return interval, link.MaxMissedHeartbeats * interval
 }
 
 func paceFor(members int) time.Duration {
--- a/pkg/systems/heartbeatpace_test.go
+++ b/pkg/systems/heartbeatpace_test.go
@@ -15,7 +15,7 @@
 	for members, want := range map[int]time.Duration{1: paceUnit, 13: paceUnit, 61: 61, 295: maxPace, 21_000: maxPace} {
 		interval, silence := heartbeatPace{}.intervals(1, members, false)
 		test.Eq(t, want, interval)
-		test.Eq(t, link.MissedHeartbeats*want, silence)
+		test.Eq(t, link.MaxMissedHeartbeats*want, silence)
 	}
 }
 
@@ -23,7 +23,7 @@
 func TestFirstStartUsesTheIntervalOfALargeFleet(t *testing.T) {
 	interval, silence := heartbeatPace{}.intervals(1, 1, true)
 	test.Eq(t, maxPace, interval)
-	test.Eq(t, link.MissedHeartbeats*maxPace, silence)
+	test.Eq(t, link.MaxMissedHeartbeats*maxPace, silence)
 	interval, _ = heartbeatPace{}.intervals(int64(firstStartPaceTime), 13, true)
 	test.Eq(t, paceUnit, interval)
 }
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -11,7 +11,7 @@
 )
 
 // heartbeatsPerHeard is how many heartbeats of a link there are per one that carries
-// Heard.
+// HeardDataCentres.
 const heartbeatsPerHeard = 4
 
 // heartbeats updates the state frame of this daemon and sends it on links without
@@ -30,11 +30,11 @@
 // members, as the number of links does. Links with calls do not rely on heartbeats
 // (closeUnresponsive).
 func (h *heartbeats) updatePace(now int64) {
-	if h.DialOptions.Pace == nil {
+	if h.DialOptions.HeartbeatTiming == nil {
 		return
 	}
 	interval, silence := h.pace.intervals(now, h.World.Members.Len(), h.Settings.Platform.FirstStart)
-	h.DialOptions.Pace.Set(interval*h.Settings.Links.Heartbeat/paceUnit, silence*h.Settings.Links.Heartbeat/paceUnit)
+	h.DialOptions.HeartbeatTiming.Set(interval*h.Settings.Links.Heartbeat/paceUnit, silence*h.Settings.Links.Heartbeat/paceUnit)
 }
 
 // Tick implements System.
@@ -53,13 +53,13 @@
 // send sends the state to the peers whose heartbeat is due, or to all peers. Each frame
 // contains how long the link may be idle, which depends on the peer's proximity; every
 // fourth also contains when the data centres were last heard of.
-func (h *heartbeats) send(at time.Time, all bool, state *wire.State, heardDataCentres []wire.Heard) {
+func (h *heartbeats) send(at time.Time, all bool, state *wire.State, heardDataCentres []wire.HeardDataCentre) {
 	var brief, full [proximity.Count]wire.State
 	for level := range proximity.Count {
 		brief[level] = *state
 		brief[level].IdleTenths = h.idleTenths(level)
 		full[level] = brief[level]
-		full[level].Heard = heardDataCentres
+		full[level].HeardDataCentres = heardDataCentres
 	}
 	h.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		if !all && !peer.HeartbeatDue(at) {
@@ -79,31 +79,31 @@
 // idleTenths returns for how long this daemon may be silent on an idle link to a
 // proximity level, in units of wire.IdleTenth; 0: not stated.
 func (h *heartbeats) idleTenths(level proximity.Level) uint32 {
-	if h.DialOptions.Pace == nil {
+	if h.DialOptions.HeartbeatTiming == nil {
 		return 0
 	}
-	return uint32(h.DialOptions.Pace.Idle(level) / wire.IdleTenth)
+	return uint32(h.DialOptions.HeartbeatTiming.Idle(level) / wire.IdleTenth)
 }
 
 func (h *heartbeats) updateState(now int64) {
-	state := wire.State{StoreAgeMS: wire.StoreNever, Members: h.World.Members.Digest(), IdleTenths: h.idleTenths(proximity.SameDataCentre)}
+	state := wire.State{StoreReadAgeMS: wire.StoreNeverRead, MembersDigest: h.World.Members.Digest(), IdleTenths: h.idleTenths(proximity.SameDataCentre)}
 	if age, ok := h.World.StoreReadAge(now); ok {
-		state.StoreAgeMS = uint64(age.Milliseconds())
+		state.StoreReadAgeMS = uint64(age.Milliseconds())
 	}
 	if proven := h.World.View.PlacementProvenAt(); proven > 0 && h.Settings.Teams.RevokeWithin > 0 {
 		// The state may be sent until the next update, so the age includes the time until
 		// then.
 		age := time.Duration(now-proven) + h.Settings.Links.Heartbeat/4
-		state.ProofMS = uint64(age.Milliseconds()) + 1
+		state.PlacementProofAgeMS = uint64(age.Milliseconds()) + 1
 	}
 	h.Control.state.set(state)
 }
 
-func (h *heartbeats) heardDataCentres(now int64) []wire.Heard {
-	var out []wire.Heard
+func (h *heartbeats) heardDataCentres(now int64) []wire.HeardDataCentre {
+	var out []wire.HeardDataCentre
 	for dc, at := range h.World.DataCentreHeardAt {
 		if dc != h.World.DataCentre {
-			out = append(out, wire.Heard{DataCentre: dc, AgeMS: uint64((now - at) / int64(time.Millisecond))})
+			out = append(out, wire.HeardDataCentre{DataCentre: dc, AgeMS: uint64((now - at) / int64(time.Millisecond))})
 		}
 	}
 	return out
@@ -116,7 +116,7 @@
 func (l *latestState) set(s wire.State) { l.value.Store(&s) }
 
 func (l *latestState) get(view *tables.View) *wire.State {
-	out := wire.State{StoreAgeMS: wire.StoreNever}
+	out := wire.State{StoreReadAgeMS: wire.StoreNeverRead}
 	if s := l.value.Load(); s != nil {
 		out = *s
 	}
@@ -124,7 +124,7 @@
 		out.Placement = p.Version
 	}
 	out.Evacuation = view.Evacuation()
-	out.Rollouts = view.RolloutDigest()
+	out.RolloutsDigest = view.RolloutDigest()
 	out.Leaving = view.Leaving()
 	return &out
 }
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -87,9 +87,9 @@
 func (l *links) recordRoundTrips() {
 	var roundTrips leastRoundTrips
 	for endpoint, client := range l.clients {
-		roundTrips.record(l.World.Here().To(endpoint.DataCentre, endpoint.Region), client.RoundTrip())
-		endpoint.Load.SetRoundTrip(client.RoundTrip())
-		client.MeasureAgain()
+		roundTrips.record(l.World.Here().To(endpoint.DataCentre, endpoint.Region), client.MinRTT())
+		endpoint.Load.SetRoundTrip(client.MinRTT())
+		client.MeasureRoundTrip()
 	}
 	if share, ok := roundTrips.regionShare(); ok {
 		l.World.View.SetRegionShare(share)
@@ -101,7 +101,7 @@
 // not close its connections.
 func (l *links) closeUnresponsive() {
 	for endpoint, client := range l.clients {
-		if endpoint.Load.Outstanding() > 0 && client.Unanswered() > link.MissedHeartbeats*l.Settings.Links.Heartbeat {
+		if endpoint.Load.Outstanding() > 0 && client.UnansweredFor() > link.MaxMissedHeartbeats*l.Settings.Links.Heartbeat {
 			client.Close()
 		}
 	}
@@ -164,7 +164,7 @@
 func (l *links) dial(endpoint *tables.Endpoint) {
 	ctx, cancel := context.WithTimeout(l.DaemonContext, dialTimeout)
 	defer cancel()
-	client, err := link.DialClient(ctx, l.Common, &endpointControl{Control: l.Control, world: l.World, endpoint: endpoint}, endpoint.LinkAddress, l.DialOptions)
+	client, err := link.DialClient(ctx, l.Common, &endpointControl{Handler: l.Control, world: l.World, endpoint: endpoint}, endpoint.LinkAddress, l.DialOptions)
 	if err != nil {
 		l.World.Inbox.Post(false, func(m *tables.Mail) {
 			m.LinkEvents = append(m.LinkEvents, tables.LinkEvent{Endpoint: endpoint, Cause: err})
--- a/pkg/systems/links_test.go
+++ b/pkg/systems/links_test.go
@@ -68,12 +68,12 @@
 	defer close(release)
 	env := testEnv()
 	env.Settings.Links.Heartbeat = 10 * time.Millisecond
-	client, err := link.DialClient(t.Context(), env.Common, env.Control, strings.TrimPrefix(server.URL, "http://"), link.DialOptions{Pace: link.NewPace(time.Minute)})
+	client, err := link.DialClient(t.Context(), env.Common, env.Control, strings.TrimPrefix(server.URL, "http://"), link.DialOptions{HeartbeatTiming: link.NewHeartbeatTiming(time.Minute)})
 	must.NoError(t, err)
 	endpoint := &tables.Endpoint{Load: tables.NewLoad(1)}
 	l := &links{Env: env, clients: map[*tables.Endpoint]*link.Client{endpoint: client}}
 	client.Probe()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return client.Unanswered() > link.MissedHeartbeats*env.Settings.Links.Heartbeat }), wait.Timeout(10*time.Second)))
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return client.UnansweredFor() > link.MaxMissedHeartbeats*env.Settings.Links.Heartbeat }), wait.Timeout(10*time.Second)))
 	l.closeUnresponsive()
 	must.NoError(t, client.Send(&wire.Cancel{}), must.Sprint("no call waits for an answer"))
 	endpoint.Load.RecordSent(1)
--- a/pkg/systems/membership.go
+++ b/pkg/systems/membership.go
@@ -64,7 +64,7 @@
 	s := ms.Settings
 	ms.merge(now, nil, ms.withBackendState(wire.Member{
 		VM: s.VM.ID, Incarnation: ms.Control.Incarnation(), Region: s.VM.Region, DataCentre: s.VM.DataCentre,
-		Service: s.BackendServer.Service, Links: s.Listen.Links, Callers: s.Listen.Callers,
+		Service: s.BackendServer.Service, LinkAddress: s.Listen.Links, CallerAddress: s.Listen.Callers,
 		Slots: uint32(s.BackendServer.Slots), Revision: 1,
 	}))
 }
@@ -91,7 +91,7 @@
 func (ms *membership) recordOf(vm store.VM) wire.Member {
 	out := wire.Member{
 		VM: vm.ID, Started: vm.Started, Region: vm.Region, DataCentre: vm.DataCentre,
-		Service: vm.Service, Links: vm.Links, Callers: vm.Callers, Slots: uint32(max(vm.Slots, 0)),
+		Service: vm.Service, LinkAddress: vm.Links, CallerAddress: vm.Callers, Slots: uint32(max(vm.Slots, 0)),
 	}
 	if vm.State == store.VMLeaving {
 		out.State = wire.MemberLeaving
--- a/pkg/systems/peerstates.go
+++ b/pkg/systems/peerstates.go
@@ -38,12 +38,12 @@
 // clocks of VMs differ.
 func (p *peerStates) recordAges(received tables.PeerState) {
 	p.World.DataCentreHeardAt[received.Peer.Hello.DataCentre] = received.At
-	for _, h := range received.State.Heard {
+	for _, h := range received.State.HeardDataCentres {
 		at := received.At - int64(time.Duration(h.AgeMS)*time.Millisecond)
 		p.World.DataCentreHeardAt[h.DataCentre] = max(p.World.DataCentreHeardAt[h.DataCentre], at)
 	}
-	if received.State.StoreAgeMS < wire.StoreNever {
-		at := received.At - int64(time.Duration(received.State.StoreAgeMS)*time.Millisecond)
+	if received.State.StoreReadAgeMS < wire.StoreNeverRead {
+		at := received.At - int64(time.Duration(received.State.StoreReadAgeMS)*time.Millisecond)
 		p.World.NewestStoreReadAt = max(p.World.NewestStoreReadAt, at)
 	}
 }
--- a/pkg/systems/proof.go
+++ b/pkg/systems/proof.go
@@ -20,8 +20,8 @@
 		at = max(at, mail.StoreReadAt)
 	}
 	for _, n := range mail.PeerStates {
-		if n.State.ProofMS > 0 && n.State.Placement <= p.World.PlacementVersion() {
-			at = max(at, n.At-int64(time.Duration(n.State.ProofMS)*time.Millisecond))
+		if n.State.PlacementProofAgeMS > 0 && n.State.Placement <= p.World.PlacementVersion() {
+			at = max(at, n.At-int64(time.Duration(n.State.PlacementProofAgeMS)*time.Millisecond))
 		}
 	}
 	p.World.View.SetPlacementProvenAt(at)
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -56,7 +56,7 @@
 	own := q.Quarantine.TakePending()
 	var heard quarantine.Update
 	for _, p := range mail.PeerQuarantines {
-		heard.Add(q.Quarantine.Merge(now, p.Frame.News()))
+		heard.Add(q.Quarantine.Merge(now, p.Frame.Update()))
 		q.informed = q.informed || p.Frame.Informed
 	}
 	q.tell(own, heard)
--- a/pkg/systems/registration.go
+++ b/pkg/systems/registration.go
@@ -113,7 +113,7 @@
 func entryOf(row *wire.Member) store.VM {
 	return store.VM{
 		ID: row.VM, Region: row.Region, DataCentre: row.DataCentre, Service: row.Service,
-		State: store.VMLive, Links: row.Links, Callers: row.Callers, Slots: int(row.Slots),
+		State: store.VMLive, Links: row.LinkAddress, Callers: row.CallerAddress, Slots: int(row.Slots),
 	}
 }
 
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -74,11 +74,11 @@
 	}
 	for _, e := range mail.LinkEvents {
 		if e.Up {
-			ro.compare(e.Peer, e.Peer.Hello.State.Rollouts)
+			ro.compare(e.Peer, e.Peer.Hello.State.RolloutsDigest)
 		}
 	}
 	for _, n := range mail.PeerStates {
-		ro.compare(n.Peer, n.State.Rollouts)
+		ro.compare(n.Peer, n.State.RolloutsDigest)
 	}
 	ro.updateLoneVersions(now)
 }
@@ -177,7 +177,7 @@
 		ro.logStop(service, from)
 		ro.logPlan(service, from)
 	}
-	say := &wire.RolloutNews{News: onlyOf(book.Snapshot(), changed)}
+	say := &wire.RolloutNews{Update: onlyOf(book.Snapshot(), changed)}
 	ro.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		// Heartbeats that are on their way show the old digest, and need no answer.
 		row.RolloutsSentDigest, row.RolloutsSentAt = book.Digest(), ro.now
@@ -237,7 +237,7 @@
 		return
 	}
 	row.RolloutsSentDigest, row.RolloutsSentAt = own, ro.now
-	_ = peer.Send(&wire.RolloutNews{News: ro.World.Rollouts.Snapshot()})
+	_ = peer.Send(&wire.RolloutNews{Update: ro.World.Rollouts.Snapshot()})
 }
 
 func (ro *rolloutTracker) logOrder(before rollout.Orders, service string, from *link.Peer) {
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -37,13 +37,13 @@
 	env := testEnv()
 	system := newRolloutTracker(env)
 	system.Tick(1, &tables.Mail{RolloutOrders: ordersOf(7)})
-	test.Eq(t, 0, env.Control.State().Rollouts)
+	test.Eq(t, 0, env.Control.State().RolloutsDigest)
 	system.Tick(2, &tables.Mail{RolloutOrders: ordersOf(9, orderOf("s", 8))})
-	test.NotEq(t, 0, env.Control.State().Rollouts)
+	test.NotEq(t, 0, env.Control.State().RolloutsDigest)
 	test.NotNil(t, env.World.View.RolloutTraffic("s"))
 	test.Nil(t, env.World.View.RolloutTraffic("other"))
 	system.Tick(3, &tables.Mail{RolloutOrders: ordersOf(11)})
-	test.Eq(t, 0, env.Control.State().Rollouts)
+	test.Eq(t, 0, env.Control.State().RolloutsDigest)
 	test.Nil(t, env.World.View.RolloutTraffic("s"))
 }
 
--- a/pkg/systems/suspensionwatch.go
+++ b/pkg/systems/suspensionwatch.go
@@ -35,5 +35,5 @@
 // outlastsLinks reports whether peers have given up their links after a suspension of
 // this duration.
 func (s *suspensionWatch) outlastsLinks(duration time.Duration) bool {
-	return duration > s.DialOptions.Pace.Silence()
+	return duration > s.DialOptions.HeartbeatTiming.SilenceTimeout()
 }
--- a/pkg/systems/suspensionwatch_test.go
+++ b/pkg/systems/suspensionwatch_test.go
@@ -21,10 +21,10 @@
 	env.Log = events.NewLog(&out, events.Info)
 	var vm *clock.Manual
 	env.Clock, vm = clock.NewManual()
-	env.DialOptions.Pace = link.NewPace(time.Second)
+	env.DialOptions.HeartbeatTiming = link.NewHeartbeatTiming(time.Second)
 	system := &suspensionWatch{Env: env}
 	tick := func() { system.Tick(env.Now(), &tables.Mail{}) }
-	vm.Pass(time.Minute)
+	vm.Advance(time.Minute)
 	tick()
 	test.Eq(t, 0, strings.Count(out.String(), "event=109"))
 	vm.Suspend(4 * time.Second)
--- a/pkg/systems/tick_bench_test.go
+++ b/pkg/systems/tick_bench_test.go
@@ -28,7 +28,7 @@
 	list := &countingVMList{}
 	env.DaemonContext, env.Platform, env.Registrar, env.Feed = b.Context(), list, list, &scriptedFeed{}
 	env.Backend = backend.NewLifecycle(true, nil)
-	env.DialOptions = link.DialOptions{Pace: link.NewPace(env.Settings.Links.Heartbeat)}
+	env.DialOptions = link.DialOptions{HeartbeatTiming: link.NewHeartbeatTiming(env.Settings.Links.Heartbeat)}
 	doc := &placement.Document{Version: 1}
 	for s := range services {
 		name := fmt.Sprint("s", s)
--- a/pkg/systems/waitforpeers_test.go
+++ b/pkg/systems/waitforpeers_test.go
@@ -34,7 +34,7 @@
 		own := (&registration{Env: env}).ownEntry()
 		before := wire.Member{
 			VM: own.ID, Incarnation: 6, DataCentre: own.DataCentre, Region: own.Region, Service: own.Service,
-			Links: own.Links, Callers: own.Callers, Slots: uint32(own.Slots),
+			LinkAddress: own.Links, CallerAddress: own.Callers, Slots: uint32(own.Slots),
 		}
 		env.World.Inbox.Post(true, func(m *tables.Mail) {
 			m.Members = append(m.Members, tables.PeerMembers{Rows: []wire.Member{before}})
--- a/pkg/tables/load.go
+++ b/pkg/tables/load.go
@@ -96,7 +96,7 @@
 	l.limit.Store(max(int64(stamp.Limit), 1))
 	l.serviceTime.Store(int64(stamp.ServiceUS) * int64(time.Microsecond))
 	l.slowdown.Store(int64(stamp.Slowdown))
-	l.usualSlowdown.Store(int64(stamp.Usual))
+	l.usualSlowdown.Store(int64(stamp.NormalSlowdown))
 	l.unresponsiveAt.Store(0)
 	l.stampReceivedAt.Store(now)
 	l.sentSinceStamp.Store(0)
--- a/pkg/tables/members.go
+++ b/pkg/tables/members.go
@@ -241,7 +241,7 @@
 
 // sameEndpoint reports whether an endpoint made from record a is valid for record b.
 func sameEndpoint(a, b *wire.Member) bool {
-	return a.Started == b.Started && a.Links == b.Links && a.Service == b.Service && a.DataCentre == b.DataCentre && a.Region == b.Region
+	return a.Started == b.Started && a.LinkAddress == b.LinkAddress && a.Service == b.Service && a.DataCentre == b.DataCentre && a.Region == b.Region
 }
 
 // replaceRecord replaces the record of a row that keeps its endpoint.
@@ -261,7 +261,7 @@
 	m.AddedAt[row] = now
 	m.Endpoint[row] = &Endpoint{
 		VM: record.VM, Service: record.Service, DataCentre: record.DataCentre, Region: record.Region,
-		LinkAddress: record.Links, CallerAddress: record.Callers, Load: NewLoad(int(record.Slots)),
+		LinkAddress: record.LinkAddress, CallerAddress: record.CallerAddress, Load: NewLoad(int(record.Slots)),
 	}
 	m.Endpoint[row].SetVersion(record.Version)
 	m.inUse[row] = true
@@ -341,7 +341,7 @@
 	d.Reset()
 	for _, part := range []string{
 		record.VM, strconv.FormatUint(record.Started, 10), strconv.FormatUint(record.Incarnation, 10), strconv.Itoa(int(record.State)),
-		record.DataCentre, record.Service, record.Links, record.Callers, strconv.Itoa(int(record.Slots)),
+		record.DataCentre, record.Service, record.LinkAddress, record.CallerAddress, strconv.Itoa(int(record.Slots)),
 		strconv.FormatUint(record.Revision, 10), strconv.Itoa(int(record.Backend)), record.Version,
 	} {
 		// Digest.WriteString never fails.
--- a/pkg/tables/members_test.go
+++ b/pkg/tables/members_test.go
@@ -14,7 +14,7 @@
 func newRecord(started, incarnation uint64, state wire.MemberState) wire.Member {
 	return wire.Member{
 		VM: "vm", Started: started, Incarnation: incarnation, State: state,
-		DataCentre: "d", Service: "s", Links: "127.0.0.1:1", Slots: 4,
+		DataCentre: "d", Service: "s", LinkAddress: "127.0.0.1:1", Slots: 4,
 	}
 }
 
--- a/pkg/wire/fit_test.go
+++ b/pkg/wire/fit_test.go
@@ -77,7 +77,7 @@
 		Leaving    bool
 		StoreAgeMS uint64
 		Members    uint64
-		Heard      []Heard
+		Heard      []HeardDataCentre
 	}
 	earlierStamp struct {
 		_                                 struct{} `cbor:",toarray"`
@@ -132,8 +132,8 @@
 }
 
 func TestAStateOfTheReleaseBeforeIsRead(t *testing.T) {
-	state := next[*State](t, framed(t, TypeState, earlierState{Placement: 3, Heard: []Heard{{DataCentre: "a", AgeMS: 4}}}))
-	test.Eq(t, &State{Placement: 3, Heard: []Heard{{DataCentre: "a", AgeMS: 4}}}, state)
+	state := next[*State](t, framed(t, TypeState, earlierState{Placement: 3, Heard: []HeardDataCentre{{DataCentre: "a", AgeMS: 4}}}))
+	test.Eq(t, &State{Placement: 3, HeardDataCentres: []HeardDataCentre{{DataCentre: "a", AgeMS: 4}}}, state)
 }
 
 func TestAFrameTypeOfTheNextReleaseIsPassedOver(t *testing.T) {
--- a/pkg/wire/frames.go
+++ b/pkg/wire/frames.go
@@ -68,16 +68,16 @@
 	// Slowdown is how long work takes at the backend server now, in percent of
 	// what is usual there; 0: the backend server does not say.
 	Slowdown uint32
-	// Usual is the slowdown outside of slow spells where that is not 100 percent, as
+	// NormalSlowdown is the slowdown outside of slow spells where that is not 100 percent, as
 	// of a backend server that is cold; 0: it is.
-	Usual uint32
+	NormalSlowdown uint32
 }
 
 // Size is how many bytes the stamp takes in a frame.
 func (s *Stamp) Size() int {
 	const arrayHead = 1
 	return arrayHead + uintSize(s.Seq) + uintSize(uint64(s.Running)) + uintSize(uint64(s.Queued)) +
-		uintSize(uint64(s.Limit)) + uintSize(uint64(s.ServiceUS)) + uintSize(uint64(s.Slowdown)) + uintSize(uint64(s.Usual))
+		uintSize(uint64(s.Limit)) + uintSize(uint64(s.ServiceUS)) + uintSize(uint64(s.Slowdown)) + uintSize(uint64(s.NormalSlowdown))
 }
 
 // uintSize is the length of an unsigned integer in CBOR (RFC 8949, section 3).
@@ -113,25 +113,25 @@
 	Placement uint64
 	// Leaving is true when the sender takes no new calls.
 	Leaving bool
-	// StoreAgeMS is how long ago the newest word of the store that the sender
+	// StoreReadAgeMS is how long ago the newest word of the store that the sender
 	// knows of was read, by itself or by others, in milliseconds.
-	StoreAgeMS uint64
-	// Members is the digest of the sender's table of members.
-	Members uint64
-	// Heard says how long ago the sender heard of each data centre. It is long
+	StoreReadAgeMS uint64
+	// MembersDigest is the digest of the sender's table of members.
+	MembersDigest uint64
+	// HeardDataCentres says how long ago the sender heard of each data centre. It is long
 	// and keeps for seconds, so not each heartbeat carries it.
-	Heard []Heard
+	HeardDataCentres []HeardDataCentre
 	// Evacuation is the newest set of evacuated data centres that the sender
 	// knows of.
 	Evacuation evacuation.Set
 	// IdleTenths is how long the sender may say nothing on an idle link from now on,
 	// in tenths of a second; 0: it does not say.
 	IdleTenths uint32
-	// Rollouts is the digest of what the sender knows of roll-outs; 0: nothing.
-	Rollouts uint64
-	// ProofMS is one more than the age of the newest proof that Placement is the operators'
+	// RolloutsDigest is the digest of what the sender knows of roll-outs; 0: nothing.
+	RolloutsDigest uint64
+	// PlacementProofAgeMS is one more than the age of the newest proof that Placement is the operators'
 	// newest version, in milliseconds; 0: the sender does not say.
-	ProofMS uint64
+	PlacementProofAgeMS uint64
 }
 
 // IdleTenth is the unit of State.IdleTenths.
@@ -140,15 +140,15 @@
 // Idle is how long the sender may say nothing on an idle link; 0: it does not say.
 func (s *State) Idle() time.Duration { return time.Duration(s.IdleTenths) * IdleTenth }
 
-// Heard is how long ago something said in a data centre was heard of.
-type Heard struct {
+// HeardDataCentre is how long ago something said in a data centre was heard of.
+type HeardDataCentre struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre string
 	AgeMS      uint64
 }
 
-// StoreNever stands in StoreAgeMS when no word of the store is known.
-const StoreNever = 1 << 40
+// StoreNeverRead stands in StoreAgeMS when no word of the store is known.
+const StoreNeverRead = 1 << 40
 
 // Call carries a call from its entry to the executor.
 type Call struct {
@@ -194,8 +194,8 @@
 	// Near is true when the entry is in the executor's data centre, so that
 	// going on to another one has a price.
 	Near bool
-	// Target is the time left in which an answer has its full worth.
-	Target time.Duration
+	// TargetRemaining is the time left in which an answer has its full worth.
+	TargetRemaining time.Duration
 	// Team is the one whose key the request carried; empty: it carried none.
 	Team string
 	// TeamPriority goes before Priority.
@@ -258,8 +258,8 @@
 	Ran    uint8
 	Detail string
 	Stamp  Stamp
-	// Next is the claim that the entry may try instead, with KeyMoved.
-	Next Claim
+	// NextClaim is the claim that the entry may try instead, with KeyMoved.
+	NextClaim Claim
 	// Offered is true when a routed request reached the backend server.
 	Offered bool
 	// Origin says where the requests of the route begin.
@@ -322,15 +322,15 @@
 	VM string
 	// Started is the platform's, Incarnation the daemon process's own: one that
 	// was restarted on the same VM is live again although the old one left.
-	Started     uint64
-	Incarnation uint64
-	State       MemberState
-	Region      string
-	DataCentre  string
-	Service     string
-	Links       string
-	Callers     string
-	Slots       uint32
+	Started       uint64
+	Incarnation   uint64
+	State         MemberState
+	Region        string
+	DataCentre    string
+	Service       string
+	LinkAddress   string
+	CallerAddress string
+	Slots         uint32
 	// Revision orders what one incarnation says of itself.
 	Revision uint64
 	// Backend is the state of the backend server beside the daemon.
--- a/pkg/wire/news.go
+++ b/pkg/wire/news.go
@@ -18,8 +18,8 @@
 
 // RolloutNews carries all that the sender knows of roll-outs.
 type RolloutNews struct {
-	_    struct{} `cbor:",toarray"`
-	News rollout.Update
+	_      struct{} `cbor:",toarray"`
+	Update rollout.Update
 }
 
 // RolloutReport carries what an executor has seen of its backend server to those
@@ -39,8 +39,8 @@
 	Informed bool
 }
 
-// News is what the frame tells.
-func (q *Quarantine) News() quarantine.Update {
+// Update is what the frame tells.
+func (q *Quarantine) Update() quarantine.Update {
 	return quarantine.Update{Crashes: q.Crashes, Completions: q.Completions}
 }
 
