--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -1,4 +1,5 @@
-// Package clock holds the clock by which ages, leases and deadlines are counted. Source:
+// Package clock provides a monotonic clock that includes the time for which the VM was
+// suspended. Ages, leases and deadlines are measured with it. Source:
 // docs/design/clocks.md.
 package clock
 
@@ -10,94 +11,96 @@
 	"golang.org/x/sys/unix"
 )
 
-// parted is by how much the time of day and the steady clock must have moved apart for
-// the suspended time to be asked for. Clocks that a VM's time service slews part by less
-// than a thousandth of the time that passes.
-const parted = 100 * time.Millisecond
+// skewTolerance is how far the wall clock and the monotonic clock may drift apart before
+// Now checks for a suspension. A time service that slews the wall clock changes it by less
+// than a thousandth of the elapsed time.
+const skewTolerance = 100 * time.Millisecond
 
-// Clock is a steady clock that also counts the time for which the VM was suspended, which
-// the system's own steady clock leaves out: after ten seconds of it a request held before
-// would seem to have all its time left, and a peer to have been heard just now. It costs
-// one reading of the time of day: only where that parts from the steady clock is the
-// system asked which of the two was moved. It is safe for concurrent use.
+// Clock is a monotonic clock that includes the time for which the VM was suspended. The
+// system's own monotonic clock (CLOCK_MONOTONIC) leaves it out: after a suspension of ten
+// seconds a pending request would seem to have all its time left, and a peer to have been
+// heard from just now. Now reads the wall clock and the monotonic clock together, and
+// reads the boot clock (CLOCK_BOOTTIME) only when the two have drifted apart. Clock is
+// safe for concurrent use.
 type Clock struct {
-	read reader
-	// skew is by how much the time of day was ahead when that was last looked into, and
-	// suspended the time that the steady clock has left out since the start; both in
-	// nanoseconds.
+	source clockSource
+	// skew is the wall clock minus the monotonic clock at the last check for a suspension.
+	// suspended is the time for which the VM has been suspended since the start. Both are
+	// in nanoseconds.
 	skew      atomic.Int64
 	suspended atomic.Int64
 
 	mu sync.Mutex
-	// bootAhead is by how much the clock that counts suspension was ahead of the steady
-	// one at the start.
-	bootAhead int64
+	// bootOffset is the boot clock minus the monotonic clock at the start, in nanoseconds.
+	bootOffset int64
 }
 
-// reader reads the VM's clocks, in nanoseconds. The steady one begins at 0.
-type reader interface {
-	times() (ofDay, steady int64)
-	// boot also counts suspended time; ok is false where the system has no such clock.
-	boot() (at int64, ok bool)
+// clockSource reads the VM's clocks, in nanoseconds.
+type clockSource interface {
+	// times returns the wall clock, and the monotonic clock, which starts at 0.
+	times() (wall, monotonic int64)
+	// bootTime returns the boot clock, which includes suspended time; ok is false if the
+	// system has none.
+	bootTime() (nanos int64, ok bool)
 }
 
-// New makes the clock of one process.
-func New() *Clock { return newClock(&system{start: time.Now()}) }
+// New returns a clock that starts at 0. A process uses one clock for all its times.
+func New() *Clock { return newClock(&systemClocks{start: time.Now()}) }
 
-func newClock(read reader) *Clock {
-	c := &Clock{read: read}
-	ofDay, steady := read.times()
-	c.skew.Store(ofDay - steady)
-	if boot, ok := read.boot(); ok {
-		c.bootAhead = boot - steady
+func newClock(source clockSource) *Clock {
+	c := &Clock{source: source}
+	wall, monotonic := source.times()
+	c.skew.Store(wall - monotonic)
+	if bootTime, ok := source.bootTime(); ok {
+		c.bootOffset = bootTime - monotonic
 	}
 	return c
 }
 
-// Now is the time since the process's start in nanoseconds. It never goes back.
+// Now returns the time since the clock was created, in nanoseconds. It never goes back.
 func (c *Clock) Now() int64 {
-	ofDay, steady := c.read.times()
-	if skew := ofDay - steady; abs(skew-c.skew.Load()) > int64(parted) {
-		c.look(skew)
+	wall, monotonic := c.source.times()
+	if skew := wall - monotonic; abs(skew-c.skew.Load()) > int64(skewTolerance) {
+		c.checkSuspension(skew)
 	}
-	return steady + c.suspended.Load()
+	return monotonic + c.suspended.Load()
 }
 
-// Suspended is for how long the VM has been suspended since the process's start.
+// Suspended returns for how long the VM has been suspended since the clock was created.
 func (c *Clock) Suspended() time.Duration { return time.Duration(c.suspended.Load()) }
 
-// look finds out why the two clocks parted: the VM was suspended, or the time of day was
-// set.
-func (c *Clock) look(skew int64) {
+// checkSuspension updates suspended after the wall clock and the monotonic clock have
+// drifted apart: either the VM was suspended, or the wall clock was set.
+func (c *Clock) checkSuspension(skew int64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.skew.Store(skew)
-	_, before := c.read.times()
-	boot, ok := c.read.boot()
+	_, monotonic := c.source.times()
+	bootTime, ok := c.source.bootTime()
 	if !ok {
 		return
 	}
-	// The steady clock goes on between the two readings, so that what is left out never
-	// seems longer than it is.
-	if left := boot - before - c.bootAhead; left-c.suspended.Load() > int64(parted) {
-		c.suspended.Store(left)
+	// Time that passes between the two readings counts as suspended time. skewTolerance
+	// keeps a short delay there from being recorded as a suspension.
+	if suspended := bootTime - monotonic - c.bootOffset; suspended-c.suspended.Load() > int64(skewTolerance) {
+		c.suspended.Store(suspended)
 	}
 }
 
 func abs(n int64) int64 { return max(n, -n) }
 
-// system is the VM's own clocks.
-type system struct{ start time.Time }
+// systemClocks reads the clocks of the operating system.
+type systemClocks struct{ start time.Time }
 
-func (s *system) times() (ofDay, steady int64) {
+func (s *systemClocks) times() (wall, monotonic int64) {
 	now := time.Now()
 	return now.UnixNano(), int64(now.Sub(s.start))
 }
 
-func (s *system) boot() (at int64, ok bool) {
-	var at64 unix.Timespec
-	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &at64); err != nil {
+func (s *systemClocks) bootTime() (nanos int64, ok bool) {
+	var ts unix.Timespec
+	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
 		return 0, false
 	}
-	return at64.Nano(), true
+	return ts.Nano(), true
 }
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -8,67 +8,71 @@
 	"github.com/shoenig/test"
 )
 
-// TestSuspendedTimeCounts at the first reading after it, each time.
-func TestSuspendedTimeCounts(t *testing.T) {
-	c, f := NewManual()
-	f.Advance(time.Second)
+// TestNowIncludesSuspendedTime checks that the first reading after each suspension
+// includes it.
+func TestNowIncludesSuspendedTime(t *testing.T) {
+	c, m := NewManual()
+	m.Advance(time.Second)
 	test.Eq(t, int64(time.Second), c.Now())
-	test.Eq(t, 1, f.asked, test.Sprint("while the clocks agree nobody is asked"))
-	f.Suspend(10 * time.Second)
+	test.Eq(t, 1, m.bootReads, test.Sprint("the boot clock is read only once, at the start, while the other clocks agree"))
+	m.Suspend(10 * time.Second)
 	test.Eq(t, int64(11*time.Second), c.Now())
-	f.Advance(time.Second)
-	f.Suspend(time.Second)
+	m.Advance(time.Second)
+	m.Suspend(time.Second)
 	test.Eq(t, int64(13*time.Second), c.Now())
 	test.Eq(t, 11*time.Second, c.Suspended())
-	test.Eq(t, 3, f.asked)
+	test.Eq(t, 3, m.bootReads)
 }
 
-// TestATimeOfDayThatIsSetChangesNothing, forward, backward, and beside a suspension.
-func TestATimeOfDayThatIsSetChangesNothing(t *testing.T) {
-	c, f := NewManual()
+// TestNowIgnoresStepsOfTheTimeOfDay sets the wall clock forward, backward, and together
+// with a suspension.
+func TestNowIgnoresStepsOfTheTimeOfDay(t *testing.T) {
+	c, m := NewManual()
 	for _, step := range []time.Duration{3 * time.Second, -5 * time.Second, time.Hour} {
-		f.StepTimeOfDay(step)
-		f.Advance(time.Millisecond)
-		before := c.Now()
-		test.Eq(t, f.steady, before)
+		m.StepTimeOfDay(step)
+		m.Advance(time.Millisecond)
+		now := c.Now()
+		test.Eq(t, m.monotonic, now)
 	}
-	// It is set back by as much as the VM was suspended: that shows with the next
-	// difference.
-	f.Suspend(4 * time.Second)
-	f.StepTimeOfDay(-4 * time.Second)
-	test.Eq(t, f.steady, c.Now())
-	f.StepTimeOfDay(time.Second)
-	test.Eq(t, f.steady+int64(4*time.Second), c.Now())
+	// A step back by exactly the suspended time hides the suspension until the wall clock
+	// is next set.
+	m.Suspend(4 * time.Second)
+	m.StepTimeOfDay(-4 * time.Second)
+	test.Eq(t, m.monotonic, c.Now())
+	m.StepTimeOfDay(time.Second)
+	test.Eq(t, m.monotonic+int64(4*time.Second), c.Now())
 }
 
-// TestWithoutSuchAClock the steady one stays.
-func TestWithoutSuchAClock(t *testing.T) {
-	f := &Manual{none: true}
-	c := newClock(f)
-	f.Suspend(10 * time.Second)
-	f.Advance(time.Second)
+// TestNowWithoutBootClock checks that Now follows the monotonic clock on a system without
+// a boot clock.
+func TestNowWithoutBootClock(t *testing.T) {
+	m := &Manual{noBootClock: true}
+	c := newClock(m)
+	m.Suspend(10 * time.Second)
+	m.Advance(time.Second)
 	test.Eq(t, int64(time.Second), c.Now())
 }
 
-// TestTheSystemsClocksAreRead and none goes back, whoever reads.
-func TestTheSystemsClocksAreRead(t *testing.T) {
+// TestSystemClocksNeverGoBack reads the clock of the operating system in several
+// goroutines.
+func TestSystemClocksNeverGoBack(t *testing.T) {
 	c := New()
-	_, ok := c.read.boot()
+	_, ok := c.source.bootTime()
 	test.True(t, ok)
-	var wait sync.WaitGroup
+	var readers sync.WaitGroup
 	for range 4 {
-		wait.Go(func() {
-			last := int64(-1)
+		readers.Go(func() {
+			previous := int64(-1)
 			for range 10000 {
 				now := c.Now()
-				if now < last {
-					t.Errorf("%d after %d", now, last)
+				if now < previous {
+					t.Errorf("%d after %d", now, previous)
 				}
-				last = now
+				previous = now
 			}
 		})
 	}
-	wait.Wait()
+	readers.Wait()
 	test.Eq(t, 0, c.Suspended())
 }
 
--- a/pkg/clock/manual.go
+++ b/pkg/clock/manual.go
@@ -5,50 +5,51 @@
 	"time"
 )
 
-// Manual is the clocks of a VM that a test moves. It is safe for concurrent use.
+// Manual simulates the clocks of a VM under the control of a test. It is safe for
+// concurrent use.
 type Manual struct {
 	mu sync.Mutex
-	// ofDay, steady and all are the time of day, the steady clock, and the one that counts
-	// suspension; all in nanoseconds.
-	ofDay, steady, all int64
-	// none is true for a system without the last one; asked counts who asked for it.
-	none  bool
-	asked int
+	// wall, monotonic and bootNanos are the readings of the wall clock, the monotonic clock
+	// and the boot clock (which includes suspended time), in nanoseconds.
+	wall, monotonic, bootNanos int64
+	// noBootClock simulates a system without a boot clock; bootReads counts its readings.
+	noBootClock bool
+	bootReads   int
 }
 
-// NewManual makes a clock over clocks that a test moves.
+// NewManual returns a Clock, and the simulated clocks that it reads.
 func NewManual() (*Clock, *Manual) {
-	const someDay, upFor = 1_700_000_000_000_000_000, int64(40 * time.Hour)
-	m := &Manual{ofDay: someDay, all: upFor}
+	const startTime, uptime = 1_700_000_000_000_000_000, int64(40 * time.Hour)
+	m := &Manual{wall: startTime, bootNanos: uptime}
 	return newClock(m), m
 }
 
-// Advance lets time pass while the VM runs.
-func (m *Manual) Advance(d time.Duration) { m.move(d, d, d) }
+// Advance lets d pass while the VM runs.
+func (m *Manual) Advance(d time.Duration) { m.advance(d, d, d) }
 
-// Suspend lets time pass while it is suspended.
-func (m *Manual) Suspend(d time.Duration) { m.move(d, 0, d) }
+// Suspend lets d pass while the VM is suspended.
+func (m *Manual) Suspend(d time.Duration) { m.advance(d, 0, d) }
 
-// StepTimeOfDay sets the time of day forward, or back.
-func (m *Manual) StepTimeOfDay(by time.Duration) { m.move(by, 0, 0) }
+// StepTimeOfDay changes the wall clock by a positive or negative duration.
+func (m *Manual) StepTimeOfDay(by time.Duration) { m.advance(by, 0, 0) }
 
-func (m *Manual) move(ofDay, steady, all time.Duration) {
+func (m *Manual) advance(wall, monotonic, bootNanos time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.ofDay += int64(ofDay)
-	m.steady += int64(steady)
-	m.all += int64(all)
+	m.wall += int64(wall)
+	m.monotonic += int64(monotonic)
+	m.bootNanos += int64(bootNanos)
 }
 
-func (m *Manual) times() (ofDay, steady int64) {
+func (m *Manual) times() (wall, monotonic int64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.ofDay, m.steady
+	return m.wall, m.monotonic
 }
 
-func (m *Manual) boot() (at int64, ok bool) {
+func (m *Manual) bootTime() (nanos int64, ok bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked++
-	return m.all, !m.none
+	m.bootReads++
+	return m.bootNanos, !m.noBootClock
 }
