--- a/pkg/netdial/dialer.go
+++ b/pkg/netdial/dialer.go
@@ -1,6 +1,7 @@
-// Package netdial opens TCP connections that end by themselves when the other end
-// has gone silent: an open connection may carry nothing any more without ever being
-// reset, as behind a cut or a firewall that forgot it, while new ones work.
+// Package netdial configures TCP sockets. Its dialer opens connections that the kernel
+// closes when the other end no longer responds. Otherwise a connection may hang without
+// ever being reset, as after a network failure or when a firewall has dropped its state,
+// while new connections work.
 package netdial
 
 import (
@@ -13,41 +14,42 @@
 )
 
 const (
-	// idle is the time without traffic after which the other end is probed, and
-	// probeEvery the time between two probes: the kernel's least.
-	idle       = time.Second
-	probeEvery = time.Second
-	// probes is how many in a row must stay unanswered. With idle they find a
-	// connection silent within three seconds, which is what platforms give a VM to be
-	// in touch again.
-	probes = 2
+	// keepAliveIdle is the time without traffic before the first keep-alive probe, and
+	// keepAliveInterval the time between two probes. One second is the kernel's minimum.
+	keepAliveIdle     = time.Second
+	keepAliveInterval = time.Second
+	// keepAliveProbes is how many probes in a row must stay unanswered for the kernel to
+	// close the connection: three seconds after the last traffic, the time within which
+	// platforms require a VM to be reachable again.
+	keepAliveProbes = 2
 )
 
-// New makes a dialer. timeout bounds the opening of a connection; unacknowledged is
-// how long sent bytes may stay without an acknowledgement before the connection
-// ends, which the other end's kernel gives also while its process is busy; 0: only
-// probes end it.
+// New returns a dialer. timeout limits the time to open a connection. unacknowledged is
+// how long sent bytes may stay unacknowledged before the kernel closes the connection; the
+// other end's kernel acknowledges them even while its process is busy. 0 sets no such
+// limit, so that only keep-alive probes detect a dead connection.
 func New(timeout, unacknowledged time.Duration) *net.Dialer {
 	return &net.Dialer{
 		Timeout:         timeout,
-		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: idle, Interval: probeEvery, Count: probes},
-		Control:         control(unacknowledged),
+		KeepAliveConfig: net.KeepAliveConfig{Enable: true, Idle: keepAliveIdle, Interval: keepAliveInterval, Count: keepAliveProbes},
+		Control:         setUserTimeout(unacknowledged),
 	}
 }
 
-// control sets the bound on unacknowledged bytes.
-func control(unacknowledged time.Duration) func(string, string, syscall.RawConn) error {
+// setUserTimeout returns a control function for net.Dialer that sets TCP_USER_TIMEOUT, or
+// nil if unacknowledged is 0.
+func setUserTimeout(unacknowledged time.Duration) func(string, string, syscall.RawConn) error {
 	if unacknowledged == 0 {
 		return nil
 	}
-	return func(_, _ string, raw syscall.RawConn) error {
-		var set error
-		err := raw.Control(func(fd uintptr) {
-			set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
+	return func(_, _ string, rawConn syscall.RawConn) error {
+		var sockErr error
+		err := rawConn.Control(func(fd uintptr) {
+			sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unacknowledged.Milliseconds()))
 		})
 		if err != nil {
-			return errors.Wrap(err, "socket")
+			return errors.Wrap(err, "access the socket")
 		}
-		return errors.Wrap(set, "bound on unacknowledged bytes")
+		return errors.Wrap(sockErr, "set TCP_USER_TIMEOUT")
 	}
 }
--- a/pkg/netdial/unsent.go
+++ b/pkg/netdial/unsent.go
@@ -8,28 +8,30 @@
 	"golang.org/x/sys/unix"
 )
 
-// LimitUnsent bounds the bytes of a connection that wait in the kernel before
-// they are sent the first time: whoever writes more waits, and may let something
-// urgent go first. The bytes under way to the other end are not counted.
+// LimitUnsent limits how many bytes of a connection the kernel queues before it sends them
+// for the first time (TCP_NOTSENT_LOWAT). A writer blocks beyond the limit, so that it can
+// still choose to write more urgent data first. Bytes that were sent but not acknowledged
+// are not counted. It returns an error if c is not a socket, or a wrapper of one such as a
+// TLS connection.
 func LimitUnsent(c net.Conn, bytes int) error {
-	if inner, ok := c.(interface{ NetConn() net.Conn }); ok {
-		// TLS over a socket.
-		c = inner.NetConn()
+	if wrapper, ok := c.(interface{ NetConn() net.Conn }); ok {
+		// A TLS connection wraps the socket.
+		c = wrapper.NetConn()
 	}
 	socket, ok := c.(syscall.Conn)
 	if !ok {
-		return errors.Errorf("a %T is no socket", c)
+		return errors.Errorf("a %T is not a socket", c)
 	}
-	raw, err := socket.SyscallConn()
+	rawConn, err := socket.SyscallConn()
 	if err != nil {
-		return errors.Wrap(err, "socket")
+		return errors.Wrap(err, "access the socket")
 	}
-	var set error
-	err = raw.Control(func(fd uintptr) {
-		set = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, bytes)
+	var sockErr error
+	err = rawConn.Control(func(fd uintptr) {
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_NOTSENT_LOWAT, bytes)
 	})
 	if err != nil {
-		return errors.Wrap(err, "socket")
+		return errors.Wrap(err, "access the socket")
 	}
-	return errors.Wrap(set, "bound on unsent bytes")
+	return errors.Wrap(sockErr, "set TCP_NOTSENT_LOWAT")
 }
