--- a/pkg/loopback/loopback.go
+++ b/pkg/loopback/loopback.go
@@ -1,5 +1,5 @@
-// Package loopback gives embedded daemons and tests addresses that do not
-// clash: each process has loopback IP numbers of its own, and ports below the
+// Package loopback allocates addresses to embedded daemons and tests. They do not conflict,
+// since each process uses loopback IP addresses of its own and the ports are below the
 // range from which the system takes those of outgoing connections.
 package loopback
 
@@ -9,7 +9,8 @@
 	"sync/atomic"
 )
 
-// The ports of one embedded VM.
+// The ports of one embedded VM: for callers, for links from other daemons, for operators,
+// for metrics, of the backend server and of the stand-in for the platform.
 const (
 	PortCallers   = 7400
 	PortLinks     = 7401
@@ -19,33 +20,36 @@
 	PortPlatform  = 7405
 )
 
-// hostsPerPort is how many IP numbers of 127.a.b.0/24 are used; more VMs take
-// further ports.
-const hostsPerPort = 250
+// hostsPerPortRange is how many IP addresses of 127.a.b.0/24 are used with the same ports.
+// Further VMs use the same addresses with higher ports.
+const hostsPerPortRange = 250
 
-const portStep = 10
+// portRangeSize is the distance between the ports of two VMs with the same IP address.
+const portRangeSize = 10
 
-// Allocator hands out addresses.
+// Allocator allocates the addresses of VMs. Its zero value is ready to use, and it is safe
+// for concurrent use.
 type Allocator struct{ next atomic.Int64 }
 
-// VM is the addresses of one embedded VM.
+// VM holds the addresses of one embedded VM.
 type VM struct {
-	ip   string
-	base int
+	ip         string
+	portOffset int
 }
 
-// Next returns the addresses of a further VM.
+// Next allocates the addresses of one more VM.
 func (a *Allocator) Next() VM {
 	n := int(a.next.Add(1) - 1)
 	pid := os.Getpid()
 	return VM{
-		ip:   fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 1+n%hostsPerPort),
-		base: n / hostsPerPort * portStep,
+		ip:         fmt.Sprintf("127.%d.%d.%d", 1+pid>>8&0x7f, pid&0xff, 1+n%hostsPerPortRange),
+		portOffset: n / hostsPerPortRange * portRangeSize,
 	}
 }
 
-// Address returns the address of one of the ports.
-func (v VM) Address(port int) string { return fmt.Sprintf("%s:%d", v.ip, port+v.base) }
+// Address returns IP address and port, as in "127.1.2.3:7400", for one of the Port
+// constants.
+func (v VM) Address(port int) string { return fmt.Sprintf("%s:%d", v.ip, port+v.portOffset) }
 
-// IP returns the IP number.
+// IP returns the IP address.
 func (v VM) IP() string { return v.ip }
