--- a/pkg/certs/certs.go
+++ b/pkg/certs/certs.go
@@ -1,5 +1,5 @@
-// Package certs makes TLS configurations from certificate files, which are
-// read again when they change. Source: docs/design/keeping-others-out.md.
+// Package certs provides TLS configurations from certificate files, which are reloaded
+// when they change. Source: docs/design/keeping-others-out.md.
 package certs
 
 import (
@@ -14,33 +14,37 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// checkEvery is how often the files are looked at, at most.
-const checkEvery = time.Second
+// checkInterval is the minimum time between two checks whether the files have changed.
+const checkInterval = time.Second
 
-// Reloader holds what the certificate files said last.
+// Reloader holds the certificate and the authorities as last loaded from the files. It is
+// safe for concurrent use.
 type Reloader struct {
 	files settings.TLS
 
-	mu      sync.Mutex
-	checked time.Time
-	changed time.Time
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	mu sync.Mutex
+	// checkedAt is when the files were last checked, modifiedAt the latest modification
+	// time of those that are loaded.
+	checkedAt   time.Time
+	modifiedAt  time.Time
+	cert        *tls.Certificate
+	authorities *x509.CertPool
 }
 
-// NewReloader reads the files; nil without an error when the settings name none.
+// NewReloader loads the files. It returns nil without an error if the settings name no
+// certificate, and an error if a file cannot be used.
 func NewReloader(files settings.TLS) (*Reloader, error) {
 	if files.Cert == "" {
 		return nil, nil
 	}
 	r := &Reloader{files: files}
-	if err := r.read(); err != nil {
+	if err := r.load(); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *Reloader) read() error {
+func (r *Reloader) load() error {
 	cert, err := tls.LoadX509KeyPair(r.files.Cert, r.files.Key)
 	if err != nil {
 		return errors.Errorf("cannot use the certificate %s with the key %s: %v. Name a matching pair under tls.", r.files.Cert, r.files.Key, err)
@@ -49,41 +53,42 @@
 	if err != nil {
 		return errors.Errorf("cannot read tls.ca: %v. Name the file of the authorities' certificates.", err)
 	}
-	pool := x509.NewCertPool()
-	if !pool.AppendCertsFromPEM(ca) {
+	authorities := x509.NewCertPool()
+	if !authorities.AppendCertsFromPEM(ca) {
 		return errors.Errorf("%s holds no certificate. Name a PEM file under tls.ca.", r.files.CA)
 	}
-	r.cert, r.pool, r.changed = &cert, pool, r.newest()
+	r.cert, r.authorities, r.modifiedAt = &cert, authorities, r.latestModTime()
 	return nil
 }
 
-func (r *Reloader) newest() time.Time {
-	var newest time.Time
+func (r *Reloader) latestModTime() time.Time {
+	var latestModTime time.Time
 	for _, name := range []string{r.files.Cert, r.files.Key, r.files.CA} {
-		if info, err := os.Stat(name); err == nil && info.ModTime().After(newest) {
-			newest = info.ModTime()
+		if info, err := os.Stat(name); err == nil && info.ModTime().After(latestModTime) {
+			latestModTime = info.ModTime()
 		}
 	}
-	return newest
+	return latestModTime
 }
 
-// current returns the newest usable files. Files that are half replaced keep
-// the old ones in use until the next look.
+// current returns the certificate and the authorities, reloaded if the files have changed.
+// If the changed files cannot be loaded, as while they are being replaced, it returns the
+// previous ones.
 func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if now := time.Now(); now.Sub(r.checked) >= checkEvery {
-		r.checked = now
-		if !r.newest().Equal(r.changed) {
-			// A pair that does not match yet is no reason to stop serving.
-			_ = r.read()
+	if now := time.Now(); now.Sub(r.checkedAt) >= checkInterval {
+		r.checkedAt = now
+		if !r.latestModTime().Equal(r.modifiedAt) {
+			// On an error the previous certificate stays in use until the next check.
+			_ = r.load()
 		}
 	}
-	return r.cert, r.pool
+	return r.cert, r.authorities
 }
 
-// Server returns the configuration of a listener that accepts only peers with
-// a certificate of the authorities. A nil Reloader gives nil: plain text.
+// Server returns the configuration of a listener that accepts only peers whose certificate
+// is signed by one of the authorities. It returns nil, for plain text, if r is nil.
 func (r *Reloader) Server() *tls.Config {
 	if r == nil {
 		return nil
@@ -91,11 +96,11 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
-			cert, pool := r.current()
+			cert, authorities := r.current()
 			return &tls.Config{
 				MinVersion:   tls.VersionTLS13,
 				Certificates: []tls.Certificate{*cert},
-				ClientCAs:    pool,
+				ClientCAs:    authorities,
 				ClientAuth:   tls.RequireAndVerifyClientCert,
 				NextProtos:   []string{"h2", "http/1.1"},
 			}, nil
@@ -103,9 +108,9 @@
 	}
 }
 
-// Client returns the configuration for dialling; nil for plain text. The
-// server's certificate must be of the authorities; its name is not compared,
-// since daemons are dialled by IP number and any of them may be replaced.
+// Client returns the configuration for dialling. It returns nil, for plain text, if r is
+// nil. The server's certificate must be signed by one of the authorities. Its name is not
+// checked, since daemons are dialled by IP address and any of them may be replaced.
 func (r *Reloader) Client() *tls.Config {
 	if r == nil {
 		return nil
@@ -121,25 +126,25 @@
 	}
 }
 
-// verify checks the chain to the authorities, which InsecureSkipVerify left out
-// together with the comparison of names.
-func (r *Reloader) verify(raw [][]byte, _ [][]*x509.Certificate) error {
-	if len(raw) == 0 {
-		return errors.New("the peer showed no certificate")
+// verify checks that the peer's certificate chain leads to one of the authorities.
+// InsecureSkipVerify turns off this check together with that of the name.
+func (r *Reloader) verify(rawCerts [][]byte, _ [][]*x509.Certificate) error {
+	if len(rawCerts) == 0 {
+		return errors.New("the peer sent no certificate")
 	}
-	leaf, err := x509.ParseCertificate(raw[0])
+	leaf, err := x509.ParseCertificate(rawCerts[0])
 	if err != nil {
-		return errors.Wrap(err, "the peer's certificate")
+		return errors.Wrap(err, "parse the peer's certificate")
 	}
-	between := x509.NewCertPool()
-	for _, der := range raw[1:] {
+	intermediates := x509.NewCertPool()
+	for _, der := range rawCerts[1:] {
 		cert, parseErr := x509.ParseCertificate(der)
 		if parseErr != nil {
-			return errors.Wrap(parseErr, "the peer's certificate")
+			return errors.Wrap(parseErr, "parse the peer's certificate")
 		}
-		between.AddCert(cert)
+		intermediates.AddCert(cert)
 	}
-	_, pool := r.current()
-	_, err = leaf.Verify(x509.VerifyOptions{Roots: pool, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
-	return errors.Wrap(err, "the peer's certificate is not of the authorities in tls.ca")
+	_, authorities := r.current()
+	_, err = leaf.Verify(x509.VerifyOptions{Roots: authorities, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{x509.ExtKeyUsageAny}})
+	return errors.Wrap(err, "the peer's certificate is not signed by an authority in tls.ca")
 }
