--- a/pkg/wire/body.go
+++ b/pkg/wire/body.go
@@ -5,54 +5,58 @@
 	"github.com/pkg/errors"
 )
 
-// ErrBodyCut is returned for a body that does not come to its size and hash.
+// ErrBodyCut is returned for a body that is incomplete, whose chunks are out of order, or
+// that does not match the size and hash stated in its Body.
 var ErrBodyCut = errors.New("the body does not match its length or hash")
 
-// Split makes the Body that goes with the first frame and the chunks that
-// follow it, which still need their call's id. The parts share memory with data.
+// Split splits data into the Body that is sent in a Call or Answer frame and the Chunk
+// frames that follow it. The caller sets the ID of the chunks. The parts share memory with
+// data.
 func Split(data []byte) (Body, []*Chunk) {
 	body := Body{Size: uint64(len(data)), Hash: xxhash.Sum64(data), First: data[:min(len(data), ChunkSize)]}
 	var chunks []*Chunk
-	for at := ChunkSize; at < len(data); at += ChunkSize {
-		end := min(at+ChunkSize, len(data))
-		chunks = append(chunks, &Chunk{Seq: uint32(len(chunks)), Data: data[at:end]})
+	for offset := ChunkSize; offset < len(data); offset += ChunkSize {
+		end := min(offset+ChunkSize, len(data))
+		chunks = append(chunks, &Chunk{Seq: uint32(len(chunks)), Data: data[offset:end]})
 	}
 	return body, chunks
 }
 
-// Assembly puts a body together again. It never looks whole before all parts
-// are there, in order, with the stated length and hash.
+// Assembly assembles a body from its Body and its chunks. It returns the body only if all
+// parts have arrived in order and the size and hash match.
 type Assembly struct {
-	want Body
-	data []byte
-	next uint32
+	expected Body
+	data     []byte
+	nextSeq  uint32
 }
 
-// NewAssembly begins with the first frame's Body. maxSize bounds the whole.
+// NewAssembly starts from the Body of a Call or Answer frame. It returns an error if the
+// stated size exceeds maxSize bytes or is less than that of the first part.
 func NewAssembly(first Body, maxSize int) (*Assembly, error) {
 	if first.Size > uint64(maxSize) || uint64(len(first.First)) > first.Size {
-		return nil, errors.Errorf("a body of %d bytes is over the bound of %d", first.Size, maxSize)
+		return nil, errors.Errorf("a body of %d bytes exceeds the limit of %d bytes", first.Size, maxSize)
 	}
-	return &Assembly{want: first, data: first.First}, nil
+	return &Assembly{expected: first, data: first.First}, nil
 }
 
-// Add takes the next chunk.
+// Add appends the next chunk. It returns ErrBodyCut if the chunk is out of order, or if the
+// body would exceed its stated size.
 func (a *Assembly) Add(chunk *Chunk) error {
-	inOrder := chunk.Seq == a.next
-	if !inOrder || uint64(len(a.data)+len(chunk.Data)) > a.want.Size {
+	inOrder := chunk.Seq == a.nextSeq
+	if !inOrder || uint64(len(a.data)+len(chunk.Data)) > a.expected.Size {
 		return ErrBodyCut
 	}
-	a.next++
+	a.nextSeq++
 	a.data = append(a.data, chunk.Data...)
 	return nil
 }
 
-// Complete is true when all bytes are there.
-func (a *Assembly) Complete() bool { return uint64(len(a.data)) == a.want.Size }
+// Complete reports whether all bytes have arrived. It does not check the hash.
+func (a *Assembly) Complete() bool { return uint64(len(a.data)) == a.expected.Size }
 
-// Body returns the whole body, or ErrBodyCut.
+// Body returns the whole body, or ErrBodyCut if it is incomplete or its hash differs.
 func (a *Assembly) Body() ([]byte, error) {
-	if !a.Complete() || xxhash.Sum64(a.data) != a.want.Hash {
+	if !a.Complete() || xxhash.Sum64(a.data) != a.expected.Hash {
 		return nil, ErrBodyCut
 	}
 	return a.data, nil
--- a/pkg/wire/codec.go
+++ b/pkg/wire/codec.go
@@ -8,19 +8,19 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds on what a peer may send in one frame. Larger bodies go in chunks.
+// Limits on what a peer may send in one message. Larger bodies are split into chunks.
 const (
-	// MaxMessage is the largest WebSocket message that is read, in bytes.
+	// MaxMessage is the maximum size of a received WebSocket message, in bytes.
 	MaxMessage = 4 << 20
-	// ChunkSize is how many bytes of a body one frame carries.
+	// ChunkSize is how many bytes of a body one frame contains at most.
 	ChunkSize       = 32 << 10
 	maxArrayLen     = 1 << 16
 	maxNestedLevels = 8
 )
 
-// Frame is any of the frames of this package.
+// Frame is implemented by all frames of this package.
 type Frame interface {
-	// Type returns the byte that stands before the frame.
+	// Type returns the type that is sent before the frame.
 	Type() Type
 }
 
@@ -81,11 +81,11 @@
 	dec cbor.DecMode
 }
 
-// NewCodec makes a Codec with the bounds of this package.
+// NewCodec returns a Codec with the limits of this package.
 func NewCodec() (*Codec, error) {
 	enc, err := cbor.EncOptions{}.UserBufferEncMode()
 	if err != nil {
-		return nil, errors.Wrap(err, "frame encoder")
+		return nil, errors.Wrap(err, "create the frame encoder")
 	}
 	dec, err := cbor.DecOptions{
 		MaxArrayElements: maxArrayLen,
@@ -94,26 +94,26 @@
 		TagsMd:           cbor.TagsForbidden,
 	}.DecMode()
 	if err != nil {
-		return nil, errors.Wrap(err, "frame decoder")
+		return nil, errors.Wrap(err, "create the frame decoder")
 	}
 	return &Codec{enc: enc, dec: dec}, nil
 }
 
-// Append writes one frame to buf.
+// Append encodes one frame, with its type before it, to buf.
 func (c *Codec) Append(buf *bytes.Buffer, frame Frame) error {
 	buf.WriteByte(byte(frame.Type()))
-	return errors.Wrapf(c.enc.MarshalToBuffer(frame, buf), "encode frame %d", frame.Type())
+	return errors.Wrapf(c.enc.MarshalToBuffer(frame, buf), "encode frame of type %d", frame.Type())
 }
 
-// Next reads the first frame of data and returns it with the rest. A frame of a
-// type that a later release may have added is nil, and passed over.
+// Next decodes the first frame of data and returns it with the rest of data. It skips a
+// frame of a type that a later release may have added, and returns nil as the frame.
 func (c *Codec) Next(data []byte) (Frame, []byte, error) {
 	if len(data) == 0 {
-		return nil, nil, errors.New("empty frame")
+		return nil, nil, errors.New("no frame to decode")
 	}
-	if t := Type(data[0]); t >= TypeCount && t <= mostType {
-		rest, err := c.skip(data[1:])
-		return nil, rest, errors.Wrapf(err, "pass over frame %d", t)
+	if t := Type(data[0]); t >= TypeCount && t <= maxType {
+		rest, err := c.skipItem(data[1:])
+		return nil, rest, errors.Wrapf(err, "skip frame of type %d", t)
 	}
 	frame, err := newFrame(Type(data[0]))
 	if err != nil {
@@ -122,30 +122,31 @@
 	rest, err := c.dec.UnmarshalFirst(data[1:], frame)
 	var mismatch *cbor.UnmarshalTypeError
 	if errors.As(err, &mismatch) {
-		return c.nextOfAnotherRelease(data)
+		return c.decodeOtherRelease(data)
 	}
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "decode frame %d", data[0])
+		return nil, nil, errors.Wrapf(err, "decode frame of type %d", data[0])
 	}
 	return frame, rest, nil
 }
 
-// mostType is the highest type that a later release may add: types stay one
-// CBOR item of one byte.
-const mostType = 23
+// maxType is the highest type that a later release may add: CBOR encodes unsigned integers
+// up to 23 in one byte.
+const maxType = 23
 
-func (c *Codec) skip(data []byte) (rest []byte, err error) {
-	var passed cbor.RawMessage
-	return c.dec.UnmarshalFirst(data, &passed)
+// skipItem returns the data after the first CBOR item.
+func (c *Codec) skipItem(data []byte) (rest []byte, err error) {
+	var skipped cbor.RawMessage
+	return c.dec.UnmarshalFirst(data, &skipped)
 }
 
-// nextOfAnotherRelease reads a frame that has more or fewer fields than this
-// release's.
-func (c *Codec) nextOfAnotherRelease(data []byte) (Frame, []byte, error) {
+// decodeOtherRelease decodes the first frame of data if it has more or fewer fields than
+// in this release.
+func (c *Codec) decodeOtherRelease(data []byte) (Frame, []byte, error) {
 	var raw cbor.RawMessage
 	rest, err := c.dec.UnmarshalFirst(data[1:], &raw)
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "decode frame %d", data[0])
+		return nil, nil, errors.Wrapf(err, "decode frame of type %d", data[0])
 	}
 	frame, err := newFrame(Type(data[0]))
 	if err != nil {
@@ -153,10 +154,10 @@
 	}
 	fitted, err := c.fit(raw, reflect.TypeOf(frame).Elem())
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "decode frame %d", data[0])
+		return nil, nil, errors.Wrapf(err, "decode frame of type %d", data[0])
 	}
 	if err := c.dec.Unmarshal(fitted, frame); err != nil {
-		return nil, nil, errors.Wrapf(err, "decode frame %d", data[0])
+		return nil, nil, errors.Wrapf(err, "decode frame of type %d", data[0])
 	}
 	return frame, rest, nil
 }
--- a/pkg/wire/codec_test.go
+++ b/pkg/wire/codec_test.go
@@ -11,7 +11,8 @@
 	"github.com/rushramp/rushramp/pkg/quota"
 )
 
-func sampleCall(bodySize int) (*Call, []*Chunk) {
+// newTestCall returns a call with a body of bodySize bytes, and the chunks of the body.
+func newTestCall(bodySize int) (*Call, []*Chunk) {
 	body, chunks := Split(bytes.Repeat([]byte("ab"), bodySize/2))
 	return &Call{
 		ID: 7, Service: "glyphserve", Kind: "subset", Method: "GET", URI: "/subset/a?x=1",
@@ -20,10 +21,10 @@
 	}, chunks
 }
 
-func TestFramesOfOneMessageComeBackInOrder(t *testing.T) {
+func TestCodecKeepsTheOrderOfFrames(t *testing.T) {
 	codec, err := NewCodec()
 	must.NoError(t, err)
-	call, chunks := sampleCall(3 * ChunkSize)
+	call, chunks := newTestCall(3 * ChunkSize)
 	must.Len(t, 2, chunks)
 	var buf bytes.Buffer
 	sent := []Frame{call, chunks[0], &Cancel{ID: 9}, chunks[1], &State{Placement: 4, Leaving: true}}
@@ -40,7 +41,7 @@
 	test.SliceEmpty(t, rest)
 }
 
-func TestStampSize(t *testing.T) {
+func TestStampSizeMatchesItsEncoding(t *testing.T) {
 	codec, err := NewCodec()
 	must.NoError(t, err)
 	for _, n := range []uint64{0, 23, 24, 255, 256, 65535, 65536, 1<<32 - 1, 1 << 40} {
@@ -54,18 +55,18 @@
 }
 
 func TestAssembly(t *testing.T) {
-	call, chunks := sampleCall(3 * ChunkSize)
+	call, chunks := newTestCall(3 * ChunkSize)
 	damaged := *chunks[1]
 	damaged.Data = append([]byte("x"), damaged.Data[1:]...)
 	scenarios := []struct {
-		name   string
-		chunks []*Chunk
-		whole  bool
+		name     string
+		chunks   []*Chunk
+		complete bool
 	}{
 		{"in order", chunks, true},
 		{"last chunk missing", chunks[:1], false},
 		{"out of order", []*Chunk{chunks[1], chunks[0]}, false},
-		{"twice the same", []*Chunk{chunks[0], chunks[0]}, false},
+		{"the same chunk twice", []*Chunk{chunks[0], chunks[0]}, false},
 		{"damaged", []*Chunk{chunks[0], &damaged}, false},
 	}
 	for _, s := range scenarios {
@@ -79,21 +80,22 @@
 				}
 			}
 			_, bodyErr := assembly.Body()
-			test.Eq(t, s.whole, err == nil && bodyErr == nil)
+			test.Eq(t, s.complete, err == nil && bodyErr == nil)
 		})
 	}
 	_, err := NewAssembly(call.Body, 100)
-	test.Error(t, err, test.Sprint("a body over the bound"))
+	test.Error(t, err, test.Sprint("the body exceeds the limit"))
 }
 
-// sampleAsk and sampleGrant are what daemons say when they count the requests of teams.
+// testAsk and testGrant are frames by which daemons enforce the limits of teams.
 var (
-	sampleAsk   = &QuotaAsk{Ask: quota.Ask{Group: 3, CounterTime: 1 << 40, Members: 62, TokenRequests: []quota.TokenRequest{{Team: "red", Count: 2, Returned: 1, AskedAt: 1 << 39}}}}
-	sampleGrant = &QuotaGrant{Grant: quota.Grant{Group: 3, Members: 62, CounterTime: 1 << 40, TokenGrants: []quota.TokenGrant{{Team: "red", Requested: 2, Count: 1, AskedAt: 1 << 39, WaitMS: 40}}}}
+	testAsk   = &QuotaAsk{Ask: quota.Ask{Group: 3, CounterTime: 1 << 40, Members: 62, TokenRequests: []quota.TokenRequest{{Team: "red", Count: 2, Returned: 1, AskedAt: 1 << 39}}}}
+	testGrant = &QuotaGrant{Grant: quota.Grant{Group: 3, Members: 62, CounterTime: 1 << 40, TokenGrants: []quota.TokenGrant{{Team: "red", Requested: 2, Count: 1, AskedAt: 1 << 39, WaitMS: 40}}}}
 )
 
-// TestFramesOfTheCountingAreSmall: a renewal goes to each counter some seven times a second.
-func TestFramesOfTheCountingAreSmall(t *testing.T) {
+// TestQuotaFramesAreSmall limits the size of the frames that renew a lease, since a daemon
+// sends one to each counter about seven times a second.
+func TestQuotaFramesAreSmall(t *testing.T) {
 	codec, err := NewCodec()
 	must.NoError(t, err)
 	for _, frame := range []Frame{&QuotaAsk{Ask: quota.Ask{Group: 3, CounterTime: 1 << 40, Members: 62}}, &QuotaGrant{Grant: quota.Grant{Group: 3, Members: 62, CounterTime: 1 << 40}}} {
@@ -106,13 +108,14 @@
 func FuzzNext(f *testing.F) {
 	codec, err := NewCodec()
 	must.NoError(f, err)
-	call, _ := sampleCall(64)
-	for _, frame := range []Frame{call, &Answer{ID: 1, Status: 200}, &Refusal{ID: 2}, &Hello{VM: "a"}, &Update{Version: 1}, sampleAsk, sampleGrant} {
+	call, _ := newTestCall(64)
+	for _, frame := range []Frame{call, &Answer{ID: 1, Status: 200}, &Refusal{ID: 2}, &Hello{VM: "a"}, &Update{Version: 1}, testAsk, testGrant} {
 		var buf bytes.Buffer
 		must.NoError(f, codec.Append(&buf, frame))
 		f.Add(buf.Bytes())
 	}
-	// Fewer fields than this release's, nested too, and a type of a later one.
+	// Frames with fewer fields than in this release, one of them nested, and a frame of a
+	// type that a later release may add.
 	f.Add([]byte{byte(TypeMembers), 0x81, 0x81, 0x80})
 	f.Add([]byte{byte(TypeAnswer), 0x80})
 	f.Add([]byte{byte(TypeCount), 0x81, 0x01})
@@ -127,16 +130,16 @@
 		}
 		var buf bytes.Buffer
 		must.NoError(t, codec.Append(&buf, frame))
-		again, _, err := codec.Next(buf.Bytes())
+		decoded, _, err := codec.Next(buf.Bytes())
 		must.NoError(t, err)
-		must.Eq(t, frame, again)
+		must.Eq(t, frame, decoded)
 	})
 }
 
 func BenchmarkFrameEncodeDecode(b *testing.B) {
 	codec, err := NewCodec()
 	must.NoError(b, err)
-	call, _ := sampleCall(512)
+	call, _ := newTestCall(512)
 	var buf bytes.Buffer
 	b.ReportAllocs()
 	for b.Loop() {
--- a/pkg/wire/fingerprint.go
+++ b/pkg/wire/fingerprint.go
@@ -6,15 +6,15 @@
 	"github.com/rushramp/rushramp/pkg/quarantine"
 )
 
-// provingHeaders are those by which a caller proves itself. Others change from one try
-// to the next.
-var provingHeaders = [...]string{"Authorization", "Cookie"}
+// credentialHeaders are the headers that authenticate the caller. Only these are part of a
+// fingerprint, since others may change when the caller retries the request.
+var credentialHeaders = [...]string{"Authorization", "Cookie"}
 
-// FingerprintOf is the fingerprint of a routed request, which is the same at its entry
-// and at its executor.
+// FingerprintOf returns the fingerprint of a routed request. It is the same at the entry
+// and at the executor, and the same when the caller retries the request.
 func FingerprintOf(method, host, target string, headers []Header, body []byte) quarantine.Fingerprint {
 	content := quarantine.Content{Method: method, Host: host, Target: target, Body: body}
-	for _, name := range provingHeaders {
+	for _, name := range credentialHeaders {
 		for i := range headers {
 			if http.CanonicalHeaderKey(headers[i].Name) == name {
 				content.Credentials += name + headers[i].Value + "\n"
@@ -24,8 +24,8 @@
 	return content.Fingerprint()
 }
 
-// Fingerprint is that of the request which the call carries. One that is not routed by
-// its host names its service in the host's place.
+// Fingerprint returns the fingerprint of the call's request. For a request that is not
+// routed by host and path, the service stands in for the host.
 func (c *Call) Fingerprint(body []byte) quarantine.Fingerprint {
 	host := c.Routed.Host
 	if c.Routed.ID == "" {
--- a/pkg/wire/fit.go
+++ b/pkg/wire/fit.go
@@ -8,10 +8,10 @@
 	"github.com/pkg/errors"
 )
 
-// fit makes a CBOR item of another release readable as a value of this
-// release's type: fields that this release does not know are dropped, and those
-// that the other one does not send are zero. Fields are only ever added at the
-// end of a frame. Source: docs/design/links.md, "Releases".
+// fit converts a CBOR item that another release encoded to the fields that type t has in
+// this release: it drops fields that this release does not know, and sets those that the
+// other release does not send to zero. Fields are only ever added at the end of a frame.
+// Source: docs/design/links.md, "Releases".
 func (c *Codec) fit(raw []byte, t reflect.Type) ([]byte, error) {
 	switch {
 	case t.Kind() == reflect.Struct:
@@ -23,7 +23,7 @@
 }
 
 func (c *Codec) fitStruct(raw []byte, t reflect.Type) ([]byte, error) {
-	items, err := c.items(raw)
+	items, err := c.decodeArray(raw)
 	if err != nil {
 		return nil, err
 	}
@@ -41,17 +41,17 @@
 	return c.encode(out)
 }
 
-// fitField is the item at a place of an array, or a zero value where the other
-// release does not send it.
-func (c *Codec) fitField(items []cbor.RawMessage, at int, t reflect.Type) (cbor.RawMessage, error) {
-	if at >= len(items) {
+// fitField returns the item at an index of an array, converted to type t, or the encoded
+// zero value if the other release does not send this field.
+func (c *Codec) fitField(items []cbor.RawMessage, index int, t reflect.Type) (cbor.RawMessage, error) {
+	if index >= len(items) {
 		return c.encode(reflect.Zero(t).Interface())
 	}
-	return c.fit(items[at], t)
+	return c.fit(items[index], t)
 }
 
 func (c *Codec) fitSlice(raw []byte, element reflect.Type) ([]byte, error) {
-	items, err := c.items(raw)
+	items, err := c.decodeArray(raw)
 	if err != nil || items == nil {
 		return raw, err
 	}
@@ -63,8 +63,8 @@
 	return c.encode(items)
 }
 
-// items are those of an array; nil for a null.
-func (c *Codec) items(raw []byte) (items []cbor.RawMessage, err error) {
+// decodeArray returns the encoded items of a CBOR array, and nil for null.
+func (c *Codec) decodeArray(raw []byte) (items []cbor.RawMessage, err error) {
 	err = c.dec.Unmarshal(raw, &items)
 	return items, err
 }
--- a/pkg/wire/fit_test.go
+++ b/pkg/wire/fit_test.go
@@ -8,14 +8,14 @@
 	"github.com/shoenig/test/must"
 )
 
-// laterStamp, laterRefusal, laterMember and laterMembers are frames of a release
-// after this one: each has a field more at its end.
+// laterStamp, laterRefusal, laterMember and laterMembers are types of a later release:
+// each has one more field at its end, except laterMembers, which contains such a type.
 type (
 	laterStamp struct {
-		_                                                  struct{} `cbor:",toarray"`
-		Seq                                                uint64
-		Running, Queued, Limit, ServiceUS, Slowdown, Usual uint32
-		Added                                              []string
+		_                                                           struct{} `cbor:",toarray"`
+		Seq                                                         uint64
+		Running, Queued, Limit, ServiceUS, Slowdown, NormalSlowdown uint32
+		Added                                                       []string
 	}
 	laterRefusal struct {
 		_         struct{} `cbor:",toarray"`
@@ -23,33 +23,33 @@
 		Kind, Ran uint8
 		Detail    string
 		Stamp     laterStamp
-		Next      Claim
+		NextClaim Claim
 		Offered   bool
 		Origin    Origin
 		Added     map[string]int
 	}
 	laterMember struct {
-		_                                           struct{} `cbor:",toarray"`
-		VM                                          string
-		Started, Incarnation                        uint64
-		State                                       MemberState
-		Region, DataCentre, Service, Links, Callers string
-		Slots                                       uint32
-		Revision                                    uint64
-		Backend                                     BackendState
-		Version                                     string
-		Added                                       uint64
+		_                                                       struct{} `cbor:",toarray"`
+		VM                                                      string
+		Started, Incarnation                                    uint64
+		State                                                   MemberState
+		Region, DataCentre, Service, LinkAddress, CallerAddress string
+		Slots                                                   uint32
+		Revision                                                uint64
+		Backend                                                 BackendState
+		Version                                                 string
+		Added                                                   uint64
 	}
-	// earlierMember is a row of the release before versions were told.
+	// earlierMember is a Member of a release that did not send Version.
 	earlierMember struct {
-		_                                           struct{} `cbor:",toarray"`
-		VM                                          string
-		Started, Incarnation                        uint64
-		State                                       MemberState
-		Region, DataCentre, Service, Links, Callers string
-		Slots                                       uint32
-		Revision                                    uint64
-		Backend                                     BackendState
+		_                                                       struct{} `cbor:",toarray"`
+		VM                                                      string
+		Started, Incarnation                                    uint64
+		State                                                   MemberState
+		Region, DataCentre, Service, LinkAddress, CallerAddress string
+		Slots                                                   uint32
+		Revision                                                uint64
+		Backend                                                 BackendState
 	}
 	earlierMembers struct {
 		_    struct{} `cbor:",toarray"`
@@ -59,7 +59,7 @@
 		_    struct{} `cbor:",toarray"`
 		Rows []laterMember
 	}
-	// earlierAnswer is an answer of the release before slowdowns were told.
+	// earlierAnswer is an Answer of a release that did not send Slowdown and CallsFailed.
 	earlierAnswer struct {
 		_           struct{} `cbor:",toarray"`
 		ID          uint64
@@ -70,14 +70,14 @@
 		Body        Body
 		Origin      Origin
 	}
-	// earlierState is a state of the release before evacuated data centres were told.
+	// earlierState is a State of a release that did not send Evacuation and the later fields.
 	earlierState struct {
-		_          struct{} `cbor:",toarray"`
-		Placement  uint64
-		Leaving    bool
-		StoreAgeMS uint64
-		Members    uint64
-		Heard      []HeardDataCentre
+		_                struct{} `cbor:",toarray"`
+		Placement        uint64
+		Leaving          bool
+		StoreReadAgeMS   uint64
+		MembersDigest    uint64
+		HeardDataCentres []HeardDataCentre
 	}
 	earlierStamp struct {
 		_                                 struct{} `cbor:",toarray"`
@@ -86,39 +86,39 @@
 	}
 )
 
-// framed is a frame of another release as it comes over a link, with another
-// frame behind it.
-func framed(t *testing.T, kind Type, v any) []byte {
+// encodeFrame returns a frame of another release as it is sent over a link, followed by a
+// Cancel frame with ID 7.
+func encodeFrame(t *testing.T, frameType Type, v any) []byte {
 	data, err := cbor.Marshal(v)
 	must.NoError(t, err)
-	out := append([]byte{byte(kind)}, data...)
+	out := append([]byte{byte(frameType)}, data...)
 	return append(append(out, byte(TypeCancel)), 0x81, 0x07)
 }
 
-// next reads the frame, and that the one behind it is still whole.
-func next[F Frame](t *testing.T, data []byte) F {
+// decodeFrame decodes the frame, and checks that the Cancel frame after it is intact.
+func decodeFrame[F Frame](t *testing.T, data []byte) F {
 	codec, err := NewCodec()
 	must.NoError(t, err)
 	frame, rest, err := codec.Next(data)
 	must.NoError(t, err)
-	behind, rest, err := codec.Next(rest)
+	following, rest, err := codec.Next(rest)
 	must.NoError(t, err)
-	test.Eq(t, &Cancel{ID: 7}, behind.(*Cancel))
+	test.Eq(t, &Cancel{ID: 7}, following.(*Cancel))
 	test.SliceEmpty(t, rest)
 	return frame.(F)
 }
 
-func TestAFrameOfTheNextReleaseIsRead(t *testing.T) {
-	refusal := next[*Refusal](t, framed(t, TypeRefusal, laterRefusal{
+func TestNextDecodesFramesOfALaterRelease(t *testing.T) {
+	refusal := decodeFrame[*Refusal](t, encodeFrame(t, TypeRefusal, laterRefusal{
 		ID: 3, Kind: 4, Detail: "d", Stamp: laterStamp{Seq: 9, Limit: 2, Added: []string{"x"}}, Offered: true, Added: map[string]int{"a": 1},
 	}))
 	test.Eq(t, &Refusal{ID: 3, Kind: 4, Detail: "d", Stamp: Stamp{Seq: 9, Limit: 2}, Offered: true}, refusal)
-	members := next[*Members](t, framed(t, TypeMembers, laterMembers{Rows: []laterMember{{VM: "a", Slots: 3, Version: "v2", Added: 5}, {VM: "b"}}}))
+	members := decodeFrame[*Members](t, encodeFrame(t, TypeMembers, laterMembers{Rows: []laterMember{{VM: "a", Slots: 3, Version: "v2", Added: 5}, {VM: "b"}}}))
 	test.Eq(t, []Member{{VM: "a", Slots: 3, Version: "v2"}, {VM: "b"}}, members.Rows)
 }
 
-func TestAFrameOfTheReleaseBeforeIsRead(t *testing.T) {
-	answer := next[*Answer](t, framed(t, TypeAnswer, earlierAnswer{
+func TestNextDecodesAnAnswerOfAnEarlierRelease(t *testing.T) {
+	answer := decodeFrame[*Answer](t, encodeFrame(t, TypeAnswer, earlierAnswer{
 		ID: 5, Status: 200, Headers: []Header{{Name: "A", Value: "b"}}, Run: 8, Stamp: earlierStamp{Seq: 2}, Body: Body{Size: 1, First: []byte("x")},
 	}))
 	test.Eq(t, &Answer{
@@ -126,36 +126,36 @@
 	}, answer)
 }
 
-func TestAMemberOfTheReleaseBeforeHasNoVersion(t *testing.T) {
-	members := next[*Members](t, framed(t, TypeMembers, earlierMembers{Rows: []earlierMember{{VM: "a", Slots: 3, Backend: BackendAbsent}}}))
+func TestNextDecodesMembersOfAnEarlierRelease(t *testing.T) {
+	members := decodeFrame[*Members](t, encodeFrame(t, TypeMembers, earlierMembers{Rows: []earlierMember{{VM: "a", Slots: 3, Backend: BackendAbsent}}}))
 	test.Eq(t, []Member{{VM: "a", Slots: 3, Backend: BackendAbsent}}, members.Rows)
 }
 
-func TestAStateOfTheReleaseBeforeIsRead(t *testing.T) {
-	state := next[*State](t, framed(t, TypeState, earlierState{Placement: 3, Heard: []HeardDataCentre{{DataCentre: "a", AgeMS: 4}}}))
+func TestNextDecodesAStateOfAnEarlierRelease(t *testing.T) {
+	state := decodeFrame[*State](t, encodeFrame(t, TypeState, earlierState{Placement: 3, HeardDataCentres: []HeardDataCentre{{DataCentre: "a", AgeMS: 4}}}))
 	test.Eq(t, &State{Placement: 3, HeardDataCentres: []HeardDataCentre{{DataCentre: "a", AgeMS: 4}}}, state)
 }
 
-func TestAFrameTypeOfTheNextReleaseIsPassedOver(t *testing.T) {
+func TestNextSkipsAFrameTypeOfALaterRelease(t *testing.T) {
 	codec, err := NewCodec()
 	must.NoError(t, err)
-	frame, rest, err := codec.Next(framed(t, TypeCount, laterMembers{}))
+	frame, rest, err := codec.Next(encodeFrame(t, TypeCount, laterMembers{}))
 	must.NoError(t, err)
 	test.Nil(t, frame)
-	behind, _, err := codec.Next(rest)
+	following, _, err := codec.Next(rest)
 	must.NoError(t, err)
-	test.Eq(t, &Cancel{ID: 7}, behind.(*Cancel))
+	test.Eq(t, &Cancel{ID: 7}, following.(*Cancel))
 }
 
-func TestWhatIsNoFrameStaysAnError(t *testing.T) {
+func TestNextRejectsInvalidFrames(t *testing.T) {
 	codec, err := NewCodec()
 	must.NoError(t, err)
 	for name, data := range map[string][]byte{
-		"another type of field": {byte(TypeCancel), 0x81, 0x61, 'x'},
-		"no array":              {byte(TypeRefusal), 0x07},
-		"type 0":                {0, 0x80},
-		"a type over a byte":    {24, 0x80},
-		"cut":                   {byte(TypeCount), 0x82, 0x01},
+		"a field of another type":     {byte(TypeCancel), 0x81, 0x61, 'x'},
+		"not an array":                {byte(TypeRefusal), 0x07},
+		"type 0":                      {0, 0x80},
+		"a type longer than one byte": {24, 0x80},
+		"a truncated frame":           {byte(TypeCount), 0x82, 0x01},
 	} {
 		_, _, err := codec.Next(data)
 		test.Error(t, err, test.Sprint(name))
--- a/pkg/wire/frames.go
+++ b/pkg/wire/frames.go
@@ -1,6 +1,7 @@
-// Package wire holds the frames that daemons exchange over a link. A WebSocket
-// message is a CBOR sequence (RFC 8742): for each frame its type, which is one
-// byte, and the frame as a CBOR array. Source: docs/design/links.md.
+// Package wire defines the frames that daemons exchange over a link, and their encoding. A
+// WebSocket message is a CBOR sequence (RFC 8742): for each frame its type, which is one
+// byte, and the frame as a CBOR array. The order of the fields of a struct is their order in
+// the array. Source: docs/design/links.md.
 package wire
 
 import (
@@ -9,8 +10,8 @@
 	"github.com/rushramp/rushramp/pkg/evacuation"
 )
 
-// Type says which frame follows. Values stay below 24, so that the byte is a
-// whole CBOR item.
+// Type is the type of a frame, sent before it. Values stay below 24, which CBOR encodes in
+// one byte.
 type Type uint8
 
 // The types of frames.
@@ -36,7 +37,7 @@
 	TypeCount
 )
 
-// String returns the type's word in metrics and log lines.
+// String returns the label of the type in metrics and log lines.
 func (t Type) String() string {
 	return [...]string{
 		"none", "hello", "call", "chunk", "answer", "refusal", "cancel",
@@ -52,35 +53,35 @@
 	Value string
 }
 
-// Stamp is a gate's report of its load. It rides on answers and refusals.
+// Stamp is a gate's report of its load. It is sent in answers and refusals.
 type Stamp struct {
 	_ struct{} `cbor:",toarray"`
-	// Seq grows with each stamp of one incarnation, so that a late stamp never
-	// replaces a newer one.
+	// Seq increases with each stamp of one daemon process, so that a receiver can ignore
+	// stamps that arrive late. 0: no stamp.
 	Seq uint64
-	// Running and Queued count calls at the gate when the stamp was made.
+	// Running and Queued count the calls at the gate when the stamp was made.
 	Running uint32
 	Queued  uint32
-	// Limit is how many calls the gate runs at once now.
+	// Limit is how many calls the gate currently runs at a time.
 	Limit uint32
 	// ServiceUS is the estimated time of one run, in microseconds.
 	ServiceUS uint32
-	// Slowdown is how long work takes at the backend server now, in percent of
-	// what is usual there; 0: the backend server does not say.
+	// Slowdown is the current run time at the backend server in percent of its usual run
+	// time; 0: not known.
 	Slowdown uint32
-	// NormalSlowdown is the slowdown outside of slow spells where that is not 100 percent, as
-	// of a backend server that is cold; 0: it is.
+	// NormalSlowdown is the Slowdown to expect outside slow periods, in percent. It is above
+	// 100 while the backend server is cold, for example. 0: 100 percent.
 	NormalSlowdown uint32
 }
 
-// Size is how many bytes the stamp takes in a frame.
+// Size returns the size of the encoded stamp in bytes.
 func (s *Stamp) Size() int {
 	const arrayHead = 1
 	return arrayHead + uintSize(s.Seq) + uintSize(uint64(s.Running)) + uintSize(uint64(s.Queued)) +
 		uintSize(uint64(s.Limit)) + uintSize(uint64(s.ServiceUS)) + uintSize(uint64(s.Slowdown)) + uintSize(uint64(s.NormalSlowdown))
 }
 
-// uintSize is the length of an unsigned integer in CBOR (RFC 8949, section 3).
+// uintSize returns the size of an unsigned integer in CBOR (RFC 8949, section 3), in bytes.
 func uintSize(n uint64) int {
 	switch {
 	case n < 24:
@@ -95,126 +96,138 @@
 	return 9
 }
 
-// Hello is the first frame in each direction.
+// Hello is the first frame in each direction. It identifies the sender.
 type Hello struct {
-	_           struct{} `cbor:",toarray"`
-	VM          string
+	_  struct{} `cbor:",toarray"`
+	VM string
+	// Incarnation distinguishes the daemon processes that have run under this VM's id. It
+	// increases with each.
 	Incarnation uint64
 	DataCentre  string
 	State       State
-	// Region is that of the data centre; empty: not known.
+	// Region is the region of the data centre; empty: not known.
 	Region string
 }
 
-// State is the heartbeat, and news that cannot wait.
+// State is the state of the sending daemon. It is sent as the heartbeat, and at once after
+// a change that must not wait for the next heartbeat.
 type State struct {
 	_ struct{} `cbor:",toarray"`
-	// Placement is the version that the sender has in force.
+	// Placement is the version of the placement that the sender has in force.
 	Placement uint64
-	// Leaving is true when the sender takes no new calls.
+	// Leaving is true when the sender accepts no new calls.
 	Leaving bool
-	// StoreReadAgeMS is how long ago the newest word of the store that the sender
-	// knows of was read, by itself or by others, in milliseconds.
+	// StoreReadAgeMS is the time since the latest read of the store that the sender knows
+	// of, by itself or another daemon, in milliseconds. StoreNeverRead: it knows of none.
 	StoreReadAgeMS uint64
-	// MembersDigest is the digest of the sender's table of members.
+	// MembersDigest is the digest of the sender's table of members, by which peers detect
+	// that their tables differ.
 	MembersDigest uint64
-	// HeardDataCentres says how long ago the sender heard of each data centre. It is long
-	// and keeps for seconds, so not each heartbeat carries it.
+	// HeardDataCentres holds how long ago the sender last heard from each other data centre.
+	// Only some heartbeats contain it, since it is long and a value a few seconds old is
+	// good enough.
 	HeardDataCentres []HeardDataCentre
-	// Evacuation is the newest set of evacuated data centres that the sender
-	// knows of.
+	// Evacuation is the newest set of evacuated data centres that the sender knows of.
 	Evacuation evacuation.Set
-	// IdleTenths is how long the sender may say nothing on an idle link from now on,
-	// in tenths of a second; 0: it does not say.
+	// IdleTenths is the longest time, in units of IdleTenth, for which the sender may send
+	// nothing on an idle link from now on; 0: not stated.
 	IdleTenths uint32
-	// RolloutsDigest is the digest of what the sender knows of roll-outs; 0: nothing.
+	// RolloutsDigest is the digest of the sender's orders, plans and stops of roll-outs; 0:
+	// it has none.
 	RolloutsDigest uint64
-	// PlacementProofAgeMS is one more than the age of the newest proof that Placement is the operators'
-	// newest version, in milliseconds; 0: the sender does not say.
+	// PlacementProofAgeMS is the time, in milliseconds plus one, since the latest read of the
+	// store that showed no placement newer than Placement; 0: not stated.
 	PlacementProofAgeMS uint64
 }
 
-// IdleTenth is the unit of State.IdleTenths.
+// IdleTenth is the unit of State.IdleTenths: a tenth of a second.
 const IdleTenth = 100 * time.Millisecond
 
-// Idle is how long the sender may say nothing on an idle link; 0: it does not say.
+// Idle returns IdleTenths as a duration; 0: not stated.
 func (s *State) Idle() time.Duration { return time.Duration(s.IdleTenths) * IdleTenth }
 
-// HeardDataCentre is how long ago something said in a data centre was heard of.
+// HeardDataCentre is the time since the sender of a State last received a frame from a data
+// centre, directly or through other daemons, in milliseconds.
 type HeardDataCentre struct {
 	_          struct{} `cbor:",toarray"`
 	DataCentre string
 	AgeMS      uint64
 }
 
-// StoreNeverRead stands in StoreAgeMS when no word of the store is known.
+// StoreNeverRead is the value of State.StoreReadAgeMS if no read of the store is known.
 const StoreNeverRead = 1 << 40
 
-// Call carries a call from its entry to the executor.
+// Call sends a call from its entry to the executor.
 type Call struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
 	Service string
-	// Kind is the name of the kind that the entry matched. The executor matches
-	// by itself and refuses when the two differ.
-	Kind      string
-	Method    string
-	URI       string
-	Headers   []Header
-	Key       string
+	// Kind is the name of the request kind, or of the route, that the entry matched. The
+	// executor matches the request too, and refuses the call if the two differ.
+	Kind    string
+	Method  string
+	URI     string
+	Headers []Header
+	// Key is the Idempotency-Key; empty: none.
+	Key string
+	// Placement is the version of the placement that the entry has in force.
 	Placement uint64
-	// Remaining is the time left, as a duration: clocks of VMs differ.
+	// Remaining is the time until the deadline. It is a duration because the clocks of VMs
+	// differ.
 	Remaining time.Duration
-	// Claim says in which generation of its key a never-repeat call may run.
+	// Claim is the version and generation of its key under which a never-repeat call may
+	// run.
 	Claim Claim
-	// WantStamp asks for a stamp with the answer; its bytes are paid for.
+	// WantStamp asks for a stamp in the answer or refusal.
 	WantStamp bool
-	// MaxCost is the longest expected time at the gate, wait and run, for which this
-	// attempt is worth queueing; a longer one is refused at once. Zero: no bound.
+	// MaxCost is the longest expected time at the gate, queueing and running, with which the
+	// gate accepts this attempt; it refuses the attempt at once if it expects more. 0: no
+	// limit.
 	MaxCost time.Duration
 	Body    Body
-	// Routed is set for requests that are routed by host and path.
+	// Routed holds further fields of a request that is routed by host and path.
 	Routed Routed
 }
 
-// Routed is what a routed request carries besides a call.
+// Routed holds the fields of a routed request that other calls do not have.
 type Routed struct {
 	_ struct{} `cbor:",toarray"`
-	// ID is the caller's own id of the request; empty: the call is not routed.
+	// ID is the id that the caller gave the request; empty: the call is not routed.
 	ID   string
 	Host string
-	// Caller is the service that runs on the VM where the request began.
+	// Caller is the service of the backend server on the entry's VM.
 	Caller string
 	// Repeatable is true when the request may run more than once.
 	Repeatable bool
 	Priority   uint8
-	// Soft asks the gate to refuse at once while its backend server is slowed
-	// or nearly full.
+	// Soft makes the gate refuse the call at once while its backend server is slowed or
+	// nearly full.
 	Soft bool
-	// Near is true when the entry is in the executor's data centre, so that
-	// going on to another one has a price.
+	// Near is true when the entry is in the executor's data centre. A retry in another data
+	// centre then has the cost of crossing between data centres.
 	Near bool
-	// TargetRemaining is the time left in which an answer has its full worth.
+	// TargetRemaining is the time until the route's desired response time has passed. A later
+	// answer is worth less to the caller.
 	TargetRemaining time.Duration
-	// Team is the one whose key the request carried; empty: it carried none.
+	// Team is the team whose API key the request contained; empty: it contained none.
 	Team string
-	// TeamPriority goes before Priority.
+	// TeamPriority is compared before Priority.
 	TeamPriority uint8
 }
 
-// Claim is a place in the history of an Idempotency-Key. The executor may run
-// the call only if it writes the claim over exactly this version of the row.
+// Claim identifies one run of the call with an Idempotency-Key. The executor may run the
+// call only after it has replaced exactly this version of the key's row in the store.
 type Claim struct {
 	_ struct{} `cbor:",toarray"`
-	// Version is the version of the key's row; 0: there is none.
+	// Version is the version of the key's row; 0: the row does not exist.
 	Version uint64
-	// Generation counts the runs that a key was allowed to begin; for a routed
-	// request, the attempts before this one that reached a backend server.
+	// Generation numbers the runs that were permitted for the key. For a routed request it
+	// is the number of earlier attempts that reached a backend server.
 	Generation uint32
 }
 
-// Body is the first part of a body, and what the whole must come to. Longer
-// bodies go on in Chunk frames.
+// Body holds the first part of a body, and the size and xxHash of the whole body. The other
+// parts follow in Chunk frames.
 type Body struct {
 	_     struct{} `cbor:",toarray"`
 	Size  uint64
@@ -222,7 +235,8 @@
 	First []byte
 }
 
-// Chunk is a further part of a body.
+// Chunk is a further part of a body. ID is the id of the call, Seq counts the chunks of the
+// body from 0.
 type Chunk struct {
 	_    struct{} `cbor:",toarray"`
 	ID   uint64
@@ -230,27 +244,29 @@
 	Data []byte
 }
 
-// Answer carries the backend server's answer back.
+// Answer sends the backend server's response back to the entry.
 type Answer struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
 	Status  int
 	Headers []Header
-	// Queued and Run are the time at the gate and at the backend server.
+	// Queued is the time that the call waited at the gate, Run the time that it ran at the
+	// backend server.
 	Queued time.Duration
 	Run    time.Duration
 	Stamp  Stamp
 	Body   Body
 	// Origin says where the requests of the route begin.
 	Origin Origin
-	// Slowdown is the one at which the run started, in percent of what is usual;
-	// 0: not known.
+	// Slowdown is the backend server's slowdown when the run started, in percent of its
+	// usual run time; 0: not known.
 	Slowdown uint32
-	// CallsFailed is true where calls of the backend server failed during the run.
+	// CallsFailed is true when calls that the backend server made to other services failed
+	// during the run.
 	CallsFailed bool
 }
 
-// Refusal says that the executor did not produce an answer.
+// Refusal reports why the executor did not produce an answer.
 type Refusal struct {
 	_      struct{} `cbor:",toarray"`
 	ID     uint64
@@ -258,106 +274,114 @@
 	Ran    uint8
 	Detail string
 	Stamp  Stamp
-	// NextClaim is the claim that the entry may try instead, with KeyMoved.
+	// NextClaim is the claim to retry with if Kind is errkind.KeyMoved.
 	NextClaim Claim
-	// Offered is true when a routed request reached the backend server.
+	// Offered is true when a routed request reached the backend server, or may have reached
+	// it.
 	Offered bool
 	// Origin says where the requests of the route begin.
 	Origin Origin
 }
 
-// Origin is what an executor believes of the requests of a route, by where they
-// begin.
+// Origin is where the requests of a route come from, as an executor infers it from the VMs
+// that they enter through.
 type Origin uint8
 
-// The origins of a route's requests.
+// The origins of requests.
 const (
-	// OriginUnknown: the executor has seen too few of them to tell.
+	// OriginUnknown: the executor has seen too few requests to infer their origin.
 	OriginUnknown Origin = iota
-	// OriginService: one service makes them in the middle of its runs.
+	// OriginService: the backend servers of one or a few services send them during their own
+	// runs.
 	OriginService
-	// OriginCallers: callers from outside send them.
+	// OriginCallers: callers outside the fleet send them.
 	OriginCallers
 )
 
-// Cancel says that nobody waits for the call any more.
+// Cancel tells the executor that the entry no longer needs the answer to a call.
 type Cancel struct {
 	_  struct{} `cbor:",toarray"`
 	ID uint64
 }
 
-// Pull asks a peer for placement versions above Have.
+// Pull asks a peer for the placement versions after Have.
 type Pull struct {
 	_    struct{} `cbor:",toarray"`
 	Have uint64
 }
 
-// Update carries a placement: the whole document, or the changes that lead
-// from version From to Version.
+// Update sends a placement: either the whole document or the changes from version From to
+// Version.
 type Update struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
-	Hash    string
-	// From is the version that Entries build on; 0 with Document set.
-	From    uint64
+	// Hash is the hash of the whole document of Version.
+	Hash string
+	// From is the version that Entries apply to; 0 if Document is set.
+	From uint64
+	// Entries are the encoded changes, in order.
 	Entries [][]byte
-	// Document is the whole document, packed.
+	// Document is the whole document, as placement.Document.Pack encodes it.
 	Document []byte
 }
 
-// MemberState orders what may be said of one incarnation of a VM: what stands
-// later goes before what stands earlier.
+// MemberState is the state of one incarnation of a member, in its life cycle. Of two
+// records of an incarnation the one with the later state is newer.
 type MemberState uint8
 
-// The states of a member.
+// The states of a member, in their order.
 const (
 	MemberLive MemberState = iota
 	MemberLeaving
 	MemberGone
 )
 
-// Member is one row of the table of members, as daemons tell each other.
+// Member is one row of the table of members: a VM with its daemon and backend server.
 type Member struct {
 	_  struct{} `cbor:",toarray"`
 	VM string
-	// Started is the platform's, Incarnation the daemon process's own: one that
-	// was restarted on the same VM is live again although the old one left.
-	Started       uint64
-	Incarnation   uint64
-	State         MemberState
-	Region        string
-	DataCentre    string
-	Service       string
+	// Started comes from the platform, and increases with each VM that gets this id.
+	// Incarnation increases with each daemon process on the VM, so that a restarted daemon
+	// counts as live although the previous process has left.
+	Started     uint64
+	Incarnation uint64
+	State       MemberState
+	Region      string
+	DataCentre  string
+	Service     string
+	// LinkAddress is where the daemon accepts links, CallerAddress where it accepts callers.
 	LinkAddress   string
 	CallerAddress string
-	Slots         uint32
-	// Revision orders what one incarnation says of itself.
+	// Slots is the size of the backend server: its initial concurrency limit.
+	Slots uint32
+	// Revision increases with each change that an incarnation makes to its own row.
 	Revision uint64
 	// Backend is the state of the backend server beside the daemon.
 	Backend BackendState
-	// Version is the one that the backend server has said; empty: not known.
+	// Version is the version that the backend server has reported; empty: not known.
 	Version string
 }
 
-// BackendState is what a daemon says of its backend server.
+// BackendState is the state of a backend server as its daemon reports it.
 type BackendState uint8
 
-// The states of a backend server. A daemon that does not watch its backend
-// server says that it is live.
+// The states of a backend server. A daemon that does not watch its backend server reports
+// BackendLive.
 const (
 	BackendLive BackendState = iota
-	// BackendAbsent takes no requests: it is not known yet, is leaving, or down.
+	// BackendAbsent is the state of a backend server that accepts no requests: it is not
+	// known yet, is leaving, or is down.
 	BackendAbsent
 )
 
-// Members carries rows that changed, or that a peer asked for.
+// Members sends rows of the table of members that changed, or that a peer asked for.
 type Members struct {
 	_    struct{} `cbor:",toarray"`
 	Rows []Member
 }
 
-// MembersAsk asks a peer for the rows in which the two tables differ: it holds
-// the digest of each bucket of the sender's table.
+// MembersAsk asks a peer for the rows in which the two tables of members differ. Buckets
+// holds the digest of each bucket of the sender's table.
 type MembersAsk struct {
 	_       struct{} `cbor:",toarray"`
 	Buckets []uint32
--- a/pkg/wire/news.go
+++ b/pkg/wire/news.go
@@ -6,52 +6,54 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// Departures carries the ids of backend servers' processes that have said that
-// they leave. The set only grows; ids are dropped when they are old.
+// Departures sends the instance ids of backend server processes that have announced that
+// they are leaving. A departure is final; ids are only dropped when they are old.
 type Departures struct {
 	_   struct{} `cbor:",toarray"`
 	IDs []string
-	// Informed is true when the sender knows all departures that could matter:
-	// a daemon that was just started may not.
+	// Informed is true when the sender knows all departures that may still matter. A daemon
+	// that has just started may not know them.
 	Informed bool
 }
 
-// RolloutNews carries all that the sender knows of roll-outs.
+// RolloutNews sends orders, plans and stops of roll-outs: all that the sender knows, or
+// those that changed.
 type RolloutNews struct {
 	_      struct{} `cbor:",toarray"`
 	Update rollout.Update
 }
 
-// RolloutReport carries what an executor has seen of its backend server to those
-// who watch its service's roll-out.
+// RolloutReport sends what an executor has counted at its backend server to the daemons
+// that evaluate the roll-out of its service.
 type RolloutReport struct {
 	_      struct{} `cbor:",toarray"`
 	Report rollout.Report
 }
 
-// Quarantine carries what daemons saw of requests that end backend servers.
+// Quarantine sends crashes of backend servers with the requests that may have caused them,
+// and completions of such requests.
 type Quarantine struct {
 	_           struct{} `cbor:",toarray"`
 	Crashes     []quarantine.Crash
 	Completions []quarantine.Completion
-	// Informed is true when the sender knows all that could matter: a daemon that was
-	// just started may not.
+	// Informed is true when the sender knows all crashes and completions that may still
+	// matter. A daemon that has just started may not know them.
 	Informed bool
 }
 
-// Update is what the frame tells.
+// Update returns the crashes and completions of the frame.
 func (q *Quarantine) Update() quarantine.Update {
 	return quarantine.Update{Crashes: q.Crashes, Completions: q.Completions}
 }
 
-// QuotaAsk asks the daemon that counts a group of teams for tokens, and lends it a part of
-// their limits.
+// QuotaAsk sends a quota.Ask to the counter of a group of teams: it requests tokens, and
+// leases the sender's share of their limits to the counter.
 type QuotaAsk struct {
 	_   struct{} `cbor:",toarray"`
 	Ask quota.Ask
 }
 
-// QuotaGrant answers a QuotaAsk.
+// QuotaGrant is the answer to a QuotaAsk.
 type QuotaGrant struct {
 	_     struct{} `cbor:",toarray"`
 	Grant quota.Grant
