--- a/pkg/link/bodies_test.go
+++ b/pkg/link/bodies_test.go
@@ -20,61 +20,63 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// smallExecutor listens with room for so many bytes of bodies. Its calls run
-// until they are cancelled.
-func smallExecutor(t *testing.T, room int) *Server {
+// newExecutorWithBodyLimit returns a server that holds at most limitBytes of bodies. Its
+// calls run until they are cancelled.
+func newExecutorWithBodyLimit(t *testing.T, limitBytes int) *Server {
 	s := settings.Default()
-	s.Limits.BodiesBytes = room
+	s.Limits.BodiesBytes = limitBytes
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(t, err)
-	runs := runnerFunc(func(_ *wire.Call, _ []byte, done func(call.Result)) func() {
+	runner := runnerFunc(func(_ *wire.Call, _ []byte, done func(call.Result)) func() {
 		return func() { done(call.Refused(errkind.CallerGone, "")) }
 	})
-	server := Listen(common.NewCommon(events.Discard(), &s), &quietControl{up: make(chan *Peer, 10)}, runs, listener, nil, NewHeartbeatTiming(testHeartbeat))
+	server := Listen(common.NewCommon(events.Discard(), &s), &nopHandler{up: make(chan *Peer, 10)}, runner, listener, nil, NewHeartbeatTiming(testIdle))
 	t.Cleanup(server.Close)
 	return server
 }
 
-func holds(t *testing.T, server *Server, bytes int64) {
+// waitForReserved waits until the server holds bodies of exactly this size.
+func waitForReserved(t *testing.T, server *Server, bytes int64) {
 	t.Helper()
 	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return server.Bodies.Reserved() == bytes }),
 		wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 }
 
-// TestAnExecutorWithoutRoomRefusesAsNotRun, and takes bodies again once those
-// before have ended.
-func TestAnExecutorWithoutRoomRefusesAsNotRun(t *testing.T) {
-	server := smallExecutor(t, 100<<10)
-	control := &quietControl{up: make(chan *Peer, 10)}
-	client, err := DialClient(context.Background(), testCommon(), control, server.address, DialOptions{HeartbeatTiming: NewHeartbeatTiming(testHeartbeat)})
+// TestExecutorRefusesBodiesOverItsLimit checks that such a call is reported as not run, and
+// that the executor accepts bodies again once earlier calls have ended.
+func TestExecutorRefusesBodiesOverItsLimit(t *testing.T) {
+	server := newExecutorWithBodyLimit(t, 100<<10)
+	handler := &nopHandler{up: make(chan *Peer, 10)}
+	client, err := DialClient(context.Background(), testCommon(), handler, server.address, DialOptions{HeartbeatTiming: NewHeartbeatTiming(testIdle)})
 	must.NoError(t, err)
 	go client.Run()
 	defer client.Close()
-	<-control.up
+	<-handler.up
 	body := make([]byte, 60<<10)
 	cancel := client.Execute(&wire.Call{}, body, func(call.Result) {})
-	holds(t, server, 60<<10)
-	refused := do(client, "/", body)
+	waitForReserved(t, server, 60<<10)
+	refused := execute(client, "/", body)
 	must.NotNil(t, refused.Refusal)
 	test.Eq(t, errkind.Overloaded, refused.Refusal.Kind)
 	test.Eq(t, errkind.RanNo, refused.Refusal.Ran)
 	cancel()
-	holds(t, server, 0)
-	again := client.Execute(&wire.Call{}, body, func(call.Result) {})
-	holds(t, server, 60<<10)
-	again()
-	holds(t, server, 0)
+	waitForReserved(t, server, 0)
+	cancelSecond := client.Execute(&wire.Call{}, body, func(call.Result) {})
+	waitForReserved(t, server, 60<<10)
+	cancelSecond()
+	waitForReserved(t, server, 0)
 }
 
-// TestHalfABodyHoldsNoRoom once its caller has left, or its link broke.
-func TestHalfABodyHoldsNoRoom(t *testing.T) {
-	for name, end := range map[string]func(ws *websocket.Conn, send func(wire.Frame)){
+// TestIncompleteBodyIsReleased checks that the memory of an incomplete body is released when
+// the call is cancelled or the link ends.
+func TestIncompleteBodyIsReleased(t *testing.T) {
+	for name, endCall := range map[string]func(ws *websocket.Conn, send func(wire.Frame)){
 		"a cancel":      func(_ *websocket.Conn, send func(wire.Frame)) { send(&wire.Cancel{ID: 1}) },
 		"a broken link": func(ws *websocket.Conn, _ func(wire.Frame)) { _ = ws.Close() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			server := smallExecutor(t, 1<<20)
-			ws, resp, err := websocket.DefaultDialer.Dial("ws://"+server.address+path, nil)
+			server := newExecutorWithBodyLimit(t, 1<<20)
+			ws, resp, err := websocket.DefaultDialer.Dial("ws://"+server.address+linkPath, nil)
 			must.NoError(t, err)
 			_ = resp.Body.Close()
 			defer func() { _ = ws.Close() }()
@@ -90,9 +92,9 @@
 			send(&wire.Hello{VM: "entry"})
 			send(&wire.Call{ID: 1, Body: first})
 			send(chunks[0])
-			holds(t, server, 3*wire.ChunkSize)
-			end(ws, send)
-			holds(t, server, 0)
+			waitForReserved(t, server, 3*wire.ChunkSize)
+			endCall(ws, send)
+			waitForReserved(t, server, 0)
 		})
 	}
 }
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -18,52 +18,58 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// path is where daemons accept links.
-const path = "/link"
+// linkPath is the HTTP path at which daemons accept links.
+const linkPath = "/link"
 
-// Dial opens a TCP connection; tests and the bench put delays in its way.
+// Dial opens a TCP connection. Tests and benchmarks use their own to simulate delays.
 type Dial func(ctx context.Context, network, address string) (net.Conn, error)
 
-// DialOptions say how a link is opened.
+// DialOptions are the options of DialClient.
 type DialOptions struct {
 	Dial Dial
 	// TLS is nil for plain text.
 	TLS *tls.Config
-	// HeartbeatTiming is how often idle links carry a heartbeat.
+	// HeartbeatTiming is the timing of the heartbeats on the link.
 	HeartbeatTiming *HeartbeatTiming
 }
 
-// Client is the entry's side of a link: it sends calls and waits for answers.
+// Client is the side of a link that opened it: an entry, which sends calls and receives
+// their answers.
 type Client struct {
 	*Peer
-	control Handler
+	handler Handler
+	// maxBody is the maximum size of an answer's body, in bytes.
 	maxBody int
-	here    proximity.Location
+	// location is where this daemon runs.
+	location proximity.Location
 
 	mu sync.Mutex
-	// lastID is the id of the newest call.
-	lastID  uint64
-	pending map[uint64]*pending
-	late    atomic.Int64
+	// lastID is the id of the latest call.
+	lastID uint64
+	// pending holds the calls that have not ended, by id; nil once the link has ended.
+	pending    map[uint64]*pendingCall
+	lateFrames atomic.Int64
 }
 
-// pending is a call that has not ended.
-type pending struct {
-	done     func(call.Result)
+// pendingCall is a call that has not ended.
+type pendingCall struct {
+	done func(call.Result)
+	// answer is nil until the answer frame has arrived. Then assembly assembles its body.
 	answer   *wire.Answer
 	assembly *wire.Assembly
 }
 
-// DialClient opens a link to the daemon at address and greets it.
-func DialClient(ctx context.Context, c *common.Common, control Handler, address string, opts DialOptions) (*Client, error) {
-	dialer := websocket.Dialer{NetDialContext: opts.Dial, TLSClientConfig: opts.TLS, HandshakeTimeout: writeTime}
+// DialClient opens a link to the daemon at address and sends the hello frame. The caller
+// must call Run.
+func DialClient(ctx context.Context, c *common.Common, handler Handler, address string, opts DialOptions) (*Client, error) {
+	dialer := websocket.Dialer{NetDialContext: opts.Dial, TLSClientConfig: opts.TLS, HandshakeTimeout: writeTimeout}
 	scheme := "ws://"
 	if opts.TLS != nil {
 		scheme = "wss://"
 	}
-	ws, resp, err := dialer.DialContext(ctx, scheme+address+path, http.Header{})
+	ws, resp, err := dialer.DialContext(ctx, scheme+address+linkPath, http.Header{})
 	if err != nil {
-		return nil, errors.Wrapf(err, "link to %s", address)
+		return nil, errors.Wrapf(err, "open a link to %s", address)
 	}
 	_ = resp.Body.Close()
 	codec, err := wire.NewCodec()
@@ -72,73 +78,76 @@
 	}
 	cl := &Client{
 		Peer:    &Peer{Conn: newConn(ws, codec, c.Traffic, opts.HeartbeatTiming), Outgoing: true},
-		control: control, here: c.Here(),
+		handler: handler, location: c.Here(),
 		maxBody: c.Settings.Limits.MaxBodyBytes,
-		pending: map[uint64]*pending{},
+		pending: map[uint64]*pendingCall{},
 	}
-	if opener, ok := control.(Opener); ok {
+	if opener, ok := handler.(Opener); ok {
 		opener.Opened(cl)
 	}
-	if err := cl.Send(control.Hello()); err != nil {
+	if err := cl.Send(handler.Hello()); err != nil {
 		return nil, err
 	}
 	return cl, nil
 }
 
-// Opener is a Control that wants to know its client before the first frame.
+// Opener is implemented by a Handler of one link that needs the Client. Opened is called
+// before the first frame is sent or received.
 type Opener interface{ Opened(*Client) }
 
-// Run serves the link until it ends. The first frame must be the greeting.
+// Run receives frames until the link ends. The first one must be the peer's hello frame.
 func (cl *Client) Run() {
 	_, err := cl.serve(func() {
-		cl.setPlace(cl.here.To(cl.Hello.DataCentre, cl.Hello.Region))
+		cl.setProximity(cl.location.To(cl.Hello.DataCentre, cl.Hello.Region))
 		cl.ping()
-		cl.control.Up(cl.Peer)
-		cl.control.PeerState(cl.Peer, &cl.Hello.State)
+		cl.handler.Up(cl.Peer)
+		cl.handler.PeerState(cl.Peer, &cl.Hello.State)
 	}, cl.receive)
 	cl.failAll()
-	cl.control.Down(cl.Peer, err)
+	cl.handler.Down(cl.Peer, err)
 }
 
-// Execute implements call.Runner.
+// Execute implements call.Runner. It sends the call to the executor at the other end.
 func (cl *Client) Execute(c *wire.Call, body []byte, done func(call.Result)) (cancel func()) {
-	sent := *c
+	callFrame := *c
 	var chunks []*wire.Chunk
-	sent.Body, chunks = wire.Split(body)
-	if refusal := cl.begin(&sent, chunks, done); refusal != nil {
+	callFrame.Body, chunks = wire.Split(body)
+	if refusal := cl.sendCall(&callFrame, chunks, done); refusal != nil {
 		done(*refusal)
 		return func() {}
 	}
-	return func() { _ = cl.Send(&wire.Cancel{ID: sent.ID}) }
+	return func() { _ = cl.Send(&wire.Cancel{ID: callFrame.ID}) }
 }
 
-// begin notes and sends a call. Ids must reach the peer in rising order, which
-// proves to it that none is used twice; so the id is drawn and the frame queued
-// under one lock. A refusal here is a "no": nothing of the call was written.
-func (cl *Client) begin(sent *wire.Call, chunks []*wire.Chunk, done func(call.Result)) *call.Result {
+// sendCall assigns an id to a call, queues its frames and adds it to the pending calls. The
+// peer requires ids in rising order, so that none is used twice. Therefore the id is
+// assigned and the frames are queued under one lock. If sendCall returns a refusal, nothing
+// of the call was written, so that it certainly did not run.
+func (cl *Client) sendCall(callFrame *wire.Call, chunks []*wire.Chunk, done func(call.Result)) *call.Result {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
 	if cl.pending == nil {
-		return refused("the link is closed")
+		return linkUnavailable("the link is closed")
 	}
 	cl.lastID++
-	sent.ID = cl.lastID
+	callFrame.ID = cl.lastID
 	frames := make([]wire.Frame, 0, 1+len(chunks))
-	frames = append(frames, sent)
+	frames = append(frames, callFrame)
 	for _, chunk := range chunks {
-		chunk.ID = sent.ID
+		chunk.ID = callFrame.ID
 		frames = append(frames, chunk)
 	}
 	if err := cl.Send(frames...); err != nil {
-		return refused("the link closed before the call was sent")
+		return linkUnavailable("the link closed before the call was sent")
 	}
-	cl.pending[sent.ID] = &pending{done: done}
+	cl.pending[callFrame.ID] = &pendingCall{done: done}
 	return nil
 }
 
-func refused(why string) *call.Result {
-	out := call.Refused(errkind.LinkUnavailable, "%s", why)
-	return &out
+// linkUnavailable returns a refusal of kind LinkUnavailable.
+func linkUnavailable(detail string) *call.Result {
+	result := call.Refused(errkind.LinkUnavailable, "%s", detail)
+	return &result
 }
 
 func (cl *Client) receive(frame wire.Frame) error {
@@ -152,97 +161,101 @@
 		cl.finish(f.ID, call.Result{Refusal: refusal, FromExecutor: true, Stamp: f.Stamp, NextClaim: f.NextClaim, Offered: f.Offered, Origin: f.Origin})
 		return nil
 	}
-	if cl.Peer.control(cl.control, frame) {
+	if cl.Peer.handleFrame(cl.handler, frame) {
 		return nil
 	}
-	return &BadFrameError{Cause: errors.Errorf("frame %d from an executor", frame.Type())}
+	return &BadFrameError{Cause: errors.Errorf("an executor sent a frame of type %d", frame.Type())}
 }
 
 func (cl *Client) receiveAnswer(f *wire.Answer) error {
 	assembly, err := wire.NewAssembly(f.Body, cl.maxBody)
 	if err != nil {
-		cl.finish(f.ID, cut(err, f.Stamp))
+		cl.finish(f.ID, answerCut(err, f.Stamp))
 		return nil
 	}
-	waiting := cl.find(f.ID)
-	if waiting == nil {
+	pending := cl.find(f.ID)
+	if pending == nil {
 		return nil
 	}
-	if waiting.answer != nil {
-		return &BadFrameError{Cause: errors.New("two answers to one call")}
+	if pending.answer != nil {
+		return &BadFrameError{Cause: errors.New("a second answer to a call")}
 	}
-	waiting.answer, waiting.assembly = f, assembly
-	cl.finishIfComplete(f.ID, waiting)
+	pending.answer, pending.assembly = f, assembly
+	cl.finishIfComplete(f.ID, pending)
 	return nil
 }
 
 func (cl *Client) receiveChunk(f *wire.Chunk) error {
-	waiting := cl.find(f.ID)
-	if waiting == nil {
+	pending := cl.find(f.ID)
+	if pending == nil {
 		return nil
 	}
-	if waiting.assembly == nil {
-		return &BadFrameError{Cause: errors.New("a chunk before its answer")}
+	if pending.assembly == nil {
+		return &BadFrameError{Cause: errors.New("a chunk arrived before its answer")}
 	}
-	if err := waiting.assembly.Add(f); err != nil {
-		cl.finish(f.ID, cut(err, waiting.answer.Stamp))
+	if err := pending.assembly.Add(f); err != nil {
+		cl.finish(f.ID, answerCut(err, pending.answer.Stamp))
 		return nil
 	}
-	cl.finishIfComplete(f.ID, waiting)
+	cl.finishIfComplete(f.ID, pending)
 	return nil
 }
 
-func cut(cause error, stamp wire.Stamp) call.Result {
+// answerCut returns the result of a call whose answer is incomplete or damaged.
+func answerCut(cause error, stamp wire.Stamp) call.Result {
 	return call.Result{Refusal: errkind.New(errkind.AnswerCut, "%v", cause), FromExecutor: true, Stamp: stamp}
 }
 
-func (cl *Client) finishIfComplete(id uint64, waiting *pending) {
-	if !waiting.assembly.Complete() {
+// finishIfComplete ends a call if the whole body of its answer has arrived.
+func (cl *Client) finishIfComplete(id uint64, pending *pendingCall) {
+	if !pending.assembly.Complete() {
 		return
 	}
-	f := waiting.answer
-	body, err := waiting.assembly.Body()
+	f := pending.answer
+	body, err := pending.assembly.Body()
 	if err != nil {
-		cl.finish(id, cut(err, f.Stamp))
+		cl.finish(id, answerCut(err, f.Stamp))
 		return
 	}
 	answer := &call.Answer{Status: f.Status, Headers: f.Headers, Body: body, Queued: f.Queued, Run: f.Run, Slowdown: int(f.Slowdown), CallsFailed: f.CallsFailed}
 	cl.finish(id, call.Result{Answer: answer, FromExecutor: true, Offered: true, Stamp: f.Stamp, Origin: f.Origin})
 }
 
-// find returns a pending call, or counts a late frame.
-func (cl *Client) find(id uint64) *pending {
+// find returns a pending call. If the call has ended, it counts a late frame and returns
+// nil.
+func (cl *Client) find(id uint64) *pendingCall {
 	cl.mu.Lock()
 	defer cl.mu.Unlock()
-	waiting := cl.pending[id]
-	if waiting == nil {
-		cl.late.Add(1)
+	pending := cl.pending[id]
+	if pending == nil {
+		cl.lateFrames.Add(1)
 	}
-	return waiting
+	return pending
 }
 
+// finish ends a call. If the call has ended before, it counts a late frame.
 func (cl *Client) finish(id uint64, result call.Result) {
 	cl.mu.Lock()
-	waiting := cl.pending[id]
+	pending := cl.pending[id]
 	delete(cl.pending, id)
 	cl.mu.Unlock()
-	if waiting == nil {
-		cl.late.Add(1)
+	if pending == nil {
+		cl.lateFrames.Add(1)
 		return
 	}
-	waiting.done(result)
+	pending.done(result)
 }
 
-// failAll ends all calls when the link ends: they may have run.
+// failAll ends all pending calls with LinkLost when the link has ended. They may have run.
 func (cl *Client) failAll() {
 	cl.mu.Lock()
 	calls := cl.pending
 	cl.pending = nil
 	cl.mu.Unlock()
-	for _, waiting := range calls {
-		waiting.done(call.Refused(errkind.LinkLost, "the link to the executor ended"))
+	for _, pending := range calls {
+		pending.done(call.Refused(errkind.LinkLost, "the link to the executor ended"))
 	}
 }
 
-// LateFrames counts frames for calls that had ended.
-func (cl *Client) LateFrames() int64 { return cl.late.Load() }
+// LateFrames returns how many frames arrived for calls that had already ended.
+func (cl *Client) LateFrames() int64 { return cl.lateFrames.Load() }
--- a/pkg/link/conn.go
+++ b/pkg/link/conn.go
@@ -1,6 +1,6 @@
-// Package link carries calls and control messages between daemons: one
-// WebSocket connection a pair and direction, many calls at once.
-// Source: docs/design/links.md.
+// Package link sends calls and control frames between daemons. A link is one WebSocket
+// connection, opened by the daemon that sends calls over it, and carries many calls at a
+// time. Two daemons that call each other have two links. Source: docs/design/links.md.
 package link
 
 import (
@@ -20,154 +20,162 @@
 )
 
 const (
-	// batchBytes is how much one WebSocket message gathers at most, before the
-	// frame that crosses it.
-	batchBytes = 64 << 10
-	// queueBound is how many frames may wait for a slow peer before the link
-	// counts as broken.
-	queueBound = 16 << 10
-	writeTime  = 5 * time.Second
-	// unsentBytes is how much may wait unsent in the kernel, in front of every later
-	// frame: 13 ms on the users' slowest links (10 Mbit/s), in which a writer wakes.
-	// The kernel's own bound is some megabytes.
-	unsentBytes = 16 << 10
+	// flushBytes is the size from which a WebSocket message is sent without further frames.
+	flushBytes = 64 << 10
+	// maxQueuedFrames is how many frames may wait to be sent to a slow peer. The link is
+	// closed beyond that.
+	maxQueuedFrames = 16 << 10
+	writeTimeout    = 5 * time.Second
+	// maxUnsentBytes limits the unsent bytes in the kernel's buffer, which delay each later
+	// frame: by 13 ms on a link of 10 Mbit/s, enough time for the writer to wake and refill
+	// the buffer. The kernel's default limit is some megabytes.
+	maxUnsentBytes = 16 << 10
 )
 
-// ErrClosed is returned for frames that a closed link was asked to send. Such
-// a frame was never written.
+// ErrClosed is returned when frames are sent on a closed link. None of them was written.
 var ErrClosed = errors.New("the link is closed")
 
-// Conn sends and receives frames. Small frames go before chunks of bodies, and
-// frames that wait together leave in one message.
+// Conn sends and receives the frames of one link. Queued frames are sent together in one
+// message, and chunks of bodies after all other frames. It is safe for concurrent use.
 type Conn struct {
-	ws    *websocket.Conn
-	codec *wire.Codec
-	pace  *HeartbeatTiming
-	start time.Time
-
-	mu       sync.Mutex
-	wake     *sync.Cond
+	ws     *websocket.Conn
+	codec  *wire.Codec
+	timing *HeartbeatTiming
+	start  time.Time
+
+	mu sync.Mutex
+	// wake is signalled when frames are queued, and when the link is closed.
+	wake *sync.Cond
+	// chunks holds the queued Chunk frames, and frames all other queued frames.
 	frames   []wire.Frame
 	chunks   []wire.Frame
 	closed   bool
 	lastSent time.Time
-	// saidIdle is how long this side last said that it may be silent; 0: it did not.
-	saidIdle time.Duration
-
-	account *traffic.Counters
-	// place is a place.Place: how far the peer is, once it has greeted.
-	place atomic.Uint32
-
-	written counter
-	read    counter
-	// roundTrip is the shortest of the pings, in nanoseconds.
-	roundTrip atomic.Int64
-	pings     atomic.Int64
-	// heardAt is when anything last came from the peer, since start.
-	heardAt atomic.Int64
-	// askedAt is when the peer was first asked for a sign of life that has not
-	// come, since start; it is void once something came after it.
-	askedAt atomic.Int64
-	// peerIdle is how long the peer said that it may be silent, in nanoseconds.
+	// statedIdle is the longest idle time that this side has last stated to the peer; 0:
+	// none.
+	statedIdle time.Duration
+
+	counters *traffic.Counters
+	// proximity is the proximity.Level of the peer, known once its hello frame has arrived.
+	proximity atomic.Uint32
+
+	sent     messageCounter
+	received messageCounter
+	// minRTT is the shortest round-trip time of the pings, in nanoseconds; 0: not known.
+	minRTT    atomic.Int64
+	pingsSent atomic.Int64
+	// lastReceivedAt is when the last message or pong was received, in nanoseconds since
+	// start.
+	lastReceivedAt atomic.Int64
+	// probedAt is when the oldest unanswered probe was sent, in nanoseconds since start. The
+	// probe is answered if lastReceivedAt is not before it.
+	probedAt atomic.Int64
+	// peerIdle is the longest idle time that the peer has last stated, in nanoseconds; 0:
+	// none.
 	peerIdle atomic.Int64
 }
 
-// newConn starts the writer.
-func newConn(ws *websocket.Conn, codec *wire.Codec, account *traffic.Counters, pace *HeartbeatTiming) *Conn {
-	c := &Conn{ws: ws, codec: codec, account: account, pace: pace, start: time.Now(), lastSent: time.Now()}
+// newConn returns a connection over ws and starts its writer.
+func newConn(ws *websocket.Conn, codec *wire.Codec, counters *traffic.Counters, timing *HeartbeatTiming) *Conn {
+	c := &Conn{ws: ws, codec: codec, counters: counters, timing: timing, start: time.Now(), lastSent: time.Now()}
 	c.wake = sync.NewCond(&c.mu)
 	ws.SetReadLimit(wire.MaxMessage)
-	// Where the system has no such bound, small frames wait behind whole bodies.
-	_ = netdial.LimitUnsent(ws.NetConn(), unsentBytes)
+	// On a system without this limit, other frames wait behind the buffered chunks of
+	// bodies.
+	_ = netdial.LimitUnsent(ws.NetConn(), maxUnsentBytes)
 	ws.SetPongHandler(c.pong)
 	go c.writeLoop()
 	return c
 }
 
-// NewClosedConn makes a connection that was closed: it takes no frame. It stands
-// in for a link in tests of what systems decide.
+// NewClosedConn returns a closed connection, which accepts no frames. Tests of the systems
+// use it in place of a link.
 func NewClosedConn() *Conn {
-	c := &Conn{closed: true, start: time.Now(), pace: NewHeartbeatTiming(time.Minute)}
+	c := &Conn{closed: true, start: time.Now(), timing: NewHeartbeatTiming(time.Minute)}
 	c.wake = sync.NewCond(&c.mu)
 	return c
 }
 
-// mostPings is how often the round trip of a link is measured. The first ping
-// meets the busiest moment of a link, the greeting; the shortest counts.
-const mostPings = 4
+// maxPings is after how many pings MeasureRoundTrip sends no more. One ping is not enough:
+// the first is slow, since a link is busiest just after it was opened.
+const maxPings = 4
 
-// MeasureRoundTrip pings the peer once more, a few times in a link's life.
+// MeasureRoundTrip sends another ping to the peer, unless maxPings were sent.
 func (c *Conn) MeasureRoundTrip() {
-	if c.pings.Load() < mostPings {
+	if c.pingsSent.Load() < maxPings {
 		c.ping()
 	}
 }
 
-// Silence is how long nothing has come from the peer.
+// Silence returns the time since the last message or pong was received from the peer.
 func (c *Conn) Silence() time.Duration {
-	return time.Since(c.start) - time.Duration(c.heardAt.Load())
+	return time.Since(c.start) - time.Duration(c.lastReceivedAt.Load())
 }
 
-// Probe asks the peer for a sign of life; Silence shows whether one came. It
-// does not wait: a link behind a cut may not take even a ping.
+// Probe asks the peer for a sign of life by a ping. It does not wait, since even sending a
+// ping may block while the network is down. Silence and UnansweredFor tell whether the
+// peer has answered.
 func (c *Conn) Probe() {
-	asked, heard := c.askedAt.Load(), c.heardAt.Load()
-	if asked <= heard {
-		c.askedAt.CompareAndSwap(asked, int64(time.Since(c.start)))
+	probedAt, receivedAt := c.probedAt.Load(), c.lastReceivedAt.Load()
+	if probedAt <= receivedAt {
+		c.probedAt.CompareAndSwap(probedAt, int64(time.Since(c.start)))
 	}
 	go c.ping()
 }
 
-// UnansweredFor is for how long the peer has owed a sign of life that it was asked
-// for; 0: it owes none.
+// UnansweredFor returns the time since the oldest unanswered probe; 0: all probes are
+// answered.
 func (c *Conn) UnansweredFor() time.Duration {
-	asked := c.askedAt.Load()
-	if asked <= c.heardAt.Load() {
+	probedAt := c.probedAt.Load()
+	if probedAt <= c.lastReceivedAt.Load() {
 		return 0
 	}
-	return time.Since(c.start) - time.Duration(asked)
+	return time.Since(c.start) - time.Duration(probedAt)
 }
 
-// ping measures the round trip. The time travels in the ping and comes back.
+// ping sends a ping that contains the time. The pong returns it, so that pong can compute
+// the round-trip time.
 func (c *Conn) ping() {
-	c.pings.Add(1)
-	var sent [8]byte
-	binary.BigEndian.PutUint64(sent[:], uint64(time.Since(c.start)))
-	// A ping that cannot be sent leaves the distance unknown, which is 0.
-	_ = c.ws.WriteControl(websocket.PingMessage, sent[:], time.Now().Add(writeTime))
+	c.pingsSent.Add(1)
+	var payload [8]byte
+	binary.BigEndian.PutUint64(payload[:], uint64(time.Since(c.start)))
+	// If the ping cannot be sent, minRTT keeps its value.
+	_ = c.ws.WriteControl(websocket.PingMessage, payload[:], time.Now().Add(writeTimeout))
 }
 
+// pong handles a pong frame of the WebSocket protocol. data is what ping has sent.
 func (c *Conn) pong(data string) error {
-	c.heardAt.Store(int64(time.Since(c.start)))
+	c.lastReceivedAt.Store(int64(time.Since(c.start)))
 	if len(data) != 8 {
 		return nil
 	}
-	sent := time.Duration(binary.BigEndian.Uint64([]byte(data)))
-	took := int64(time.Since(c.start) - sent)
-	if old := c.roundTrip.Load(); old == 0 || took < old {
-		c.roundTrip.Store(took)
+	sentAt := time.Duration(binary.BigEndian.Uint64([]byte(data)))
+	rtt := int64(time.Since(c.start) - sentAt)
+	if old := c.minRTT.Load(); old == 0 || rtt < old {
+		c.minRTT.Store(rtt)
 	}
 	return nil
 }
 
-// MinRTT is the measured time to the peer and back; 0 when not known yet.
-func (c *Conn) MinRTT() time.Duration { return time.Duration(c.roundTrip.Load()) }
+// MinRTT returns the shortest round-trip time measured on the link; 0: not known yet.
+func (c *Conn) MinRTT() time.Duration { return time.Duration(c.minRTT.Load()) }
 
-// Send queues frames, in order. It returns ErrClosed when the link is closed;
-// otherwise the frames may or may not reach the peer.
+// Send queues frames in order, except that chunks of bodies are sent after other frames. It
+// returns ErrClosed if the link is closed. If too many frames are queued, it closes the link
+// and returns ErrClosed. Frames that were queued without an error may not reach the peer.
 func (c *Conn) Send(frames ...wire.Frame) error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.closed {
 		return ErrClosed
 	}
-	if len(c.frames)+len(c.chunks) > queueBound {
+	if len(c.frames)+len(c.chunks) > maxQueuedFrames {
 		c.closeLocked()
 		return ErrClosed
 	}
 	for _, frame := range frames {
-		if idle := idleOf(frame); idle > 0 {
-			c.saidIdle = idle
+		if idle := statedIdleOf(frame); idle > 0 {
+			c.statedIdle = idle
 		}
 		if frame.Type() == wire.TypeChunk {
 			c.chunks = append(c.chunks, frame)
@@ -179,13 +187,14 @@
 	return nil
 }
 
-// Close closes the link. Frames that wait are dropped.
+// Close closes the link. Queued frames are dropped.
 func (c *Conn) Close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.closeLocked()
 }
 
+// closeLocked closes the link. The caller holds mu.
 func (c *Conn) closeLocked() {
 	if c.closed {
 		return
@@ -196,32 +205,34 @@
 	_ = c.ws.Close()
 }
 
-// setPlace notes how far the peer is.
-func (c *Conn) setPlace(p proximity.Level) { c.place.Store(uint32(p)) }
+// setProximity sets the proximity of the peer.
+func (c *Conn) setProximity(level proximity.Level) { c.proximity.Store(uint32(level)) }
 
-// Proximity is how far the peer is; Unknown until it has greeted.
-func (c *Conn) Proximity() proximity.Level { return proximity.Level(c.place.Load()) }
+// Proximity returns how far the peer is. It is proximity.Unknown until the peer's hello
+// frame has arrived.
+func (c *Conn) Proximity() proximity.Level { return proximity.Level(c.proximity.Load()) }
 
-// HeartbeatDue is true when nothing was sent for the idle time. A longer one than
-// the peer was told of holds once it was: that heartbeat goes at the former pace.
+// HeartbeatDue reports whether nothing was sent for the idle time of the link. An idle time
+// longer than the one last stated to the peer applies only after a heartbeat has stated it,
+// so that the peer does not close the link before.
 func (c *Conn) HeartbeatDue(now time.Time) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	idle := c.pace.Idle(c.Proximity())
-	if c.saidIdle > 0 {
-		idle = min(idle, c.saidIdle)
+	idle := c.timing.Idle(c.Proximity())
+	if c.statedIdle > 0 {
+		idle = min(idle, c.statedIdle)
 	}
 	return now.Sub(c.lastSent) >= idle
 }
 
-// patience is for how long the peer may say nothing before the link ends: as this
-// side reckons from the size of the fleet, or longer where the peer said so.
-func (c *Conn) patience() time.Duration {
-	return max(c.pace.SilenceTimeout(), MaxMissedHeartbeats*time.Duration(c.peerIdle.Load()))
+// readTimeout returns for how long the peer may send nothing before the link is closed:
+// this side's own silence timeout, or more if the peer has stated a longer idle time.
+func (c *Conn) readTimeout() time.Duration {
+	return max(c.timing.SilenceTimeout(), MaxMissedHeartbeats*time.Duration(c.peerIdle.Load()))
 }
 
-// idleOf is what a frame says of how long its sender may be silent; 0: nothing.
-func idleOf(frame wire.Frame) time.Duration {
+// statedIdleOf returns the longest idle time that a frame states for its sender; 0: none.
+func statedIdleOf(frame wire.Frame) time.Duration {
 	switch f := frame.(type) {
 	case *wire.Hello:
 		return f.State.Idle()
@@ -231,8 +242,9 @@
 	return 0
 }
 
-// nextBatch waits for frames: all small ones, and one chunk, so that a large
-// body never holds up more than one chunk's time.
+// nextBatch waits for queued frames, and appends them to batch: one chunk of a body at most,
+// and all other frames. So a frame is never delayed by more than one chunk of a large body.
+// It returns nil when the link is closed.
 func (c *Conn) nextBatch(batch []wire.Frame) []wire.Frame {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -254,6 +266,7 @@
 	return batch
 }
 
+// writeLoop sends the queued frames until the link is closed.
 func (c *Conn) writeLoop() {
 	defer c.Close()
 	var buf bytes.Buffer
@@ -269,6 +282,7 @@
 	}
 }
 
+// writeBatch sends frames in as few messages as flushBytes allows.
 func (c *Conn) writeBatch(buf *bytes.Buffer, batch []wire.Frame) error {
 	buf.Reset()
 	for i, frame := range batch {
@@ -276,8 +290,8 @@
 		if err := c.codec.Append(buf, frame); err != nil {
 			return err
 		}
-		c.account.CountSent(c.Proximity(), frame.Type(), buf.Len()-before)
-		if buf.Len() < batchBytes && i < len(batch)-1 {
+		c.counters.CountSent(c.Proximity(), frame.Type(), buf.Len()-before)
+		if buf.Len() < flushBytes && i < len(batch)-1 {
 			continue
 		}
 		if err := c.writeMessage(buf); err != nil {
@@ -289,38 +303,41 @@
 }
 
 func (c *Conn) writeMessage(buf *bytes.Buffer) error {
-	if err := c.ws.SetWriteDeadline(time.Now().Add(writeTime)); err != nil {
+	if err := c.ws.SetWriteDeadline(time.Now().Add(writeTimeout)); err != nil {
 		return err
 	}
-	c.written.add(buf.Len())
+	c.sent.add(buf.Len())
 	return c.ws.WriteMessage(websocket.BinaryMessage, buf.Bytes())
 }
 
-// readLoop hands each frame to receive until the link ends, and returns why.
+// readLoop calls receive with each frame until the link ends or receive returns an error. It
+// returns the error that ended the link.
 func (c *Conn) readLoop(receive func(wire.Frame) error) error {
 	defer c.Close()
 	for {
-		if err := c.ws.SetReadDeadline(time.Now().Add(c.patience())); err != nil {
+		if err := c.ws.SetReadDeadline(time.Now().Add(c.readTimeout())); err != nil {
 			return err
 		}
 		_, data, err := c.ws.ReadMessage()
 		if err != nil {
 			return err
 		}
-		c.read.add(len(data))
-		c.heardAt.Store(int64(time.Since(c.start)))
+		c.received.add(len(data))
+		c.lastReceivedAt.Store(int64(time.Since(c.start)))
 		if err := c.readMessage(data, receive); err != nil {
 			return err
 		}
 	}
 }
 
-// BadFrameError ends a link: the peer sent something that is no frame.
+// BadFrameError ends a link: the peer sent data that is not a frame, or a frame that is not
+// allowed at this point.
 type BadFrameError struct{ Cause error }
 
 // Error implements error.
-func (b *BadFrameError) Error() string { return "bad frame: " + b.Cause.Error() }
+func (e *BadFrameError) Error() string { return "bad frame: " + e.Cause.Error() }
 
+// readMessage decodes the frames of one message and calls receive with each.
 func (c *Conn) readMessage(data []byte, receive func(wire.Frame) error) error {
 	for len(data) > 0 {
 		frame, rest, err := c.codec.Next(data)
@@ -329,11 +346,11 @@
 		}
 		data = rest
 		if frame == nil {
-			// Of a type that a later release has added.
+			// A later release has added this type of frame.
 			continue
 		}
-		if idle := idleOf(frame); idle > 0 {
-			c.peerIdle.Store(int64(min(idle, longestIdle)))
+		if idle := statedIdleOf(frame); idle > 0 {
+			c.peerIdle.Store(int64(min(idle, maxStatedIdle)))
 		}
 		if err := receive(frame); err != nil {
 			return err
--- a/pkg/link/peer.go
+++ b/pkg/link/peer.go
@@ -6,34 +6,38 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Handler receives what links carry besides calls. Its methods must not block.
+// Handler handles the frames of links that do not belong to calls, and provides those that
+// this daemon sends. A method named after a type of frame handles such a frame of a peer,
+// except Hello and State. The methods must not block.
 type Handler interface {
-	// Hello returns what this daemon says first on a link.
+	// Hello returns the hello frame of this daemon, the first that it sends on a link.
 	Hello() *wire.Hello
-	// State returns the heartbeat's content.
+	// State returns the current state frame of this daemon.
 	State() *wire.State
-	// Up tells of a new link, Down of its end.
+	// Up is called when a link is open and the peer's hello frame has arrived, Down when the
+	// link has ended.
 	Up(peer *Peer)
 	Down(peer *Peer, cause error)
-	// PeerState takes a peer's state.
+	// PeerState handles a peer's state frame, also that in its hello frame.
 	PeerState(peer *Peer, state *wire.State)
-	// Pull answers a peer that is behind with its placement.
+	// Pull answers a peer that asks for newer versions of the placement.
 	Pull(peer *Peer, pull *wire.Pull)
-	// Update takes a placement that was pulled.
+	// Update handles a placement that a peer sends in answer to a Pull frame.
 	Update(peer *Peer, update *wire.Update)
-	// Members takes rows of the table of members.
+	// Members merges rows of the table of members that a peer sends.
 	Members(peer *Peer, members *wire.Members)
-	// MembersAsk answers a peer whose table of members differs.
+	// MembersAsk answers a peer whose table of members differs, with the differing rows.
 	MembersAsk(peer *Peer, ask *wire.MembersAsk)
-	// Departures takes the ids of backend servers' processes that leave.
-	Departures(peer *Peer, said *wire.Departures)
-	// RolloutNews takes what a peer knows of roll-outs, RolloutReport what its executor
-	// has seen under one.
-	RolloutNews(peer *Peer, news *wire.RolloutNews)
+	// Departures handles the ids of backend server processes that are leaving.
+	Departures(peer *Peer, frame *wire.Departures)
+	// RolloutNews handles a peer's orders, plans and stops of roll-outs, RolloutReport what
+	// its executor has counted during one.
+	RolloutNews(peer *Peer, frame *wire.RolloutNews)
 	RolloutReport(peer *Peer, report *wire.RolloutReport)
-	// Quarantine takes what a peer knows of requests that end backend servers.
-	Quarantine(peer *Peer, said *wire.Quarantine)
-	// QuotaAsk answers a peer that asks for tokens of teams, QuotaGrant takes the answer.
+	// Quarantine handles crashes and completions that a peer reports.
+	Quarantine(peer *Peer, frame *wire.Quarantine)
+	// QuotaAsk answers a peer's quota.Ask with a QuotaGrant frame, and QuotaGrant handles such
+	// an answer.
 	QuotaAsk(peer *Peer, ask *wire.QuotaAsk)
 	QuotaGrant(peer *Peer, grant *wire.QuotaGrant)
 }
@@ -41,56 +45,58 @@
 // Peer is the daemon at the other end of a link.
 type Peer struct {
 	*Conn
-	// Hello is what the peer said of itself.
+	// Hello is the peer's hello frame.
 	Hello wire.Hello
-	// Outgoing is true on the side that dialled.
+	// Outgoing is true if this daemon opened the link.
 	Outgoing bool
 }
 
-// serve reads frames until the link ends, and returns why. The first must be
-// the greeting; up is called with it, receive with each later one.
-func (p *Peer) serve(up func(), receive func(wire.Frame) error) (greeted bool, cause error) {
+// serve reads frames until the link ends, and returns the cause. The first frame must be a
+// hello frame: serve stores it in Hello and calls onHello. It calls receive with each later
+// frame.
+func (p *Peer) serve(onHello func(), receive func(wire.Frame) error) (helloReceived bool, cause error) {
 	cause = p.readLoop(func(frame wire.Frame) error {
-		if greeted {
+		if helloReceived {
 			return receive(frame)
 		}
 		hello, ok := frame.(*wire.Hello)
 		if !ok {
-			return &BadFrameError{Cause: errors.New("the first frame is no greeting")}
+			return &BadFrameError{Cause: errors.New("the first frame is not a hello frame")}
 		}
-		greeted = true
+		helloReceived = true
 		p.Hello = *hello
-		up()
+		onHello()
 		return nil
 	})
-	return greeted, cause
+	return helloReceived, cause
 }
 
-// control handles the frames that both sides know. handled is false for others.
-func (p *Peer) control(c Handler, frame wire.Frame) (handled bool) {
+// handleFrame calls the method of handler for a frame that either side of a link may send.
+// handled is false for other frames.
+func (p *Peer) handleFrame(handler Handler, frame wire.Frame) (handled bool) {
 	switch f := frame.(type) {
 	case *wire.State:
-		c.PeerState(p, f)
+		handler.PeerState(p, f)
 	case *wire.Pull:
-		c.Pull(p, f)
+		handler.Pull(p, f)
 	case *wire.Update:
-		c.Update(p, f)
+		handler.Update(p, f)
 	case *wire.Members:
-		c.Members(p, f)
+		handler.Members(p, f)
 	case *wire.MembersAsk:
-		c.MembersAsk(p, f)
+		handler.MembersAsk(p, f)
 	case *wire.Departures:
-		c.Departures(p, f)
+		handler.Departures(p, f)
 	case *wire.RolloutNews:
-		c.RolloutNews(p, f)
+		handler.RolloutNews(p, f)
 	case *wire.RolloutReport:
-		c.RolloutReport(p, f)
+		handler.RolloutReport(p, f)
 	case *wire.Quarantine:
-		c.Quarantine(p, f)
+		handler.Quarantine(p, f)
 	case *wire.QuotaAsk:
-		c.QuotaAsk(p, f)
+		handler.QuotaAsk(p, f)
 	case *wire.QuotaGrant:
-		c.QuotaGrant(p, f)
+		handler.QuotaGrant(p, f)
 	default:
 		return false
 	}
--- a/pkg/link/server.go
+++ b/pkg/link/server.go
@@ -18,31 +18,34 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-const headTime = 5 * time.Second
+const readHeaderTimeout = 5 * time.Second
 
-// Server accepts links.
+// Server accepts links from other daemons.
 type Server struct {
 	*common.Common
-	control Handler
-	// runner is nil on a daemon that is an entry only.
+	handler Handler
+	// runner is nil on a daemon that is only an entry.
 	runner   call.Runner
-	pace     *HeartbeatTiming
+	timing   *HeartbeatTiming
 	upgrader websocket.Upgrader
 	http     *http.Server
 	address  string
 
-	mu    sync.Mutex
+	mu sync.Mutex
+	// peers holds the accepted links whose hello frame has arrived.
 	peers map[*Peer]struct{}
 }
 
-// Listen accepts links on listener until Close.
-func Listen(c *common.Common, control Handler, runner call.Runner, listener net.Listener, conf *tls.Config, pace *HeartbeatTiming) *Server {
-	s := &Server{Common: c, control: control, runner: runner, pace: pace, peers: map[*Peer]struct{}{}, address: listener.Addr().String()}
+// Listen returns a server that accepts links on listener until Close is called. runner runs
+// the calls of peers and is nil on a daemon that is only an entry. tlsConfig is nil for plain
+// text.
+func Listen(c *common.Common, handler Handler, runner call.Runner, listener net.Listener, tlsConfig *tls.Config, timing *HeartbeatTiming) *Server {
+	s := &Server{Common: c, handler: handler, runner: runner, timing: timing, peers: map[*Peer]struct{}{}, address: listener.Addr().String()}
 	mux := http.NewServeMux()
-	mux.HandleFunc(path, s.accept)
-	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: headTime, TLSConfig: conf}
+	mux.HandleFunc(linkPath, s.accept)
+	s.http = &http.Server{Handler: mux, ReadHeaderTimeout: readHeaderTimeout, TLSConfig: tlsConfig}
 	go func() {
-		if conf != nil {
+		if tlsConfig != nil {
 			_ = s.http.ServeTLS(listener, "", "")
 			return
 		}
@@ -61,7 +64,7 @@
 	}
 }
 
-// Peers returns the daemons that opened a link to this one.
+// Peers returns the daemons that have opened a link to this one, in no particular order.
 func (s *Server) Peers() []*Peer {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -77,7 +80,7 @@
 	full := len(s.peers) >= s.Settings.Limits.Links
 	s.mu.Unlock()
 	if full {
-		http.Error(w, "this daemon has as many links as limits.links allows", http.StatusServiceUnavailable)
+		http.Error(w, "this daemon has reached the limit of links (limits.links)", http.StatusServiceUnavailable)
 		return
 	}
 	ws, err := s.upgrader.Upgrade(w, r, nil)
@@ -89,12 +92,12 @@
 		_ = ws.Close()
 		return
 	}
-	session := &session{
+	sess := &session{
 		server: s,
-		Peer:   &Peer{Conn: newConn(ws, codec, s.Traffic, s.pace)},
-		calls:  map[uint64]*incoming{},
+		Peer:   &Peer{Conn: newConn(ws, codec, s.Traffic, s.timing)},
+		calls:  map[uint64]*incomingCall{},
 	}
-	session.run()
+	sess.run()
 }
 
 // session is one accepted link.
@@ -103,51 +106,56 @@
 	server *Server
 
 	mu    sync.Mutex
-	calls map[uint64]*incoming
-	// lastID is the highest id seen: ids of one link are never reused.
+	calls map[uint64]*incomingCall
+	// lastID is the highest id of a call so far. Ids of one link are never reused.
 	lastID uint64
 	stamps stampFilter
 }
 
-// incoming is a call that has not ended.
-type incoming struct {
+// incomingCall is a call of the peer that has not ended.
+type incomingCall struct {
 	call     *wire.Call
 	assembly *wire.Assembly
-	// held is the room of its body.
-	held   *bodies.Reservation
+	// reservation is the reserved memory of the body.
+	reservation *bodies.Reservation
+	// cancel is nil until the call was started.
 	cancel func()
-	gone   bool
+	// cancelled is true once the peer has cancelled the call or the link has ended.
+	cancelled bool
 }
 
+// run serves the link until it ends.
 func (s *session) run() {
-	if err := s.Send(s.server.control.Hello()); err != nil {
+	if err := s.Send(s.server.handler.Hello()); err != nil {
 		return
 	}
-	greeted, err := s.serve(s.up, s.receive)
+	helloReceived, err := s.serve(s.register, s.receive)
 	s.cancelAll()
-	var bad *BadFrameError
-	if errors.As(err, &bad) {
+	var badFrame *BadFrameError
+	if errors.As(err, &badFrame) {
 		s.server.Log.Event(events.LinkBadFrame, events.F("peer", s.Hello.VM), events.F("cause", err))
 	}
-	if greeted {
-		s.down(err)
+	if helloReceived {
+		s.unregister(err)
 	}
 }
 
-func (s *session) up() {
-	s.setPlace(s.server.Here().To(s.Hello.DataCentre, s.Hello.Region))
+// register adds the link to those of the server once the hello frame has arrived.
+func (s *session) register() {
+	s.setProximity(s.server.Here().To(s.Hello.DataCentre, s.Hello.Region))
 	s.server.mu.Lock()
 	s.server.peers[s.Peer] = struct{}{}
 	s.server.mu.Unlock()
-	s.server.control.Up(s.Peer)
-	s.server.control.PeerState(s.Peer, &s.Hello.State)
+	s.server.handler.Up(s.Peer)
+	s.server.handler.PeerState(s.Peer, &s.Hello.State)
 }
 
-func (s *session) down(cause error) {
+// unregister removes the link from those of the server once it has ended.
+func (s *session) unregister(cause error) {
 	s.server.mu.Lock()
 	delete(s.server.peers, s.Peer)
 	s.server.mu.Unlock()
-	s.server.control.Down(s.Peer, cause)
+	s.server.handler.Down(s.Peer, cause)
 }
 
 func (s *session) receive(frame wire.Frame) error {
@@ -160,25 +168,25 @@
 		s.receiveCancel(f.ID)
 		return nil
 	}
-	if s.Peer.control(s.server.control, frame) {
+	if s.Peer.handleFrame(s.server.handler, frame) {
 		return nil
 	}
-	return &BadFrameError{Cause: errors.Errorf("frame %d from an entry", frame.Type())}
+	return &BadFrameError{Cause: errors.Errorf("an entry sent a frame of type %d", frame.Type())}
 }
 
 func (s *session) receiveCall(f *wire.Call) error {
 	if f.ID <= s.lastID {
-		return &BadFrameError{Cause: errors.Errorf("call id %d was used before", f.ID)}
+		return &BadFrameError{Cause: errors.Errorf("the call id %d is not higher than that of an earlier call", f.ID)}
 	}
 	s.lastID = f.ID
 	assembly, err := wire.NewAssembly(f.Body, s.server.Settings.Limits.MaxBodyBytes)
 	if err != nil {
-		s.refuse(f.ID, call.Refused(errkind.BodyTooLarge, "%v", err))
+		s.sendRefusal(f.ID, call.Refused(errkind.BodyTooLarge, "%v", err))
 		return nil
 	}
-	in := &incoming{call: f, assembly: assembly, held: s.server.Bodies.NewReservation()}
-	if !in.held.Grow(int64(f.Body.Size)) {
-		s.refuse(f.ID, call.Refused(errkind.Overloaded, "the executor has no room for a body of %d bytes: it holds %d of the %d in limits.bodies_bytes", f.Body.Size, s.server.Bodies.Reserved(), s.server.Bodies.Limit()))
+	in := &incomingCall{call: f, assembly: assembly, reservation: s.server.Bodies.NewReservation()}
+	if !in.reservation.Grow(int64(f.Body.Size)) {
+		s.sendRefusal(f.ID, call.Refused(errkind.Overloaded, "the executor cannot accept a body of %d bytes: it holds bodies of %d bytes, and limits.bodies_bytes is %d", f.Body.Size, s.server.Bodies.Reserved(), s.server.Bodies.Limit()))
 		return nil
 	}
 	s.mu.Lock()
@@ -192,44 +200,45 @@
 	s.mu.Lock()
 	in := s.calls[f.ID]
 	s.mu.Unlock()
-	if in == nil || in.gone {
+	if in == nil || in.cancelled {
 		return nil
 	}
 	if err := in.assembly.Add(f); err != nil {
-		s.drop(f.ID)
-		s.refuse(f.ID, call.Refused(errkind.BodyCut, "%v", err))
+		s.remove(f.ID)
+		s.sendRefusal(f.ID, call.Refused(errkind.BodyCut, "%v", err))
 		return nil
 	}
 	s.startIfComplete(in)
 	return nil
 }
 
-func (s *session) startIfComplete(in *incoming) {
+// startIfComplete runs a call if its whole body has arrived.
+func (s *session) startIfComplete(in *incomingCall) {
 	if !in.assembly.Complete() {
 		return
 	}
 	id := in.call.ID
 	body, err := in.assembly.Body()
 	if err != nil {
-		s.drop(id)
-		s.refuse(id, call.Refused(errkind.BodyCut, "%v", err))
+		s.remove(id)
+		s.sendRefusal(id, call.Refused(errkind.BodyCut, "%v", err))
 		return
 	}
 	if s.server.runner == nil {
-		s.drop(id)
-		s.refuse(id, call.Refused(errkind.NoBackendServer, "this daemon guards no backend server"))
+		s.remove(id)
+		s.sendRefusal(id, call.Refused(errkind.NoBackendServer, "this daemon has no backend server"))
 		return
 	}
 	cancel := s.server.runner.Execute(in.call, body, func(result call.Result) {
-		s.drop(id)
-		result.Stamp = s.stamps.pay(s.server.Common, in.call.WantStamp, result.Stamp)
-		s.answer(id, result)
+		s.remove(id)
+		result.Stamp = s.stamps.filter(s.server.Common, in.call.WantStamp, result.Stamp)
+		s.sendAnswer(id, result)
 	})
 	s.mu.Lock()
 	in.cancel = cancel
-	gone := in.gone
+	cancelled := in.cancelled
 	s.mu.Unlock()
-	if gone {
+	if cancelled {
 		cancel()
 	}
 }
@@ -239,13 +248,14 @@
 	in := s.calls[id]
 	var cancel func()
 	if in != nil {
-		in.gone = true
+		in.cancelled = true
 		cancel = in.cancel
 	}
 	if in != nil && cancel == nil {
-		// The body is not complete: calls are started by this same goroutine.
+		// The call was not started because its body is incomplete. It cannot start
+		// meanwhile, since calls are started by this same goroutine.
 		delete(s.calls, id)
-		in.held.Release()
+		in.reservation.Release()
 	}
 	s.mu.Unlock()
 	if cancel != nil {
@@ -253,18 +263,20 @@
 	}
 }
 
-func (s *session) drop(id uint64) {
+// remove removes a call that has ended and releases the memory of its body.
+func (s *session) remove(id uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if in := s.calls[id]; in != nil {
-		in.held.Release()
+		in.reservation.Release()
 	}
 	delete(s.calls, id)
 }
 
-func (s *session) answer(id uint64, result call.Result) {
+// sendAnswer sends the result of a call: an answer with its chunks, or a refusal.
+func (s *session) sendAnswer(id uint64, result call.Result) {
 	if result.Refusal != nil {
-		s.refuse(id, result)
+		s.sendRefusal(id, result)
 		return
 	}
 	a := result.Answer
@@ -278,29 +290,30 @@
 		chunk.ID = id
 		frames = append(frames, chunk)
 	}
-	// A link that closed has told the entry already that the call is a "maybe".
+	// If the link is closed, the entry has already ended the call with LinkLost.
 	_ = s.Send(frames...)
 }
 
-func (s *session) refuse(id uint64, result call.Result) {
+func (s *session) sendRefusal(id uint64, result call.Result) {
 	_ = s.Send(&wire.Refusal{
 		ID: id, Kind: uint8(result.Refusal.Kind), Ran: uint8(result.Refusal.Ran),
 		Detail: result.Refusal.Detail, Stamp: result.Stamp, NextClaim: result.NextClaim, Offered: result.Offered, Origin: result.Origin,
 	})
 }
 
-// cancelAll frees what calls of a broken link hold.
+// cancelAll cancels the calls of a link that has ended, and releases the memory of bodies
+// that have not arrived completely.
 func (s *session) cancelAll() {
 	s.mu.Lock()
 	var cancels []func()
 	for _, in := range s.calls {
-		in.gone = true
+		in.cancelled = true
 		if in.cancel != nil {
 			cancels = append(cancels, in.cancel)
 			continue
 		}
-		// Its body never became whole, so that it never starts or ends.
-		in.held.Release()
+		// The call was not started, so no other code releases its body.
+		in.reservation.Release()
 	}
 	s.mu.Unlock()
 	for _, cancel := range cancels {
--- a/pkg/link/slow_bench_test.go
+++ b/pkg/link/slow_bench_test.go
@@ -18,117 +18,119 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// slowNetwork passes connections on at a rate of bytes a second one way, with
-// little room in between, as a full link of that rate does.
-type slowNetwork struct {
+// rateLimitedNetwork forwards connections to the address to. It limits the direction to the
+// server to rate bytes per second and has small buffers, like a fully used link of that
+// bandwidth.
+type rateLimitedNetwork struct {
 	to   string
 	rate int
 }
 
-func (s *slowNetwork) dial(ctx context.Context, network, _ string) (net.Conn, error) {
-	l, err := (&net.ListenConfig{Control: option(unix.SOL_SOCKET, unix.SO_RCVBUF, window)}).Listen(ctx, network, "127.0.0.1:0")
+func (s *rateLimitedNetwork) dial(ctx context.Context, network, _ string) (net.Conn, error) {
+	listener, err := (&net.ListenConfig{Control: setSocketOption(unix.SOL_SOCKET, unix.SO_RCVBUF, receiveBufferBytes)}).Listen(ctx, network, "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	go s.serve(l)
-	return (&net.Dialer{Control: option(unix.IPPROTO_TCP, unix.TCP_MAXSEG, segment)}).DialContext(ctx, network, l.Addr().String())
+	go s.serve(listener)
+	return (&net.Dialer{Control: setSocketOption(unix.IPPROTO_TCP, unix.TCP_MAXSEG, segmentBytes)}).DialContext(ctx, network, listener.Addr().String())
 }
 
 const (
-	// step is how much passes at once: some packets.
-	step = 4 << 10
-	// window is what may be under way, and segment a packet, in bytes.
-	window  = 16 << 10
-	segment = 1400
+	// copyBytes is how many bytes are forwarded at a time: some packets.
+	copyBytes = 4 << 10
+	// receiveBufferBytes is the size of the socket's receive buffer, and segmentBytes the
+	// maximum segment size (MSS).
+	receiveBufferBytes = 16 << 10
+	segmentBytes       = 1400
 )
 
-func option(level, name, value int) func(string, string, syscall.RawConn) error {
+func setSocketOption(level, name, value int) func(string, string, syscall.RawConn) error {
 	return func(_, _ string, raw syscall.RawConn) error {
-		var set error
-		err := raw.Control(func(fd uintptr) { set = unix.SetsockoptInt(int(fd), level, name, value) })
-		return errors.Join(err, set)
+		var sockErr error
+		err := raw.Control(func(fd uintptr) { sockErr = unix.SetsockoptInt(int(fd), level, name, value) })
+		return errors.Join(err, sockErr)
 	}
 }
 
-func (s *slowNetwork) serve(l net.Listener) {
-	near, err := l.Accept()
-	_ = l.Close()
+func (s *rateLimitedNetwork) serve(listener net.Listener) {
+	clientConn, err := listener.Accept()
+	_ = listener.Close()
 	if err != nil {
 		return
 	}
-	far, err := net.Dial("tcp", s.to)
+	serverConn, err := net.Dial("tcp", s.to)
 	if err != nil {
-		_ = near.Close()
+		_ = clientConn.Close()
 		return
 	}
 	go func() {
-		_, _ = io.Copy(near, far)
-		_ = near.Close()
+		_, _ = io.Copy(clientConn, serverConn)
+		_ = clientConn.Close()
 	}()
-	buf := make([]byte, step)
-	free := time.Now()
+	buf := make([]byte, copyBytes)
+	freeAt := time.Now()
 	for {
-		n, err := near.Read(buf)
-		if now := time.Now(); now.After(free) {
-			free = now
+		n, err := clientConn.Read(buf)
+		if now := time.Now(); now.After(freeAt) {
+			freeAt = now
 		}
-		free = free.Add(time.Duration(n) * time.Second / time.Duration(s.rate))
-		time.Sleep(time.Until(free))
-		if _, failed := far.Write(buf[:n]); err != nil || failed != nil {
-			_ = far.Close()
+		freeAt = freeAt.Add(time.Duration(n) * time.Second / time.Duration(s.rate))
+		time.Sleep(time.Until(freeAt))
+		if _, writeErr := serverConn.Write(buf[:n]); err != nil || writeErr != nil {
+			_ = serverConn.Close()
 			return
 		}
 	}
 }
 
-// BenchmarkSmallCallsBesideLargeBodies tells how long small calls take on a link
-// of 10 Mbit/s while bodies of 360 kB, the users' largest, fill half of it.
+// BenchmarkSmallCallsBesideLargeBodies measures the latency of small calls on a link of
+// 10 Mbit/s while bodies of 360 kB, the largest of real users, use half of its bandwidth.
 func BenchmarkSmallCallsBesideLargeBodies(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
-	server := Listen(testCommon(), &quietControl{up: make(chan *Peer, 10)}, runnerFunc(echo), listener, nil, NewHeartbeatTiming(testHeartbeat))
+	server := Listen(testCommon(), &nopHandler{up: make(chan *Peer, 10)}, runnerFunc(echo), listener, nil, NewHeartbeatTiming(testIdle))
 	defer server.Close()
-	slow := &slowNetwork{to: listener.Addr().String(), rate: 10_000_000 / 8}
-	control := &quietControl{up: make(chan *Peer, 10)}
-	client, err := DialClient(context.Background(), testCommon(), control, listener.Addr().String(), DialOptions{Dial: slow.dial, HeartbeatTiming: NewHeartbeatTiming(testHeartbeat)})
+	network := &rateLimitedNetwork{to: listener.Addr().String(), rate: 10_000_000 / 8}
+	handler := &nopHandler{up: make(chan *Peer, 10)}
+	client, err := DialClient(context.Background(), testCommon(), handler, listener.Addr().String(), DialOptions{Dial: network.dial, HeartbeatTiming: NewHeartbeatTiming(testIdle)})
 	must.NoError(b, err)
 	go client.Run()
 	defer client.Close()
-	<-control.up
-	stop := sendLarge(client)
+	<-handler.up
+	stop := sendLargeBodies(client)
 	defer stop()
-	var took []time.Duration
+	var latencies []time.Duration
 	for b.Loop() {
-		began := time.Now()
-		if result := do(client, "/small", nil); result.Refusal != nil {
+		startedAt := time.Now()
+		if result := execute(client, "/small", nil); result.Refusal != nil {
 			b.Fatal(result.Refusal)
 		}
-		took = append(took, time.Since(began))
+		latencies = append(latencies, time.Since(startedAt))
 		time.Sleep(5 * time.Millisecond)
 	}
-	slices.Sort(took)
-	b.ReportMetric(took[len(took)/2].Seconds()*1000, "p50-ms")
-	b.ReportMetric(took[len(took)*99/100].Seconds()*1000, "p99-ms")
+	slices.Sort(latencies)
+	b.ReportMetric(latencies[len(latencies)/2].Seconds()*1000, "p50-ms")
+	b.ReportMetric(latencies[len(latencies)*99/100].Seconds()*1000, "p99-ms")
 	b.ReportMetric(0, "ns/op")
 }
 
-// sendLarge sends a large body every 600 ms.
-func sendLarge(client *Client) (stop func()) {
+// sendLargeBodies sends a body of 360 kB every 600 ms until stop is called.
+func sendLargeBodies(client *Client) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
-	var ended sync.WaitGroup
-	ended.Go(func() {
-		every := time.NewTicker(600 * time.Millisecond)
-		defer every.Stop()
+	var sender sync.WaitGroup
+	sender.Go(func() {
+		ticker := time.NewTicker(600 * time.Millisecond)
+		defer ticker.Stop()
 		for {
 			client.Execute(&wire.Call{URI: "/large", Remaining: 10 * time.Second}, make([]byte, 360_000), ignore)
 			select {
-			case <-every.C:
+			case <-ticker.C:
 			case <-ctx.Done():
 				return
 			}
 		}
 	})
-	return func() { cancel(); ended.Wait() }
+	return func() { cancel(); sender.Wait() }
 }
 
 func ignore(call.Result) {}
--- a/pkg/link/stamps.go
+++ b/pkg/link/stamps.go
@@ -8,38 +8,41 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// stampFilter decides which stamps are worth their bytes on one link. A stamp
-// that says nearly what the peer was told last is of low value.
+// stampFilter decides which stamps are sent on one link, within the measurement budget. A
+// stamp that differs little from the last one sent has a low value.
 type stampFilter struct {
-	mu   sync.Mutex
-	last wire.Stamp
+	mu       sync.Mutex
+	lastSent wire.Stamp
 }
 
-// pay returns the stamp when it is wanted and paid for, or an empty one.
-func (s *stampFilter) pay(c *common.Common, wanted bool, stamp wire.Stamp) wire.Stamp {
+// filter returns the stamp if the peer wants one and the budget pays for its bytes. Otherwise
+// it returns an empty stamp.
+func (s *stampFilter) filter(c *common.Common, wanted bool, stamp wire.Stamp) wire.Stamp {
 	if !wanted {
 		return wire.Stamp{}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !c.Measure.TrySpend(c.Now(), stamp.Size(), worth(s.last, stamp)) {
+	if !c.Measure.TrySpend(c.Now(), stamp.Size(), stampValue(s.lastSent, stamp)) {
 		return wire.Stamp{}
 	}
-	s.last = stamp
+	s.lastSent = stamp
 	return stamp
 }
 
-// worth compares a stamp with the one that the peer has. A change by a quarter
-// of the limit, or of the service time by half, may change a choice.
-func worth(last, now wire.Stamp) measure.Value {
-	before := int64(last.Running) + int64(last.Queued)
-	after := int64(now.Running) + int64(now.Queued)
+// stampValue returns the value of a stamp to a peer that has received lastSent. It is high
+// if the limit has changed, the number of calls at the gate by a quarter of the limit or
+// more, or the service time by half or more, since the peer may then choose another backend
+// server.
+func stampValue(lastSent, current wire.Stamp) measure.Value {
+	before := int64(lastSent.Running) + int64(lastSent.Queued)
+	after := int64(current.Running) + int64(current.Queued)
 	switch {
-	case last.Seq == 0 || last.Limit != now.Limit:
+	case lastSent.Seq == 0 || lastSent.Limit != current.Limit:
 		return measure.HighValue
-	case 4*abs(after-before) >= int64(now.Limit):
+	case 4*abs(after-before) >= int64(current.Limit):
 		return measure.HighValue
-	case 2*abs(int64(now.ServiceUS)-int64(last.ServiceUS)) >= int64(last.ServiceUS):
+	case 2*abs(int64(current.ServiceUS)-int64(lastSent.ServiceUS)) >= int64(lastSent.ServiceUS):
 		return measure.HighValue
 	}
 	return measure.LowValue
--- a/pkg/wire/frames.go
+++ b/pkg/wire/frames.go
@@ -256,7 +256,7 @@
 	Run    time.Duration
 	Stamp  Stamp
 	Body   Body
-	// Origin says where the requests of the route begin.
+	// Origin is where the requests of the route come from.
 	Origin Origin
 	// Slowdown is the backend server's slowdown when the run started, in percent of its
 	// usual run time; 0: not known.
@@ -268,8 +268,9 @@
 
 // Refusal reports why the executor did not produce an answer.
 type Refusal struct {
-	_      struct{} `cbor:",toarray"`
-	ID     uint64
+	_  struct{} `cbor:",toarray"`
+	ID uint64
+	// Kind is an errkind.Kind, and Ran an errkind.Ran.
 	Kind   uint8
 	Ran    uint8
 	Detail string
@@ -279,7 +280,7 @@
 	// Offered is true when a routed request reached the backend server, or may have reached
 	// it.
 	Offered bool
-	// Origin says where the requests of the route begin.
+	// Origin is where the requests of the route come from.
 	Origin Origin
 }
 
