--- a/pkg/certs/certs.go
+++ b/pkg/certs/certs.go
@@ -44,6 +44,7 @@
 	return r, nil
 }
 
+// load loads the files. On an error the Reloader is unchanged.
 func (r *Reloader) load() error {
 	cert, err := tls.LoadX509KeyPair(r.files.Cert, r.files.Key)
 	if err != nil {
@@ -61,14 +62,15 @@
 	return nil
 }
 
+// latestModTime returns the latest modification time of the files.
 func (r *Reloader) latestModTime() time.Time {
-	var latestModTime time.Time
+	var latest time.Time
 	for _, name := range []string{r.files.Cert, r.files.Key, r.files.CA} {
-		if info, err := os.Stat(name); err == nil && info.ModTime().After(latestModTime) {
-			latestModTime = info.ModTime()
+		if info, err := os.Stat(name); err == nil && info.ModTime().After(latest) {
+			latest = info.ModTime()
 		}
 	}
-	return latestModTime
+	return latest
 }
 
 // current returns the certificate and the authorities, reloaded if the files have changed.
--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -53,8 +53,8 @@
 	test.Eq(t, int64(time.Second), c.Now())
 }
 
-// TestSystemClocksNeverGoBack reads the clock of the operating system in several
-// goroutines.
+// TestSystemClocksNeverGoBack checks that Now never goes back with the clocks of the
+// operating system, while several goroutines read it.
 func TestSystemClocksNeverGoBack(t *testing.T) {
 	c := New()
 	_, ok := c.source.bootTime()
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -164,7 +164,7 @@
 	if cl.Peer.handleFrame(cl.handler, frame) {
 		return nil
 	}
-	return &BadFrameError{Cause: errors.Errorf("an executor sent a frame of type %d", frame.Type())}
+	return &BadFrameError{Cause: errors.Errorf("unexpected frame of type %d from an executor", frame.Type())}
 }
 
 func (cl *Client) receiveAnswer(f *wire.Answer) error {
--- a/pkg/link/server.go
+++ b/pkg/link/server.go
@@ -171,7 +171,7 @@
 	if s.Peer.handleFrame(s.server.handler, frame) {
 		return nil
 	}
-	return &BadFrameError{Cause: errors.Errorf("an entry sent a frame of type %d", frame.Type())}
+	return &BadFrameError{Cause: errors.Errorf("unexpected frame of type %d from an entry", frame.Type())}
 }
 
 func (s *session) receiveCall(f *wire.Call) error {
--- a/pkg/wire/frames.go
+++ b/pkg/wire/frames.go
@@ -157,7 +157,8 @@
 // StoreNeverRead is the value of State.StoreReadAgeMS if no read of the store is known.
 const StoreNeverRead = 1 << 40
 
-// Call sends a call from its entry to the executor.
+// Call is a call that an entry sends to the executor. Longer bodies continue in Chunk
+// frames.
 type Call struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
@@ -244,7 +245,8 @@
 	Data []byte
 }
 
-// Answer sends the backend server's response back to the entry.
+// Answer is the backend server's response to a call, which the executor sends back to the
+// entry. Longer bodies continue in Chunk frames.
 type Answer struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
@@ -266,7 +268,7 @@
 	CallsFailed bool
 }
 
-// Refusal reports why the executor did not produce an answer.
+// Refusal is sent in place of an Answer, with the reason why there is none.
 type Refusal struct {
 	_  struct{} `cbor:",toarray"`
 	ID uint64
@@ -311,8 +313,8 @@
 	Have uint64
 }
 
-// Update sends a placement: either the whole document or the changes from version From to
-// Version.
+// Update contains a placement: either the whole document or the changes from version From
+// to Version.
 type Update struct {
 	_       struct{} `cbor:",toarray"`
 	Version uint64
@@ -375,7 +377,7 @@
 	BackendAbsent
 )
 
-// Members sends rows of the table of members that changed, or that a peer asked for.
+// Members contains rows of the table of members that changed, or that a peer asked for.
 type Members struct {
 	_    struct{} `cbor:",toarray"`
 	Rows []Member
--- a/pkg/wire/news.go
+++ b/pkg/wire/news.go
@@ -6,7 +6,7 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// Departures sends the instance ids of backend server processes that have announced that
+// Departures contains the instance ids of backend server processes that have announced that
 // they are leaving. A departure is final; ids are only dropped when they are old.
 type Departures struct {
 	_   struct{} `cbor:",toarray"`
@@ -16,21 +16,21 @@
 	Informed bool
 }
 
-// RolloutNews sends orders, plans and stops of roll-outs: all that the sender knows, or
+// RolloutNews contains orders, plans and stops of roll-outs: all that the sender knows, or
 // those that changed.
 type RolloutNews struct {
 	_      struct{} `cbor:",toarray"`
 	Update rollout.Update
 }
 
-// RolloutReport sends what an executor has counted at its backend server to the daemons
-// that evaluate the roll-out of its service.
+// RolloutReport contains what an executor has counted at its backend server. It is sent to
+// the daemons that evaluate the roll-out of its service.
 type RolloutReport struct {
 	_      struct{} `cbor:",toarray"`
 	Report rollout.Report
 }
 
-// Quarantine sends crashes of backend servers with the requests that may have caused them,
+// Quarantine contains crashes of backend servers with the requests that may have caused them,
 // and completions of such requests.
 type Quarantine struct {
 	_           struct{} `cbor:",toarray"`
@@ -46,8 +46,9 @@
 	return quarantine.Update{Crashes: q.Crashes, Completions: q.Completions}
 }
 
-// QuotaAsk sends a quota.Ask to the counter of a group of teams: it requests tokens, and
-// leases the sender's share of their limits to the counter.
+// QuotaAsk is a message to the daemon that counts the requests of a group of teams (the
+// group's counter). It requests tokens, leases the sender's share of the teams' limits to
+// the counter, or takes the share back.
 type QuotaAsk struct {
 	_   struct{} `cbor:",toarray"`
 	Ask quota.Ask
