--- a/pkg/runner/cold_test.go
+++ b/pkg/runner/cold_test.go
@@ -34,7 +34,7 @@
 	}
 	_, cancel := execute(r, routedCall("waits"))
 	urgent := routedCall("urgent")
-	urgent.Routed.Target = 500 * time.Millisecond
+	urgent.Routed.TargetRemaining = 500 * time.Millisecond
 	results, _ := execute(r, urgent)
 	got := <-results
 	must.NotNil(t, got.Refusal)
@@ -79,7 +79,7 @@
 	r, lifecycle := newTestRunner(t, newHoldingServer(), 10)
 	withColdService(r)
 	c := routedCall("call")
-	c.Routed.Target = 120 * time.Millisecond
+	c.Routed.TargetRemaining = 120 * time.Millisecond
 	const now = int64(time.Second)
 	run := &routedRun{runner: r, call: c, deadline: now + int64(time.Minute)}
 	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -47,7 +47,7 @@
 	if nested && !r.cold.Load() {
 		return run.deadline
 	}
-	return min(run.deadline, now+int64(run.call.Routed.Target))
+	return min(run.deadline, now+int64(run.call.Routed.TargetRemaining))
 }
 
 // admit passes the request to the gate, which starts it, queues it or refuses it.
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -250,7 +250,7 @@
 	run.origin = r.origins.record(c.Kind, c.Routed.Caller)
 	nested := run.origin == wire.OriginService
 	run.job = gate.Job{
-		Rank: rankOf(c), Team: c.Routed.Team, Nested: nested, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.Target),
+		Rank: rankOf(c), Team: c.Routed.Team, Nested: nested, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.TargetRemaining),
 		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, SendBack: run.refuseSlowed, Dismiss: run.dismiss,
 	}
 	if !r.checkSpeedFirst(now, run) {
--- a/pkg/runner/speed_check_test.go
+++ b/pkg/runner/speed_check_test.go
@@ -83,7 +83,7 @@
 // newHeldCall returns a call that the gate holds during a slow period.
 func newHeldCall(id string) *wire.Call {
 	c := routedCall(id)
-	c.Routed.Target = time.Second
+	c.Routed.TargetRemaining = time.Second
 	return c
 }
 
--- a/pkg/systems/proof.go
+++ b/pkg/systems/proof.go
@@ -21,8 +21,8 @@
 		provenAt = max(provenAt, mail.StoreReadAt)
 	}
 	for _, received := range mail.PeerStates {
-		if received.State.ProofMS > 0 && received.State.Placement <= p.World.PlacementVersion() {
-			provenAt = max(provenAt, received.At-int64(time.Duration(received.State.ProofMS)*time.Millisecond))
+		if received.State.PlacementProofAgeMS > 0 && received.State.Placement <= p.World.PlacementVersion() {
+			provenAt = max(provenAt, received.At-int64(time.Duration(received.State.PlacementProofAgeMS)*time.Millisecond))
 		}
 	}
 	p.World.View.SetPlacementProvenAt(provenAt)
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -61,7 +61,7 @@
 	own := q.Quarantine.TakePending()
 	var received quarantine.Update
 	for _, p := range mail.PeerQuarantines {
-		received.Add(q.Quarantine.Merge(now, p.Frame.News()))
+		received.Add(q.Quarantine.Merge(now, p.Frame.Update()))
 		q.isInformed = q.isInformed || p.Frame.Informed
 	}
 	q.sendReports(own, received)
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -80,11 +80,11 @@
 	}
 	for _, e := range mail.LinkEvents {
 		if e.Up {
-			ro.syncWithPeer(e.Peer, e.Peer.Hello.State.Rollouts)
+			ro.syncWithPeer(e.Peer, e.Peer.Hello.State.RolloutsDigest)
 		}
 	}
 	for _, received := range mail.PeerStates {
-		ro.syncWithPeer(received.Peer, received.State.Rollouts)
+		ro.syncWithPeer(received.Peer, received.State.RolloutsDigest)
 	}
 	ro.updateSoleVersions(now)
 }
@@ -188,7 +188,7 @@
 		ro.logStop(service, from)
 		ro.logPlan(service, from)
 	}
-	frame := &wire.RolloutNews{News: updateAbout(book.Snapshot(), changed)}
+	frame := &wire.RolloutNews{Update: updateAbout(book.Snapshot(), changed)}
 	ro.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		// Heartbeats that are on their way still have the old digest. They must not cause
 		// another transfer.
@@ -251,7 +251,7 @@
 		return
 	}
 	row.RolloutsSentDigest, row.RolloutsSentAt = own, ro.now
-	_ = peer.Send(&wire.RolloutNews{News: ro.World.Rollouts.Snapshot()})
+	_ = peer.Send(&wire.RolloutNews{Update: ro.World.Rollouts.Snapshot()})
 }
 
 // logOrder logs a service's order if it differs from the one in old.
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -39,13 +39,13 @@
 	env := testEnv()
 	tracker := newRolloutTracker(env)
 	tracker.Tick(1, &tables.Mail{RolloutOrders: testOrders(7)})
-	test.Eq(t, 0, env.Control.State().Rollouts)
+	test.Eq(t, 0, env.Control.State().RolloutsDigest)
 	tracker.Tick(2, &tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))})
-	test.NotEq(t, 0, env.Control.State().Rollouts)
+	test.NotEq(t, 0, env.Control.State().RolloutsDigest)
 	test.NotNil(t, env.World.View.RolloutTraffic("s"))
 	test.Nil(t, env.World.View.RolloutTraffic("other"))
 	tracker.Tick(3, &tables.Mail{RolloutOrders: testOrders(11)})
-	test.Eq(t, 0, env.Control.State().Rollouts)
+	test.Eq(t, 0, env.Control.State().RolloutsDigest)
 	test.Nil(t, env.World.View.RolloutTraffic("s"))
 }
 
