--- a/pkg/bench/oracle.go
+++ b/pkg/bench/oracle.go
@@ -42,7 +42,7 @@
 		calls, slots := o.inFlight[req.CandidateSet[i].Endpoint.VM]()
 		// Below its slots a gate has no wait, so only the distance counts.
 		wait := max(float64(calls+1-int64(slots))/float64(slots), 0)
-		distance := req.CandidateSet[i].Load.RoundTrip()
+		distance := req.CandidateSet[i].Load.MinRTT()
 		if best == choose.NoCandidate || wait < least || (wait == least && distance < nearest) {
 			best, least, nearest = i, wait, distance
 		}
--- a/pkg/choose/choose_test.go
+++ b/pkg/choose/choose_test.go
@@ -126,11 +126,11 @@
 		}, 0, 0},
 		{"avoids a distant server while near ones have room", func(req *Request) {
 			req.CandidateSet = newCandidates(99*ms, 4, 4, 4, 4)
-			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
+			req.CandidateSet[0].Load.SetMinRTT(2 * time.Millisecond)
 		}, 0.01, 0},
 		{"picks a distant server when near ones are full", func(req *Request) {
 			req.CandidateSet = newCandidates(99*ms, 4, 30, 30, 30)
-			req.CandidateSet[0].Load.SetRoundTrip(2 * time.Millisecond)
+			req.CandidateSet[0].Load.SetMinRTT(2 * time.Millisecond)
 		}, 1, 1},
 	}
 	for _, s := range scenarios {
--- a/pkg/choose/expectedwait.go
+++ b/pkg/choose/expectedwait.go
@@ -86,7 +86,7 @@
 		}
 		secondCost = min(secondCost, cost)
 	}
-	return Pick{Index: scanned.indexes[best], MaxCost: maxCost(scanned.loads[best].RoundTrip, secondCost, prior.serviceTime)}
+	return Pick{Index: scanned.indexes[best], MaxCost: maxCost(scanned.loads[best].MinRTT, secondCost, prior.serviceTime)}
 }
 
 // tieBreak derives a number from 0 up to 1 for the n-th candidate from random bits, by
@@ -169,11 +169,11 @@
 
 // maxCost returns Pick.MaxCost: the cost of the second-best candidate, less the round
 // trip to the picked one, which its gate does not count.
-func maxCost(roundTrip time.Duration, secondCost, serviceTime float64) time.Duration {
+func maxCost(minRTT time.Duration, secondCost, serviceTime float64) time.Duration {
 	if math.IsInf(secondCost, 1) {
 		return noMaxCost
 	}
-	return time.Duration(secondCost+maxCostSlack*serviceTime) - roundTrip
+	return time.Duration(secondCost+maxCostSlack*serviceTime) - minRTT
 }
 
 // cost returns the expected time of a call at the n-th scanned candidate plus its
@@ -197,7 +197,7 @@
 	if noAnswer := float64(load.NoAnswerFor); noAnswer > noAnswerFactor*serviceTime {
 		serviceTime = noAnswer
 	}
-	cost := serviceTime + queueWait(inFlight, limit, scanned.inverseLimit[n], serviceTime) + float64(load.RoundTrip)
+	cost := serviceTime + queueWait(inFlight, limit, scanned.inverseLimit[n], serviceTime) + float64(load.MinRTT)
 	if load.FailureShare > toleratedFailureShare {
 		cost += load.FailureShare * failurePenalty * prior.serviceTime
 	}
--- a/pkg/choose/hotcold.go
+++ b/pkg/choose/hotcold.go
@@ -49,7 +49,7 @@
 	return hotColdLoad{
 		index:       index,
 		utilisation: float64(load.InFlight+load.SentSinceStamp) / float64(load.Limit),
-		latency:     load.ServiceTime + req.CandidateSet[index].Load.RoundTrip(),
+		latency:     load.ServiceTime + req.CandidateSet[index].Load.MinRTT(),
 	}
 }
 
--- a/pkg/choose/refusal.go
+++ b/pkg/choose/refusal.go
@@ -36,7 +36,7 @@
 // server is slowed or its usable slots are taken. An attempt from the same data centre
 // may also take, or queue for, the slots beyond the usable ones.
 func (r *RoutedRequest) wouldRefuseSoft(load *tables.LoadSnapshot, sameDataCentre bool) bool {
-	if speed.FromPercent(load.Slowdown) > r.SoftSlowdown*max(speed.FromPercent(load.UsualSlowdown), 1) {
+	if speed.FromPercent(load.Slowdown) > r.SoftSlowdown*max(speed.FromPercent(load.NormalSlowdown), 1) {
 		return true
 	}
 	maxInFlight := float64(load.Limit)
--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -146,7 +146,7 @@
 		}
 	}
 	runTime := float64(r.Work) * slowdown
-	cost := runTime + queueWait(inFlight, limit, 1/limit, runTime) + float64(load.RoundTrip)
+	cost := runTime + queueWait(inFlight, limit, 1/limit, runTime) + float64(load.MinRTT)
 	if noAnswer := float64(load.NoAnswerFor); noAnswer > noAnswerFactor*runTime {
 		cost += noAnswer
 	}
--- a/pkg/entry/attempts.go
+++ b/pkg/entry/attempts.go
@@ -216,7 +216,7 @@
 		ended.candidate.Load.ApplyStamp(now, result.Stamp)
 	}
 	ended.candidate.Load.RecordAnswer(countsAsFailure(result))
-	result.MinRTT = ended.candidate.Load.RoundTrip()
+	result.MinRTT = ended.candidate.Load.MinRTT()
 	result.Server, result.DataCentre = ended.candidate.Endpoint.VM, ended.candidate.Endpoint.DataCentre
 	return result
 }
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -119,7 +119,7 @@
 	start, sendBack := e.gate.Tick(e.Now())
 	e.startAll(start)
 	for _, job := range sendBack {
-		job.SendBack()
+		job.RefuseOverMaxCost()
 	}
 }
 
@@ -155,7 +155,7 @@
 		return func() {}
 	}
 	r.kind = kind
-	r.job = gate.Job{Class: kind.Class, Deadline: r.deadline, MaxCost: c.MaxCost, Start: r.start, SendBack: r.sendBack}
+	r.job = gate.Job{Class: kind.Class, Deadline: r.deadline, MaxCost: c.MaxCost, Start: r.start, RefuseOverMaxCost: r.sendBack}
 	admitted, refusal := e.gate.Admit(now, &r.job)
 	switch {
 	case refusal != nil:
--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -33,7 +33,7 @@
 	g.inFlight.Add(1)
 	g.fairness.charge(job)
 	if fc.canStart && !fc.held {
-		g.noteStart(now, job)
+		g.recordStart(now, job)
 		return true, nil
 	}
 	job.held = fc.held
@@ -208,7 +208,7 @@
 // server to try is farther away.
 func (g *Gate) refusesSoft(now int64, job *Job) bool {
 	maxJobs := g.usableSlots()
-	if job.Near {
+	if job.SameDataCentre {
 		maxJobs = g.slots
 	}
 	return g.tooSlowForSoft(now) || g.running+g.queue.len() >= maxJobs || g.coldStartsExhausted(now)
--- a/pkg/gate/fair_queueing.go
+++ b/pkg/gate/fair_queueing.go
@@ -17,9 +17,9 @@
 	finishTags map[string]float64
 }
 
-// maxTeams is the number of finish tags above which those of teams with no work left are
+// maxFinishTags is the number of finish tags above which those of teams with no work left are
 // dropped. With 24 bytes each, and the names, they take about 100 kB.
-const maxTeams = 1024
+const maxFinishTags = 1024
 
 // assignStartTag sets the start tag of a job; that of a job without a team is 0.
 func (f *fairQueueing) assignStartTag(job *Job) {
@@ -38,13 +38,13 @@
 		f.finishTags = map[string]float64{}
 	}
 	f.finishTags[job.Team] = job.startTag + job.Work.Seconds()
-	if len(f.finishTags) > maxTeams {
+	if len(f.finishTags) > maxFinishTags {
 		f.dropIdleTeams()
 	}
 }
 
-// noteStart advances the virtual time to the start tag of a job that starts.
-func (f *fairQueueing) noteStart(job *Job) { f.virtualTime = max(f.virtualTime, job.startTag) }
+// recordStart advances the virtual time to the start tag of a job that starts.
+func (f *fairQueueing) recordStart(job *Job) { f.virtualTime = max(f.virtualTime, job.startTag) }
 
 // dropIdleTeams removes the finish tags of the teams that have no work left.
 func (f *fairQueueing) dropIdleTeams() {
--- a/pkg/gate/fair_queueing_test.go
+++ b/pkg/gate/fair_queueing_test.go
@@ -103,14 +103,14 @@
 // when the teams have no work left.
 func TestFinishTagsOfIdleTeamsAreDropped(t *testing.T) {
 	var f fairQueueing
-	for n := range 10 * maxTeams {
+	for n := range 10 * maxFinishTags {
 		job := &Job{Team: fmt.Sprint(n), Work: time.Millisecond}
 		f.assignStartTag(job)
 		f.charge(job)
 		job.startTag += 1
-		f.noteStart(job)
+		f.recordStart(job)
 	}
-	test.LessEq(t, maxTeams+1, len(f.finishTags))
+	test.LessEq(t, maxFinishTags+1, len(f.finishTags))
 }
 
 // TestNestedJobsStartByDeadline checks that nested jobs, which have no team, start in the
@@ -120,7 +120,7 @@
 	less := lessFor(Ranked)
 	late, early := &Job{Nested: true, Deadline: 9, seq: 1}, &Job{Nested: true, Deadline: 5, seq: 2}
 	f.assignStartTag(late)
-	f.noteStart(&Job{Team: "red", startTag: 3})
+	f.recordStart(&Job{Team: "red", startTag: 3})
 	f.assignStartTag(early)
 	test.True(t, less(early, late))
 	test.False(t, less(late, early))
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -27,9 +27,9 @@
 	// SoftSlowdown is the reported slowdown, 1 at normal speed, above which soft jobs are
 	// refused.
 	SoftSlowdown float64
-	// SlotShare is the share of the slots that the gate uses, up to 1; 0 stands for 1.
+	// UsableShare is the share of the slots that the gate uses, up to 1; 0 stands for 1.
 	// All runs of a backend server that is nearly full slow down.
-	SlotShare float64
+	UsableShare float64
 	// LearnLimit makes SlotShare the initial value only: the gate learns from its runs
 	// how many jobs may run at once before they slow one another down.
 	LearnLimit bool
@@ -70,8 +70,8 @@
 
 // New returns a gate.
 func New(opts Options) *Gate {
-	if opts.SlotShare == 0 {
-		opts.SlotShare = 1
+	if opts.UsableShare == 0 {
+		opts.UsableShare = 1
 	}
 	g := &Gate{opts: opts, queue: newQueue(opts.Order), slots: opts.Slots, speed: speed.NewModel(), lastLateProbe: -lateProbeInterval}
 	g.resetLimiter()
@@ -99,10 +99,10 @@
 	return g.startWaiting(now)
 }
 
-// noteStart records that a job starts now.
-func (g *Gate) noteStart(now int64, job *Job) {
+// recordStart records that a job starts now.
+func (g *Gate) recordStart(now int64, job *Job) {
 	g.running++
-	g.fairness.noteStart(job)
+	g.fairness.recordStart(job)
 	g.coldStarts.record(now)
 	job.started = now
 	job.concurrency = g.running
--- a/pkg/gate/gate_bench_test.go
+++ b/pkg/gate/gate_bench_test.go
@@ -8,7 +8,7 @@
 // busyGate returns a gate for routed requests with all usable slots taken and the given
 // number of jobs waiting.
 func busyGate(b *testing.B, waiting int, cold bool) *Gate {
-	g := New(Options{Slots: 11, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true})
+	g := New(Options{Slots: 11, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 0.8, LearnLimit: true})
 	if cold {
 		g.SetColdState(1, ColdState{MaxStartsPerSecond: 30, Since: 1, Until: int64(time.Hour)})
 	}
@@ -47,7 +47,7 @@
 // BenchmarkObserveSlowdown observes a slowdown while 200 jobs are held for the end of a
 // slow period, with slots free.
 func BenchmarkObserveSlowdown(b *testing.B) {
-	g := New(Options{Slots: 1000, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
+	g := New(Options{Slots: 1000, QueueLength: 10_000, QueueTime: time.Hour, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 0.8})
 	now := int64(time.Minute)
 	for range 50 {
 		now += int64(100 * time.Millisecond)
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -223,7 +223,7 @@
 
 // routedGate returns a gate with two slots that is configured as for routed requests.
 func routedGate() *Gate {
-	return New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
+	return New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 1})
 }
 
 // TestSoftJobs checks that a full or slowed gate refuses soft jobs, and that those of near
@@ -231,11 +231,11 @@
 func TestSoftJobs(t *testing.T) {
 	const deadline = int64(time.Hour)
 	newGate := func() *Gate {
-		return New(Options{Slots: 3, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
+		return New(Options{Slots: 3, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 0.8})
 	}
 	g := newGate()
 	soft := func(near bool) *errkind.Error {
-		_, refusal := g.Admit(1, &Job{Deadline: deadline, EndBy: deadline, Work: time.Second, Soft: true, Near: near})
+		_, refusal := g.Admit(1, &Job{Deadline: deadline, EndBy: deadline, Work: time.Second, Soft: true, SameDataCentre: near})
 		return refusal
 	}
 	must.Nil(t, soft(false))
@@ -253,7 +253,7 @@
 func TestGateUsesItsShareOfTheSlots(t *testing.T) {
 	const hour = int64(time.Hour)
 	for slots, want := range map[int]int{1: 1, 2: 2, 3: 2, 6: 4, 12: 9} {
-		g := New(Options{Slots: slots, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8})
+		g := New(Options{Slots: slots, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 0.8})
 		var running []*Job
 		for range 3 * slots {
 			j := &Job{Deadline: hour, EndBy: hour, Work: time.Second}
@@ -335,7 +335,7 @@
 // while less than half of the slots are in use: a late answer is worth more than none.
 func TestLateRunsWhileSlotsAreFree(t *testing.T) {
 	const hour = int64(time.Hour)
-	g := New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
+	g := New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 1})
 	g.ObserveSlowdown(1, 4)
 	late := func(deadline int64) (run bool) {
 		run, _ = g.Admit(1, &Job{Deadline: deadline, EndBy: 1 + int64(time.Second), Work: time.Second})
@@ -364,7 +364,7 @@
 // TestWorkEstimateThatIsTooLongIsProbed checks that a gate whose jobs have a work time
 // longer than each EndBy admits a few of them, so that the work time can be corrected.
 func TestWorkEstimateThatIsTooLongIsProbed(t *testing.T) {
-	g := New(Options{Slots: 100, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
+	g := New(Options{Slots: 100, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 1})
 	fillHalf(t, g)
 	admitted := 0
 	for now := int64(1); now < int64(time.Second); now += int64(10 * time.Millisecond) {
--- a/pkg/gate/hold_test.go
+++ b/pkg/gate/hold_test.go
@@ -19,7 +19,7 @@
 // holdingGate returns a gate with four slots, whose backend server has had slow periods of
 // 100 ms about once a second and has just reported that it is slowed.
 func holdingGate() (g *Gate, now int64) {
-	g = New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 1})
+	g = New(Options{Slots: 4, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 1})
 	now = 1
 	report := func(slowdown float64, d time.Duration) {
 		for end := now + int64(d); now < end; now += 10 * ms {
@@ -122,7 +122,7 @@
 // of ten slow one another down, and more when none do.
 func TestGateLearnsItsLimit(t *testing.T) {
 	for knee, want := range map[int][2]int{6: {5, 6}, 10: {9, 10}} {
-		g := New(Options{Slots: 10, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true})
+		g := New(Options{Slots: 10, QueueLength: 100, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 0.8, LearnLimit: true})
 		simulateBursts(g, knee, 4000)
 		test.Between(t, want[0], g.UsableSlots(), want[1], test.Sprint("runs slow down above ", knee))
 	}
--- a/pkg/gate/limit.go
+++ b/pkg/gate/limit.go
@@ -27,10 +27,10 @@
 	return max(1, int(float64(usable)*toleratedSlowdown/slowdown))
 }
 
-// minSlotShare is the share of the slots below which leaving the others unused costs
+// minUsableShare is the share of the slots below which leaving the others unused costs
 // more than slower runs: of two slots, one alone does less work than two whose runs take
 // 1.7 times as long.
-const minSlotShare = 0.6
+const minUsableShare = 0.6
 
 // usableSlots returns how many jobs may run at once while the backend server works at
 // normal speed.
@@ -44,8 +44,8 @@
 // configuredSlots returns the number of slots that Options.SlotShare allows, or all of
 // them where that would be too few.
 func (g *Gate) configuredSlots() int {
-	usable := int(g.opts.SlotShare * float64(g.slots))
-	if float64(usable) < minSlotShare*float64(g.slots) {
+	usable := int(g.opts.UsableShare * float64(g.slots))
+	if float64(usable) < minUsableShare*float64(g.slots) {
 		return g.slots
 	}
 	return usable
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -53,9 +53,9 @@
 	// Soft makes the gate refuse the job at once while the backend server is slowed or
 	// nearly full.
 	Soft bool
-	// Near lets a soft job use all free slots, for a sender in the same data centre: the
+	// SameDataCentre lets a soft job use all free slots, for a sender in the same data centre: the
 	// next backend server to try is farther away.
-	Near bool
+	SameDataCentre bool
 	// EndBy is when a routed job should have ended, in nanoseconds. A job that is
 	// expected to end later is refused while its sender can still try another backend
 	// server. 0: no limit.
@@ -63,9 +63,9 @@
 	// Start runs the job. SendBack refuses a waiting job that Tick returns to be sent
 	// back. Dismiss refuses a waiting job because the backend server accepts no more
 	// jobs. The owner calls them without holding the gate's lock.
-	Start    func()
-	SendBack func()
-	Dismiss  func(why *errkind.Error)
+	Start             func()
+	RefuseOverMaxCost func()
+	RefuseDrained     func(why *errkind.Error)
 
 	arrived int64
 	started int64
--- a/pkg/gate/routed_property_test.go
+++ b/pkg/gate/routed_property_test.go
@@ -71,7 +71,7 @@
 		const slots = 4
 		m := &routedGateModel{
 			gate: New(Options{
-				Slots: slots, QueueLength: 20, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, SlotShare: 0.8, LearnLimit: true,
+				Slots: slots, QueueLength: 20, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 0.8, LearnLimit: true,
 			}),
 			now: 1, waiting: map[*Job]bool{}, running: map[*Job]bool{},
 		}
--- a/pkg/gate/waiting.go
+++ b/pkg/gate/waiting.go
@@ -10,7 +10,7 @@
 // risen. While runs are slowed it also returns, in sendBack, waiting jobs that it takes
 // out because their expected time has grown far beyond their MaxCost; the owner refuses
 // these as not run.
-func (g *Gate) Tick(now int64) (start, sendBack []*Job) {
+func (g *Gate) Tick(now int64) (start, overMaxCost []*Job) {
 	if g.inFlight.Load() == 0 {
 		return nil, nil
 	}
@@ -18,9 +18,9 @@
 	defer g.mu.Unlock()
 	start = g.startWaiting(now)
 	if g.serviceTime.slowdown(now) > toleratedSlowdown {
-		sendBack = g.removeOverMaxCost(now)
+		overMaxCost = g.removeOverMaxCost(now)
 	}
-	return start, sendBack
+	return start, overMaxCost
 }
 
 // removeOverMaxCost removes and returns the waiting jobs whose expected time exceeds
@@ -56,7 +56,7 @@
 			held = append(held, job)
 			continue
 		}
-		g.noteStart(now, job)
+		g.recordStart(now, job)
 		out = append(out, job)
 	}
 	if len(held) >= maxHeldChecks {
@@ -91,7 +91,7 @@
 			checks++
 			continue
 		}
-		g.noteStart(now, job)
+		g.recordStart(now, job)
 		out = append(out, job)
 	}
 	return out, held
@@ -104,7 +104,7 @@
 		return nil
 	}
 	job := g.queue.pop(now, g.serviceTime.current(now))
-	g.noteStart(now, job)
+	g.recordStart(now, job)
 	return job
 }
 
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -181,7 +181,7 @@
 			Changes: p.Changes, Hash: hash, RollbackOf: p.RollbackOf,
 		}}
 	}
-	se.World.Inbox.Post(true, func(m *tables.Mail) { m.Placements = append(m.Placements, v) })
+	se.World.Inbox.Post(true, func(m *tables.Mail) { m.StorePlacements = append(m.StorePlacements, v) })
 	return nil
 }
 
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -127,7 +127,7 @@
 		}),
 		gate: gate.New(gate.Options{
 			Slots: s.BackendServer.Slots, QueueLength: s.Gate.QueueLength, QueueTime: s.Gate.QueueTime,
-			Order: gate.Ranked, SoftSlowdown: s.Routing.SoftSlowdown, SlotShare: s.Routing.Use, LearnLimit: true,
+			Order: gate.Ranked, SoftSlowdown: s.Routing.SoftSlowdown, UsableShare: s.Routing.Use, LearnLimit: true,
 			Restarted: !s.Platform.FirstStart, RestartAfter: s.Platform.RestartAfter,
 		}),
 	}
@@ -178,7 +178,7 @@
 	start, sendBack := r.gate.Tick(r.Now())
 	r.startAll(start)
 	for _, job := range sendBack {
-		job.SendBack()
+		job.RefuseOverMaxCost()
 	}
 }
 
@@ -186,7 +186,7 @@
 // run them in time.
 func (r *Runner) refuseWaiting(reason *errkind.Error) {
 	for _, job := range r.gate.DrainQueue() {
-		job.Dismiss(reason)
+		job.RefuseDrained(reason)
 	}
 }
 
@@ -251,7 +251,7 @@
 	nested := run.origin == wire.OriginService
 	run.job = gate.Job{
 		Rank: rankOf(c), Team: c.Routed.Team, Nested: nested, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.TargetRemaining),
-		Soft: c.Routed.Soft, Near: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, SendBack: run.refuseSlowed, Dismiss: run.dismiss,
+		Soft: c.Routed.Soft, SameDataCentre: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, RefuseOverMaxCost: run.refuseSlowed, RefuseDrained: run.dismiss,
 	}
 	if !r.checkSpeedFirst(now, run) {
 		run.admit()
--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -85,14 +85,14 @@
 
 // Pull implements link.Handler.
 func (c *Control) Pull(peer *link.Peer, pull *wire.Pull) {
-	p := tables.PeerPull{Peer: peer, Have: pull.Have}
-	c.World.Inbox.Post(true, func(m *tables.Mail) { m.Pulls = append(m.Pulls, p) })
+	p := tables.PeerPlacementPull{Peer: peer, Have: pull.Have}
+	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PlacementPulls = append(m.PlacementPulls, p) })
 }
 
 // Update implements link.Handler.
 func (c *Control) Update(peer *link.Peer, update *wire.Update) {
-	u := tables.PeerUpdate{Peer: peer, Update: update}
-	c.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, u) })
+	u := tables.PeerPlacementUpdate{Peer: peer, Update: update}
+	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PlacementUpdates = append(m.PlacementUpdates, u) })
 }
 
 // Members implements link.Handler.
@@ -116,8 +116,8 @@
 // RolloutNews implements link.Handler. The systems run at once because the news may
 // contain the stop of a roll-out.
 func (c *Control) RolloutNews(peer *link.Peer, news *wire.RolloutNews) {
-	n := tables.PeerRollouts{Peer: peer, News: news.Update}
-	c.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutNews = append(m.RolloutNews, n) })
+	n := tables.PeerRolloutUpdate{Peer: peer, Update: news.Update}
+	c.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutUpdates = append(m.RolloutUpdates, n) })
 }
 
 // RolloutReport implements link.Handler.
--- a/pkg/systems/feedfollower.go
+++ b/pkg/systems/feedfollower.go
@@ -318,7 +318,7 @@
 		f.newestFromFeed.Store(doc.Version)
 	}
 	f.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.Placements = append(m.Placements, tables.ReceivedPlacement{Document: doc, Hash: hash, FromStore: true})
+		m.StorePlacements = append(m.StorePlacements, tables.ReceivedPlacement{Document: doc, Hash: hash, FromStore: true})
 	})
 	return nil
 }
--- a/pkg/systems/feedfollower_test.go
+++ b/pkg/systems/feedfollower_test.go
@@ -109,7 +109,7 @@
 		env, tick := startFollower(t, feed)
 		tick(4 * followCheckInterval)
 		must.Eq(t, []uint64{0, 10}, feed.asked)
-		env.World.Inbox.Post(true, func(m *tables.Mail) { m.Updates = append(m.Updates, updateFrom(t, "there", 7)) })
+		env.World.Inbox.Post(true, func(m *tables.Mail) { m.PlacementUpdates = append(m.PlacementUpdates, updateFrom(t, "there", 7)) })
 		tick(2 * feedLagTolerance)
 		test.Eq(t, 7, env.World.PlacementVersion())
 		must.SliceLen(t, 3, feed.asked)
--- a/pkg/systems/firststart_test.go
+++ b/pkg/systems/firststart_test.go
@@ -180,7 +180,7 @@
 	env.Settings.Platform.FirstStart = true
 	env.World.Members.Merge(1, nil, wire.Member{VM: "x", DataCentre: "b"})
 	env.World.Members.Merge(1, nil, wire.Member{VM: "y", DataCentre: "c"})
-	(&placements{Env: env}).Tick(1, &tables.Mail{Updates: []tables.PeerUpdate{updateFrom(t, "b", 4)}})
+	(&placements{Env: env}).Tick(1, &tables.Mail{PlacementUpdates: []tables.PeerPlacementUpdate{updateFrom(t, "b", 4)}})
 	test.Eq(t, 4, env.World.PlacementVersion())
 }
 
--- a/pkg/systems/head.go
+++ b/pkg/systems/head.go
@@ -55,7 +55,7 @@
 	}
 	h.readOrders(ctx)
 	h.World.Inbox.Post(true, func(m *tables.Mail) {
-		m.HeadKnown, m.Head, m.StoreReadAt, m.Evacuation = true, head, began, &evacuated
+		m.PlacementHeadKnown, m.PlacementHead, m.StoreReadAt, m.Evacuation = true, head, began, &evacuated
 	})
 	if head.Version <= version && base != nil {
 		return
@@ -65,7 +65,7 @@
 		h.Log.Event(events.PlacementRejected, events.F("version", head.Version), events.F("cause", err))
 		return
 	}
-	h.World.Inbox.Post(true, func(m *tables.Mail) { m.Placements = append(m.Placements, received) })
+	h.World.Inbox.Post(true, func(m *tables.Mail) { m.StorePlacements = append(m.StorePlacements, received) })
 }
 
 // readOrders reads the orders for roll-outs. It returns no error, since orders that
--- a/pkg/systems/head_test.go
+++ b/pkg/systems/head_test.go
@@ -46,7 +46,7 @@
 	h.read(1, 0, nil)
 	mail := h.World.Inbox.Take()
 	test.Nil(t, mail.RolloutOrders)
-	test.True(t, mail.HeadKnown)
+	test.True(t, mail.PlacementHeadKnown)
 	test.NotNil(t, mail.Evacuation)
 }
 
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -88,7 +88,7 @@
 	var roundTrips leastRoundTrips
 	for endpoint, client := range l.clients {
 		roundTrips.record(l.World.Here().To(endpoint.DataCentre, endpoint.Region), client.MinRTT())
-		endpoint.Load.SetRoundTrip(client.MinRTT())
+		endpoint.Load.SetMinRTT(client.MinRTT())
 		client.MeasureRoundTrip()
 	}
 	if share, ok := roundTrips.regionShare(); ok {
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -34,13 +34,13 @@
 
 // Tick implements System.
 func (pl *placements) Tick(now int64, mail *tables.Mail) {
-	for _, received := range mail.Placements {
+	for _, received := range mail.StorePlacements {
 		pl.acceptIfNewer(received)
 	}
-	for _, u := range mail.Updates {
+	for _, u := range mail.PlacementUpdates {
 		pl.receiveUpdate(u)
 	}
-	for _, p := range mail.Pulls {
+	for _, p := range mail.PlacementPulls {
 		pl.answerPull(p)
 	}
 	if len(mail.PeerStates) > 0 {
@@ -49,7 +49,7 @@
 }
 
 // receiveUpdate decodes a placement that a peer sent, and accepts it if it is newer.
-func (pl *placements) receiveUpdate(u tables.PeerUpdate) {
+func (pl *placements) receiveUpdate(u tables.PeerPlacementUpdate) {
 	received, err := decodeUpdate(u.Peer, u.Update, pl.World.Placement)
 	if err != nil {
 		pl.Log.Event(events.PlacementRejected, events.F("version", u.Update.Version), events.F("peer", u.Peer.Hello.VM), events.F("cause", err))
@@ -198,7 +198,7 @@
 
 // answerPull sends a peer the changes since its version, or the whole document if they
 // are not known.
-func (pl *placements) answerPull(pull tables.PeerPull) {
+func (pl *placements) answerPull(pull tables.PeerPlacementPull) {
 	doc := pl.World.Placement
 	if doc == nil || doc.Version <= pull.Have {
 		return
--- a/pkg/systems/placements_test.go
+++ b/pkg/systems/placements_test.go
@@ -33,13 +33,13 @@
 }
 
 // updateFrom returns version n of the placement, as a peer in a data centre sends it.
-func updateFrom(t must.T, dataCentre string, n uint64) tables.PeerUpdate {
+func updateFrom(t must.T, dataCentre string, n uint64) tables.PeerPlacementUpdate {
 	doc := documentOf(n)
 	data, err := doc.Pack()
 	must.NoError(t, err)
 	hash, err := doc.Hash()
 	must.NoError(t, err)
-	return tables.PeerUpdate{
+	return tables.PeerPlacementUpdate{
 		Peer:   &link.Peer{Hello: wire.Hello{VM: "peer", DataCentre: dataCentre}},
 		Update: &wire.Update{Version: n, Hash: hash, Document: data},
 	}
@@ -56,9 +56,9 @@
 			n := rapid.Uint64Range(1, 9).Draw(t, "version")
 			mail := &tables.Mail{}
 			if rapid.Bool().Draw(t, "from the store") {
-				mail.Placements = []tables.ReceivedPlacement{{Document: documentOf(n), FromStore: true}}
+				mail.StorePlacements = []tables.ReceivedPlacement{{Document: documentOf(n), FromStore: true}}
 			} else {
-				mail.Updates = []tables.PeerUpdate{updateFrom(t, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer's data centre"), n)}
+				mail.PlacementUpdates = []tables.PeerPlacementUpdate{updateFrom(t, rapid.SampledFrom([]string{"a", "b"}).Draw(t, "peer's data centre"), n)}
 			}
 			system.Tick(1, mail)
 			must.GreaterEq(t, highest, env.World.PlacementVersion())
@@ -73,10 +73,10 @@
 func TestUpdateThatDoesNotMatchItsHashIsRefused(t *testing.T) {
 	env := testEnv()
 	system := &placements{Env: env}
-	system.Tick(1, &tables.Mail{Placements: []tables.ReceivedPlacement{{Document: documentOf(1), FromStore: true}}})
+	system.Tick(1, &tables.Mail{StorePlacements: []tables.ReceivedPlacement{{Document: documentOf(1), FromStore: true}}})
 	bad := updateFrom(t, "a", 2)
 	bad.Update.Hash = "0000"
-	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{bad}})
+	system.Tick(2, &tables.Mail{PlacementUpdates: []tables.PeerPlacementUpdate{bad}})
 	test.Eq(t, 1, env.World.PlacementVersion())
 }
 
@@ -86,11 +86,11 @@
 		env.World.Members.Merge(1, nil, wire.Member{VM: "vm-" + dc, Started: 1, DataCentre: dc})
 	}
 	system := &placements{Env: env}
-	system.Tick(1, &tables.Mail{Updates: []tables.PeerUpdate{updateFrom(t, "a", 4)}})
+	system.Tick(1, &tables.Mail{PlacementUpdates: []tables.PeerPlacementUpdate{updateFrom(t, "a", 4)}})
 	test.Nil(t, env.World.Placement)
-	system.Tick(2, &tables.Mail{Updates: []tables.PeerUpdate{updateFrom(t, "a", 5)}})
+	system.Tick(2, &tables.Mail{PlacementUpdates: []tables.PeerPlacementUpdate{updateFrom(t, "a", 5)}})
 	test.Nil(t, env.World.Placement)
-	system.Tick(3, &tables.Mail{Updates: []tables.PeerUpdate{updateFrom(t, "b", 4)}})
+	system.Tick(3, &tables.Mail{PlacementUpdates: []tables.PeerPlacementUpdate{updateFrom(t, "b", 4)}})
 	test.Eq(t, 5, env.World.PlacementVersion())
 }
 
--- a/pkg/systems/proof.go
+++ b/pkg/systems/proof.go
@@ -17,7 +17,7 @@
 func (p *placementProof) Tick(_ int64, mail *tables.Mail) {
 	provenAt := p.World.View.PlacementProvenAt()
 	// A new head is known before the document of its version has been read.
-	if behind := mail.HeadKnown && mail.Head.Version > p.World.PlacementVersion(); p.World.Placement != nil && !behind {
+	if behind := mail.PlacementHeadKnown && mail.PlacementHead.Version > p.World.PlacementVersion(); p.World.Placement != nil && !behind {
 		provenAt = max(provenAt, mail.StoreReadAt)
 	}
 	for _, received := range mail.PeerStates {
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -70,8 +70,8 @@
 	if mail.RolloutOrders != nil {
 		ro.applyOrders(*mail.RolloutOrders)
 	}
-	for _, received := range mail.RolloutNews {
-		ro.apply(received.News, received.Peer)
+	for _, received := range mail.RolloutUpdates {
+		ro.apply(received.Update, received.Peer)
 	}
 	for _, result := range mail.RolloutPlanResults {
 		if result.Err == nil && result.Stored.Plan.Revision > 0 {
--- a/pkg/systems/trafficlog.go
+++ b/pkg/systems/trafficlog.go
@@ -41,11 +41,11 @@
 	}
 	var frames []string
 	for _, total := range t.Traffic.Totals() {
-		key := traffic.Total{To: total.To, Kind: total.Kind}
+		key := traffic.Total{To: total.To, Type: total.Type}
 		last := t.lastTotals[key]
 		t.lastTotals[key] = total
 		if total.Frames > last.Frames {
-			frames = append(frames, fmt.Sprintf("%s/%s:%d/%d", total.Kind, total.To, total.Frames-last.Frames, total.Bytes-last.Bytes))
+			frames = append(frames, fmt.Sprintf("%s/%s:%d/%d", total.Type, total.To, total.Frames-last.Frames, total.Bytes-last.Bytes))
 		}
 	}
 	opened, byLevel := 0, [proximity.Count]int{}
--- a/pkg/tables/inbox.go
+++ b/pkg/tables/inbox.go
@@ -32,27 +32,27 @@
 	LinkEvents []LinkEvent
 	// PeerStates are the states of peers, oldest first.
 	PeerStates []PeerState
-	// Pulls are the requests of peers for the placement.
-	Pulls []PeerPull
-	// Updates are the placements that peers sent.
-	Updates []PeerUpdate
-	// Placements are the placements that were read from the store.
-	Placements []ReceivedPlacement
+	// PlacementPulls are the requests of peers for the placement.
+	PlacementPulls []PeerPlacementPull
+	// PlacementUpdates are the placements that peers sent.
+	PlacementUpdates []PeerPlacementUpdate
+	// StorePlacements are the placements that were read from the store.
+	StorePlacements []ReceivedPlacement
 	// StoreReadAt is when this daemon last read the store, in nanoseconds of its clock;
 	// 0: not since the last tick.
 	StoreReadAt int64
-	// Head is the newest head of the placement that was read; its Version is 0 if the
+	// PlacementHead is the newest head of the placement that was read; its Version is 0 if the
 	// store has none.
-	Head placement.Head
-	// HeadKnown is true if the head was read, even if the store has none.
-	HeadKnown bool
+	PlacementHead placement.Head
+	// PlacementHeadKnown is true if the head was read, even if the store has none.
+	PlacementHeadKnown bool
 	// Evacuation is the newest set of evacuated data centres that was read from the
 	// store; nil: none was read.
 	Evacuation *evacuation.Set
 	// RolloutOrders is the newest set of orders for roll-outs that was read from the
 	// store; nil: none was read. RolloutNews and RolloutReports came from peers.
 	RolloutOrders  *rollout.Orders
-	RolloutNews    []PeerRollouts
+	RolloutUpdates []PeerRolloutUpdate
 	RolloutReports []rollout.Report
 	// RolloutPlanResults are the results of reads and writes of roll-out plans in the
 	// store.
@@ -123,14 +123,14 @@
 	At    int64
 }
 
-// PeerPull is a peer's request for placement versions above Have.
-type PeerPull struct {
+// PeerPlacementPull is a peer's request for placement versions above Have.
+type PeerPlacementPull struct {
 	Peer *link.Peer
 	Have uint64
 }
 
-// PeerUpdate is a placement that a peer sent.
-type PeerUpdate struct {
+// PeerPlacementUpdate is a placement that a peer sent.
+type PeerPlacementUpdate struct {
 	Peer   *link.Peer
 	Update *wire.Update
 }
@@ -149,10 +149,10 @@
 	Frame *wire.Quarantine
 }
 
-// PeerRollouts is what a peer reported about roll-outs.
-type PeerRollouts struct {
-	Peer *link.Peer
-	News rollout.Update
+// PeerRolloutUpdate is what a peer reported about roll-outs.
+type PeerRolloutUpdate struct {
+	Peer   *link.Peer
+	Update rollout.Update
 }
 
 // RolloutPlanResult is the result of a read or write of a service's roll-out plan in the
--- a/pkg/tables/load.go
+++ b/pkg/tables/load.go
@@ -33,9 +33,9 @@
 	sentSinceStamp  atomic.Int64
 	noAnswerSince   atomic.Int64
 	failureShare    atomic.Int64
-	roundTrip       atomic.Int64
+	minRTT          atomic.Int64
 	slowdown        atomic.Int64
-	usualSlowdown   atomic.Int64
+	normalSlowdown  atomic.Int64
 	// unresponsiveAt is when the daemon was found unresponsive; 0: it has sent a stamp
 	// since.
 	unresponsiveAt atomic.Int64
@@ -96,7 +96,7 @@
 	l.limit.Store(max(int64(stamp.Limit), 1))
 	l.serviceTime.Store(int64(stamp.ServiceUS) * int64(time.Microsecond))
 	l.slowdown.Store(int64(stamp.Slowdown))
-	l.usualSlowdown.Store(int64(stamp.NormalSlowdown))
+	l.normalSlowdown.Store(int64(stamp.NormalSlowdown))
 	l.unresponsiveAt.Store(0)
 	l.stampReceivedAt.Store(now)
 	l.sentSinceStamp.Store(0)
@@ -121,7 +121,7 @@
 	l.sentSinceStamp.Store(0)
 	l.failureShare.Store(0)
 	l.slowdown.Store(0)
-	l.usualSlowdown.Store(0)
+	l.normalSlowdown.Store(0)
 	l.unresponsiveAt.Store(0)
 	l.limit.Store(int64(max(slots, 1)))
 }
@@ -145,12 +145,12 @@
 	// NoAnswerFor is how long outstanding calls have waited since the last call ended;
 	// 0: none is outstanding.
 	NoAnswerFor time.Duration
-	// RoundTrip is the network round-trip time to the daemon.
-	RoundTrip time.Duration
+	// MinRTT is the network round-trip time to the daemon.
+	MinRTT time.Duration
 	// Slowdown is the current run time in percent of the usual one; 0: not known.
 	Slowdown int64
-	// UsualSlowdown is the slowdown outside of slow spells, in percent; 0: 100 percent.
-	UsualSlowdown int64
+	// NormalSlowdown is the slowdown outside of slow spells, in percent; 0: 100 percent.
+	NormalSlowdown int64
 	// UnresponsiveFor is how long ago the daemon was found unresponsive; 0: it was not,
 	// or has sent a stamp since.
 	UnresponsiveFor time.Duration
@@ -175,9 +175,9 @@
 	out.ServiceTime = time.Duration(l.serviceTime.Load())
 	out.Outstanding = l.outstanding.Load()
 	out.SentSinceStamp = l.sentSinceStamp.Load()
-	out.RoundTrip = time.Duration(l.roundTrip.Load())
+	out.MinRTT = time.Duration(l.minRTT.Load())
 	out.Slowdown = l.slowdown.Load()
-	out.UsualSlowdown = l.usualSlowdown.Load()
+	out.NormalSlowdown = l.normalSlowdown.Load()
 	out.UnresponsiveFor = 0
 	if at := l.unresponsiveAt.Load(); at > 0 {
 		out.UnresponsiveFor = time.Duration(max(now-at, 1))
@@ -198,9 +198,9 @@
 // StampReceivedAt returns when the newest stamp was received, in nanoseconds; 0: never.
 func (l *Load) StampReceivedAt() int64 { return l.stampReceivedAt.Load() }
 
-// SetRoundTrip sets the network round-trip time to the daemon.
-func (l *Load) SetRoundTrip(d time.Duration) { l.roundTrip.Store(int64(d)) }
+// SetMinRTT sets the network round-trip time to the daemon.
+func (l *Load) SetMinRTT(d time.Duration) { l.minRTT.Store(int64(d)) }
 
-// RoundTrip returns the network round-trip time to the daemon; 0: it is this daemon, or
+// MinRTT returns the network round-trip time to the daemon; 0: it is this daemon, or
 // not known.
-func (l *Load) RoundTrip() time.Duration { return time.Duration(l.roundTrip.Load()) }
+func (l *Load) MinRTT() time.Duration { return time.Duration(l.minRTT.Load()) }
--- a/pkg/traffic/counters.go
+++ b/pkg/traffic/counters.go
@@ -27,12 +27,12 @@
 func NewCounters(set *metrics.Set) *Counters {
 	counters := &Counters{}
 	for to := range proximity.Count {
-		for kind := range wire.Type(wire.TypeCount) {
-			if kind == 0 {
+		for frameType := range wire.Type(wire.TypeCount) {
+			if frameType == 0 {
 				continue
 			}
-			labels := fmt.Sprintf(`{kind=%q,place=%q}`, kind, to)
-			counters.sent[to][kind] = frameCounters{
+			labels := fmt.Sprintf(`{kind=%q,place=%q}`, frameType, to)
+			counters.sent[to][frameType] = frameCounters{
 				frames: set.NewCounter("rushramp_link_frames_total" + labels),
 				bytes:  set.NewCounter("rushramp_link_bytes_total" + labels),
 			}
@@ -42,8 +42,8 @@
 }
 
 // CountSent counts one frame. size is in bytes.
-func (c *Counters) CountSent(to proximity.Level, kind wire.Type, size int) {
-	sent := &c.sent[to][kind]
+func (c *Counters) CountSent(to proximity.Level, frameType wire.Type, size int) {
+	sent := &c.sent[to][frameType]
 	sent.frames.Inc()
 	sent.bytes.Add(size)
 }
@@ -51,7 +51,7 @@
 // Total is the number of frames of one type, and of their bytes, sent to one proximity.
 type Total struct {
 	To     proximity.Level
-	Kind   wire.Type
+	Type   wire.Type
 	Frames uint64
 	Bytes  uint64
 }
@@ -60,11 +60,11 @@
 func (c *Counters) Totals() []Total {
 	var out []Total
 	for to := range c.sent {
-		for kind, sent := range c.sent[to] {
+		for frameType, sent := range c.sent[to] {
 			if sent.frames == nil || sent.frames.Get() == 0 {
 				continue
 			}
-			out = append(out, Total{To: proximity.Level(to), Kind: wire.Type(kind), Frames: sent.frames.Get(), Bytes: sent.bytes.Get()})
+			out = append(out, Total{To: proximity.Level(to), Type: wire.Type(frameType), Frames: sent.frames.Get(), Bytes: sent.bytes.Get()})
 		}
 	}
 	return out
--- a/pkg/traffic/counters_test.go
+++ b/pkg/traffic/counters_test.go
@@ -11,15 +11,15 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-func TestFramesAreCountedByKindAndProximity(t *testing.T) {
+func TestFramesAreCountedByTypeAndProximity(t *testing.T) {
 	set := metrics.NewSet()
 	counters := NewCounters(set)
 	counters.CountSent(proximity.OtherRegion, wire.TypeMembers, 100)
 	counters.CountSent(proximity.OtherRegion, wire.TypeMembers, 50)
 	counters.CountSent(proximity.SameDataCentre, wire.TypeState, 7)
 	test.Eq(t, []Total{
-		{To: proximity.SameDataCentre, Kind: wire.TypeState, Frames: 1, Bytes: 7},
-		{To: proximity.OtherRegion, Kind: wire.TypeMembers, Frames: 2, Bytes: 150},
+		{To: proximity.SameDataCentre, Type: wire.TypeState, Frames: 1, Bytes: 7},
+		{To: proximity.OtherRegion, Type: wire.TypeMembers, Frames: 2, Bytes: 150},
 	}, counters.Totals())
 	var out bytes.Buffer
 	set.WritePrometheus(&out)
