--- a/pkg/tables/inbox.go
+++ b/pkg/tables/inbox.go
@@ -11,7 +11,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Inbox collects what happens between two ticks: events of links, frames from peers,
+// Inbox collects the events between two ticks: changes of links, frames from peers and
 // results of calls to the platform. The systems take its content at the next tick. It is
 // safe for concurrent use.
 type Inbox struct {
@@ -41,8 +41,8 @@
 	// StoreReadAt is when this daemon last read the store, in nanoseconds of its clock;
 	// 0: not since the last tick.
 	StoreReadAt int64
-	// PlacementHead is the newest head of the placement that was read; its Version is 0 if the
-	// store has none.
+	// PlacementHead is the newest head of the placement that was read; its Version is 0 if
+	// the store has none.
 	PlacementHead placement.Head
 	// PlacementHeadKnown is true if the head was read, even if the store has none.
 	PlacementHeadKnown bool
@@ -50,7 +50,7 @@
 	// store; nil: none was read.
 	Evacuation *evacuation.Set
 	// RolloutOrders is the newest set of orders for roll-outs that was read from the
-	// store; nil: none was read. RolloutNews and RolloutReports came from peers.
+	// store; nil: none was read. RolloutUpdates and RolloutReports came from peers.
 	RolloutOrders  *rollout.Orders
 	RolloutUpdates []PeerRolloutUpdate
 	RolloutReports []rollout.Report
@@ -149,7 +149,7 @@
 	Frame *wire.Quarantine
 }
 
-// PeerRolloutUpdate is what a peer reported about roll-outs.
+// PeerRolloutUpdate holds the orders, plans and stops of roll-outs that a peer sent.
 type PeerRolloutUpdate struct {
 	Peer   *link.Peer
 	Update rollout.Update
@@ -185,8 +185,8 @@
 // Wake returns a channel that is readable once something urgent was posted.
 func (i *Inbox) Wake() <-chan struct{} { return i.wake }
 
-// Post calls change with the mail. urgent makes the systems run at once instead of at
-// the next tick.
+// Post calls change, which adds to the mail. urgent makes the systems run at once instead
+// of at the next tick.
 func (i *Inbox) Post(urgent bool, change func(*Mail)) {
 	i.mu.Lock()
 	change(&i.mail)
@@ -201,7 +201,7 @@
 }
 
 // RunQuery runs a query in the goroutine that runs the systems and waits for its end. It
-// returns false if done was closed before; the query may still run afterwards.
+// returns false if done is closed before that; the query may still run afterwards.
 func (i *Inbox) RunQuery(done <-chan struct{}, query func(*World)) bool {
 	answered := make(chan struct{})
 	i.Post(true, func(m *Mail) {
--- a/pkg/tables/load.go
+++ b/pkg/tables/load.go
@@ -18,9 +18,9 @@
 const failureShareOne = 1 << 16
 
 // Load is the load of one backend server as this entry knows it. Requests update it by
-// atomic operations at once, without waiting for a tick. Its values are fields of one
-// struct, not columns of a table: a decision reads all values of a few servers, and
-// values that lie together cost fewer cache misses.
+// atomic operations, without waiting for a tick. Its values are fields of one struct, not
+// columns of a table: a decision reads all values of a few servers, and adjacent values
+// cause fewer cache misses.
 type Load struct {
 	// incarnation numbers the daemon process that the load belongs to.
 	incarnation     atomic.Uint64
@@ -36,8 +36,8 @@
 	minRTT          atomic.Int64
 	slowdown        atomic.Int64
 	normalSlowdown  atomic.Int64
-	// unresponsiveAt is when the daemon was found unresponsive; 0: it has sent a stamp
-	// since.
+	// unresponsiveAt is when the daemon was found unresponsive; 0: never, or it has sent a
+	// stamp since.
 	unresponsiveAt atomic.Int64
 }
 
@@ -103,8 +103,9 @@
 }
 
 // BeginIncarnation records which process of the daemon a new link leads to, and resets
-// the load if it is another process than before. Each process numbers its stamps anew,
-// so the old process's numbers would keep them out.
+// the load if it is another process than before. Each process numbers its stamps from the
+// beginning, and ApplyStamp would otherwise ignore them as
+// older than those of the old process.
 func (l *Load) BeginIncarnation(incarnation uint64, slots int) {
 	if l.incarnation.Swap(incarnation) != incarnation {
 		l.Reset(slots)
@@ -145,11 +146,12 @@
 	// NoAnswerFor is how long outstanding calls have waited since the last call ended;
 	// 0: none is outstanding.
 	NoAnswerFor time.Duration
-	// MinRTT is the network round-trip time to the daemon.
+	// MinRTT is the shortest round-trip time measured on the link to the daemon.
 	MinRTT time.Duration
-	// Slowdown is the current run time in percent of the usual one; 0: not known.
+	// Slowdown is the run time in percent of that at normal speed, as last reported by
+	// the backend server; 0: not known.
 	Slowdown int64
-	// NormalSlowdown is the slowdown outside of slow spells, in percent; 0: 100 percent.
+	// NormalSlowdown is the slowdown outside slow periods, in percent; 0 stands for 100.
 	NormalSlowdown int64
 	// UnresponsiveFor is how long ago the daemon was found unresponsive; 0: it was not,
 	// or has sent a stamp since.
@@ -198,9 +200,9 @@
 // StampReceivedAt returns when the newest stamp was received, in nanoseconds; 0: never.
 func (l *Load) StampReceivedAt() int64 { return l.stampReceivedAt.Load() }
 
-// SetMinRTT sets the network round-trip time to the daemon.
+// SetMinRTT sets the shortest round-trip time measured on the link to the daemon.
 func (l *Load) SetMinRTT(d time.Duration) { l.minRTT.Store(int64(d)) }
 
-// MinRTT returns the network round-trip time to the daemon; 0: it is this daemon, or
-// not known.
+// MinRTT returns the shortest round-trip time measured on the link to the daemon; 0: it
+// is this daemon, or not known.
 func (l *Load) MinRTT() time.Duration { return time.Duration(l.minRTT.Load()) }
--- a/pkg/tables/members.go
+++ b/pkg/tables/members.go
@@ -26,7 +26,8 @@
 	Load          *Load
 	// runner sends calls over the link to the daemon; nil without a link.
 	runner atomic.Pointer[call.Runner]
-	// version is the version of the backend server, which another version may replace.
+	// version is the version that the backend server has reported; an update of the
+	// backend server changes it.
 	version atomic.Pointer[string]
 }
 
@@ -58,8 +59,8 @@
 	return nil
 }
 
-// bucketCount is the number of buckets that members are divided into for comparing two
-// tables: a difference costs the transfer of the rows of one bucket, not of the whole
+// bucketCount is the number of buckets into which members are divided to compare two
+// tables: for a difference in one row, the rows of its bucket are sent, not the whole
 // table.
 const bucketCount = 256
 
@@ -68,7 +69,7 @@
 const tombstoneTTL = 15 * 60 * 1e9
 
 // Members is the table of VMs: each exported slice is a column, indexed by row number.
-// Rows of removed VMs are used again.
+// Rows of removed VMs are reused.
 type Members struct {
 	// Record is the newest record of each VM.
 	Record   []wire.Member
@@ -93,7 +94,7 @@
 	countByRegion map[string]int
 	// tombstones are the removed VMs, by name.
 	tombstones map[string]tombstone
-	// digests holds the exclusive or of the records of each bucket.
+	// digests holds, for each bucket, the exclusive or of the digests of its records.
 	digests     [bucketCount]uint32
 	changeCount uint64
 	// pendingChanges are the changes that TakeChanges has not returned yet.
@@ -187,8 +188,8 @@
 	case held.Revision != update.Revision:
 		return update.Revision > held.Revision
 	}
-	// The two differ in other fields, such as an address. Any order will do that all
-	// daemons share.
+	// The two differ in other fields, such as an address. Any order will do as long as all
+	// daemons use the same.
 	return *held != *update && digest(update) > digest(held)
 }
 
--- a/pkg/tables/view.go
+++ b/pkg/tables/view.go
@@ -63,8 +63,8 @@
 }
 
 // View is what the request path reads without waiting for a tick. The systems publish
-// each service by itself, so a change costs no more than that service. All methods are
-// safe for concurrent use.
+// each service separately, so that a change rebuilds the view of one service only. All
+// methods are safe for concurrent use.
 type View struct {
 	placement atomic.Pointer[placement.Compiled]
 	// placementSince is when the placement in force was published.
@@ -198,8 +198,7 @@
 
 // RegionShare returns the round-trip time to other data centres of the same region as a
 // share of the round-trip time to other regions, as last measured on the links. It is 1
-// until there was a link to another region: in a deployment with one region no crossing
-// is cheaper.
+// until it was measured: in a deployment with one region no crossing is cheaper.
 func (v *View) RegionShare() float64 {
 	if bits := v.regionShare.Load(); bits != 0 {
 		return math.Float64frombits(bits)
@@ -219,7 +218,8 @@
 func (v *View) SetPlacementProvenAt(at int64) { v.placementProvenAt.Store(at) }
 
 // PlacementUnsure reports whether this daemon cannot tell if its placement is still in
-// force: neither the store nor all other data centres were heard of recently.
+// force: the store was not read recently, and another data centre was not heard of
+// recently.
 func (v *View) PlacementUnsure() bool { return v.placementUnsure.Load() }
 
 // SetPlacementUnsure publishes PlacementUnsure.
@@ -243,8 +243,8 @@
 // SetMemberCount publishes the number of VMs in the table of members.
 func (v *View) SetMemberCount(n int) { v.memberCount.Store(int64(n)) }
 
-// StoreStale reports whether the newest read of the store that this daemon knows of is
-// older than its bound.
+// StoreStale reports whether the newest read of the store by any daemon, as far as this
+// one knows, is too long ago.
 func (v *View) StoreStale() bool { return v.storeStale.Load() }
 
 // SetStoreStale publishes StoreStale.
--- a/pkg/tables/view_test.go
+++ b/pkg/tables/view_test.go
@@ -9,7 +9,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// TestVMShareOfCountsAllVMsOfTheServices: VMs without a service do not count.
+// TestVMShareOfCountsAllVMsOfTheServices checks that VMs without a service do not count.
 func TestVMShareOfCountsAllVMsOfTheServices(t *testing.T) {
 	view := &View{}
 	test.Eq(t, 0.0, view.VMShareOf([]string{"a"}))
@@ -21,8 +21,7 @@
 	test.Eq(t, 0.0, view.VMShareOf([]string{"gone"}))
 }
 
-// TestVMsAreCountedByService also covers a record that changes without changing its
-// service.
+// TestVMsAreCountedByService also replaces a record by one with the same service.
 func TestVMsAreCountedByService(t *testing.T) {
 	w := NewWorld("vm", "a")
 	for i := range 40 {
--- a/pkg/tables/world.go
+++ b/pkg/tables/world.go
@@ -34,20 +34,20 @@
 	// daemon's clock.
 	DataCentreHeardAt map[string]int64
 	// Departures are the processes of backend servers, on any VM, that have announced
-	// that they leave, with the time at which this daemon learnt of it. Source:
-	// docs/design/platform.md.
+	// that they leave, with the time at which this daemon learnt of it, in nanoseconds.
+	// Source: docs/design/platform.md.
 	Departures map[string]int64
 	// Unreached are the endpoints whose daemons could not be reached recently. Subsets
 	// leave them out. UnreachedChanges counts the changes of the set.
 	Unreached        map[*Endpoint]struct{}
 	UnreachedChanges uint64
-	// Rollouts is what this daemon knows of roll-outs. RolloutWatchers are the daemons
-	// that judge the roll-out of this VM's service, and the first of them writes its
-	// plan; empty without a roll-out.
+	// Rollouts is what this daemon knows of roll-outs. RolloutWatchers are the other
+	// daemons that evaluate the roll-out of this VM's service, in the order of their
+	// ranks; empty without a roll-out.
 	Rollouts        *rollout.Replica
 	RolloutWatchers []*Endpoint
-	// QuotaCounterDaemons are the daemons that should count the requests of teams. This daemon
-	// keeps links to them.
+	// QuotaCounterDaemons are the daemons that should count the requests of teams against
+	// their limits. This daemon keeps links to them.
 	QuotaCounterDaemons []*Endpoint
 	// DirtyServices are the services whose view must be published again.
 	DirtyServices map[string]struct{}
