--- a/pkg/choose/choose.go
+++ b/pkg/choose/choose.go
@@ -38,7 +38,7 @@
 	MaxCost time.Duration
 }
 
-// NoCandidate is the index of a pick when there is no candidate that is not excluded.
+// NoCandidate is the index of a pick when there is no candidate, or all are excluded.
 const NoCandidate = -1
 
 // Policy picks a candidate for a call. Implementations are safe for concurrent use.
--- a/pkg/choose/choose_test.go
+++ b/pkg/choose/choose_test.go
@@ -144,8 +144,8 @@
 	}
 }
 
-// TestEntriesWithTheSameStampsSpreadTheirCalls covers the herd effect: 40 entries hold
-// the same stamps of 30 servers with nearly equal loads.
+// TestEntriesWithTheSameStampsSpreadTheirCalls checks that there is no herd effect when
+// 40 entries hold the same stamps of 30 servers with nearly equal loads.
 func TestEntriesWithTheSameStampsSpreadTheirCalls(t *testing.T) {
 	rnd := rand.New(rand.NewPCG(7, 7))
 	picked := make([]int, 30)
@@ -167,7 +167,7 @@
 	pick := p.Choose(req, rand.New(rand.NewPCG(1, 1)))
 	test.Eq(t, 0, pick.Index)
 	// The second candidate costs a run of 5 ms, a wait behind 13 calls at 12 slots and
-	// maxCostSlack; a utilisation above 1 adds to the wait.
+	// maxCostSlack. Its utilisation of 2 adds to the wait.
 	test.Between(t, 11*time.Millisecond, pick.MaxCost, 20*time.Millisecond)
 	single := p.Choose(&Request{Now: 100 * ms, CandidateSet: newCandidates(100*ms, 0)}, rand.New(rand.NewPCG(1, 1)))
 	test.Eq(t, noMaxCost, single.MaxCost)
--- a/pkg/choose/expectedwait.go
+++ b/pkg/choose/expectedwait.go
@@ -54,7 +54,8 @@
 // scan holds the loads of the candidates that one decision compares.
 type scan struct {
 	loads [maxScanned]tables.LoadSnapshot
-	// inverseLimit is 1/Limit: divisions are the most expensive part of a decision.
+	// inverseLimit is 1/Limit of each load, since divisions are the most expensive part of
+	// a decision.
 	inverseLimit [maxScanned]float64
 	// indexes are the indexes of the candidates in Request.CandidateSet.
 	indexes [maxScanned]int
@@ -167,8 +168,8 @@
 	return time.Duration(e.cost(req.Now, &scanned, 0, scanned.estimatePrior()))
 }
 
-// maxCost returns Pick.MaxCost: the cost of the second-best candidate, less the round
-// trip to the picked one, which its gate does not count.
+// maxCost returns Pick.MaxCost: the cost of the second-best candidate plus maxCostSlack,
+// less the round trip to the picked one, which is not part of the time at its gate.
 func maxCost(minRTT time.Duration, secondCost, serviceTime float64) time.Duration {
 	if math.IsInf(secondCost, 1) {
 		return noMaxCost
@@ -204,8 +205,8 @@
 	return cost
 }
 
-// decay approximates exp(-x) by the reciprocal of the power series of exp(x), at a tenth
-// of the time.
+// decay approximates exp(-x) by the reciprocal of the first terms of the power series of
+// exp(x), in a tenth of the time.
 func decay(x float64) float64 { return 1 / (1 + x*(1+x*(1.0/2+x*(1.0/6)))) }
 
 // queueWait returns the expected wait at a gate that has inFlight calls and runs limit
--- a/pkg/choose/refusal.go
+++ b/pkg/choose/refusal.go
@@ -9,14 +9,14 @@
 )
 
 // maxStampAge is the age up to which a stamp (wire.Stamp, a gate's report of its load)
-// predicts what the gate would answer now. Noise from neighbouring VMs lasts some 300 ms
-// and a run some 100 ms, so most gates would still answer the same. Skipping a gate that
-// would refuse saves bytes, and a request that finds all gates full is refused without a
-// round trip.
+// predicts whether the gate would refuse a request now. It is shorter than a slow period
+// (some 300 ms) and a run (some 100 ms), so most gates would still answer the same.
+// Skipping a gate that would refuse saves bytes, and a request that finds all gates full
+// is refused without a round trip.
 const maxStampAge = 60 * time.Millisecond
 
 // wouldRefuse reports whether a recent stamp shows that the gate would refuse the
-// request. It applies the gate's own rules of admission.
+// request, by the rules of gate.Gate.Admit.
 func (r *RoutedRequest) wouldRefuse(load *tables.LoadSnapshot, sameDataCentre bool) bool {
 	if load.StampReceivedAt == 0 || r.Now-load.StampReceivedAt > int64(maxStampAge) {
 		return false
@@ -33,8 +33,8 @@
 }
 
 // wouldRefuseSoft is wouldRefuse for a soft attempt. A gate refuses it if its backend
-// server is slowed or its usable slots are taken. An attempt from the same data centre
-// may also take, or queue for, the slots beyond the usable ones.
+// server is slowed or its usable slots are taken. An attempt from the same data centre may
+// wait while fewer requests run or wait than the backend server has slots.
 func (r *RoutedRequest) wouldRefuseSoft(load *tables.LoadSnapshot, sameDataCentre bool) bool {
 	if speed.FromPercent(load.Slowdown) > r.SoftSlowdown*max(speed.FromPercent(load.NormalSlowdown), 1) {
 		return true
--- a/pkg/choose/refusal_test.go
+++ b/pkg/choose/refusal_test.go
@@ -11,8 +11,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// TestPickRoutedSkipsGatesThatWouldRefuse: a refusal costs its bytes and a round trip,
-// so an entry does not ask a gate whose recent stamp shows that it is full.
+// TestPickRoutedSkipsGatesThatWouldRefuse checks that an entry does not ask a gate whose
+// recent stamp shows that it would refuse, since a refusal costs bytes and a round trip.
 func TestPickRoutedSkipsGatesThatWouldRefuse(t *testing.T) {
 	now := int64(time.Hour)
 	idle := wire.Stamp{Limit: 8, Slowdown: 100}
--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -14,7 +14,7 @@
 
 const (
 	// slowdownHalfLife is the age of a stamp at which its slowdown has half its weight.
-	// Noise from neighbouring VMs lasts some 300 ms.
+	// Slow periods caused by neighbouring VMs last some 300 ms.
 	slowdownHalfLife = 200 * time.Millisecond
 	// priorSlowdown is the slowdown that is assumed without a recent stamp (wire.Stamp,
 	// a gate's report of its load). It is the mean of a server whose runs take four
@@ -24,8 +24,8 @@
 	// refuses it at once, so only a round trip is at risk.
 	priorSoftSlowdown = 1.1
 	// avoidUnresponsiveFor is how long a daemon that was found unresponsive is avoided,
-	// and the cost that is added meanwhile. Before it is over, the daemon's link has
-	// closed or the daemon has answered.
+	// and the cost that is added during that time. By its end the link has closed or the
+	// daemon has answered.
 	avoidUnresponsiveFor = 2 * time.Second
 	// routedFailurePenalty is the cost, as a multiple of RoutedRequest.Work, that is
 	// added for a server whose answers are all failures.
@@ -61,15 +61,15 @@
 	// slowed or nearly full.
 	Soft bool
 	// SoftSlowdown is the slowdown, as a factor, above which gates refuse soft attempts.
-	// UsableShare is the share of its slots that a gate uses.
+	// UsableShare is the share of its slots that a gate uses (gate.Options.UsableShare).
 	SoftSlowdown float64
 	UsableShare  float64
-	// TimeToTarget is the time left in which the request must end to be worth its run;
-	// 0: no bound.
+	// TimeToTarget is the time left until the request should have ended; 0 or less: no
+	// limit.
 	TimeToTarget time.Duration
 	// TimeToDeadline is the time left until the request's deadline.
 	TimeToDeadline time.Duration
-	// Work is how long the request runs at a backend server of usual speed.
+	// Work is the expected run time of the request at a backend server at normal speed.
 	Work time.Duration
 }
 
