--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -7,11 +7,11 @@
 	"github.com/rushramp/rushramp/pkg/speed"
 )
 
-// RunTimeMargin is how many times its expected run time a routed job must have left
-// when it starts after a wait for a slot. Run times vary, and a run that ends too late
-// takes the slot of one that would end in time. A job that finds a free slot needs its
-// expected run time only: while runs are slow, the margin would make a gate refuse jobs
-// although it has free slots.
+// RunTimeMargin is how many times its expected run time a routed job that waits must have
+// left when it starts. Run times vary, and a run that ends too late takes the slot of one
+// that would end in time. A job that finds a free slot needs its expected run time only:
+// while runs are slow, the margin would make a gate refuse jobs although it has free
+// slots.
 const RunTimeMargin = 1.3
 
 // Admit lets a job start or wait, or refuses it. run is true when the owner must start
@@ -47,8 +47,8 @@
 
 // forecast is what a job can expect that is admitted now.
 type forecast struct {
-	// canStart is true when a slot is free and the backend server may get another start;
-	// held is true when the job should wait all the same, for the end of a slow period.
+	// canStart is true when a slot is free and the limit on cold starts allows a start;
+	// held is true when the job should wait anyway, for the end of a slow period.
 	canStart bool
 	held     bool
 	// wait is the expected time until the job starts, runTime that from its start to
@@ -167,8 +167,8 @@
 	return (ahead + runTime) / time.Duration(limit)
 }
 
-// lateRunsBelow is the share of the usable slots in use below which a gate admits jobs
-// that are expected to end after their EndBy: the free slots are not needed for others.
+// lateRunsBelow is the utilisation of the usable slots below which a gate admits jobs that
+// are expected to end after their EndBy, since no other job needs the free slots.
 const lateRunsBelow = 0.5
 
 // AcceptsLateRuns reports whether a gate admits jobs that are expected to end after
@@ -177,8 +177,8 @@
 	return float64(running) < lateRunsBelow*float64(usable)
 }
 
-// admitsLate decides whether a job that is expected to end after its EndBy runs all the
-// same: because it ends before its deadline and enough slots are free, or as a probe.
+// admitsLate decides whether a job that is expected to end after its EndBy runs anyway:
+// because it ends before its deadline and enough slots are free, or as a probe.
 func (g *Gate) admitsLate(now int64, job *Job, fc forecast) bool {
 	if fc.canStart && AcceptsLateRuns(int64(g.running), int64(g.usableSlots())) && now+int64(fc.wait)+int64(fc.runTime) < job.Deadline {
 		return true
@@ -190,9 +190,9 @@
 const lateProbeInterval = int64(100 * time.Millisecond)
 
 // admitsLateProbe decides whether a job that is expected to end too late runs as a
-// probe of that expectation: it can start at once on a backend server at normal speed,
-// and the last probe was long enough ago. Without probes, an estimate of the work that
-// is too long would refuse all the runs that could correct it.
+// probe of its expected run time: it can start at once on a backend server at normal
+// speed, and the last probe was long enough ago. Without probes, a Job.Work that is too
+// long would make the gate refuse all the runs that could correct it.
 func (g *Gate) admitsLateProbe(now int64, canStart bool) bool {
 	if !canStart || g.tooSlowForSoft(now) || now-g.lastLateProbe < lateProbeInterval {
 		return false
@@ -202,10 +202,10 @@
 }
 
 // refusesSoft reports whether a soft job is refused because another backend server
-// probably serves it sooner: this one is slowed, is cold and may get no further start,
-// or has no usable slot free. A job whose sender is in this data centre may wait behind
-// as many jobs as there are slots that the gate leaves unused, since the next backend
-// server to try is farther away.
+// probably runs it sooner: this one is slowed, is cold and may get no further start,
+// or has no usable slot free. A job whose sender is in this data centre may wait while
+// fewer jobs run or wait than there are slots, since the next backend server to try is
+// farther away.
 func (g *Gate) refusesSoft(now int64, job *Job) bool {
 	maxJobs := g.usableSlots()
 	if job.SameDataCentre {
--- a/pkg/gate/cold.go
+++ b/pkg/gate/cold.go
@@ -27,9 +27,9 @@
 }
 
 // normalSlowdown returns the slowdown of the backend server outside slow periods: 1
-// while it is warm. While it is cold it is the baseline slowdown, since waiting for the
-// end of the cold period gains nothing and most other backend servers of the service are
-// cold, too.
+// while it is warm. While it is cold it is the baseline slowdown: a job gains nothing by
+// waiting for the end of the cold period, and most other backend servers of the service
+// are cold, too.
 func (g *Gate) normalSlowdown(now int64) float64 {
 	if !g.coldStarts.isCold(now) {
 		return 1
@@ -51,8 +51,8 @@
 func (g *Gate) coldStartsExhausted(now int64) bool { return g.coldStarts.exhausted(now) }
 
 // NeedsColdCheck reports whether the owner should ask the backend server whether it is
-// still warm, so that the answer comes before the starts are used up that its last
-// report allows.
+// still warm, so that the answer comes before the starts that its last report allows are
+// used up.
 func (g *Gate) NeedsColdCheck(now int64) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/gate/cold_periods_test.go
+++ b/pkg/gate/cold_periods_test.go
@@ -41,7 +41,7 @@
 }
 
 // drawColdPeriods draws two or three cold periods and the time of one report in each of
-// them, as a heartbeat brings it if the owner of the gate does not ask.
+// them, which comes with a heartbeat if the owner of the gate does not ask.
 func drawColdPeriods(t *rapid.T, begin int64) (periods coldPeriods, reportTimes []int64) {
 	periods.length = rapid.Int64Range(100, 3000).Draw(t, "lasts") * ms
 	for range rapid.IntRange(2, 3).Draw(t, "cold periods") {
@@ -76,7 +76,7 @@
 		end := periods.begins[len(periods.begins)-1] + periods.length
 		for asked := int64(0); now < end; now += rapid.Int64Range(1, 60).Draw(t, "pause") * ms {
 			for len(reportTimes) > 0 && now >= reportTimes[0] {
-				// The heartbeat of this cold period came at its time.
+				// The heartbeat of this cold period came earlier, at its own time.
 				resumeAt := now
 				now, reportTimes = reportTimes[0], reportTimes[1:]
 				sendReport(now)
@@ -104,8 +104,9 @@
 }
 
 // TestWarmReportsAllowMoreStartsThanTheLimit checks that after a cold period only the
-// starts within it go on counting. Each report that the backend server is warm allows all
-// other starts anew, so that it is not held to the cold limit for a second longer.
+// starts within it go on counting. Each report that the backend server is warm removes
+// all other starts from the count, so that the cold limit does not hold for a second
+// longer.
 func TestWarmReportsAllowMoreStartsThanTheLimit(t *testing.T) {
 	const maxStarts = 10
 	now := int64(10_000 * ms)
--- a/pkg/gate/cold_priority_test.go
+++ b/pkg/gate/cold_priority_test.go
@@ -48,10 +48,10 @@
 	return direct, nested
 }
 
-// TestNestedCallsWithMuchTimeTakeScarceColdStarts shows why nested calls are held to
+// TestNestedCallsWithMuchTimeTakeScarceColdStarts shows why nested calls must end by
 // their target while the backend server is cold. The rank orders only the jobs that wait
 // at the same time, so nested calls that may wait until a late deadline take starts from
-// more urgent requests. With a short time left they leave more starts to these, and the
+// more urgent requests. With less time left they leave more starts to those, and the
 // total stays the same.
 func TestNestedCallsWithMuchTimeTakeScarceColdStarts(t *testing.T) {
 	var directIfPatient, nestedIfPatient, direct, nested int
--- a/pkg/gate/cold_starts.go
+++ b/pkg/gate/cold_starts.go
@@ -67,8 +67,8 @@
 }
 
 // assumeFullWindow adds as many starts of the previous process as the limit allowed, at
-// the given time. Reports may come in any order, so each one that reaches back that far
-// adds them, without those that an earlier one added.
+// the given time. It may be called for several reports, and does not add again the starts
+// that an earlier call has added.
 func (c *coldStartLimiter) assumeFullWindow(at int64) {
 	missing := c.MaxStartsPerSecond
 	for _, s := range c.starts {
@@ -116,8 +116,8 @@
 	if c.isCold(now) {
 		return wait
 	}
-	// The next report may remove all starts from the count but those at which the backend
-	// server is known to have been cold.
+	// The next report may leave only the starts in the count at which the backend server is
+	// known to have been cold.
 	return max(c.waitCounting(now, 0, knownCold), min(wait, maxReportWait))
 }
 
@@ -130,7 +130,7 @@
 }
 
 // waitCounting returns how long a job waits for its start when ahead other jobs start
-// before it and only the starts count for which counts returns true.
+// before it. Only the starts for which counts returns true count against the limit.
 func (c *coldStartLimiter) waitCounting(now int64, ahead int, counts func(recordedStart) bool) time.Duration {
 	if c.MaxStartsPerSecond == 0 {
 		return 0
@@ -173,8 +173,9 @@
 // isCold reports whether the backend server is known to be cold.
 func (c *coldStartLimiter) isCold(now int64) bool { return now < c.Until }
 
-// needsCheck reports whether so many jobs have started since the last report that the
-// backend server is warm that the owner should ask for the next report.
+// needsCheck reports whether the owner should ask for the next report: more than
+// checkAfterShare of the starts that the last report of a warm backend server allows are
+// used up.
 func (c *coldStartLimiter) needsCheck(now int64) bool {
 	if c.MaxStartsPerSecond == 0 || c.isCold(now) || c.exhausted(now) {
 		return false
--- a/pkg/gate/cold_test.go
+++ b/pkg/gate/cold_test.go
@@ -178,8 +178,8 @@
 }
 
 // TestStartsOfThePreviousProcessCount checks that a backend server that was cold before
-// this process started is taken to have got all the allowed starts from the process
-// before.
+// this process started is assumed to have got all the allowed starts from the previous
+// process.
 func TestStartsOfThePreviousProcessCount(t *testing.T) {
 	now := 50 * ms
 	for _, s := range []struct {
--- a/pkg/gate/fair_queueing.go
+++ b/pkg/gate/fair_queueing.go
@@ -8,7 +8,7 @@
 // team start before those with one, in the order of their deadlines.
 //
 // Deficit round robin would not work here, because its rounds cannot be combined with
-// ranks and deadlines. A queue for each team would cost memory for each.
+// ranks and deadlines. A queue per team would cost memory for every team.
 type fairQueueing struct {
 	// virtualTime is the start tag of the job that started last.
 	virtualTime float64
@@ -17,8 +17,8 @@
 	finishTags map[string]float64
 }
 
-// maxFinishTags is the number of finish tags above which those of teams with no work left are
-// dropped. With 24 bytes each, and the names, they take about 100 kB.
+// maxFinishTags is the number of finish tags above which those of teams with no work left
+// are dropped. With 24 bytes each, and the names, they take about 100 kB.
 const maxFinishTags = 1024
 
 // assignStartTag sets the start tag of a job; that of a job without a team is 0.
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -1,6 +1,6 @@
 // Package gate decides which jobs run on the daemon's backend server: it starts, queues
 // or refuses each of them. A job is one call or request; the owner of the gate runs it.
-// Times are nanoseconds of a steady clock that the owner passes in.
+// Times are nanoseconds of a monotonic clock that the owner passes in.
 // Source: docs/design/gate.md.
 package gate
 
@@ -17,7 +17,8 @@
 type Options struct {
 	// Slots is how many jobs the backend server runs at once.
 	Slots int
-	// QueueLength is how many jobs may wait, QueueTime the longest expected wait.
+	// QueueLength is how many jobs may wait, QueueTime the longest expected wait with
+	// which a job is admitted.
 	QueueLength int
 	QueueTime   time.Duration
 	Order       Order
@@ -28,9 +29,9 @@
 	// refused.
 	SoftSlowdown float64
 	// UsableShare is the share of the slots that the gate uses, up to 1; 0 stands for 1.
-	// All runs of a backend server that is nearly full slow down.
+	// It may be less because a nearly full backend server slows down all its runs.
 	UsableShare float64
-	// LearnLimit makes SlotShare the initial value only: the gate learns from its runs
+	// LearnLimit makes UsableShare the initial value only: the gate learns from its runs
 	// how many jobs may run at once before they slow one another down.
 	LearnLimit bool
 	// Restarted is true when an earlier process of the daemon may have started jobs.
--- a/pkg/gate/gate_test.go
+++ b/pkg/gate/gate_test.go
@@ -134,9 +134,9 @@
 	test.Eq(t, uint32(5_000), g.Stamp(now+400*ms).ServiceUS)
 }
 
-// TestJobsBehindSlowedRunsAreSentBack checks that Tick sends back a waiting job with a
-// MaxCost once runs have slowed, and leaves one without a MaxCost.
-func TestJobsBehindSlowedRunsAreSentBack(t *testing.T) {
+// TestTickRemovesJobsOverMaxCost checks that Tick removes a waiting job with a MaxCost
+// once runs have slowed, and leaves one without a MaxCost.
+func TestTickRemovesJobsOverMaxCost(t *testing.T) {
 	g := New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Second, Order: FIFO, Adaptive: true})
 	now := warmUp(g, 5*ms)
 	for range 2 {
@@ -148,10 +148,10 @@
 		_, refusal := g.Admit(now, j)
 		must.Nil(t, refusal)
 	}
-	_, back := g.Tick(now + 5*ms)
-	test.SliceEmpty(t, back)
-	_, back = g.Tick(now + 100*ms)
-	test.Eq(t, []*Job{withMaxCost}, back)
+	_, overMaxCost := g.Tick(now + 5*ms)
+	test.SliceEmpty(t, overMaxCost)
+	_, overMaxCost = g.Tick(now + 100*ms)
+	test.Eq(t, []*Job{withMaxCost}, overMaxCost)
 	test.Eq(t, 3, g.InFlight())
 	test.False(t, g.Withdraw(withMaxCost))
 }
@@ -226,21 +226,21 @@
 	return New(Options{Slots: 2, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 1})
 }
 
-// TestSoftJobs checks that a full or slowed gate refuses soft jobs, and that those of near
-// senders may use all slots.
+// TestSoftJobs checks that a full or slowed gate refuses soft jobs, and that those from
+// the same data centre may use all slots.
 func TestSoftJobs(t *testing.T) {
 	const deadline = int64(time.Hour)
 	newGate := func() *Gate {
 		return New(Options{Slots: 3, QueueLength: 10, QueueTime: time.Minute, Order: Ranked, SoftSlowdown: 1.8, UsableShare: 0.8})
 	}
 	g := newGate()
-	soft := func(near bool) *errkind.Error {
-		_, refusal := g.Admit(1, &Job{Deadline: deadline, EndBy: deadline, Work: time.Second, Soft: true, SameDataCentre: near})
+	soft := func(sameDataCentre bool) *errkind.Error {
+		_, refusal := g.Admit(1, &Job{Deadline: deadline, EndBy: deadline, Work: time.Second, Soft: true, SameDataCentre: sameDataCentre})
 		return refusal
 	}
 	must.Nil(t, soft(false))
 	must.Nil(t, soft(false))
-	test.Eq(t, errkind.GateBusier, soft(false).Kind, test.Sprint("nearly full for a far sender"))
+	test.Eq(t, errkind.GateBusier, soft(false).Kind, test.Sprint("nearly full for a sender in another data centre"))
 	must.Nil(t, soft(true))
 	test.Eq(t, errkind.GateBusier, soft(true).Kind, test.Sprint("full"))
 	g = newGate()
@@ -248,8 +248,8 @@
 	test.Eq(t, errkind.GateBusier, soft(true).Kind, test.Sprint("slowed"))
 }
 
-// TestGateUsesItsShareOfTheSlots checks how many jobs run at once with a SlotShare of 0.8:
-// above that all runs slow down, so that fewer end in time.
+// TestGateUsesItsShareOfTheSlots checks how many jobs run at once with a UsableShare of
+// 0.8.
 func TestGateUsesItsShareOfTheSlots(t *testing.T) {
 	const hour = int64(time.Hour)
 	for slots, want := range map[int]int{1: 1, 2: 2, 3: 2, 6: 4, 12: 9} {
--- a/pkg/gate/limit.go
+++ b/pkg/gate/limit.go
@@ -27,9 +27,9 @@
 	return max(1, int(float64(usable)*toleratedSlowdown/slowdown))
 }
 
-// minUsableShare is the share of the slots below which leaving the others unused costs
-// more than slower runs: of two slots, one alone does less work than two whose runs take
-// 1.7 times as long.
+// minUsableShare is the share of the slots below which configuredSlots returns all of
+// them, because leaving so many unused costs more than slower runs: of two slots, one
+// alone does less work than two whose runs take 1.7 times as long.
 const minUsableShare = 0.6
 
 // usableSlots returns how many jobs may run at once while the backend server works at
@@ -41,8 +41,8 @@
 	return g.configuredSlots()
 }
 
-// configuredSlots returns the number of slots that Options.SlotShare allows, or all of
-// them where that would be too few.
+// configuredSlots returns the number of slots that Options.UsableShare allows, or all of
+// them if that is less than minUsableShare.
 func (g *Gate) configuredSlots() int {
 	usable := int(g.opts.UsableShare * float64(g.slots))
 	if float64(usable) < minUsableShare*float64(g.slots) {
--- a/pkg/gate/queue.go
+++ b/pkg/gate/queue.go
@@ -36,7 +36,7 @@
 	// Deadline is when the caller stops waiting, in nanoseconds.
 	Deadline int64
 	// MaxCost is the longest expected time until the end of the run, its wait included,
-	// that the sender accepts. Zero or less: any.
+	// that the sender accepts; 0 or less: any.
 	MaxCost time.Duration
 	// Rank orders jobs under Ranked, 0 first.
 	Rank uint16
@@ -53,16 +53,17 @@
 	// Soft makes the gate refuse the job at once while the backend server is slowed or
 	// nearly full.
 	Soft bool
-	// SameDataCentre lets a soft job use all free slots, for a sender in the same data centre: the
-	// next backend server to try is farther away.
+	// SameDataCentre is true for a sender in the backend server's data centre. Its soft
+	// jobs may wait while fewer jobs run or wait than there are slots, since the next
+	// backend server to try is farther away.
 	SameDataCentre bool
 	// EndBy is when a routed job should have ended, in nanoseconds. A job that is
 	// expected to end later is refused while its sender can still try another backend
 	// server. 0: no limit.
 	EndBy int64
-	// Start runs the job. SendBack refuses a waiting job that Tick returns to be sent
-	// back. Dismiss refuses a waiting job because the backend server accepts no more
-	// jobs. The owner calls them without holding the gate's lock.
+	// Start runs the job. RefuseOverMaxCost refuses a waiting job that Tick has removed
+	// because its expected time exceeds its MaxCost. RefuseDrained refuses a waiting job
+	// that DrainQueue has removed. The owner calls them, outside the gate's methods.
 	Start             func()
 	RefuseOverMaxCost func()
 	RefuseDrained     func(why *errkind.Error)
@@ -75,7 +76,8 @@
 	startBy int64
 	seq     uint64
 	index   int
-	// held is true once the job had to wait for the end of a slow period.
+	// held is true once the job had to wait for the end of a slow period although a slot
+	// was free.
 	held bool
 	// concurrency is how many jobs ran right after this one had started, itself included.
 	concurrency int
@@ -252,7 +254,8 @@
 	return nil
 }
 
-// popShorter removes and returns the first job with less work than the given, or nil.
+// popShorter removes and returns the first job with less work than the given, or nil if
+// there is none.
 func (q *queue) popShorter(work time.Duration) *Job {
 	for _, h := range []*jobHeap{&q.main, &q.background} {
 		var first *Job
@@ -269,8 +272,9 @@
 	return nil
 }
 
-// hasSlack reports whether the job in main with the earliest deadline can let one
-// background job run first: runs are not preempted, so it needs the time of two runs.
+// hasSlack reports whether the job in main with the earliest deadline still ends in time
+// if one background job runs first: runs are not preempted, so it needs the time of two
+// runs.
 func (q *queue) hasSlack(now int64, runTime time.Duration) bool {
 	const runs = 2
 	return q.main.jobs[0].Deadline-now > runs*int64(runTime)
--- a/pkg/gate/service_time.go
+++ b/pkg/gate/service_time.go
@@ -13,12 +13,12 @@
 	meanWeight = 1.0 / 512
 	// minSlowdown is the least ratio of the current to the mean service time that counts
 	// as a slowdown; a lower one may be chance. The standard deviation of endedRuns is
-	// sqrt(windowRuns/2); the ratio allows for three of them, which chance exceeds once in
-	// some thousand readings.
+	// sqrt(windowRuns/2). The ratio allows for three standard deviations, which chance
+	// exceeds about once in a thousand readings.
 	minSlowdown = 2.2
 	// idleHalfLife is the time without a running job, in mean service times, after which
-	// half of the current service time's difference from the mean is forgotten: a
-	// slowdown of long ago is no reason to send the backend server less.
+	// half of the current service time's difference from the mean is forgotten, because
+	// an old slowdown is no reason to run fewer jobs.
 	idleHalfLife = 4
 )
 
--- a/pkg/gate/status.go
+++ b/pkg/gate/status.go
@@ -7,7 +7,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Stamp returns the present load of the gate as it is sent to other daemons.
+// Stamp returns the gate's report of its present load, as it is sent to other daemons.
 func (g *Gate) Stamp(now int64) wire.Stamp {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/pkg/gate/waiting.go
+++ b/pkg/gate/waiting.go
@@ -3,13 +3,13 @@
 import "time"
 
 // maxCostExcess is the factor by which the expected time of a waiting job may exceed its
-// MaxCost before the job is sent back, so that another backend server may run it.
+// MaxCost before Tick removes the job, so that another backend server may run it.
 const maxCostExcess = 1.5
 
 // Tick returns the waiting jobs that the owner must start now, as when the limit has
-// risen. While runs are slowed it also returns, in sendBack, waiting jobs that it takes
-// out because their expected time has grown far beyond their MaxCost; the owner refuses
-// these as not run.
+// risen. While runs are slowed it also removes and returns the waiting jobs whose
+// expected time has grown far beyond their MaxCost; the owner must refuse these by
+// Job.RefuseOverMaxCost.
 func (g *Gate) Tick(now int64) (start, overMaxCost []*Job) {
 	if g.inFlight.Load() == 0 {
 		return nil, nil
@@ -38,7 +38,7 @@
 // maxHeldChecks is how many jobs that stay held startWaiting checks, in the queue's
 // order, before it goes on to jobs with less work. Backend servers have 6 to 18 slots, so
 // that more jobs could hardly start at once, and jobs behind these with as much work are
-// most likely held, too. Each answer of the backend server brings another check.
+// most likely held, too. Each report of the backend server leads to another check.
 const maxHeldChecks = 8
 
 // startWaiting starts the waiting jobs that may start now, and returns them. Jobs that
@@ -108,9 +108,10 @@
 	return job
 }
 
-// staysHeld reports whether a waiting job should not start although a slot is free: it
-// does better at the end of the slow period, or its slowed run would end too late. The
-// latter goes on waiting for the end of the period, or until the owner withdraws it.
+// staysHeld reports whether a waiting job should not start although a slot is free,
+// because it is expected to do better after the slow period, or because a run that starts
+// now would end too late. In the latter case it waits for the end of the slow period, or
+// until the owner withdraws it.
 func (g *Gate) staysHeld(now int64, job *Job) bool {
 	if _, worthHolding := g.shouldHold(now, job); worthHolding {
 		return true
@@ -120,7 +121,7 @@
 }
 
 // DrainQueue removes and returns all waiting jobs, for a backend server that accepts no
-// more; the owner dismisses them.
+// more jobs; the owner must refuse them by Job.RefuseDrained.
 func (g *Gate) DrainQueue() []*Job {
 	g.mu.Lock()
 	defer g.mu.Unlock()
