--- a/pkg/concurrency/limiter.go
+++ b/pkg/concurrency/limiter.go
@@ -1,6 +1,6 @@
 // Package concurrency learns how many runs a backend server can execute at once before
 // they slow one another down, by comparing the times of runs that start at low and at
-// high concurrency. Times are nanoseconds of a steady clock that the caller passes in. A
+// high concurrency. Times are nanoseconds of a monotonic clock that the caller passes in. A
 // Limiter is not safe for concurrent use. Source: docs/design/gate.md, "The limit is
 // learnt".
 package concurrency
@@ -9,15 +9,15 @@
 
 const (
 	// lowShare is the share of the limit up to which a run counts as one at low
-	// concurrency. The others are compared with these.
+	// concurrency. Runs at high concurrency and probes are compared with these.
 	lowShare = 0.5
 	// highShare is the share of the limit above which a run counts as one at high
 	// concurrency, which shows whether the limit is too high.
 	highShare = 0.75
 	// minLimitShare is the share of the slots below which the limit is not lowered.
 	minLimitShare = 0.4
-	// minRuns is how many runs a mean must hold to be used: as run times vary by a third,
-	// its standard error is then a sixteenth.
+	// minRuns is how many runs a mean must cover to be used: as run times vary by a third,
+	// its standard error is then about a sixteenth.
 	minRuns = 24
 	// minSlowProbes is how many probes, runs above the limit, are enough to stop probing
 	// when they are clearly slowed.
@@ -26,8 +26,8 @@
 	// clearly slowed nor clearly not.
 	maxProbes = 2 * minRuns
 	// slowedRatio is the ratio to the runs at low concurrency above which the limit is too
-	// high. It leaves over four standard errors of two full means, because it is checked
-	// after each run and runs that make calls take longer under load anyway.
+	// high. It exceeds 1 by over four standard errors of two full means, because it is
+	// checked after each run and runs that make calls take longer under load anyway.
 	slowedRatio = 1.25
 	// clearlySlowedRatio is the ratio above which minSlowProbes are enough.
 	clearlySlowedRatio = 1.35
@@ -36,7 +36,7 @@
 	decreaseDivisor = 8
 	// unslowedRatio is the ratio up to which the limit may rise.
 	unslowedRatio = 1.15
-	// meanWindow is the number of runs that a mean covers.
+	// meanWindow is the number of runs from which on a mean gives older runs less weight.
 	meanWindow = 64
 	// probeInterval is the least time between two probes, in nanoseconds.
 	probeInterval = int64(500 * time.Millisecond)
@@ -129,8 +129,8 @@
 // minMean is the least divisor for a mean; an empty mean is 0.
 const minMean = 0.01
 
-// mean is a mean over the newest meanWindow runs, which weights older ones less once it
-// is full.
+// mean is the mean of the runs so far. After meanWindow runs it becomes an exponentially
+// weighted moving average, in which a new run has the weight 1/meanWindow.
 type mean struct {
 	value float64
 	runs  int
--- a/pkg/concurrency/limiter_test.go
+++ b/pkg/concurrency/limiter_test.go
@@ -43,8 +43,8 @@
 	return probes
 }
 
-// TestLimitFollowsTheKnee checks that the limit settles between low and high, wherever the
-// knee is.
+// TestLimitFollowsTheKnee checks that the limit settles between low and high: near the
+// knee (simulatedServer.knee), or at the number of slots if there is none.
 func TestLimitFollowsTheKnee(t *testing.T) {
 	scenarios := []struct {
 		name           string
--- a/pkg/evacuation/register_test.go
+++ b/pkg/evacuation/register_test.go
@@ -26,8 +26,8 @@
 	test.Eq(t, []string{"a", "b", "c"}, set.DataCentres)
 }
 
-// TestEmptiedSetHasAHigherRevision: the empty set must supersede the one with the data
-// centre that was taken back.
+// TestEmptiedSetHasAHigherRevision checks that the empty set supersedes the one with the
+// data centre that was taken back.
 func TestEmptiedSetHasAHigherRevision(t *testing.T) {
 	register := NewRegister(fakestore.New())
 	none, err := register.Read(t.Context())
--- a/pkg/measure/budget.go
+++ b/pkg/measure/budget.go
@@ -13,7 +13,7 @@
 )
 
 // burstShare is the share of one second's budget that the bucket holds. The rest is
-// added over the second, so that no period of one second, wherever it begins, exceeds
+// added over the second, so that no period of one second, whenever it begins, exceeds
 // the budget: burst + refill = 1.
 const burstShare = 0.1
 
@@ -27,7 +27,7 @@
 const (
 	// LowValue is the value of a report that differs little from what is known.
 	LowValue Value = iota
-	// HighValue is the value of a report that changes the receiver's choice, or of the
+	// HighValue is the value of a report that may change the receiver's choice, or of the
 	// first one.
 	HighValue
 )
@@ -69,7 +69,8 @@
 }
 
 // TrySpend pays for a report of size bytes. It returns false if the budget does not
-// allow the report, which then must not be sent. now is in nanoseconds of a steady clock.
+// allow the report, which then must not be sent. now is in nanoseconds of a monotonic
+// clock.
 func (b *Budget) TrySpend(now int64, size int, value Value) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/pkg/speed/histogram.go
+++ b/pkg/speed/histogram.go
@@ -15,8 +15,8 @@
 	// lastingLength stands in for the length of a slow period that outlasts the baseline
 	// window.
 	lastingLength = 4 * time.Second
-	// decay is the share of the older weights that remains when a slow period is added:
-	// the histogram remembers about the last sixty.
+	// decay is the factor by which the older weights are multiplied when a slow period is
+	// added: the histogram covers about the last 64.
 	decay = 1 - 1.0/64
 )
 
@@ -61,7 +61,7 @@
 const minWeight = 0.001
 
 // mean returns the mean length, in nanoseconds, of the slow periods that do not outlast
-// the baseline window, or lastingLength when the histogram has forgotten these.
+// the baseline window, or lastingLength when the weights of these have decayed.
 func (h *lengthHistogram) mean() float64 {
 	var total, weight float64
 	for _, b := range h.buckets[:bucketCount-1] {
--- a/pkg/speed/model.go
+++ b/pkg/speed/model.go
@@ -3,7 +3,7 @@
 // likely to last. A slowdown is a run time as a multiple of that at normal speed. A slow
 // period is a short time with a slowdown far above the baseline, as noisy neighbours cause
 // it. A run keeps the speed that the backend server has at its start, so it may pay to
-// hold a run until a slow period ends. Times are nanoseconds of a steady clock that the
+// hold a run until a slow period ends. Times are nanoseconds of a monotonic clock that the
 // caller passes in. A Model is not safe for concurrent use.
 // Source: docs/design/gate.md, "Held starts".
 package speed
@@ -31,7 +31,8 @@
 	priorGap     = float64(time.Second)
 	priorRatio   = 4.0
 	periodWeight = 1.0 / 8
-	// maxTrust is the upper bound of the trust that one run shows.
+	// maxTrust is the upper bound of the share of the reported slowdown that one run is
+	// taken to show.
 	maxTrust = 1.5
 	// maxReportAge is the age, in nanoseconds, up to which a report tells the slowdown at
 	// which a run starts: a slow period begins within it in 1 of 40 cases on the users'
@@ -127,8 +128,8 @@
 	return time.Duration(changeProbability * float64(work) * m.BaselineSlowdown() * m.trust * (m.meanRatio - 1))
 }
 
-// addMinimum adds a report to minima, and removes the reports that are no lower and those
-// that have left the baseline window.
+// addMinimum adds a report to minima, and removes the reports that are no lower than it
+// and those that have left the baseline window.
 func (m *Model) addMinimum(r report) {
 	for len(m.minima) > 0 && m.minima[len(m.minima)-1].slowdown >= r.slowdown {
 		m.minima = m.minima[:len(m.minima)-1]
--- a/pkg/teams/directory_test.go
+++ b/pkg/teams/directory_test.go
@@ -28,8 +28,8 @@
 	test.False(t, ok)
 }
 
-// TestKeyDigestRoundTripsInCBORAndYAML: documents between daemons are CBOR, operators'
-// files are YAML. A key in place of its digest is refused.
+// TestKeyDigestRoundTripsInCBORAndYAML covers CBOR, in which daemons exchange documents,
+// and YAML, in which operators write files. A key in place of its digest is refused.
 func TestKeyDigestRoundTripsInCBORAndYAML(t *testing.T) {
 	team := teams.Team{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("secret")}}
 	encoded, err := cbor.Marshal(team)
@@ -73,7 +73,7 @@
 	runtime.KeepAlive(d)
 }
 
-// TestHolderDoesNotAllocate: Holder runs for each request.
+// TestHolderDoesNotAllocate checks Holder because it runs for each request.
 func TestHolderDoesNotAllocate(t *testing.T) {
 	d := teams.NewDirectory([]teams.Team{{Name: "red", Keys: []teams.KeyDigest{teams.DigestOf("r1")}}})
 	test.Eq(t, 0, testing.AllocsPerRun(100, func() { _ = d.Holder(teams.DigestOf("r1")) }))
--- a/pkg/worktime/worktime.go
+++ b/pkg/worktime/worktime.go
@@ -11,9 +11,9 @@
 
 const (
 	// shorterWeight and longerWeight are the weights of a run that is shorter, and of one
-	// that is longer, than the estimate. Runs are mostly long for reasons other than their
+	// that is longer, than the estimate. Long runs mostly have other reasons than their
 	// route (unreported slow periods, slow calls that they make), so the estimate follows
-	// short ones faster.
+	// short runs faster.
 	shorterWeight = 1.0 / 4
 	longerWeight  = 1.0 / 8
 	// maxRoutes is how many routes have an estimate; further ones get none.
