--- a/pkg/choose/routed.go
+++ b/pkg/choose/routed.go
@@ -100,7 +100,7 @@
 		}
 		var load tables.LoadSnapshot
 		candidate.Load.SnapshotInto(req.Now, &load)
-		level := req.Location.To(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
+		level := req.Location.LevelTo(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
 		if req.wouldRefuse(&load, level == proximity.SameDataCentre) {
 			pick.PassedOver++
 			continue
--- a/pkg/concurrency/limiter.go
+++ b/pkg/concurrency/limiter.go
@@ -50,9 +50,9 @@
 type Limiter struct {
 	slots int
 	limit int
-	// low, high and over are the means of the runs that started at low concurrency, at
+	// low, high and probes are the means of the runs that started at low concurrency, at
 	// high concurrency and above the limit.
-	low, high, over mean
+	low, high, probes mean
 	// nextProbe is when the next probe may start, in nanoseconds.
 	nextProbe int64
 	pause     int64
@@ -84,7 +84,7 @@
 	before := l.limit
 	switch {
 	case running > l.limit:
-		l.over.add(ratio)
+		l.probes.add(ratio)
 		l.evaluateProbes(now)
 	case float64(running) <= lowShare*float64(l.limit):
 		l.low.add(ratio)
@@ -98,13 +98,13 @@
 // evaluateProbes raises the limit by one when the probes are not slowed, and stops
 // probing for a while when they are.
 func (l *Limiter) evaluateProbes(now int64) {
-	ratio := l.over.value / max(l.low.value, minMean)
+	ratio := l.probes.value / max(l.low.value, minMean)
 	switch {
-	case l.over.runs >= minSlowProbes && ratio > clearlySlowedRatio, l.over.runs >= maxProbes:
-		l.over = mean{}
+	case l.probes.runs >= minSlowProbes && ratio > clearlySlowedRatio, l.probes.runs >= maxProbes:
+		l.probes = mean{}
 		l.nextProbe = now + l.pause
 		l.pause = min(2*l.pause, maxPause)
-	case l.over.runs >= minRuns && ratio <= unslowedRatio:
+	case l.probes.runs >= minRuns && ratio <= unslowedRatio:
 		l.setLimit(l.limit + 1)
 	}
 }
@@ -123,7 +123,7 @@
 // setLimit changes the limit and clears the means of the runs near the old one.
 func (l *Limiter) setLimit(limit int) {
 	l.limit = limit
-	l.high, l.over = mean{}, mean{}
+	l.high, l.probes = mean{}, mean{}
 }
 
 // minMean is the least divisor for a mean; an empty mean is 0.
--- a/pkg/gate/admission.go
+++ b/pkg/gate/admission.go
@@ -167,14 +167,15 @@
 	return (ahead + runTime) / time.Duration(limit)
 }
 
-// lateRunsBelow is the utilisation of the usable slots below which a gate admits jobs that
-// are expected to end after their EndBy, since no other job needs the free slots.
-const lateRunsBelow = 0.5
+// maxLateRunUtilisation is the utilisation of the usable slots below which a gate admits
+// jobs that are expected to end after their EndBy, since no other job needs the free
+// slots.
+const maxLateRunUtilisation = 0.5
 
 // AcceptsLateRuns reports whether a gate admits jobs that are expected to end after
 // their EndBy, by the number of its running jobs and of its usable slots.
 func AcceptsLateRuns(running, usable int64) bool {
-	return float64(running) < lateRunsBelow*float64(usable)
+	return float64(running) < maxLateRunUtilisation*float64(usable)
 }
 
 // admitsLate decides whether a job that is expected to end after its EndBy runs anyway:
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -98,7 +98,7 @@
 // Run receives frames until the link ends. The first one must be the peer's hello frame.
 func (cl *Client) Run() {
 	_, err := cl.serve(func() {
-		cl.setProximity(cl.location.To(cl.Hello.DataCentre, cl.Hello.Region))
+		cl.setProximity(cl.location.LevelTo(cl.Hello.DataCentre, cl.Hello.Region))
 		cl.ping()
 		cl.handler.Up(cl.Peer)
 		cl.handler.PeerState(cl.Peer, &cl.Hello.State)
--- a/pkg/link/server.go
+++ b/pkg/link/server.go
@@ -142,7 +142,7 @@
 
 // register adds the link to those of the server once the hello frame has arrived.
 func (s *session) register() {
-	s.setProximity(s.server.Here().To(s.Hello.DataCentre, s.Hello.Region))
+	s.setProximity(s.server.Here().LevelTo(s.Hello.DataCentre, s.Hello.Region))
 	s.server.mu.Lock()
 	s.server.peers[s.Peer] = struct{}{}
 	s.server.mu.Unlock()
--- a/pkg/proximity/proximity.go
+++ b/pkg/proximity/proximity.go
@@ -30,9 +30,9 @@
 	Region string
 }
 
-// To returns how far a VM is from l. If only one of the two regions is known, they count
-// as different.
-func (l Location) To(dataCentre, region string) Level {
+// LevelTo returns how far a VM is from l. If only one of the two regions is known, they
+// count as different.
+func (l Location) LevelTo(dataCentre, region string) Level {
 	switch {
 	case dataCentre == l.DataCentre:
 		return SameDataCentre
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -87,7 +87,7 @@
 func (l *links) recordRoundTrips() {
 	var roundTrips leastRoundTrips
 	for endpoint, client := range l.clients {
-		roundTrips.record(l.World.Here().To(endpoint.DataCentre, endpoint.Region), client.MinRTT())
+		roundTrips.record(l.World.Here().LevelTo(endpoint.DataCentre, endpoint.Region), client.MinRTT())
 		endpoint.Load.SetMinRTT(client.MinRTT())
 		client.MeasureRoundTrip()
 	}
--- a/pkg/systems/membergossip.go
+++ b/pkg/systems/membergossip.go
@@ -125,7 +125,7 @@
 	chance := gossipRelays / float64(max(g.World.Members.CountInDataCentre(g.World.DataCentre), 1))
 	var out []tables.MemberChange
 	for _, change := range changes {
-		from := g.World.Here().To(change.Record.DataCentre, change.Record.Region)
+		from := g.World.Here().LevelTo(change.Record.DataCentre, change.Record.Region)
 		relay := from == proximity.SameDataCentre || from == proximity.OtherRegion && group.level == proximity.Region
 		if relay && rand.Float64() < chance {
 			out = append(out, change)
--- a/pkg/systems/peergroups.go
+++ b/pkg/systems/peergroups.go
@@ -8,7 +8,7 @@
 
 // proximityOf returns how far a peer is, by the location in its hello frame.
 func (e *Env) proximityOf(peer *link.Peer) proximity.Level {
-	return e.World.Here().To(peer.Hello.DataCentre, peer.Hello.Region)
+	return e.World.Here().LevelTo(peer.Hello.DataCentre, peer.Hello.Region)
 }
 
 // peerGroup is a set of peers that one message is enough for, since its receivers pass
@@ -22,7 +22,7 @@
 // peerGroupOf returns the group of a VM. Outside the own region, a VM whose region is not
 // known belongs to the group of its data centre.
 func (e *Env) peerGroupOf(dataCentre, region string) peerGroup {
-	level := e.World.Here().To(dataCentre, region)
+	level := e.World.Here().LevelTo(dataCentre, region)
 	if level == proximity.OtherRegion && region != "" {
 		return peerGroup{level, region}
 	}
--- a/pkg/systems/readers.go
+++ b/pkg/systems/readers.go
@@ -48,7 +48,7 @@
 	m := e.World.Members
 	m.EachRow(func(row int) {
 		record := &m.Record[row]
-		if !group.contains(e.World.Here().To(record.DataCentre, record.Region)) || record.VM == e.World.VM || m.Leaving(row) {
+		if !group.contains(e.World.Here().LevelTo(record.DataCentre, record.Region)) || record.VM == e.World.VM || m.Leaving(row) {
 			return
 		}
 		if utils.Rendezvous(group.name, record.VM) > ownWeight {
--- a/pkg/systems/sample.go
+++ b/pkg/systems/sample.go
@@ -48,7 +48,7 @@
 	l.World.Members.EachRow(func(row int) {
 		endpoint := l.World.Members.Endpoint[row]
 		_, unreached := l.World.Unreached[endpoint]
-		if !unreached && !l.World.Members.Leaving(row) && group.contains(l.World.Here().To(endpoint.DataCentre, endpoint.Region)) {
+		if !unreached && !l.World.Members.Leaving(row) && group.contains(l.World.Here().LevelTo(endpoint.DataCentre, endpoint.Region)) {
 			endpoints = append(endpoints, endpoint)
 		}
 	})
--- a/pkg/systems/subset.go
+++ b/pkg/systems/subset.go
@@ -85,7 +85,7 @@
 }
 
 func (s *candidateSet) add(w *tables.World, endpoint *tables.Endpoint) {
-	level := w.Here().To(endpoint.DataCentre, endpoint.Region)
+	level := w.Here().LevelTo(endpoint.DataCentre, endpoint.Region)
 	s.byProximity[level], s.all = append(s.byProximity[level], endpoint), append(s.all, endpoint)
 }
 
--- a/pkg/systems/subset_test.go
+++ b/pkg/systems/subset_test.go
@@ -88,7 +88,7 @@
 		})
 		var counts [proximity.Count]int
 		for _, endpoint := range Subset(w, choosing, kind) {
-			counts[w.Here().To(endpoint.DataCentre, endpoint.Region)]++
+			counts[w.Here().LevelTo(endpoint.DataCentre, endpoint.Region)]++
 		}
 		test.Eq(t, [proximity.Count]int{proximity.SameDataCentre: tc.near, proximity.Region: tc.region, proximity.OtherRegion: tc.other}, counts, test.Sprint(tc.name))
 	}
--- a/pkg/teams/directory.go
+++ b/pkg/teams/directory.go
@@ -27,8 +27,8 @@
 // Len returns the number of teams. If it is 0, requests need no key.
 func (d *Directory) Len() int { return len(d.teams) }
 
-// Keys returns the number of different keys.
-func (d *Directory) Keys() int { return len(d.byKey) }
+// KeyCount returns the number of different keys.
+func (d *Directory) KeyCount() int { return len(d.byKey) }
 
 // Holder returns the team that holds a key, or nil.
 func (d *Directory) Holder(key KeyDigest) *Team {
--- a/pkg/teams/directory_test.go
+++ b/pkg/teams/directory_test.go
@@ -68,7 +68,7 @@
 	d := teams.NewDirectory(manyTeams())
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	test.Eq(t, 100_000, d.Keys())
+	test.Eq(t, 100_000, d.KeyCount())
 	test.Less(t, 16<<20, int64(after.HeapAlloc)-int64(before.HeapAlloc))
 	runtime.KeepAlive(d)
 }
