--- a/pkg/gate/hold_test.go
+++ b/pkg/gate/hold_test.go
@@ -12,8 +12,8 @@
 
 const (
 	hour = int64(time.Hour)
-	// run is the work of a job that is held in a slow period.
-	run = 200 * time.Millisecond
+	// heldWork is the work of a job that is held in a slow period.
+	heldWork = 200 * time.Millisecond
 )
 
 // holdingGate returns a gate with four slots, whose backend server has had slow periods of
@@ -39,7 +39,7 @@
 // with little work, which gains nothing by waiting, starts at once.
 func TestJobIsHeldUntilTheSlowPeriodEnds(t *testing.T) {
 	g, now := holdingGate()
-	long := &Job{Deadline: now + hour, EndBy: now + hour, Work: run}
+	long := &Job{Deadline: now + hour, EndBy: now + hour, Work: heldWork}
 	started, refusal := g.Admit(now, long)
 	must.Nil(t, refusal)
 	test.False(t, started)
@@ -58,7 +58,7 @@
 	g, now := holdingGate()
 	var want []*Job
 	for _, rank := range []uint16{2, 2, 2, 0, 1} {
-		job := &Job{Rank: rank, Deadline: now + hour, EndBy: now + hour, Work: run}
+		job := &Job{Rank: rank, Deadline: now + hour, EndBy: now + hour, Work: heldWork}
 		_, refusal := g.Admit(now, job)
 		must.Nil(t, refusal)
 		want = append(want, job)
@@ -71,7 +71,7 @@
 // lasts longer than those before.
 func TestHeldJobStartsInALongSlowPeriod(t *testing.T) {
 	g, now := holdingGate()
-	job := &Job{Deadline: now + hour, EndBy: now + hour, Work: run}
+	job := &Job{Deadline: now + hour, EndBy: now + hour, Work: heldWork}
 	_, refusal := g.Admit(now, job)
 	must.Nil(t, refusal)
 	var start []*Job
@@ -93,7 +93,7 @@
 		started, _ := g.Admit(now, &Job{Deadline: now + hour, EndBy: now + hour, Work: 5 * time.Millisecond})
 		must.True(t, started)
 	}
-	job := &Job{Deadline: now + int64(900*time.Millisecond), EndBy: now + int64(600*time.Millisecond), Work: run}
+	job := &Job{Deadline: now + int64(900*time.Millisecond), EndBy: now + int64(600*time.Millisecond), Work: heldWork}
 	started, refusal := g.Admit(now, job)
 	must.Nil(t, refusal)
 	test.False(t, started)
@@ -112,7 +112,7 @@
 		started, _ := g.Admit(now, &Job{Deadline: now + hour, EndBy: now + hour, Work: 5 * time.Millisecond})
 		must.True(t, started)
 	}
-	_, refusal := g.Admit(now, &Job{Deadline: now + int64(300*time.Millisecond), EndBy: now + int64(230*time.Millisecond), Work: run})
+	_, refusal := g.Admit(now, &Job{Deadline: now + int64(300*time.Millisecond), EndBy: now + int64(230*time.Millisecond), Work: heldWork})
 	must.NotNil(t, refusal)
 	test.Eq(t, errkind.Overloaded, refusal.Kind)
 	test.Eq(t, errkind.RanNo, refusal.Ran)
@@ -138,7 +138,7 @@
 	var all []execution
 	begin := func(now int64, jobs ...*Job) {
 		for _, job := range jobs {
-			took := int64(run)
+			took := int64(heldWork)
 			if job.ConcurrencyAtStart() > knee {
 				took = took * 17 / 10
 			}
@@ -160,7 +160,7 @@
 			continue
 		}
 		for range 2 {
-			job := &Job{Deadline: now + hour, EndBy: now + hour, Work: run}
+			job := &Job{Deadline: now + hour, EndBy: now + hour, Work: heldWork}
 			if started, _ := g.Admit(now, job); started {
 				begin(now, job)
 			}
@@ -178,7 +178,7 @@
 	g.SetSlots(slots)
 	var want []*Job
 	for range jobs {
-		job := &Job{Deadline: now + hour, EndBy: now + hour, Work: run}
+		job := &Job{Deadline: now + hour, EndBy: now + hour, Work: heldWork}
 		_, refusal := g.Admit(now, job)
 		must.Nil(t, refusal)
 		want = append(want, job)
@@ -210,7 +210,7 @@
 	started, _ := g.Admit(now, first)
 	must.True(t, started)
 	for range maxHeldChecks {
-		_, refusal := g.Admit(now, &Job{Deadline: now + hour, EndBy: now + hour, Work: run})
+		_, refusal := g.Admit(now, &Job{Deadline: now + hour, EndBy: now + hour, Work: heldWork})
 		must.Nil(t, refusal)
 	}
 	short := &Job{Rank: 1, Deadline: now + hour, EndBy: now + hour, Work: 5 * time.Millisecond}
