--- a/pkg/gate/fair_queueing.go
+++ b/pkg/gate/fair_queueing.go
@@ -8,7 +8,7 @@
 // team start before those with one, in the order of their deadlines.
 //
 // Deficit round robin would not work here, because its rounds cannot be combined with
-// ranks and deadlines. A queue for each team would cost memory for each.
+// ranks and deadlines. A queue per team would cost memory for every team.
 type fairQueueing struct {
 	// virtualTime is the start tag of the job that started last.
 	virtualTime float64
@@ -17,9 +17,9 @@
 	finishTags map[string]float64
 }
 
-// maxTeams is the number of finish tags above which those of teams with no work left are
-// dropped. With 24 bytes each, and the names, they take about 100 kB.
-const maxTeams = 1024
+// maxFinishTags is the number of finish tags above which those of teams with no work left
+// are dropped. With 24 bytes each, and the names, they take about 100 kB.
+const maxFinishTags = 1024
 
 // assignStartTag sets the start tag of a job; that of a job without a team is 0.
 func (f *fairQueueing) assignStartTag(job *Job) {
@@ -38,13 +38,13 @@
 		f.finishTags = map[string]float64{}
 	}
 	f.finishTags[job.Team] = job.startTag + job.Work.Seconds()
-	if len(f.finishTags) > maxTeams {
+	if len(f.finishTags) > maxFinishTags {
 		f.dropIdleTeams()
 	}
 }
 
-// noteStart advances the virtual time to the start tag of a job that starts.
-func (f *fairQueueing) noteStart(job *Job) { f.virtualTime = max(f.virtualTime, job.startTag) }
+// recordStart advances the virtual time to the start tag of a job that starts.
+func (f *fairQueueing) recordStart(job *Job) { f.virtualTime = max(f.virtualTime, job.startTag) }
 
 // dropIdleTeams removes the finish tags of the teams that have no work left.
 func (f *fairQueueing) dropIdleTeams() {
--- a/pkg/gate/gate.go
+++ b/pkg/gate/gate.go
@@ -1,6 +1,6 @@
 // Package gate decides which jobs run on the daemon's backend server: it starts, queues
 // or refuses each of them. A job is one call or request; the owner of the gate runs it.
-// Times are nanoseconds of a steady clock that the owner passes in.
+// Times are nanoseconds of a monotonic clock that the owner passes in.
 // Source: docs/design/gate.md.
 package gate
 
@@ -17,7 +17,8 @@
 type Options struct {
 	// Slots is how many jobs the backend server runs at once.
 	Slots int
-	// QueueLength is how many jobs may wait, QueueTime the longest expected wait.
+	// QueueLength is how many jobs may wait, QueueTime the longest expected wait with
+	// which a job is admitted.
 	QueueLength int
 	QueueTime   time.Duration
 	Order       Order
@@ -27,10 +28,10 @@
 	// SoftSlowdown is the reported slowdown, 1 at normal speed, above which soft jobs are
 	// refused.
 	SoftSlowdown float64
-	// SlotShare is the share of the slots that the gate uses, up to 1; 0 stands for 1.
-	// All runs of a backend server that is nearly full slow down.
-	SlotShare float64
-	// LearnLimit makes SlotShare the initial value only: the gate learns from its runs
+	// UsableShare is the share of the slots that the gate uses, up to 1; 0 stands for 1.
+	// It may be less because a nearly full backend server slows down all its runs.
+	UsableShare float64
+	// LearnLimit makes UsableShare the initial value only: the gate learns from its runs
 	// how many jobs may run at once before they slow one another down.
 	LearnLimit bool
 	// Restarted is true when an earlier process of the daemon may have started jobs.
@@ -70,8 +71,8 @@
 
 // New returns a gate.
 func New(opts Options) *Gate {
-	if opts.SlotShare == 0 {
-		opts.SlotShare = 1
+	if opts.UsableShare == 0 {
+		opts.UsableShare = 1
 	}
 	g := &Gate{opts: opts, queue: newQueue(opts.Order), slots: opts.Slots, speed: speed.NewModel(), lastLateProbe: -lateProbeInterval}
 	g.resetLimiter()
@@ -99,10 +100,10 @@
 	return g.startWaiting(now)
 }
 
-// noteStart records that a job starts now.
-func (g *Gate) noteStart(now int64, job *Job) {
+// recordStart records that a job starts now.
+func (g *Gate) recordStart(now int64, job *Job) {
 	g.running++
-	g.fairness.noteStart(job)
+	g.fairness.recordStart(job)
 	g.coldStarts.record(now)
 	job.started = now
 	job.concurrency = g.running
