--- a/pkg/atmostonce/claims_test.go
+++ b/pkg/atmostonce/claims_test.go
@@ -28,53 +28,57 @@
 	return NewClaims(ctx, common.NewCommon(events.Discard(), &s), table)
 }
 
-// request is one request of a caller.
+// request is a request of a caller.
 type request struct {
 	id   int
 	call *wire.Call
-	// told is what the caller was told; empty while it waits.
+	// told is "answered", or the Ran of the refusal that the caller received; empty while it
+	// waits.
 	told string
+	// runs counts how often a backend server ran the call.
 	runs int
 }
 
-// script is a history drawn beforehand: rapid cannot draw inside the bubble
-// whose clock lets background work go on.
+// script is a list of random numbers that is drawn before the test, because rapid cannot
+// draw inside a synctest bubble.
 type script struct {
 	numbers []int
 	at      int
 }
 
-// choose returns a number from 0 to n-1, and 0 after the end.
+// choose returns the next number, modulo n; 0 after the end.
 func (s *script) choose(n int) int {
-	if s.over() {
+	if s.atEnd() {
 		return 0
 	}
 	s.at++
 	return s.numbers[s.at-1] % n
 }
 
-func (s *script) over() bool { return s.at >= len(s.numbers) }
+func (s *script) atEnd() bool { return s.at >= len(s.numbers) }
 
-// history plays callers, entries, executors and the store against the real
-// protocol code. Executors are paused at any place: a call in transit arrives,
-// and a permit is used, any number of steps later.
+// history simulates callers, entries, executors and the store around the code under test.
+// Executors may pause anywhere: any number of steps may pass before a call in transit
+// arrives or a permit is used.
 type history struct {
 	*script
-	table     *fakestore.Flaky
-	executors []*Claims
-	requests  []*request
-	transit   []*request
-	permits   []held
-	keyRuns   map[string]int
+	table      *fakestore.Flaky
+	executors  []*Claims
+	requests   []*request
+	inTransit  []*request
+	permits    []heldPermit
+	runsPerKey map[string]int
 }
 
-type held struct {
+// heldPermit is the permit of an executor for a request that has not run yet.
+type heldPermit struct {
 	request *request
 	permit  executor.Permit
 }
 
 func (hi *history) body(r *request) []byte { return []byte("body of " + r.call.Key) }
 
+// newRequest adds a request of a caller, whose first call is in transit.
 func (hi *history) newRequest() {
 	r := &request{id: len(hi.requests)}
 	r.call = &wire.Call{
@@ -82,9 +86,10 @@
 		Key: []string{"a", "b"}[hi.choose(2)], Claim: wire.Claim{Generation: 1},
 	}
 	hi.requests = append(hi.requests, r)
-	hi.transit = append(hi.transit, r)
+	hi.inTransit = append(hi.inTransit, r)
 }
 
+// modes chooses how the store handles the next requests, three at most.
 func (hi *history) modes() {
 	var modes []fakestore.Mode
 	for range hi.choose(4) {
@@ -95,39 +100,41 @@
 
 // deliver lets an executor claim for a call in transit.
 func (hi *history) deliver() {
-	if len(hi.transit) == 0 {
+	if len(hi.inTransit) == 0 {
 		return
 	}
-	i := hi.choose(len(hi.transit))
-	r := hi.transit[i]
-	hi.transit = append(hi.transit[:i], hi.transit[i+1:]...)
+	i := hi.choose(len(hi.inTransit))
+	r := hi.inTransit[i]
+	hi.inTransit = append(hi.inTransit[:i], hi.inTransit[i+1:]...)
 	hi.modes()
 	by := hi.executors[hi.choose(len(hi.executors))]
 	permit, result := by.Claim(r.call, hi.body(r), time.Now().Add(time.Second))
 	switch {
 	case permit != nil:
-		hi.permits = append(hi.permits, held{r, permit})
+		hi.permits = append(hi.permits, heldPermit{r, permit})
 	case result.Answer != nil:
 		r.tell("answered")
 	case result.Refusal.Kind == errkind.KeyMoved && r.told == "":
-		// The entry still waits, and tries in the next generation.
+		// The entry still waits, and tries again in the next generation.
 		moved := *r.call
 		moved.Claim = result.NextClaim
 		r.call = &moved
-		hi.transit = append(hi.transit, r)
+		hi.inTransit = append(hi.inTransit, r)
 	case result.Refusal.Kind != errkind.KeyMoved:
 		r.tell(result.Refusal.Ran.String())
 	}
 }
 
+// tell records what the caller is told first.
 func (r *request) tell(what string) {
 	if r.told == "" {
 		r.told = what
 	}
 }
 
-// use runs a call whose permit an executor holds, or finds that it is too late.
-func (hi *history) use() {
+// runPermit runs a call whose permit an executor holds, or voids the permit because the
+// call's deadline has passed.
+func (hi *history) runPermit() {
 	if len(hi.permits) == 0 {
 		return
 	}
@@ -141,15 +148,15 @@
 		return
 	}
 	h.request.runs++
-	hi.keyRuns[h.request.call.Key]++
+	hi.runsPerKey[h.request.call.Key]++
 	if hi.choose(2) == 0 {
 		h.permit.Finish(&call.Answer{Status: 200, Body: []byte("done")}, errkind.RanMaybe)
 		h.request.tell("answered")
 	}
 }
 
-// giveUp lets the entry of a silent executor seal the key.
-func (hi *history) giveUp() {
+// sealOne lets an entry that hears nothing of its executor seal the key.
+func (hi *history) sealOne() {
 	var open []*request
 	for _, r := range hi.requests {
 		if r.told == "" {
@@ -172,16 +179,16 @@
 	}
 }
 
-// arrive applies a write that was on its way.
-func (hi *history) arrive() {
+// arrive applies a delayed write.
+func (hi *history) applyLateWrite() {
 	if late := hi.table.Late(); late > 0 {
 		hi.table.Arrive(hi.choose(late))
 	}
 }
 
-// broken says which promise does not hold.
-func (hi *history) broken() string {
-	for key, runs := range hi.keyRuns {
+// violation returns a description of a violated guarantee, or "".
+func (hi *history) violation() string {
+	for key, runs := range hi.runsPerKey {
 		if runs > 1 {
 			return fmt.Sprintf("key %s ran %d times", key, runs)
 		}
@@ -194,89 +201,92 @@
 	return ""
 }
 
+// play runs random steps until the script ends or a guarantee is violated, and returns the
+// violation, or "".
 func (hi *history) play() string {
 	steps := []func(){
-		hi.newRequest, hi.deliver, hi.use, hi.giveUp, hi.arrive, hi.deliver, hi.use,
+		hi.newRequest, hi.deliver, hi.runPermit, hi.sealOne, hi.applyLateWrite, hi.deliver, hi.runPermit,
 		func() { time.Sleep(time.Second) },
 	}
-	for !hi.over() {
+	for !hi.atEnd() {
 		steps[hi.choose(len(steps))]()
 		synctest.Wait()
-		if broken := hi.broken(); broken != "" {
-			return broken
+		if violation := hi.violation(); violation != "" {
+			return violation
 		}
 	}
 	return ""
 }
 
-// TestAtMostOnce plays histories. Voiding goes on in the background, on the
-// bubble's clock.
+// TestAtMostOnce simulates random histories and checks after each step that no key ran
+// twice, and that no caller was told "no" for a call that ran. Claims are voided in the
+// background, on the clock of the synctest bubble.
 func TestAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		numbers := rapid.SliceOfN(rapid.IntRange(0, 1<<10), 60, 400).Draw(r, "script")
-		broken := ""
+		violation := ""
 		synctest.Test(t, func(*testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			table := fakestore.NewFlaky()
-			h := &history{script: &script{numbers: numbers}, table: table, keyRuns: map[string]int{}}
+			h := &history{script: &script{numbers: numbers}, table: table, runsPerKey: map[string]int{}}
 			for i := range 2 {
 				h.executors = append(h.executors, newClaims(ctx, table, fmt.Sprintf("vm-%d", i)))
 			}
-			broken = h.play()
+			violation = h.play()
 			cancel()
 			synctest.Wait()
 		})
-		must.Eq(r, "", broken)
+		must.Eq(r, "", violation)
 	})
 }
 
-func keyed(body string) (*wire.Call, []byte) {
+func keyedCall(body string) (*wire.Call, []byte) {
 	return &wire.Call{Service: "lizenz", Method: "POST", URI: "/a", Key: "k", Claim: wire.Claim{Generation: 1}}, []byte(body)
 }
 
-func soon() time.Time { return time.Now().Add(time.Second) }
+func nextSecond() time.Time { return time.Now().Add(time.Second) }
 
 func TestARepeatGetsTheFirstAnswer(t *testing.T) {
 	c := newClaims(context.Background(), fakestore.New(), "vm")
-	request, body := keyed("x")
-	permit, _ := c.Claim(request, body, soon())
+	request, body := keyedCall("x")
+	permit, _ := c.Claim(request, body, nextSecond())
 	must.NotNil(t, permit)
-	_, during := c.Claim(request, body, soon())
+	_, during := c.Claim(request, body, nextSecond())
 	test.Eq(t, errkind.KeyInProgress, during.Refusal.Kind)
 	test.Eq(t, errkind.RanMaybe, during.Refusal.Ran)
 
 	permit.Finish(&call.Answer{Status: 201, Body: []byte("licence 7")}, errkind.RanMaybe)
 	var after call.Result
 	for after.Answer == nil {
-		_, after = c.Claim(request, body, soon())
+		_, after = c.Claim(request, body, nextSecond())
 	}
 	test.Eq(t, "licence 7", string(after.Answer.Body))
 
-	other, otherBody := keyed("y")
-	_, reused := c.Claim(other, otherBody, soon())
+	other, otherBody := keyedCall("y")
+	_, reused := c.Claim(other, otherBody, nextSecond())
 	test.Eq(t, errkind.KeyReused, reused.Refusal.Kind)
 }
 
 func TestALostAnswerIsReadBack(t *testing.T) {
-	scenarios := []struct {
+	cases := []struct {
 		name  string
 		modes []fakestore.Mode
 		runs  bool
 	}{
 		{"the write took effect", []fakestore.Mode{fakestore.Loses}, true},
-		{"it had no effect", []fakestore.Mode{fakestore.Fails}, false},
-		{"it is still on its way", []fakestore.Mode{fakestore.Delays}, false},
-		{"and the read-back fails, too", []fakestore.Mode{fakestore.Loses, fakestore.Fails}, false},
+		{"the write had no effect", []fakestore.Mode{fakestore.Fails}, false},
+		{"the write is delayed", []fakestore.Mode{fakestore.Delays}, false},
+		{"the write took effect, and the read-back fails", []fakestore.Mode{fakestore.Loses, fakestore.Fails}, false},
 	}
-	for _, s := range scenarios {
-		t.Run(s.name, func(t *testing.T) {
+	for _, tc := range cases {
+		t.Run(tc.name, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			c := newClaims(ctx, fakestore.NewFlaky(s.modes...), "vm")
-			request, body := keyed("x")
-			permit, result := c.Claim(request, body, soon())
-			test.Eq(t, s.runs, permit != nil)
-			if !s.runs {
+			c := newClaims(ctx, fakestore.NewFlaky(tc.modes...), "vm")
+			request, body := keyedCall("x")
+			permit, result := c.Claim(request, body, nextSecond())
+			test.Eq(t, tc.runs, permit != nil)
+			if !tc.runs {
 				test.Eq(t, errkind.StoreUnavailable, result.Refusal.Kind)
 				test.Eq(t, errkind.RanNo, result.Refusal.Ran)
 			}
@@ -284,69 +294,69 @@
 	}
 }
 
-func TestStoreDownIsRefusedAtOnceAsNotRun(t *testing.T) {
+func TestClaimsAreRefusedAtOnceWhileTheStoreIsDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := fakestore.New()
-		s.SetFaults(fakestore.Faults{Down: true})
+		table := fakestore.New()
+		table.SetFaults(fakestore.Faults{Down: true})
 		ctx, cancel := context.WithCancel(context.Background())
-		c := newClaims(ctx, s, "vm")
-		request, body := keyed("x")
-		_, first := c.Claim(request, body, soon())
+		c := newClaims(ctx, table, "vm")
+		request, body := keyedCall("x")
+		_, first := c.Claim(request, body, nextSecond())
 		test.Eq(t, errkind.StoreUnavailable, first.Refusal.Kind)
 		test.Eq(t, errkind.RanNo, first.Refusal.Ran)
 
-		// While it is known to be down, nobody waits for it, and it is spared.
-		before := s.Writes()
+		// While the store is known to be down, claims are refused without a request.
+		before := table.Writes()
 		for range 100 {
-			_, next := c.Claim(request, body, soon())
+			_, next := c.Claim(request, body, nextSecond())
 			test.Eq(t, errkind.StoreUnavailable, next.Refusal.Kind)
 		}
-		test.Eq(t, before, s.Writes())
+		test.Eq(t, before, table.Writes())
 
-		s.SetFaults(fakestore.Faults{})
+		table.SetFaults(fakestore.Faults{})
 		time.Sleep(2 * time.Second)
 		cancel()
 		synctest.Wait()
 		request.Key = "other"
-		permit, _ := c.Claim(request, body, soon())
+		permit, _ := c.Claim(request, body, nextSecond())
 		test.NotNil(t, permit)
 	})
 }
 
-func TestClaimsThatMeetGoInOneWrite(t *testing.T) {
+func TestConcurrentClaimsAreBatched(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := fakestore.New()
-		s.SetFaults(fakestore.Faults{Delay: 10 * time.Millisecond})
-		c := newClaims(context.Background(), s, "vm")
+		table := fakestore.New()
+		table.SetFaults(fakestore.Faults{Delay: 10 * time.Millisecond})
+		c := newClaims(context.Background(), table, "vm")
 		done := make(chan bool)
 		const calls = 50
 		for i := range calls {
 			go func() {
-				request, body := keyed("x")
+				request, body := keyedCall("x")
 				request.Key = fmt.Sprint(i)
-				permit, _ := c.Claim(request, body, soon())
+				permit, _ := c.Claim(request, body, nextSecond())
 				done <- permit != nil
 			}()
 		}
 		for range calls {
 			test.True(t, <-done)
 		}
-		test.LessEq(t, 3, s.Writes())
+		test.LessEq(t, 3, table.Writes())
 	})
 }
 
-func TestSweepDeletesOnlyWhatIsSettledAndOld(t *testing.T) {
+func TestSweepDeletesOnlyOldSettledRows(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := fakestore.New()
-		c := newClaims(context.Background(), s, "vm")
+		table := fakestore.New()
+		c := newClaims(context.Background(), table, "vm")
 		put := func(key string, state State, age time.Duration) {
 			value, err := encode(Row{Generation: 1, State: state, At: time.Now().Add(-age)})
 			must.NoError(t, err)
-			_, err = s.Batch(context.Background(), []store.Write{{Key: RowPrefix + key, Value: value}})
+			_, err = table.Batch(context.Background(), []store.Write{{Key: RowPrefix + key, Value: value}})
 			must.NoError(t, err)
 		}
 		old := 5 * c.ttl
-		// Sweeps begin anywhere; keys that sort last are behind each beginning.
+		// A sweep begins at a random hexadecimal key; these keys sort after all of those.
 		put("zz-finished", Finished, old)
 		put("zz-sealed", Sealed, old)
 		put("zz-claimed", Claimed, old)
@@ -354,7 +364,7 @@
 		deleted, err := c.Sweep(context.Background())
 		must.NoError(t, err)
 		test.Eq(t, 2, deleted)
-		left, err := s.Scan(context.Background(), RowPrefix, "", 10)
+		left, err := table.Scan(context.Background(), RowPrefix, "", 10)
 		must.NoError(t, err)
 		must.Len(t, 2, left)
 		test.Eq(t, RowPrefix+"zz-claimed", left[0].Key)
--- a/pkg/atmostonce/permit.go
+++ b/pkg/atmostonce/permit.go
@@ -12,20 +12,22 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// permit is a claim that this executor holds, or may hold.
+// permit is a claim of this executor. After a write without an answer, it is not known
+// whether the claim is in the table.
 type permit struct {
 	claims *Claims
 	row    Row
 	key    string
-	// version is that of the row with the claim.
+	// version is the version of the row that holds the claim.
 	version uint64
 }
 
-// Finish implements executor.Permit. The caller's answer does not wait for it:
-// a claim without a finish stays "maybe", which is true.
+// Finish implements executor.Permit. It returns at once: the answer to the caller does not
+// wait for the write. Without the write, the row stays claimed, and later calls are told
+// that the call may have run.
 func (p *permit) Finish(answer *call.Answer, ran errkind.Ran) {
 	if ran == errkind.RanNo {
-		go p.voidLater()
+		go p.voidUntilSettled()
 		return
 	}
 	if answer == nil {
@@ -34,44 +36,44 @@
 	row := p.row
 	row.State = Finished
 	row.At = time.Now()
-	if len(answer.Body) <= p.claims.most {
+	if len(answer.Body) <= p.claims.maxStoredAnswerBytes {
 		row.Answer = &StoredAnswer{Status: answer.Status, Headers: answer.Headers, Body: answer.Body}
 	}
 	value, err := encode(row)
 	if err != nil {
 		return
 	}
-	p.claims.writer.post(store.Write{Key: p.key, IfVersion: p.version, Value: value}, func(writeResult) {})
+	p.claims.writer.writeAsync(store.Write{Key: p.key, IfVersion: p.version, Value: value}, func(writeResult) {})
 }
 
-// voidLater seals a claim that was not used, and tries until the store says
-// that it is settled. Only this executor may do so: it knows that it handed
-// nothing over. When the daemon ends first, the claim stays a "maybe".
-func (p *permit) voidLater() {
+// voidUntilSettled replaces an unused claim by a seal, and tries again until the claim is
+// settled. Only the executor of the claim may do so, because only it knows that the call
+// was not sent. If the daemon ends before that, the row stays claimed.
+func (p *permit) voidUntilSettled() {
 	row := Row{Generation: p.row.Generation, State: Sealed, RequestDigest: p.row.RequestDigest, At: time.Now(), Service: p.row.Service}
 	value, err := encode(row)
 	if err != nil {
 		return
 	}
-	for !p.voidOnce(value) {
+	for !p.tryVoid(value) {
 		select {
 		case <-p.claims.background.Done():
 			return
-		case <-time.After(voidEvery):
+		case <-time.After(voidRetryInterval):
 		}
 	}
 }
 
-// voidOnce is true when the claim is settled. It looks before it writes: a row
-// of the version that this claim would have may be another executor's claim,
-// which must stay.
-func (p *permit) voidOnce(value []byte) bool {
-	version, settled, err := p.look()
+// tryVoid tries to void the claim, and returns whether the claim is settled: it is voided,
+// or the row no longer holds it. The row is read before it is replaced, because a row with
+// the version of this claim may hold the claim of another executor.
+func (p *permit) tryVoid(value []byte) bool {
+	version, settled, err := p.versionToReplace()
 	if settled || err != nil {
 		return settled
 	}
 	write := store.Write{Key: p.key, IfVersion: version, Value: value}
-	out := p.claims.writer.do(write, time.Now().Add(p.claims.writer.timeout))
+	out := p.claims.writer.writeAndWait(write, time.Now().Add(p.claims.writer.timeout))
 	if out.err != nil || !out.result.Applied {
 		return false
 	}
@@ -79,10 +81,11 @@
 	return true
 }
 
-// look returns the version of the row that a seal must replace: that of the own
-// claim, or the one before it when the claim has not arrived. In the latter
-// case the seal keeps it out: the claim's own condition cannot hold any more.
-func (p *permit) look() (version uint64, settled bool, err error) {
+// versionToReplace returns the version of the row that a seal must replace. That is the
+// version of the claim, or a lower one if the claim has not taken effect; a seal then
+// prevents it, because the claim's condition on the version no longer holds. settled is
+// true if there is nothing to seal.
+func (p *permit) versionToReplace() (version uint64, settled bool, err error) {
 	ctx, cancel := context.WithTimeout(p.claims.background, p.claims.writer.timeout)
 	defer cancel()
 	stored, err := p.claims.table.Get(ctx, p.key)
@@ -96,6 +99,6 @@
 	if err != nil {
 		return 0, false, err
 	}
-	mine := found.Nonce == p.row.Nonce && found.State == Claimed
-	return stored.Version, !mine, nil
+	isOwnClaim := found.Nonce == p.row.Nonce && found.State == Claimed
+	return stored.Version, !isOwnClaim, nil
 }
--- a/pkg/atmostonce/sweep.go
+++ b/pkg/atmostonce/sweep.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// sweepRows is how many rows one sweep looks at.
-	sweepRows = 100
-	// sweepMargin is how many times the time of KeepFor a row is kept, so that
-	// clocks of VMs may differ by as much.
+	// maxSweepRows is the maximum number of rows that one sweep reads.
+	maxSweepRows = 100
+	// sweepMargin is the number of KeepFor periods after which a row is deleted. The
+	// second period allows for differences between the wall clocks of VMs.
 	sweepMargin = 2
 )
 
-// Sweep deletes settled rows that are long past their time, from a random place
-// on, and returns how many. A claimed row is never deleted: nobody knows its
-// outcome. A deleted row lets a claim for version 0 win again; an executor that
-// was paused with such a claim for longer than the rows are kept finds after
-// the claim that its call's time is long over, and runs nothing.
+// Sweep deletes rows in the states Finished and Sealed that are older than sweepMargin
+// times KeepFor, from a random key on, and returns how many it deleted. It never deletes a claimed row, because the outcome of its
+// call is unknown. After a deletion, a claim for version 0 of the row succeeds again, also
+// one of an executor that was paused for all that time. Such an executor does not run the
+// call: it checks the deadline after the claim.
 func (cl *Claims) Sweep(ctx context.Context) (deleted int, err error) {
 	var start [8]byte
 	for i := range start {
 		start[i] = byte(rand.IntN(256))
 	}
-	rows, err := cl.table.Scan(ctx, RowPrefix, RowPrefix+hex.EncodeToString(start[:]), sweepRows)
+	rows, err := cl.table.Scan(ctx, RowPrefix, RowPrefix+hex.EncodeToString(start[:]), maxSweepRows)
 	if err != nil {
 		return 0, err
 	}
--- a/pkg/atmostonce/writer.go
+++ b/pkg/atmostonce/writer.go
@@ -13,30 +13,32 @@
 )
 
 const (
-	// batchMost is how many writes go in one request.
-	batchMost = 100
-	// probeEvery is how often a store that failed is tried again. Writes that
-	// come in between are refused at once.
-	probeEvery = 250 * time.Millisecond
+	// maxBatchWrites is the maximum number of writes in one request.
+	maxBatchWrites = 100
+	// probeInterval is the time after a failed request in which writes are refused without
+	// sending them.
+	probeInterval = 250 * time.Millisecond
 )
 
-// errStoreDown refuses a write that was not sent at all.
-var errStoreDown = errors.New("the platform's table service did not answer lately")
+// errStoreDown is returned for a write that was not sent because the last request failed.
+var errStoreDown = errors.New("not sent: the last request to the platform's table service failed")
 
-// writer sends the writes of one daemon. Those that meet go in one request:
-// while one is on its way the next gathers, so a busy daemon makes few
-// requests and an idle one waits for nobody.
+// writer sends the writes of one daemon to the table service in batches, one at a time.
+// Writes that arrive during a request go into the next batch; an idle writer sends a write
+// at once.
 type writer struct {
 	*common.Common
 	table   store.Table
 	timeout time.Duration
-	// outage logs when the table does not answer.
+	// outage logs when the table service stops and resumes answering.
 	outage *events.Outage
 
-	mu      sync.Mutex
-	waiting []*pendingWrite
-	busy    bool
-	// down is true after a failure; until downUntil nothing is sent.
+	mu    sync.Mutex
+	queue []*pendingWrite
+	// sending is true while run sends batches.
+	sending bool
+	// down is true after a failed request: writes are refused until downUntil, and the
+	// next one probes the table service.
 	down      bool
 	downUntil time.Time
 }
@@ -45,30 +47,33 @@
 	return &writer{Common: c, table: table, timeout: timeout, outage: events.NewOutage(c.Log, "table service")}
 }
 
+// pendingWrite is a queued write. done has room for its result.
 type pendingWrite struct {
 	write store.Write
 	done  chan writeResult
 }
 
-// writeResult is how a write ended. sent is false when it surely had no effect.
+// writeResult is the outcome of a write. If err is not nil and sent is true, it is unknown
+// whether the write took effect; if sent is false, it did not.
 type writeResult struct {
 	result store.Result
 	sent   bool
 	err    error
 }
 
-// do sends one write and waits for its result, at most until the deadline.
-func (w *writer) do(write store.Write, deadline time.Time) writeResult {
+// writeAndWait sends a write and waits for its result until the deadline, at most for the
+// time-out.
+func (w *writer) writeAndWait(write store.Write, deadline time.Time) writeResult {
 	p := &pendingWrite{write: write, done: make(chan writeResult, 1)}
 	if !w.enqueue(p) {
 		return writeResult{err: errStoreDown}
 	}
-	bound := time.NewTimer(min(time.Until(deadline), w.timeout))
-	defer bound.Stop()
+	timer := time.NewTimer(min(time.Until(deadline), w.timeout))
+	defer timer.Stop()
 	select {
 	case r := <-p.done:
 		return r
-	case <-bound.C:
+	case <-timer.C:
 		if w.withdraw(p) {
 			return writeResult{err: context.DeadlineExceeded}
 		}
@@ -76,8 +81,8 @@
 	}
 }
 
-// post sends one write that nobody waits for.
-func (w *writer) post(write store.Write, done func(writeResult)) {
+// writeAsync sends a write and returns at once; done is called with the result.
+func (w *writer) writeAsync(write store.Write, done func(writeResult)) {
 	p := &pendingWrite{write: write, done: make(chan writeResult, 1)}
 	if !w.enqueue(p) {
 		done(writeResult{err: errStoreDown})
@@ -86,6 +91,8 @@
 	go func() { done(<-p.done) }()
 }
 
+// enqueue adds a write to the queue. It returns false if the write is refused because the
+// table service is down.
 func (w *writer) enqueue(p *pendingWrite) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -93,48 +100,54 @@
 		return false
 	}
 	if w.down {
-		// This write is the probe; others are refused until it has ended.
+		// This write probes whether the table service answers again. Others are refused
+		// until its request has ended.
 		w.downUntil = time.Now().Add(w.timeout)
 	}
-	w.waiting = append(w.waiting, p)
-	if !w.busy {
-		w.busy = true
+	w.queue = append(w.queue, p)
+	if !w.sending {
+		w.sending = true
 		go w.run()
 	}
 	return true
 }
 
+// withdraw removes a write from the queue. It returns false if the write was sent.
 func (w *writer) withdraw(p *pendingWrite) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	for i, other := range w.waiting {
+	for i, other := range w.queue {
 		if other == p {
-			w.waiting = append(w.waiting[:i], w.waiting[i+1:]...)
+			w.queue = append(w.queue[:i], w.queue[i+1:]...)
 			return true
 		}
 	}
 	return false
 }
 
-func (w *writer) take() []*pendingWrite {
+// nextBatch removes the next batch from the queue. If the queue is empty, it returns nil
+// and run must end.
+func (w *writer) nextBatch() []*pendingWrite {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	n := min(len(w.waiting), batchMost)
+	n := min(len(w.queue), maxBatchWrites)
 	if n == 0 {
-		w.busy = false
+		w.sending = false
 		return nil
 	}
-	batch := w.waiting[:n:n]
-	w.waiting = append([]*pendingWrite(nil), w.waiting[n:]...)
+	batch := w.queue[:n:n]
+	w.queue = append([]*pendingWrite(nil), w.queue[n:]...)
 	return batch
 }
 
+// run sends batches until the queue is empty.
 func (w *writer) run() {
-	for batch := w.take(); batch != nil; batch = w.take() {
+	for batch := w.nextBatch(); batch != nil; batch = w.nextBatch() {
 		w.send(batch)
 	}
 }
 
+// send sends a batch and passes each write its result.
 func (w *writer) send(batch []*pendingWrite) {
 	writes := make([]store.Write, len(batch))
 	for i, p := range batch {
@@ -142,10 +155,10 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), w.timeout)
 	defer cancel()
-	began := time.Now()
+	startedAt := time.Now()
 	results, err := w.table.Batch(ctx, writes)
-	if !w.stoodStill(time.Since(began)) {
-		w.note(err)
+	if !w.wasPaused(time.Since(startedAt)) {
+		w.recordResult(err)
 	}
 	for i, p := range batch {
 		out := writeResult{sent: true, err: err}
@@ -156,23 +169,23 @@
 	}
 }
 
-// timerSlack is by how much longer than its time-out a call must have taken for this
-// process to have stood still meanwhile: timers of one that runs fire a few
-// milliseconds late.
+// timerSlack is the delay with which timers of a running process may fire. A request that
+// takes longer than its time-out and this delay shows that the process was paused.
 const timerSlack = 20 * time.Millisecond
 
-// stoodStill is true where the process was paused during a call. That such a call
-// has timed out says nothing of the table service, and the next one may be made.
-func (w *writer) stoodStill(took time.Duration) bool {
-	return took > w.timeout+timerSlack
+// wasPaused reports whether the process was paused during a request of this duration. The
+// time-out of such a request does not show that the table service is down.
+func (w *writer) wasPaused(duration time.Duration) bool {
+	return duration > w.timeout+timerSlack
 }
 
-func (w *writer) note(err error) {
+// recordResult records whether the table service is down. err is that of a request, or nil.
+func (w *writer) recordResult(err error) {
 	w.outage.Record(err)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.down = err != nil
 	if err != nil {
-		w.downUntil = time.Now().Add(probeEvery)
+		w.downUntil = time.Now().Add(probeInterval)
 	}
 }
--- a/pkg/atmostonce/writer_test.go
+++ b/pkg/atmostonce/writer_test.go
@@ -15,36 +15,36 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// slowTable answers its first batch with a time-out after a while, and the others
-// at once.
+// slowTable fails its first batch with a time-out, and answers the others at once.
 type slowTable struct {
 	store.Table
-	after time.Duration
-	asked int
+	// delay is the time that the first batch takes.
+	delay    time.Duration
+	requests int
 }
 
 func (s *slowTable) Batch(_ context.Context, writes []store.Write) ([]store.Result, error) {
-	s.asked++
-	if s.asked == 1 {
-		time.Sleep(s.after)
+	s.requests++
+	if s.requests == 1 {
+		time.Sleep(s.delay)
 		return nil, context.DeadlineExceeded
 	}
 	return make([]store.Result, len(writes)), nil
 }
 
-// TestAPausedProcessDoesNotTakeTheStoreForDown: a call that timed out while the
-// process stood still tells nothing of the store; one that timed out by itself does.
-func TestAPausedProcessDoesNotTakeTheStoreForDown(t *testing.T) {
+// TestATimeoutDuringAPauseDoesNotMarkTheStoreDown: the store counts as down if a request ends
+// at its time-out, but not if it takes much longer, as it does if the process is paused.
+func TestATimeoutDuringAPauseDoesNotMarkTheStoreDown(t *testing.T) {
 	const timeout = 500 * time.Millisecond
-	for after, refused := range map[time.Duration]bool{timeout: true, timeout + timeout/4: false, 3 * timeout: false} {
+	for delay, refused := range map[time.Duration]bool{timeout: true, timeout + timeout/4: false, 3 * timeout: false} {
 		synctest.Test(t, func(t *testing.T) {
 			s := settings.Default()
-			table := &slowTable{after: after}
+			table := &slowTable{delay: delay}
 			w := newWriter(common.NewCommon(events.Discard(), &s), table, timeout)
-			w.post(store.Write{Key: "first"}, func(writeResult) {})
-			time.Sleep(after)
+			w.writeAsync(store.Write{Key: "first"}, func(writeResult) {})
+			time.Sleep(delay)
 			synctest.Wait()
-			got := w.do(store.Write{Key: "second"}, time.Now().Add(timeout))
+			got := w.writeAndWait(store.Write{Key: "second"}, time.Now().Add(timeout))
 			if refused {
 				must.ErrorIs(t, got.err, errStoreDown)
 				test.False(t, got.sent)
