--- a/pkg/atmostonce/sweep.go
+++ b/pkg/atmostonce/sweep.go
@@ -18,10 +18,10 @@
 )
 
 // Sweep deletes rows in the states Finished and Sealed that are older than sweepMargin
-// times KeepFor, from a random key on, and returns how many it deleted. It never deletes a claimed row, because the outcome of its
-// call is unknown. After a deletion, a claim for version 0 of the row succeeds again, also
-// one of an executor that was paused for all that time. Such an executor does not run the
-// call: it checks the deadline after the claim.
+// times KeepFor, from a random key on, and returns how many it deleted. It never deletes a
+// claimed row, because the outcome of its call is unknown. After a deletion, a claim for
+// version 0 of the row succeeds again, also one of an executor that was paused for all that
+// time. Such an executor does not run the call: it checks the deadline after the claim.
 func (cl *Claims) Sweep(ctx context.Context) (deleted int, err error) {
 	var start [8]byte
 	for i := range start {
--- a/pkg/store/httpclient.go
+++ b/pkg/store/httpclient.go
@@ -12,7 +12,7 @@
 	"github.com/pkg/errors"
 )
 
-// HTTPClient is the platform reached over HTTPClient with CBOR bodies.
+// HTTPClient calls the platform over HTTP with CBOR bodies.
 type HTTPClient struct {
 	address string
 	timeout time.Duration
@@ -21,14 +21,14 @@
 
 var _ Platform = (*HTTPClient)(nil)
 
-// NewHTTPClient makes an adapter for the platform at address (IP number and port).
-// timeout bounds one request; a shorter deadline of the context goes first.
+// NewHTTPClient returns a client of the platform at address, an IP address and port. A
+// request ends after timeout, or earlier at the deadline of its context.
 func NewHTTPClient(address string, timeout time.Duration) (*HTTPClient, error) {
 	c, err := client.NewClient(client.WithDialTimeout(timeout), client.WithDialer(standard.NewDialer()))
 	if err != nil {
-		return nil, errors.Wrap(err, "platform client")
+		return nil, errors.Wrap(err, "create the HTTP client of the platform")
 	}
-	// A second try of the library could hide that the first took effect.
+	// The library must not retry: the first attempt may have taken effect.
 	c.SetRetryIfFunc(func(*protocol.Request, *protocol.Response, error) bool { return false })
 	return &HTTPClient{address: address, timeout: timeout, client: c}, nil
 }
@@ -40,7 +40,7 @@
 		return Row{}, err
 	}
 	if len(out.Rows) != 1 {
-		return Row{}, errors.Errorf("platform gave %d rows for one key", len(out.Rows))
+		return Row{}, errors.Errorf("the platform returned %d rows for one key", len(out.Rows))
 	}
 	return out.Rows[0], nil
 }
@@ -59,7 +59,7 @@
 		return nil, err
 	}
 	if len(out.Results) != len(writes) {
-		return nil, errors.Errorf("platform gave %d results for %d writes", len(out.Results), len(writes))
+		return nil, errors.Errorf("the platform returned %d results for %d writes", len(out.Results), len(writes))
 	}
 	return out.Results, nil
 }
@@ -88,6 +88,7 @@
 	return out.VMs, err
 }
 
+// post sends a request and decodes its response into out.
 func (h *HTTPClient) post(ctx context.Context, path string, in any, out *Response) error {
 	body, err := Encode(in)
 	if err != nil {
@@ -108,12 +109,13 @@
 	}
 	req.SetOptions(config.WithRequestTimeout(timeout))
 	if err := h.client.Do(ctx, req, resp); err != nil {
-		return errors.Wrapf(err, "platform %s", path)
+		return errors.Wrapf(err, "request to the platform, path %s", path)
 	}
-	return readAnswer(path, resp, out)
+	return decodeResponse(path, resp, out)
 }
 
-func readAnswer(path string, resp *protocol.Response, out *Response) error {
+// decodeResponse decodes a response into out, or returns the error for its status.
+func decodeResponse(path string, resp *protocol.Response, out *Response) error {
 	switch resp.StatusCode() {
 	case http.StatusOK:
 		return Decode(resp.Body(), out)
@@ -122,5 +124,5 @@
 	case http.StatusConflict:
 		return ErrConflict
 	}
-	return errors.Errorf("platform %s: status %d", path, resp.StatusCode())
+	return errors.Errorf("request to the platform, path %s: unexpected status %d", path, resp.StatusCode())
 }
--- a/pkg/store/instrumented_test.go
+++ b/pkg/store/instrumented_test.go
@@ -10,7 +10,7 @@
 	"github.com/shoenig/test"
 )
 
-// failing is a platform whose calls all end with one error.
+// failing is a Platform whose Get always returns err.
 type failing struct {
 	Platform
 	err error
--- a/pkg/store/messages.go
+++ b/pkg/store/messages.go
@@ -5,7 +5,7 @@
 	"github.com/pkg/errors"
 )
 
-// The paths of the HTTP form. Bodies are CBOR.
+// The paths of the platform's HTTP interface. Bodies are CBOR.
 const (
 	PathGet      = "/table/get"
 	PathScan     = "/table/scan"
@@ -21,14 +21,14 @@
 	Key string `cbor:"key"`
 }
 
-// ScanRequest asks for rows in the order of their keys.
+// ScanRequest asks for rows in the order of their keys; see Table.Scan.
 type ScanRequest struct {
 	Prefix string `cbor:"prefix"`
 	After  string `cbor:"after"`
 	Limit  int    `cbor:"limit"`
 }
 
-// VMsRequest asks for the list of VMs.
+// VMsRequest asks for the VMs of a data centre, or for all if DataCentre is empty.
 type VMsRequest struct {
 	DataCentre string `cbor:"dc"`
 }
@@ -38,13 +38,13 @@
 	Writes []Write `cbor:"writes"`
 }
 
-// ObjectRequest names an object, with its data for a put.
+// ObjectRequest names an object to read, or to write with Data.
 type ObjectRequest struct {
 	Name string `cbor:"name"`
 	Data []byte `cbor:"data"`
 }
 
-// Response is the one answer of all paths; each fills its own field.
+// Response is the body of the responses of all paths. Each path fills at most one field.
 type Response struct {
 	Rows    []Row    `cbor:"rows,omitempty"`
 	Results []Result `cbor:"results,omitempty"`
@@ -52,13 +52,13 @@
 	VMs     []VM     `cbor:"vms,omitempty"`
 }
 
-// Encode turns a message into CBOR.
+// Encode encodes a message as CBOR.
 func Encode(msg any) ([]byte, error) {
 	out, err := cbor.Marshal(msg)
-	return out, errors.Wrap(err, "encode for the platform")
+	return out, errors.Wrap(err, "encode a message for the platform")
 }
 
-// Decode reads CBOR into msg.
+// Decode decodes CBOR into msg, a pointer.
 func Decode(data []byte, msg any) error {
-	return errors.Wrap(cbor.Unmarshal(data, msg), "decode from the platform")
+	return errors.Wrap(cbor.Unmarshal(data, msg), "decode a message from the platform")
 }
--- a/pkg/store/update.go
+++ b/pkg/store/update.go
@@ -6,29 +6,29 @@
 	"github.com/pkg/errors"
 )
 
-// mostTries bounds the tries of a change: each lost one means that another writer's
-// change was made meanwhile.
-const mostTries = 8
+// maxUpdateAttempts bounds the reads of a row by UpdateRow. A write fails if another writer
+// has changed the row since the read.
+const maxUpdateAttempts = 8
 
-// UnknownOutcomeError is a write whose answer did not come: it may have been made, or
-// be made later.
+// UnknownOutcomeError is returned for a write without an answer from the store: it may have
+// taken effect, or may do so later.
 type UnknownOutcomeError struct{ Cause error }
 
 // Error implements error.
 func (u *UnknownOutcomeError) Error() string {
-	return "the platform's store gave no answer to the write, so its outcome is unknown: " + u.Cause.Error()
+	return "the platform's store did not answer the write, so its outcome is unknown: " + u.Cause.Error()
 }
 
 // Unwrap implements errors.Unwrap.
 func (u *UnknownOutcomeError) Unwrap() error { return u.Cause }
 
-// UpdateRow writes what edit makes of a row, under the condition of the version that edit
-// saw, and anew where another writer was first, so that changes of writers who race are
-// all made. edit gets a row of version 0 where there is none, and returns nil once
-// nothing is left to change; that row is returned. An UnknownOutcomeError leaves open
-// whether the change was made; after any other one it was not.
+// UpdateRow reads a row, calls edit and writes the value that edit returns, on the condition
+// that the row has not changed. It repeats this, also after a successful write, until edit
+// returns nil because nothing is left to change, and returns the row of that call. edit
+// gets a row of version 0 if the row does not exist. An UnknownOutcomeError means that the
+// change may have been made or not.
 func UpdateRow(ctx context.Context, table Table, key string, edit func(Row) (value []byte, err error)) (Row, error) {
-	for range mostTries {
+	for range maxUpdateAttempts {
 		row, err := table.Get(ctx, key)
 		if err != nil && !errors.Is(err, ErrNotFound) {
 			return Row{}, err
@@ -42,5 +42,5 @@
 			return Row{}, &UnknownOutcomeError{Cause: err}
 		}
 	}
-	return Row{}, errors.New("other operators changed the row each time; try again")
+	return Row{}, errors.New("another writer changed the row during each attempt; try again")
 }
