--- a/pkg/errkind/kind_test.go
+++ b/pkg/errkind/kind_test.go
@@ -13,13 +13,13 @@
 		test.NotEq(t, "", row.Name, test.Sprintf("kind %d has no name", i))
 		test.NotEq(t, "", row.Advice, test.Sprintf("kind %d has no advice", i))
 		test.Between(t, 200, row.Status, 599)
-		_, twice := seen[row.Name]
-		test.False(t, twice, test.Sprintf("name %s stands twice", row.Name))
+		_, duplicate := seen[row.Name]
+		test.False(t, duplicate, test.Sprintf("name %s is used twice", row.Name))
 		seen[row.Name] = Kind(i)
 	}
 }
 
-func TestOnlyCallsThatDidNotRunGoElsewhere(t *testing.T) {
+func TestOnlyCallsThatDidNotRunAreRetriedElsewhere(t *testing.T) {
 	for i, row := range Table() {
 		if row.Elsewhere {
 			test.Eq(t, RanNo, row.Ran, test.Sprintf("kind %d", i))
