--- a/pkg/atmostonce/claims.go
+++ b/pkg/atmostonce/claims.go
@@ -27,7 +27,7 @@
 	writer *writer
 	// executor is the id of this daemon's VM.
 	executor string
-	// ttl is the time after which a settled row expires.
+	// ttl is the time after which a row in the state Finished or Sealed expires.
 	ttl time.Duration
 	// maxStoredAnswerBytes is the size of the largest answer body that is stored.
 	maxStoredAnswerBytes int
--- a/pkg/atmostonce/permit.go
+++ b/pkg/atmostonce/permit.go
@@ -23,8 +23,8 @@
 }
 
 // Finish implements executor.Permit. It returns at once: the answer to the caller does not
-// wait for the write. Without the write, the row stays claimed, and later calls are told
-// that the call may have run.
+// wait for the write. Without the write, the row stays claimed, and later calls with the key
+// are refused with KeyInProgress.
 func (p *permit) Finish(answer *call.Answer, ran errkind.Ran) {
 	if ran == errkind.RanNo {
 		go p.voidUntilSettled()
--- a/pkg/errkind/kind.go
+++ b/pkg/errkind/kind.go
@@ -58,7 +58,8 @@
 type Ran uint8
 
 const (
-	// RanNo means that the call did not run.
+	// RanNo means that no backend server ran the call. An earlier call with the same
+	// Idempotency-Key may have run.
 	RanNo Ran = iota
 	// RanMaybe means that a backend server may have run the call.
 	RanMaybe
@@ -87,7 +88,7 @@
 	// accordingly, so that no service further up the chain of calls retries.
 	Overload bool
 	// RetryAfterMS is the time, in milliseconds, after which the caller may retry. If it is
-	// 0, the answer has no such header.
+	// 0, the answer has no Retry-After header.
 	RetryAfterMS int
 	// Advice tells the person who reads the answer what to do.
 	Advice string
--- a/pkg/events/log.go
+++ b/pkg/events/log.go
@@ -195,10 +195,10 @@
 	l.buffer.close(timeout)
 }
 
-// ParseLevel returns the Level with a name; ok is false if there is none.
-func ParseLevel(word string) (level Level, ok bool) {
+// ParseLevel returns the Level with the name text; ok is false if there is none.
+func ParseLevel(text string) (level Level, ok bool) {
 	for i, name := range levelNames {
-		if name == word {
+		if name == text {
 			return Level(i), true
 		}
 	}
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -1,6 +1,6 @@
-// Package executor runs calls that entries send at the backend server beside this
-// daemon. The gate decides when each call starts. A call that fails returns an error
-// that says whether it may have run.
+// Package executor runs calls from entries at the backend server beside this daemon. The
+// gate decides when each call starts. The error of a call that fails says whether the call
+// may have run.
 // Source: docs/design/gate.md and docs/design/retries.md.
 package executor
 
@@ -221,6 +221,7 @@
 	}
 }
 
+// start runs a job on a worker, or on a new goroutine if all workers are busy.
 func (e *Executor) start(job *gate.Job) {
 	// At most one job runs per slot, and the worker of the job before it may not be back
 	// in the pool yet, so the pool holds two workers per slot. Submit must not block,
@@ -240,10 +241,10 @@
 	r.end(result)
 }
 
-// checkAndRun checks the deadline, the quarantine and the roll-out, because they may have
-// changed while the call was queued. It claims a call that may never be repeated, and then
-// runs the call at the backend server. representative is true if the duration of the run
-// is a sample of the service time.
+// checkAndRun checks again, because the call may have been queued, that its deadline has
+// not passed and that neither the quarantine nor a roll-out refuses it. It claims a call
+// that may never be repeated, and then runs the call at the backend server. representative
+// is true if the duration of the run is a sample of the service time.
 func (r *run) checkAndRun() (result call.Result, representative bool) {
 	remaining := time.Duration(r.deadline - r.executor.Now())
 	if remaining <= 0 || r.ended.Load() {
@@ -282,6 +283,8 @@
 	return errkind.RanMaybe
 }
 
+// runAtBackend runs the call at the backend server and records the outcome. The second
+// result is true if the duration of the run is a sample of the service time.
 func (r *run) runAtBackend(remaining time.Duration) (call.Result, bool) {
 	r.sent.Store(true)
 	startedAt := r.executor.Now()
@@ -343,7 +346,7 @@
 // refuse ends the call with an error.
 func (r *run) refuse(refusal *errkind.Error) { r.end(call.Result{Refusal: refusal}) }
 
-// end passes the result to done; only the first call has an effect.
+// end passes the result to done, the first time that it is called.
 func (r *run) end(result call.Result) {
 	if !r.ended.CompareAndSwap(false, true) {
 		return
