--- a/pkg/bench/deployment.go
+++ b/pkg/bench/deployment.go
@@ -108,7 +108,7 @@
 		return nil, errors.Errorf("cannot read the deployment: %v. Name an existing file.", err)
 	}
 	out := &Deployment{Slots: 12, Connections: 200}
-	if err := settings.Strict(text, out); err != nil {
+	if err := settings.DecodeStrict(text, out); err != nil {
 		return nil, errors.Wrapf(err, "%s", path)
 	}
 	out.stretch()
--- a/pkg/bench/faultkinds.go
+++ b/pkg/bench/faultkinds.go
@@ -92,9 +92,9 @@
 	old := n.current()
 	old.Leave()
 	return func() {
-		<-old.Left()
+		<-old.Drained()
 		dr.note(func(p *Promises) {
-			p.CutByDrain += int(old.Cut())
+			p.CutByDrain += int(old.CutCalls())
 			if last := n.backend.Ledger().Last(); last.Sub(began) > leavingBound {
 				p.WorkAfterLeaving++
 			}
--- a/pkg/bench/slopes.go
+++ b/pkg/bench/slopes.go
@@ -163,7 +163,7 @@
 		t := n.daemon.Traffic()
 		out.bytes += t.BytesOut + t.BytesIn
 		out.messages += t.MessagesOut + t.MessagesIn
-		out.links += int64(n.daemon.Links())
+		out.links += int64(n.daemon.LinkCount())
 	}
 	return out
 }
@@ -252,7 +252,7 @@
 func (c *cluster) membersKnown() int {
 	least := math.MaxInt
 	for _, n := range c.nodes {
-		least = min(least, n.daemon.Members())
+		least = min(least, n.daemon.MemberCount())
 	}
 	return least
 }
--- a/pkg/burn/objectives.go
+++ b/pkg/burn/objectives.go
@@ -38,5 +38,5 @@
 		return nil, errors.Errorf("cannot read the objectives: %v. Name a file with --objectives.", err)
 	}
 	out := &Objectives{}
-	return out, errors.Wrapf(settings.Strict(text, out), "%s", path)
+	return out, errors.Wrapf(settings.DecodeStrict(text, out), "%s", path)
 }
--- a/pkg/common/common.go
+++ b/pkg/common/common.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// Here is where the daemon stands.
-func (c *Common) Here() proximity.Location {
+// Location is where the daemon stands.
+func (c *Common) Location() proximity.Location {
 	return proximity.Location{DataCentre: c.Settings.VM.DataCentre, Region: c.Settings.VM.Region}
 }
 
--- a/pkg/daemon/adapter.go
+++ b/pkg/daemon/adapter.go
@@ -32,21 +32,21 @@
 	// Clock is the one that the deadlines of roll-outs stand on, where it is the VM's
 	// own; nil where it is the store's.
 	Clock func() time.Duration
-	// OnForeign sets who is told of rows of the store that cannot be understood; nil where
+	// OnInvalidInput sets who is told of rows of the store that cannot be understood; nil where
 	// none but daemons and operators write there.
-	OnForeign func(told func(what string, why error))
-	// OnRestored sets who is told when the store has come back from an older copy, which
+	OnInvalidInput func(told func(what string, why error))
+	// OnStoreRestored sets who is told when the store has come back from an older copy, which
 	// has lost what was written last; nil where a store never does.
-	OnRestored func(told func())
+	OnStoreRestored func(told func())
 	// Bounds are what the platform holds all daemons to.
 	Bounds Bounds
 }
 
-// NewAdapter makes the adapter of one platform from the settings.
-type NewAdapter func(*settings.Settings) (*Adapter, error)
+// AdapterFactory makes the adapter of one platform from the settings.
+type AdapterFactory func(*settings.Settings) (*Adapter, error)
 
 // Adapters are the platforms that a program knows, by settings platform.form.
-type Adapters map[string]NewAdapter
+type Adapters map[string]AdapterFactory
 
 // ownForm is the platform.form of rushramp's own HTTP form.
 const ownForm = "http"
--- a/pkg/daemon/bounds.go
+++ b/pkg/daemon/bounds.go
@@ -20,15 +20,15 @@
 	// second, and ColdSlack how many requests besides.
 	ColdFactor float64
 	ColdSlack  float64
-	// ExposeShare and ExposeSlack bound the requests that a bad version may get while it
+	// MaxBadShare and ExposeSlack bound the requests that a bad version may get while it
 	// is rolled out: a share, with which roll-outs are planned, and a number besides, which
 	// they leave in reserve. StopWithin is the time after which it must get none.
-	ExposeShare float64
-	ExposeSlack float64
+	MaxBadShare float64
+	MaxBadSlack float64
 	StopWithin  time.Duration
-	// QuotaSlack is how many requests beyond its limit a team may send in QuotaWindow.
-	QuotaSlack  float64
-	QuotaWindow time.Duration
+	// LimitSlack is how many requests beyond its limit a team may send in QuotaWindow.
+	LimitSlack  float64
+	LimitWindow time.Duration
 	// RevokeWithin is after how long a key that was taken away must let nothing in
 	// anywhere, also at a VM that is cut off; 0: there it may.
 	RevokeWithin time.Duration
@@ -47,12 +47,12 @@
 
 // ownBounds are those of rushramp's own form, whose platform names none.
 func ownBounds() Bounds {
-	return Bounds{ExposeShare: ownExposeShare, ExposeSlack: ownExposeSlack, StopWithin: ownStopWithin}
+	return Bounds{MaxBadShare: ownExposeShare, MaxBadSlack: ownExposeSlack, StopWithin: ownStopWithin}
 }
 
 // rollouts are the limits of roll-outs; the zero value: the platform has none.
 func (b Bounds) rollouts() rollout.Limits {
-	return rollout.Limits{MaxBadShare: b.ExposeShare, StopWithin: b.StopWithin}
+	return rollout.Limits{MaxBadShare: b.MaxBadShare, StopWithin: b.StopWithin}
 }
 
 const (
@@ -91,8 +91,8 @@
 
 // applyTeams does so for those on teams.
 func (b Bounds) applyTeams(t *settings.Teams) {
-	if b.QuotaWindow > 0 {
-		t.LimitSlack, t.LimitWindow = b.QuotaSlack, b.QuotaWindow
+	if b.LimitWindow > 0 {
+		t.LimitSlack, t.LimitWindow = b.LimitSlack, b.LimitWindow
 	}
 	if b.RevokeWithin > 0 {
 		t.RevokeWithin = b.RevokeWithin
--- a/pkg/daemon/command.go
+++ b/pkg/daemon/command.go
@@ -58,8 +58,8 @@
 	select {
 	case <-ctx.Done():
 		d.Leave()
-		<-d.Left()
-	case <-d.Left():
+		<-d.Drained()
+	case <-d.Drained():
 	}
 	d.Stop()
 	return nil
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -147,11 +147,11 @@
 	} else if d.Executor != nil && s.BackendServer.Version != "" {
 		d.beginTrial()
 	}
-	if adapter.OnForeign != nil {
-		adapter.OnForeign(d.noteForeign)
+	if adapter.OnInvalidInput != nil {
+		adapter.OnInvalidInput(d.noteForeign)
 	}
-	if adapter.OnRestored != nil {
-		adapter.OnRestored(d.noteRestored)
+	if adapter.OnStoreRestored != nil {
+		adapter.OnStoreRestored(d.noteRestored)
 	}
 	d.scheduler = systems.NewScheduler(d.env)
 	d.operators = d.newOperators()
@@ -301,11 +301,11 @@
 	d.cut.Store(d.InFlight())
 }
 
-// Cut counts the calls that were in flight when the drain's bound passed.
-func (d *Daemon) Cut() int64 { return d.cut.Load() }
+// CutCalls counts the calls that were in flight when the drain's bound passed.
+func (d *Daemon) CutCalls() int64 { return d.cut.Load() }
 
-// Left is closed when the drain has ended.
-func (d *Daemon) Left() <-chan struct{} { return d.left }
+// Drained is closed when the drain has ended.
+func (d *Daemon) Drained() <-chan struct{} { return d.left }
 
 // Stop ends the daemon: at once, unless it drained before.
 func (d *Daemon) Stop() { d.stopped.Do(d.stop) }
@@ -319,7 +319,7 @@
 	if d.routed != nil {
 		d.routed.runner.Close()
 	}
-	d.Log.Event(events.DaemonStopped, events.F("cut", d.Cut()))
+	d.Log.Event(events.DaemonStopped, events.F("cut", d.CutCalls()))
 }
 
 func (d *Daemon) stopAll() {
--- a/pkg/daemon/observe.go
+++ b/pkg/daemon/observe.go
@@ -23,15 +23,15 @@
 	return out
 }
 
-// Links counts this daemon's links, in both directions.
-func (d *Daemon) Links() int {
+// LinkCount counts this daemon's links, in both directions.
+func (d *Daemon) LinkCount() int {
 	n := 0
 	d.ask(func(w *tables.World) { n = w.Peers.Len() })
 	return n
 }
 
-// Members counts the VMs that this daemon knows of.
-func (d *Daemon) Members() int { return d.World.View.MemberCount() }
+// MemberCount counts the VMs that this daemon knows of.
+func (d *Daemon) MemberCount() int { return d.World.View.MemberCount() }
 
 func (d *Daemon) ask(query func(*tables.World)) {
 	d.World.Inbox.RunQuery(d.env.DaemonContext.Done(), query)
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -197,7 +197,7 @@
 	choice := choose.RoutedRequest{
 		Now: a.forwarder.Now(), CandidateSet: a.candidates, Allowed: a.rule.allowed, Evacuated: a.forwarder.view.Evacuation(),
 		Rollout: traffic, Lane: a.lane,
-		Location: a.forwarder.Here(), CrossingCost: a.crossingCosts(), Work: a.expectedWork(),
+		Location: a.forwarder.Location(), CrossingCost: a.crossingCosts(), Work: a.expectedWork(),
 		// The settings by which gates refuse requests, so that the entry can foresee it.
 		SoftSlowdown: a.forwarder.Settings.Routing.SoftSlowdown, UsableShare: a.forwarder.Settings.Routing.Use,
 		TimeToTarget: a.usefulTime(), TimeToDeadline: a.timeLeft(),
--- a/pkg/forward/crossing_cost.go
+++ b/pkg/forward/crossing_cost.go
@@ -25,5 +25,5 @@
 
 // proximityOf returns how far a candidate is from this entry.
 func (a *attempts) proximityOf(candidate *tables.Candidate) proximity.Level {
-	return a.forwarder.Here().To(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
+	return a.forwarder.Location().To(candidate.Endpoint.DataCentre, candidate.Endpoint.Region)
 }
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -72,7 +72,7 @@
 	}
 	cl := &Client{
 		Peer:    &Peer{Conn: newConn(ws, codec, c.Traffic, opts.Pace), Outgoing: true},
-		control: control, here: c.Here(),
+		control: control, here: c.Location(),
 		maxBody: c.Settings.Limits.MaxBodyBytes,
 		pending: map[uint64]*pending{},
 	}
--- a/pkg/link/server.go
+++ b/pkg/link/server.go
@@ -135,7 +135,7 @@
 }
 
 func (s *session) up() {
-	s.setPlace(s.server.Here().To(s.Hello.DataCentre, s.Hello.Region))
+	s.setPlace(s.server.Location().To(s.Hello.DataCentre, s.Hello.Region))
 	s.server.mu.Lock()
 	s.server.peers[s.Peer] = struct{}{}
 	s.server.mu.Unlock()
--- a/pkg/operatorcli/placement.go
+++ b/pkg/operatorcli/placement.go
@@ -64,7 +64,7 @@
 		return nil, errors.Errorf("cannot read the placement: %v. Write one with `rushramp placement get > FILE`.", err)
 	}
 	doc := &placement.Document{}
-	return doc, errors.Wrapf(settings.Strict(text, doc), "%s", path)
+	return doc, errors.Wrapf(settings.DecodeStrict(text, doc), "%s", path)
 }
 
 // wanted reads the file and the placement in force, and refuses a file that is
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -96,7 +96,7 @@
 			w.ranking[g] = append(w.ranking[g], j)
 		}
 		slices.SortFunc(w.ranking[g], func(a, b int) int {
-			return cmp.Compare(utils.Rendezvous(fmt.Sprint(g), w.daemons[b].vm), utils.Rendezvous(fmt.Sprint(g), w.daemons[a].vm))
+			return cmp.Compare(utils.RendezvousWeight(fmt.Sprint(g), w.daemons[b].vm), utils.RendezvousWeight(fmt.Sprint(g), w.daemons[a].vm))
 		})
 	}
 	return w
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -29,7 +29,7 @@
 // Parse checks the text of a settings file over the defaults.
 func Parse(text []byte) (Settings, error) {
 	out := Default()
-	if err := Strict(text, &out); err != nil {
+	if err := DecodeStrict(text, &out); err != nil {
 		return Settings{}, err
 	}
 	if err := out.checkPlainText(); err != nil {
@@ -41,9 +41,9 @@
 	return out, nil
 }
 
-// Strict decodes YAML into out, refuses unknown fields, and checks the
+// DecodeStrict decodes YAML into out, refuses unknown fields, and checks the
 // validate tags. Its errors hold line, column and an excerpt.
-func Strict(text []byte, out any) error {
+func DecodeStrict(text []byte, out any) error {
 	check, err := newValidator()
 	if err != nil {
 		return err
--- a/pkg/standin/command.go
+++ b/pkg/standin/command.go
@@ -64,7 +64,7 @@
 		return errors.Wrap(err, "list of VMs")
 	}
 	var file vmFile
-	if err := settings.Strict(text, &file); err != nil {
+	if err := settings.DecodeStrict(text, &file); err != nil {
 		return errors.Wrapf(err, "%s", path)
 	}
 	s.SetVMs(file.VMs)
--- a/pkg/systems/broadcast.go
+++ b/pkg/systems/broadcast.go
@@ -58,9 +58,9 @@
 	var out []T
 	for _, item := range received {
 		id := key(item)
-		ownWeight, rank := utils.Rendezvous(id, e.World.VM), 0
+		ownWeight, rank := utils.RendezvousWeight(id, e.World.VM), 0
 		for _, peer := range localPeers {
-			if utils.Rendezvous(id, peer.Hello.VM) > ownWeight {
+			if utils.RendezvousWeight(id, peer.Hello.VM) > ownWeight {
 				rank++
 			}
 		}
--- a/pkg/systems/feedfollower.go
+++ b/pkg/systems/feedfollower.go
@@ -147,11 +147,11 @@
 // no harm.
 func (f *feedFollower) rankAmongPeers() int {
 	group := f.feedReaderGroup()
-	ownWeight := utils.Rendezvous(group.name, f.World.VM)
+	ownWeight := utils.RendezvousWeight(group.name, f.World.VM)
 	higherRanked := map[string]struct{}{}
 	f.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		hello := &peer.Hello
-		if group.contains(f.proximityOf(peer)) && !row.Leaving && utils.Rendezvous(group.name, hello.VM) > ownWeight {
+		if group.contains(f.proximityOf(peer)) && !row.Leaving && utils.RendezvousWeight(group.name, hello.VM) > ownWeight {
 			higherRanked[hello.VM] = struct{}{}
 		}
 	})
--- a/pkg/systems/feedfollower_test.go
+++ b/pkg/systems/feedfollower_test.go
@@ -176,10 +176,10 @@
 		env.Settings.Placement.FeedReaders = 1
 		tick(followCheckInterval)
 		must.Eq(t, 4, env.World.PlacementVersion(), must.Sprint("a daemon without a placement reads it"))
-		ownWeight := utils.Rendezvous("here", "vm")
+		ownWeight := utils.RendezvousWeight("here", "vm")
 		var peers []*link.Peer
 		for n := 0; len(peers) < 2; n++ {
-			if vm := fmt.Sprint("other", n); utils.Rendezvous("here", vm) > ownWeight {
+			if vm := fmt.Sprint("other", n); utils.RendezvousWeight("here", vm) > ownWeight {
 				peers = append(peers, &link.Peer{Hello: wire.Hello{VM: vm, DataCentre: "here"}})
 				env.World.Peers.GetOrAdd(peers[len(peers)-1])
 			}
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -180,7 +180,7 @@
 // one of the first of the fleet by rendezvous hash on the service's name.
 func (p *planRows) isPlanReader(service string) bool {
 	isRun, ahead := false, 0
-	own := utils.Rendezvous(service, p.World.VM)
+	own := utils.RendezvousWeight(service, p.World.VM)
 	p.World.Members.EachRow(func(row int) {
 		endpoint := p.World.Members.Endpoint[row]
 		_, unreached := p.World.Unreached[endpoint]
@@ -188,7 +188,7 @@
 			return
 		}
 		isRun = isRun || endpoint.Service == service
-		if utils.Rendezvous(service, endpoint.VM) > own {
+		if utils.RendezvousWeight(service, endpoint.VM) > own {
 			ahead++
 		}
 	})
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -201,7 +201,7 @@
 			}
 			return -1
 		}
-		return cmp.Compare(utils.Rendezvous(key, b.vm), utils.Rendezvous(key, a.vm))
+		return cmp.Compare(utils.RendezvousWeight(key, b.vm), utils.RendezvousWeight(key, a.vm))
 	})
 	out := make([]quota.Peer, 0, len(candidates))
 	for _, c := range candidates {
--- a/pkg/systems/readers.go
+++ b/pkg/systems/readers.go
@@ -43,7 +43,7 @@
 // rankIn returns the rank of this daemon among the members of a group by rendezvous hash;
 // 0: the first. Leaving members do not count.
 func (e *Env) rankIn(group readerGroup) int {
-	ownWeight := utils.Rendezvous(group.name, e.World.VM)
+	ownWeight := utils.RendezvousWeight(group.name, e.World.VM)
 	rank := 0
 	m := e.World.Members
 	m.EachRow(func(row int) {
@@ -51,7 +51,7 @@
 		if !group.contains(e.World.Here().To(record.DataCentre, record.Region)) || record.VM == e.World.VM || m.Leaving(row) {
 			return
 		}
-		if utils.Rendezvous(group.name, record.VM) > ownWeight {
+		if utils.RendezvousWeight(group.name, record.VM) > ownWeight {
 			rank++
 		}
 	})
--- a/pkg/systems/rendezvous.go
+++ b/pkg/systems/rendezvous.go
@@ -20,7 +20,7 @@
 func highestByRendezvous(name string, endpoints []*tables.Endpoint, limit int) []*tables.Endpoint {
 	ranked := make([]rankedEndpoint, len(endpoints))
 	for i, endpoint := range endpoints {
-		ranked[i] = rankedEndpoint{endpoint, utils.Rendezvous(name, endpoint.VM)}
+		ranked[i] = rankedEndpoint{endpoint, utils.RendezvousWeight(name, endpoint.VM)}
 	}
 	slices.SortFunc(ranked, func(a, b rankedEndpoint) int { return cmp.Compare(b.weight, a.weight) })
 	out := make([]*tables.Endpoint, 0, min(limit, len(ranked)))
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -118,7 +118,7 @@
 		}
 	})
 	slices.SortFunc(watchers, func(a, b *tables.Endpoint) int {
-		return cmp.Compare(utils.Rendezvous(service, b.VM), utils.Rendezvous(service, a.VM))
+		return cmp.Compare(utils.RendezvousWeight(service, b.VM), utils.RendezvousWeight(service, a.VM))
 	})
 	watchers = watchers[:min(len(watchers), maxWatchers)]
 	own := slices.IndexFunc(watchers, func(e *tables.Endpoint) bool { return e.VM == w.World.VM })
--- a/pkg/systems/viewpublisher.go
+++ b/pkg/systems/viewpublisher.go
@@ -90,7 +90,7 @@
 		if p.World.Members.Leaving(row) || !kind.Allows(endpoint.DataCentre) || evacuated.Has(endpoint.DataCentre) || endpoint.CallerAddress == "" {
 			return
 		}
-		best = append(best, rankedAddress{endpoint.CallerAddress, utils.Rendezvous(p.World.VM, endpoint.VM)})
+		best = append(best, rankedAddress{endpoint.CallerAddress, utils.RendezvousWeight(p.World.VM, endpoint.VM)})
 		for i := len(best) - 1; i > 0 && best[i].weight > best[i-1].weight; i-- {
 			best[i], best[i-1] = best[i-1], best[i]
 		}
--- a/pkg/trace/text.go
+++ b/pkg/trace/text.go
@@ -9,7 +9,7 @@
 )
 
 // WriteText writes the account for people to read.
-func (a *Account) WriteText(w io.Writer) error {
+func (a *Report) WriteText(w io.Writer) error {
 	var out strings.Builder
 	if a.Entry == "" {
 		fmt.Fprintf(&out, "request %s: the line of its entry is missing\n", a.Request)
@@ -29,7 +29,7 @@
 	return err
 }
 
-func (a *Account) writeLine(out *strings.Builder, line *Line) {
+func (a *Report) writeLine(out *strings.Builder, line *Line) {
 	const clock = "15:04:05.000000"
 	fmt.Fprintf(out, "  %s %s event %d: %s", line.Time.Format(clock), line.VM, line.Event, line.Text)
 	if line.Request != a.Request {
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -58,8 +58,8 @@
 	return d
 }
 
-// Account is what the lines tell of one request.
-type Account struct {
+// Report is what the lines tell of one request.
+type Report struct {
 	Request string `json:"request"`
 	// Outcome, Entry and Server are empty while the entry's line is missing.
 	Outcome string `json:"outcome"`
@@ -87,8 +87,8 @@
 
 // Read joins what the inputs say of a request. Text before a line's first field
 // is passed over, so that logs that a collector has prefixed can be read.
-func Read(request string, inputs ...io.Reader) (*Account, error) {
-	out := &Account{Request: request}
+func Read(request string, inputs ...io.Reader) (*Report, error) {
+	out := &Report{Request: request}
 	for _, in := range inputs {
 		scanner := bufio.NewScanner(in)
 		scanner.Buffer(nil, maxLine)
@@ -149,7 +149,7 @@
 }
 
 // sum takes the account from the entry's own line.
-func (a *Account) sum() {
+func (a *Report) sum() {
 	for i := range a.Lines {
 		line := &a.Lines[i]
 		if line.Request != a.Request || (line.Event != events.RequestAnswered && line.Event != events.RequestFailed) {
--- a/pkg/utils/rendezvous.go
+++ b/pkg/utils/rendezvous.go
@@ -3,10 +3,10 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Rendezvous is the weight of a candidate for a key, after Thaler and
+// RendezvousWeight is the weight of a candidate for a key, after Thaler and
 // Ravishankar's highest random weight hashing: those who rank candidates by it
 // agree without talking, and a candidate that leaves moves nobody else.
-func Rendezvous(key, candidate string) uint64 {
+func RendezvousWeight(key, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
 	_, _ = digest.WriteString(key)
