--- a/cmd/rushramp-bench/main.go
+++ b/cmd/rushramp-bench/main.go
@@ -1,4 +1,4 @@
-// Command rushramp-bench: Load and experiments.
+// Command rushramp-bench generates load and runs experiments.
 package main
 
 import (
--- a/cmd/rushramp-standin/main.go
+++ b/cmd/rushramp-standin/main.go
@@ -1,4 +1,4 @@
-// Command rushramp-standin: Stand-ins for tests.
+// Command rushramp-standin runs stand-ins of backend servers and the platform for tests.
 package main
 
 import (
--- a/cmd/rushramp/main.go
+++ b/cmd/rushramp/main.go
@@ -1,4 +1,4 @@
-// Command rushramp is the operators' command line.
+// Command rushramp is the command line for operators.
 package main
 
 import (
--- a/cmd/rushrampd/main.go
+++ b/cmd/rushrampd/main.go
@@ -1,4 +1,4 @@
-// Command rushrampd: The daemon beside each backend server.
+// Command rushrampd is the daemon beside each backend server.
 package main
 
 import (
--- a/pkg/cli/main.go
+++ b/pkg/cli/main.go
@@ -1,4 +1,4 @@
-// Package cli holds what the mains of all binaries share.
+// Package cli runs the root commands of all binaries.
 package cli
 
 import (
@@ -13,7 +13,7 @@
 	ExitFailed = 1
 )
 
-// Main runs a command and ends the process.
+// Main runs a command. If it fails, Main prints the error and exits with its exit code.
 func Main(cmd *cobra.Command) {
 	if err := cmd.Execute(); err != nil {
 		fmt.Fprintf(os.Stderr, "%s: %v\n", cmd.Name(), err)
@@ -21,12 +21,12 @@
 	}
 }
 
-// coder is an error that knows its exit code.
-type coder interface{ ExitCode() int }
+// exitCoder is an error with an exit code of its own.
+type exitCoder interface{ ExitCode() int }
 
-// ExitCode returns the process's exit code for an error.
+// ExitCode returns the exit code for an error: its own, or ExitFailed.
 func ExitCode(err error) int {
-	if c, ok := err.(coder); ok {
+	if c, ok := err.(exitCoder); ok {
 		return c.ExitCode()
 	}
 	return ExitFailed
--- a/pkg/common/common.go
+++ b/pkg/common/common.go
@@ -1,5 +1,5 @@
-// Package common holds the dependencies that most parts of the daemon share.
-// They travel in one small struct that is embedded by those who need it.
+// Package common holds the dependencies that most parts of a daemon share, in one struct
+// that these parts embed.
 package common
 
 import (
@@ -18,25 +18,26 @@
 	"github.com/rushramp/rushramp/pkg/traffic"
 )
 
-// Common is the shared dependencies.
+// Common holds the shared dependencies of one daemon.
 type Common struct {
 	Log      *events.Log
 	Settings *settings.Settings
 	Metrics  *metrics.Set
-	Measure  *measure.Budget
-	// Traffic accounts for what is sent to other daemons.
+	// Measure limits the bytes for load reports.
+	Measure *measure.Budget
+	// Traffic counts the frames and bytes sent to other daemons.
 	Traffic *traffic.Counters
-	// Bodies bounds what bodies of requests hold.
+	// Bodies limits the memory for request bodies.
 	Bodies *bodies.Budget
-	// Quarantine remembers which requests ended backend servers.
+	// Quarantine holds the requests that made backend servers end.
 	Quarantine *quarantine.Table
-	// Quota counts the requests of teams; nil on a daemon that takes no routed requests.
+	// Quota enforces the limits of teams; nil on a daemon that takes no routed requests.
 	Quota *quota.Node
-	// Clock is that of Now.
+	// Clock is the clock that Now reads.
 	Clock *clock.Clock
 }
 
-// NewCommon makes the shared dependencies of one daemon.
+// NewCommon returns the shared dependencies of one daemon, without Quota.
 func NewCommon(log *events.Log, s *settings.Settings) *Common {
 	set := metrics.NewSet()
 	return &Common{
@@ -50,15 +51,16 @@
 	}
 }
 
-// Location is where the daemon stands.
+// Location returns the data centre and the region of the daemon.
 func (c *Common) Location() proximity.Location {
 	return proximity.Location{DataCentre: c.Settings.VM.DataCentre, Region: c.Settings.VM.Region}
 }
 
-// Now is the time since the daemon's start in nanoseconds, on a clock that never jumps
-// back and counts the time for which the VM was suspended. It is never 0, which stands
-// for "not yet" in the tables.
+// Now returns the time since the daemon's start in nanoseconds, by a monotonic clock that
+// includes the time for which the VM was suspended. It is never 0, which means "not yet"
+// in the tables.
 func (c *Common) Now() int64 { return c.Clock.Now() + 1 }
 
-// Suspended is for how long the VM has been suspended since the daemon's start.
+// Suspended returns the total time for which the VM was suspended since the daemon's
+// start.
 func (c *Common) Suspended() time.Duration { return c.Clock.Suspended() }
--- a/pkg/operatorcli/command.go
+++ b/pkg/operatorcli/command.go
@@ -1,4 +1,4 @@
-// Package operatorcli is the operators' command line, rushramp.
+// Package operatorcli implements rushramp, the command line for operators.
 package operatorcli
 
 import (
@@ -28,7 +28,7 @@
 	exitNotAllowed  = 5
 )
 
-// options are the flags of all commands.
+// options holds the flags that all commands share.
 type options struct {
 	daemon  string
 	timeout time.Duration
@@ -36,7 +36,7 @@
 	tls     settings.TLS
 }
 
-// NewCommand makes the command line of rushramp.
+// NewCommand returns the root command of rushramp.
 func NewCommand() *cobra.Command {
 	o := &options{}
 	root := &cobra.Command{
@@ -46,14 +46,14 @@
 		SilenceErrors: true,
 		PersistentPreRunE: func(*cobra.Command, []string) error {
 			if o.output != "text" && o.output != "json" {
-				return errors.Errorf("%q is not an output. Give --output text or --output json.", o.output)
+				return errors.Errorf("%q is not an output format. Give --output text or --output json.", o.output)
 			}
 			return nil
 		},
 	}
 	flags := root.PersistentFlags()
 	flags.StringVar(&o.daemon, "daemon", envOr("RUSHRAMP_DAEMON", "127.0.0.1:7402"), "operators' address of a daemon (or RUSHRAMP_DAEMON)")
-	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "longest wait for the daemon")
+	flags.DurationVar(&o.timeout, "timeout", 10*time.Second, "timeout of a command's calls to the daemon")
 	flags.StringVar(&o.output, "output", "text", "text or json")
 	flags.StringVar(&o.tls.Cert, "cert", "", "certificate file of the operator")
 	flags.StringVar(&o.tls.Key, "key", "", "private key file of the operator")
@@ -69,7 +69,8 @@
 	return fallback
 }
 
-// defaultAuthor is the name of the person at the keyboard.
+// defaultAuthor returns the name of the user that runs the command; empty if it is not
+// known.
 func defaultAuthor() string {
 	if u, err := user.Current(); err == nil {
 		return u.Username
@@ -77,8 +78,9 @@
 	return ""
 }
 
-// call dials the daemon and runs one call, with errors as sentences.
-func (o *options) call(do func(ctx context.Context, client api.OperatorsClient) error) error {
+// call connects to the daemon and runs request. It returns errors of the daemon as a
+// callError.
+func (o *options) call(request func(ctx context.Context, client api.OperatorsClient) error) error {
 	reloader, err := certs.NewReloader(o.tls)
 	if err != nil {
 		return err
@@ -89,15 +91,15 @@
 	}
 	conn, err := grpc.NewClient(o.daemon, grpc.WithTransportCredentials(creds))
 	if err != nil {
-		return errors.Errorf("%s is no address of a daemon: %v. Name one with --daemon.", o.daemon, err)
+		return errors.Errorf("%s is not the address of a daemon: %v. Name one with --daemon.", o.daemon, err)
 	}
 	defer func() { _ = conn.Close() }()
 	ctx, cancel := context.WithTimeout(context.Background(), o.timeout)
 	defer cancel()
-	return o.explain(do(ctx, api.NewOperatorsClient(conn)))
+	return o.explainError(request(ctx, api.NewOperatorsClient(conn)))
 }
 
-// callError is an error of a daemon, as a sentence, with its exit code.
+// callError is an error that a daemon returned, with the exit code for it.
 type callError struct {
 	text string
 	code int
@@ -106,10 +108,11 @@
 // Error implements error.
 func (c *callError) Error() string { return c.text }
 
-// ExitCode implements cli's coder.
+// ExitCode implements the interface that cli.ExitCode looks for.
 func (c *callError) ExitCode() int { return c.code }
 
-func (o *options) explain(err error) error {
+// explainError turns a gRPC status into a callError. It returns other errors as they are.
+func (o *options) explainError(err error) error {
 	s, ok := status.FromError(err)
 	if err == nil || !ok {
 		return err
--- a/pkg/operatorcli/drain.go
+++ b/pkg/operatorcli/drain.go
@@ -14,7 +14,7 @@
 func drainCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "drain",
-		Short: "Make a daemon leave: no new calls, those in flight end, then the process ends",
+		Short: "Drain a daemon: it refuses new calls, waits for those in flight, and exits",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
@@ -28,17 +28,18 @@
 	}
 }
 
-// progress is the part of the stream that is read.
-type progress interface {
+// drainStream is the part of the gRPC stream that watchDrain uses.
+type drainStream interface {
 	Recv() (*api.DrainProgress, error)
 }
 
-func watchDrain(out io.Writer, stream progress) error {
-	last := int64(-1)
+// watchDrain prints the number of calls in flight until the drain is done.
+func watchDrain(out io.Writer, stream drainStream) error {
+	lastCount := int64(-1)
 	for {
 		p, err := stream.Recv()
 		if errors.Is(err, io.EOF) {
-			return errors.New("the daemon ended before its last call did; look at event 104 in its log")
+			return errors.New("the daemon stopped while calls were in flight; see event 104 in its log")
 		}
 		if err != nil {
 			return err
@@ -47,9 +48,9 @@
 			fmt.Fprintln(out, "drained: the last call has ended")
 			return nil
 		}
-		if p.GetCallsInFlight() != last {
-			last = p.GetCallsInFlight()
-			fmt.Fprintf(out, "leaving: %d calls in flight\n", last)
+		if p.GetCallsInFlight() != lastCount {
+			lastCount = p.GetCallsInFlight()
+			fmt.Fprintf(out, "leaving: %d calls in flight\n", lastCount)
 		}
 	}
 }
--- a/pkg/operatorcli/evacuate.go
+++ b/pkg/operatorcli/evacuate.go
@@ -14,7 +14,7 @@
 	request := &api.EvacuateRequest{}
 	cmd := &cobra.Command{
 		Use:   "evacuate DATA_CENTRE",
-		Short: "Give a data centre's backend servers nothing new, until it is taken back with --back",
+		Short: "Send no new requests to a data centre's backend servers, until --back ends the evacuation",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			request.DataCentre = args[0]
@@ -31,8 +31,8 @@
 			})
 		},
 	}
-	cmd.Flags().BoolVar(&request.Back, "back", false, "take the data centre back")
-	cmd.Flags().StringVar(&request.Author, "author", defaultAuthor(), "who evacuates; a certificate's name goes first")
+	cmd.Flags().BoolVar(&request.Back, "back", false, "end the evacuation of the data centre")
+	cmd.Flags().StringVar(&request.Author, "author", defaultAuthor(), "your name; with TLS, the name in your certificate is used instead")
 	return cmd
 }
 
--- a/pkg/operatorcli/placement.go
+++ b/pkg/operatorcli/placement.go
@@ -57,8 +57,9 @@
 	return err
 }
 
-// readFile reads a wanted placement. Its version is the one it is based on.
-func readFile(path string) (*placement.Document, error) {
+// readPlacement reads the file of a wanted placement. Its version is that of the placement
+// it was edited from.
+func readPlacement(path string) (*placement.Document, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, errors.Errorf("cannot read the placement: %v. Write one with `rushramp placement get > FILE`.", err)
@@ -67,10 +68,11 @@
 	return doc, errors.Wrapf(settings.DecodeStrict(text, doc), "%s", path)
 }
 
-// wanted reads the file and the placement in force, and refuses a file that is
-// based on another version: its author has not seen what changed since.
-func wanted(ctx context.Context, client api.OperatorsClient, path string) (now, want *placement.Document, err error) {
-	want, err = readFile(path)
+// readWantedAndCurrent returns the placement in force and the wanted one from a file. It
+// refuses a file that is based on another version: its author has not seen what has
+// changed since.
+func readWantedAndCurrent(ctx context.Context, client api.OperatorsClient, path string) (current, want *placement.Document, err error) {
+	want, err = readPlacement(path)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -78,16 +80,16 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	now, err = operators.DocumentFromAPI(answer)
+	current, err = operators.DocumentFromAPI(answer)
 	if err != nil {
 		return nil, nil, err
 	}
-	if want.Version != now.Version {
+	if want.Version != current.Version {
 		return nil, nil, &callError{code: exitConflict, text: fmt.Sprintf(
-			"%s is based on version %d, and version %d is in force. Read it with `rushramp placement get`, bring your change into it, and apply that.",
-			path, want.Version, now.Version)}
+			"%s is based on version %d, and version %d is in force. Read it with `rushramp placement get`, make your change in it, and apply that.",
+			path, want.Version, current.Version)}
 	}
-	return now, want, nil
+	return current, want, nil
 }
 
 func planCommand(o *options) *cobra.Command {
@@ -97,11 +99,11 @@
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
-				now, want, err := wanted(ctx, client, args[0])
+				current, want, err := readWantedAndCurrent(ctx, client, args[0])
 				if err != nil {
 					return err
 				}
-				return o.printChanges(cmd.OutOrStdout(), placement.Diff(now, want))
+				return o.printChanges(cmd.OutOrStdout(), placement.Diff(current, want))
 			})
 		},
 	}
@@ -120,18 +122,19 @@
 	return nil
 }
 
+// describe returns the line that shows a change to operators.
 func describe(c placement.Change) string {
 	if c.Op == placement.RemoveKind {
 		return fmt.Sprintf("remove %s/%s", c.Service, c.Kind.Name)
 	}
-	out := fmt.Sprintf("put %s/%s: %s %s in %v", c.Service, c.Kind.Name, methodOr(c.Kind.Method), c.Kind.Path, c.Kind.DataCentres)
+	out := fmt.Sprintf("put %s/%s: %s %s in %v", c.Service, c.Kind.Name, methodOrAny(c.Kind.Method), c.Kind.Path, c.Kind.DataCentres)
 	if c.Kind.NeverRepeat {
 		out += ", never repeated"
 	}
 	return out
 }
 
-func methodOr(method string) string {
+func methodOrAny(method string) string {
 	if method == "" {
 		return "any method"
 	}
@@ -142,29 +145,29 @@
 	var author, changeID string
 	cmd := &cobra.Command{
 		Use:   "apply FILE",
-		Short: "Make the changes that lead to the file, and wait until they are in force",
+		Short: "Change the placement to the one in the file, and wait until it is in force",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
-				now, want, err := wanted(ctx, client, args[0])
+				current, want, err := readWantedAndCurrent(ctx, client, args[0])
 				if err != nil {
 					return err
 				}
-				changes := placement.Diff(now, want)
+				changes := placement.Diff(current, want)
 				if len(changes) == 0 {
 					return o.printChanges(cmd.OutOrStdout(), changes)
 				}
 				answer, err := client.ApplyPlacement(ctx, &api.ApplyPlacementRequest{
-					BaseVersion: now.Version, ChangeId: changeID, Author: author, Changes: operators.ChangesToAPI(changes),
+					BaseVersion: current.Version, ChangeId: changeID, Author: author, Changes: operators.ChangesToAPI(changes),
 				})
 				if err != nil {
 					return err
 				}
-				return o.follow(ctx, cmd.OutOrStdout(), client, answer.GetVersion())
+				return o.waitInForce(ctx, cmd.OutOrStdout(), client, answer.GetVersion())
 			})
 		},
 	}
-	changeFlags(cmd, &author, &changeID)
+	addChangeFlags(cmd, &author, &changeID)
 	return cmd
 }
 
@@ -177,17 +180,17 @@
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
-				now, err := client.GetPlacement(ctx, &api.GetPlacementRequest{})
+				current, err := client.GetPlacement(ctx, &api.GetPlacementRequest{})
 				if err != nil {
 					return err
 				}
 				answer, err := client.Rollback(ctx, &api.RollbackRequest{
-					BaseVersion: now.GetVersion(), ToVersion: to, ChangeId: uuid.NewString(), Author: author,
+					BaseVersion: current.GetVersion(), ToVersion: to, ChangeId: uuid.NewString(), Author: author,
 				})
 				if err != nil {
 					return err
 				}
-				return o.follow(ctx, cmd.OutOrStdout(), client, answer.GetVersion())
+				return o.waitInForce(ctx, cmd.OutOrStdout(), client, answer.GetVersion())
 			})
 		},
 	}
@@ -198,32 +201,33 @@
 }
 
 const (
-	followEvery = 50 * time.Millisecond
-	// followBound is how long apply waits; the brief allows seconds.
-	followBound = 5 * time.Second
+	// pollInterval is the time between two requests for the status.
+	pollInterval = 50 * time.Millisecond
+	// maxWait is how long apply and rollback wait for a version to be in force.
+	maxWait = 5 * time.Second
 )
 
-// follow waits until the version is in force in each data centre that this
-// daemon hears of, and says plainly where it is not yet.
-func (o *options) follow(ctx context.Context, out io.Writer, client api.OperatorsClient, version uint64) error {
-	began := time.Now()
-	var places []place
+// waitInForce waits until a version is in force in all data centres with members that the
+// daemon knows, for maxWait at most, and prints for each of them whether it is.
+func (o *options) waitInForce(ctx context.Context, out io.Writer, client api.OperatorsClient, version uint64) error {
+	startedAt := time.Now()
+	var states []dataCentreState
 	for {
 		answer, err := client.Status(ctx, &api.StatusRequest{})
 		if err != nil {
 			return errors.Wrapf(err, "version %d was accepted, but where it is in force is not known", version)
 		}
-		places = placesOf(answer, version)
-		if allInForce(places) || time.Since(began) > followBound {
+		states = statesByDataCentre(answer, version)
+		if allInForce(states) || time.Since(startedAt) > maxWait {
 			break
 		}
-		time.Sleep(followEvery)
+		time.Sleep(pollInterval)
 	}
 	if o.output == "json" {
 		return printJSON(out, &api.ApplyPlacementResponse{Version: version})
 	}
 	fmt.Fprintf(out, "version %d accepted\n", version)
-	for _, p := range places {
+	for _, p := range states {
 		fmt.Fprintln(out, p)
 	}
 	return nil
@@ -233,7 +237,7 @@
 	var after uint64
 	cmd := &cobra.Command{
 		Use:   "history",
-		Short: "List accepted changes",
+		Short: "List the accepted changes of the placement",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
--- a/pkg/operatorcli/rollout.go
+++ b/pkg/operatorcli/rollout.go
@@ -24,18 +24,18 @@
 	var duration time.Duration
 	cmd := &cobra.Command{
 		Use:   "start SERVICE VERSION",
-		Short: "Order a roll-out: a few requests first, all once enough is known, none as soon as the version is bad",
+		Short: "Order a roll-out: a few requests first, then all, or none if the version proves bad",
 		Args:  cobra.ExactArgs(2),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			request.Service, request.Version, request.DurationMs = args[0], args[1], duration.Milliseconds()
-			return o.rollouts(cmd.OutOrStdout(), func(ctx context.Context, client api.OperatorsClient) (*api.RolloutsResponse, error) {
+			return o.printRollouts(cmd.OutOrStdout(), func(ctx context.Context, client api.OperatorsClient) (*api.RolloutsResponse, error) {
 				return client.StartRollout(ctx, request)
 			})
 		},
 	}
 	cmd.Flags().DurationVar(&duration, "duration", 0, "time from the order to its deadline, 12s to 720h")
-	_ = cmd.MarkFlagRequired("duration") // fails only where there is no such flag
-	changeFlags(cmd, &request.Author, &request.ChangeId)
+	_ = cmd.MarkFlagRequired("duration") // fails only if the flag does not exist
+	addChangeFlags(cmd, &request.Author, &request.ChangeId)
 	return cmd
 }
 
@@ -43,16 +43,16 @@
 	request := &api.CancelRolloutRequest{}
 	cmd := &cobra.Command{
 		Use:   "cancel SERVICE",
-		Short: "Take the order of a service away, which rolls back what has not ended",
+		Short: "Cancel the order of a service and roll back its roll-out if it has not ended",
 		Args:  cobra.ExactArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			request.Service = args[0]
-			return o.rollouts(cmd.OutOrStdout(), func(ctx context.Context, client api.OperatorsClient) (*api.RolloutsResponse, error) {
+			return o.printRollouts(cmd.OutOrStdout(), func(ctx context.Context, client api.OperatorsClient) (*api.RolloutsResponse, error) {
 				return client.CancelRollout(ctx, request)
 			})
 		},
 	}
-	changeFlags(cmd, &request.Author, &request.ChangeId)
+	addChangeFlags(cmd, &request.Author, &request.ChangeId)
 	return cmd
 }
 
@@ -62,23 +62,23 @@
 		Short: "Show the roll-outs that a daemon knows of",
 		Args:  cobra.MaximumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return o.rollouts(cmd.OutOrStdout(), func(ctx context.Context, client api.OperatorsClient) (*api.RolloutsResponse, error) {
+			return o.printRollouts(cmd.OutOrStdout(), func(ctx context.Context, client api.OperatorsClient) (*api.RolloutsResponse, error) {
 				return client.GetRollouts(ctx, &api.GetRolloutsRequest{Service: strings.Join(args, "")})
 			})
 		},
 	}
 }
 
-// changeFlags are the flags of a change.
-func changeFlags(cmd *cobra.Command, author, changeID *string) {
-	cmd.Flags().StringVar(author, "author", defaultAuthor(), "your name; with TLS the name in your certificate goes before it")
-	cmd.Flags().StringVar(changeID, "change-id", uuid.NewString(), "give the same id again to repeat a change whose outcome was unknown")
+// addChangeFlags adds the flags that all commands with a change have.
+func addChangeFlags(cmd *cobra.Command, author, changeID *string) {
+	cmd.Flags().StringVar(author, "author", defaultAuthor(), "your name; with TLS, the name in your certificate is used instead")
+	cmd.Flags().StringVar(changeID, "change-id", uuid.NewString(), "id of the change; give the same id to repeat a change whose outcome is unknown")
 }
 
-// rollouts makes a call and prints the roll-outs that it answers.
-func (o *options) rollouts(out io.Writer, do func(context.Context, api.OperatorsClient) (*api.RolloutsResponse, error)) error {
+// printRollouts sends a request to the daemon and prints the roll-outs in the response.
+func (o *options) printRollouts(out io.Writer, request func(context.Context, api.OperatorsClient) (*api.RolloutsResponse, error)) error {
 	return o.call(func(ctx context.Context, client api.OperatorsClient) error {
-		answer, err := do(ctx, client)
+		answer, err := request(ctx, client)
 		if err != nil {
 			return err
 		}
@@ -95,7 +95,7 @@
 	})
 }
 
-// printRollout prints the lines of one roll-out.
+// printRollout prints the state of one roll-out.
 func printRollout(out io.Writer, r *api.Rollout) {
 	fmt.Fprintf(out, "roll-out of %s to %s: %s (%s), order %d\n", r.GetService(), r.GetTarget(), r.GetPhase(), r.GetCause(), r.GetOrder())
 	if r.GetStopped() {
--- a/pkg/operatorcli/status.go
+++ b/pkg/operatorcli/status.go
@@ -27,55 +27,61 @@
 	return err
 }
 
-// place is how far a version has come in one data centre.
-type place struct {
+// dataCentreState counts the daemons of one data centre that have a placement version.
+type dataCentreState struct {
 	dataCentre string
-	inForce    int
-	behind     []string
-	// unheard are members that this daemon has no link with.
-	unheard int
+	// inForce counts the daemons at which the version is in force. behind names the VMs
+	// of those with an older version.
+	inForce int
+	behind  []string
+	// unlinked counts the members that are leaving or have no link with the daemon asked.
+	unlinked int
 }
 
-// String is the line for operators.
-func (p place) String() string {
+// String returns the line of the output for operators.
+func (p dataCentreState) String() string {
 	switch {
 	case len(p.behind) > 0:
 		return fmt.Sprintf("  %s: not yet in force at %v", p.dataCentre, p.behind)
 	case p.inForce == 0:
-		return fmt.Sprintf("  %s: not known; this daemon hears of nobody there", p.dataCentre)
-	case p.unheard > 0:
-		return fmt.Sprintf("  %s: in force at all %d daemons heard of; %d others have no link with this one", p.dataCentre, p.inForce, p.unheard)
+		return fmt.Sprintf("  %s: not known; this daemon has no link to a daemon there", p.dataCentre)
+	case p.unlinked > 0:
+		return fmt.Sprintf("  %s: in force at all %d linked daemons; %d others are leaving or have no link with this one", p.dataCentre, p.inForce, p.unlinked)
 	}
 	return fmt.Sprintf("  %s: in force at all %d daemons", p.dataCentre, p.inForce)
 }
 
-func placesOf(in *api.StatusResponse, version uint64) []place {
-	by := map[string]*place{}
+// statesByDataCentre returns how far a placement version is in force, ordered by the names
+// of the data centres.
+func statesByDataCentre(in *api.StatusResponse, version uint64) []dataCentreState {
+	byName := map[string]*dataCentreState{}
 	for _, m := range in.GetMembers() {
-		p := by[m.GetDataCentre()]
+		p := byName[m.GetDataCentre()]
 		if p == nil {
-			p = &place{dataCentre: m.GetDataCentre()}
-			by[m.GetDataCentre()] = p
+			p = &dataCentreState{dataCentre: m.GetDataCentre()}
+			byName[m.GetDataCentre()] = p
 		}
 		switch {
 		case !m.GetLinked() || m.GetLeaving():
-			p.unheard++
+			p.unlinked++
 		case m.GetPlacement() >= version:
 			p.inForce++
 		default:
 			p.behind = append(p.behind, m.GetVm())
 		}
 	}
-	out := make([]place, 0, len(by))
-	for _, p := range by {
+	out := make([]dataCentreState, 0, len(byName))
+	for _, p := range byName {
 		out = append(out, *p)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].dataCentre < out[j].dataCentre })
 	return out
 }
 
-func allInForce(places []place) bool {
-	for _, p := range places {
+// allInForce reports whether the version is in force at all linked daemons, and at one
+// daemon at least in each data centre.
+func allInForce(states []dataCentreState) bool {
+	for _, p := range states {
 		if len(p.behind) > 0 || p.inForce == 0 {
 			return false
 		}
@@ -86,7 +92,7 @@
 func statusCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "status",
-		Short: "Show what a daemon knows of itself and of the others",
+		Short: "Show the state of a daemon and of the members that it knows",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
@@ -105,14 +111,14 @@
 }
 
 func printStatus(out io.Writer, s *api.StatusResponse) {
-	fmt.Fprintf(out, "%s in %s: %s, placement version %d\n", s.GetVm(), s.GetDataCentre(), condition(s), s.GetPlacement())
+	fmt.Fprintf(out, "%s in %s: %s, placement version %d\n", s.GetVm(), s.GetDataCentre(), daemonState(s), s.GetPlacement())
 	if s.GetSlots() > 0 {
 		fmt.Fprintf(out, "gate of %s: %d running, %d queued, limit %d of %d slots\n", s.GetService(), s.GetRunning(), s.GetQueued(), s.GetLimit(), s.GetSlots())
 	}
 	if s.GetStoreAgeMs() >= 0 {
-		fmt.Fprintf(out, "newest word of the store: %v ago\n", time.Duration(s.GetStoreAgeMs())*time.Millisecond)
+		fmt.Fprintf(out, "newest state of the store: read %v ago\n", time.Duration(s.GetStoreAgeMs())*time.Millisecond)
 	} else {
-		fmt.Fprintln(out, "no word of the store yet")
+		fmt.Fprintln(out, "newest state of the store: not read yet")
 	}
 	if len(s.GetEvacuated()) > 0 {
 		fmt.Fprintf(out, "evacuated: %s (revision %d)\n", strings.Join(s.GetEvacuated(), ", "), s.GetEvacuationRevision())
@@ -120,16 +126,17 @@
 	for _, r := range s.GetRollouts() {
 		printRollout(out, r)
 	}
-	fmt.Fprintf(out, "measuring: %.0f of %.0f bytes/s\n", s.GetMeasureBytesPerS(), s.GetMeasureBytesAgreed())
+	fmt.Fprintf(out, "load reports: %.0f of at most %.0f bytes/s\n", s.GetMeasureBytesPerS(), s.GetMeasureBytesAgreed())
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "vm\tdata centre\tservice\tstate\tplacement")
 	for _, m := range s.GetMembers() {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", m.GetVm(), m.GetDataCentre(), m.GetService(), memberState(m), versionOr(m.GetPlacement()))
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\n", m.GetVm(), m.GetDataCentre(), m.GetService(), memberState(m), versionOrDash(m.GetPlacement()))
 	}
 	_ = w.Flush()
 }
 
-func condition(s *api.StatusResponse) string {
+// daemonState says whether the daemon accepts calls.
+func daemonState(s *api.StatusResponse) string {
 	switch {
 	case s.GetLeaving():
 		return "leaving"
@@ -151,7 +158,7 @@
 	return "listed"
 }
 
-func versionOr(version uint64) string {
+func versionOrDash(version uint64) string {
 	if version == 0 {
 		return "-"
 	}
@@ -161,7 +168,7 @@
 func explainCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "explain SERVICE METHOD PATH",
-		Short: "Say why a call would go where",
+		Short: "Explain to which backend servers a call would go, and why",
 		Args:  cobra.ExactArgs(3),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
@@ -188,7 +195,7 @@
 		printRollout(out, e.GetRollout())
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "vm\tdata centre\treason\tat gate\tours\trun ms\texpected ms")
+	fmt.Fprintln(w, "vm\tdata centre\treason\tat gate\tfrom here\trun ms\texpected ms")
 	for _, c := range e.GetCandidates() {
 		expected := "-"
 		if c.GetExpectedUs() >= 0 {
@@ -210,7 +217,7 @@
 			if _, err := settings.Load(args[0]); err != nil {
 				return err
 			}
-			fmt.Fprintf(cmd.OutOrStdout(), "%s is right\n", args[0])
+			fmt.Fprintf(cmd.OutOrStdout(), "%s is valid\n", args[0])
 			return nil
 		},
 	})
--- a/pkg/operatorcli/teams.go
+++ b/pkg/operatorcli/teams.go
@@ -21,7 +21,7 @@
 func teamsCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "teams",
-		Short: "Show the teams, their limits, and who counts their requests",
+		Short: "Show the teams, their limits, and which daemons count their requests",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
 			return o.call(func(ctx context.Context, client api.OperatorsClient) error {
@@ -39,16 +39,18 @@
 }
 
 func printTeams(out io.Writer, in *api.TeamsResponse) error {
-	fmt.Fprintf(out, "placement version %d, newest proof of it: %s\n", in.GetVersion(), proofAge(in.GetProofAgeMs()))
-	fmt.Fprintf(out, "requests here: %d let in, %d over a limit, %d that nobody answered for\n", in.GetGranted(), in.GetRefused(), in.GetUnsure())
+	fmt.Fprintf(out, "placement version %d, last confirmed: %s\n", in.GetVersion(), proofAge(in.GetProofAgeMs()))
+	fmt.Fprintf(out, "requests here: %d admitted, %d over a limit, %d without an answer from a counter\n", in.GetGranted(), in.GetRefused(), in.GetUnsure())
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(table, "team\tpriority\tkeys\trate\tburst\tcounted by\tpart here\ttokens here")
+	fmt.Fprintln(table, "team\tpriority\tkeys\trate\tburst\tcounted by\tshare here\ttokens here")
 	for _, t := range in.GetTeams() {
 		fmt.Fprintf(table, "%s\t%d\t%d\t%g\t%g\t%s\t%.2f\t%.1f\n", t.GetName(), t.GetPriority(), t.GetKeys(), t.GetRate(), t.GetBurst(), t.GetCounter(), t.GetPart(), t.GetTokens())
 	}
 	return table.Flush()
 }
 
+// proofAge formats the time since the placement was last confirmed to be the one in
+// force; below 0: it never was.
 func proofAge(ms int64) string {
 	if ms < 0 {
 		return "none yet"
@@ -56,7 +58,7 @@
 	return (time.Duration(ms) * time.Millisecond).String() + " ago"
 }
 
-// keyBytes is the length of a new key: nobody guesses 192 random bits.
+// keyBytes is the length of a new key; 192 random bits cannot be guessed.
 const keyBytes = 24
 
 func keyCommand() *cobra.Command {
@@ -66,11 +68,11 @@
 		Short: "Make a key; it is shown once, and only its digest goes into a placement",
 		Args:  cobra.NoArgs,
 		RunE: func(cmd *cobra.Command, _ []string) error {
-			bytes := make([]byte, keyBytes)
-			if _, err := rand.Read(bytes); err != nil {
-				return errors.Wrap(err, "no random bytes for a key")
+			random := make([]byte, keyBytes)
+			if _, err := rand.Read(random); err != nil {
+				return errors.Wrap(err, "cannot read random bytes for a key")
 			}
-			key := base64.RawURLEncoding.EncodeToString(bytes)
+			key := base64.RawURLEncoding.EncodeToString(random)
 			_, err := fmt.Fprintf(cmd.OutOrStdout(), "key:    %s\ndigest: %s\n", key, teams.DigestOf(key))
 			return err
 		},
@@ -84,7 +86,7 @@
 				_, err = fmt.Fprintln(cmd.OutOrStdout(), teams.DigestOf(key))
 				return err
 			}
-			return errors.Wrap(err, "no key came on standard input; write one line that holds it")
+			return errors.Wrap(err, "no key on standard input; write it as one line")
 		},
 	})
 	return root
--- a/pkg/operatorcli/teams_test.go
+++ b/pkg/operatorcli/teams_test.go
@@ -12,8 +12,8 @@
 	"github.com/rushramp/rushramp/pkg/teams"
 )
 
-// runKey runs a sub-command of key.
-func runKey(t *testing.T, in string, args ...string) (string, error) {
+// runKeyCommand runs a sub-command of key with a standard input and returns its output.
+func runKeyCommand(t *testing.T, in string, args ...string) (string, error) {
 	var out bytes.Buffer
 	c := keyCommand()
 	c.SetArgs(args)
@@ -24,27 +24,27 @@
 	return out.String(), err
 }
 
-func TestKeysAreMadeWithTheirDigests(t *testing.T) {
-	made, err := runKey(t, "", "new")
+func TestKeyNewPrintsTheDigest(t *testing.T) {
+	output, err := runKeyCommand(t, "", "new")
 	must.NoError(t, err)
-	fields := strings.Fields(made)
+	fields := strings.Fields(output)
 	must.Len(t, 4, fields)
 	test.Eq(t, teams.DigestOf(fields[1]).String(), fields[3])
-	digest, err := runKey(t, fields[1]+"\n", "digest")
+	digest, err := runKeyCommand(t, fields[1]+"\n", "digest")
 	must.NoError(t, err)
 	test.Eq(t, fields[3]+"\n", digest)
-	_, err = runKey(t, "", "digest")
+	_, err = runKeyCommand(t, "", "digest")
 	test.Error(t, err)
-	again, err := runKey(t, "", "new")
+	otherOutput, err := runKeyCommand(t, "", "new")
 	must.NoError(t, err)
-	test.NotEq(t, made, again)
+	test.NotEq(t, output, otherOutput)
 }
 
-func TestTeamsArePrinted(t *testing.T) {
+func TestPrintTeams(t *testing.T) {
 	var out bytes.Buffer
 	must.NoError(t, printTeams(&out, &api.TeamsResponse{Version: 7, ProofAgeMs: -1, Granted: 3, Teams: []*api.Team{
 		{Name: "red", Priority: 1, Keys: 2, Rate: 20, Burst: 10, Counter: "vm-1", Part: 0.5, Tokens: 4},
 	}}))
-	test.StrContains(t, out.String(), "placement version 7, newest proof of it: none yet")
-	test.StrContains(t, out.String(), "red   1         2     20    10     vm-1        0.50       4.0")
+	test.StrContains(t, out.String(), "placement version 7, last confirmed: none yet")
+	test.StrContains(t, out.String(), "red   1         2     20    10     vm-1        0.50        4.0")
 }
--- a/pkg/operatorcli/trace.go
+++ b/pkg/operatorcli/trace.go
@@ -11,7 +11,8 @@
 	"github.com/rushramp/rushramp/pkg/trace"
 )
 
-// traceCommand makes "rushramp trace". It reads logs and asks no daemon.
+// traceCommand returns the command "rushramp trace", which reads log files and calls no
+// daemon.
 func traceCommand(o *options) *cobra.Command {
 	return &cobra.Command{
 		Use:   "trace REQUEST [FILE...]",
@@ -25,21 +26,21 @@
 			for _, path := range args[1:] {
 				file, err := os.Open(path)
 				if err != nil {
-					return errors.Errorf("%v. Give files with logs of rushrampd.", err)
+					return errors.Errorf("%v. Name log files of rushrampd.", err)
 				}
 				defer func() { _ = file.Close() }()
 				inputs = append(inputs, file)
 			}
-			account, err := trace.Read(args[0], inputs...)
+			report, err := trace.Read(args[0], inputs...)
 			if err != nil {
 				return err
 			}
 			if o.output == "json" {
 				encoder := json.NewEncoder(cmd.OutOrStdout())
 				encoder.SetIndent("", "  ")
-				return encoder.Encode(account)
+				return encoder.Encode(report)
 			}
-			return account.WriteText(cmd.OutOrStdout())
+			return report.WriteText(cmd.OutOrStdout())
 		},
 	}
 }
--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// Load reads and checks a settings file. An error names the file, the line and
-// the field, and says what is allowed.
+// Load reads and validates a settings file. Its errors name the file, the line and the
+// field, and say which values are allowed.
 func Load(path string) (Settings, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -26,7 +26,8 @@
 	return out, errors.Wrapf(err, "%s", path)
 }
 
-// Parse checks the text of a settings file over the defaults.
+// Parse parses and validates the text of a settings file. Settings that it does not name
+// keep their defaults.
 func Parse(text []byte) (Settings, error) {
 	out := Default()
 	if err := DecodeStrict(text, &out); err != nil {
@@ -35,46 +36,46 @@
 	if err := out.checkPlainText(); err != nil {
 		return Settings{}, err
 	}
-	if err := out.checkBodies(); err != nil {
+	if err := out.checkBodyLimits(); err != nil {
 		return Settings{}, err
 	}
 	return out, nil
 }
 
-// DecodeStrict decodes YAML into out, refuses unknown fields, and checks the
-// validate tags. Its errors hold line, column and an excerpt.
+// DecodeStrict decodes YAML into out, a pointer to a struct. It refuses unknown fields and
+// checks the validate tags. Its errors contain the line, the column and an excerpt.
 func DecodeStrict(text []byte, out any) error {
-	check, err := newValidator()
+	validate, err := newValidate()
 	if err != nil {
 		return err
 	}
 	root := reflect.TypeOf(out).Elem().Name()
-	dec := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict(), yaml.Validator(explainer{check, root}))
+	dec := yaml.NewDecoder(bytes.NewReader(text), yaml.Strict(), yaml.Validator(structValidator{validate, root}))
 	if err := dec.Decode(out); err != nil {
 		return errors.New(strings.TrimRight(yaml.FormatError(err, false, true), "\n"))
 	}
-	// The decoder checks only the structs that the text mentions.
-	return explainer{check, root}.Struct(out)
+	// The decoder validates only the structs that the text mentions.
+	return structValidator{validate, root}.Struct(out)
 }
 
-// explainer turns the validator's terse errors into sentences. The decoder
-// adds line and excerpt for the field that is wrong.
-type explainer struct {
-	check *validator.Validate
+// structValidator validates structs for the YAML decoder and returns errors as sentences, to
+// which the decoder adds the line and an excerpt.
+type structValidator struct {
+	validate *validator.Validate
 	// root is the name of the outermost struct, which paths leave out.
 	root string
 }
 
 // Struct implements yaml.StructValidator.
-func (e explainer) Struct(v any) error {
-	err := e.check.Struct(v)
+func (s structValidator) Struct(v any) error {
+	err := s.validate.Struct(v)
 	var fields validator.ValidationErrors
 	if !errors.As(err, &fields) {
 		return err
 	}
 	out := make(fieldErrors, 0, len(fields))
 	for _, field := range fields {
-		out = append(out, fieldError{field, e.root})
+		out = append(out, fieldError{field, s.root})
 	}
 	return out
 }
@@ -90,7 +91,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// fieldError is one field's fault. StructField tells the decoder where it stands.
+// fieldError is the error of one field. The decoder finds the line of the field by its
+// method StructField.
 type fieldError struct {
 	validator.FieldError
 	root string
@@ -102,10 +104,11 @@
 	if section != f.root {
 		path = snakeCase(section) + "." + path
 	}
-	return fmt.Sprintf("%s: %v is not allowed. %s", path, f.Value(), allowed(f.Tag(), f.Param()))
+	return fmt.Sprintf("%s: %v is not allowed. %s", path, f.Value(), advice(f.Tag(), f.Param()))
 }
 
-func allowed(tag, param string) string {
+// advice says how to correct a value that the validate tag refuses.
+func advice(tag, param string) string {
 	switch tag {
 	case "required":
 		return "Give a value."
@@ -125,26 +128,26 @@
 	return "It must satisfy " + tag + " " + param + "."
 }
 
-func newValidator() (*validator.Validate, error) {
-	check := validator.New(validator.WithRequiredStructEnabled())
-	check.RegisterTagNameFunc(yamlName)
-	err := check.RegisterValidation("ip_port", func(fl validator.FieldLevel) bool {
+func newValidate() (*validator.Validate, error) {
+	validate := validator.New(validator.WithRequiredStructEnabled())
+	validate.RegisterTagNameFunc(yamlName)
+	err := validate.RegisterValidation("ip_port", func(fl validator.FieldLevel) bool {
 		_, parseErr := netip.ParseAddrPort(fl.Field().String())
 		return parseErr == nil
 	})
-	return check, errors.Wrap(err, "settings checks")
+	return validate, errors.Wrap(err, "settings checks")
 }
 
-// checkBodies refuses a bound of bodies that keeps the largest one allowed out for good.
-func (s *Settings) checkBodies() error {
+// checkBodyLimits refuses a limits.bodies_bytes below the maximum size of a single body.
+func (s *Settings) checkBodyLimits() error {
 	if l := &s.Limits; l.BodiesBytes < l.MaxBodyBytes {
-		return errors.Errorf("limits.bodies_bytes: %d is less than limits.max_body_bytes, %d, so that the largest bodies would never be taken. Raise the one or lower the other.", l.BodiesBytes, l.MaxBodyBytes)
+		return errors.Errorf("limits.bodies_bytes: %d is less than limits.max_body_bytes, %d, so that the largest bodies would always be refused. Raise the one or lower the other.", l.BodiesBytes, l.MaxBodyBytes)
 	}
 	return nil
 }
 
-// checkPlainText refuses listeners for daemons and operators that are open to
-// the network without TLS, unless the settings say so in plain words.
+// checkPlainText refuses listeners for daemons and operators that are open to the network
+// without TLS, unless tls.plain_text_on_the_network is set.
 // Source: docs/design/keeping-others-out.md.
 func (s *Settings) checkPlainText() error {
 	if s.TLS.Cert != "" || s.TLS.PlainTextOnTheNetwork {
@@ -171,8 +174,8 @@
 	return name
 }
 
-// snakeCase turns a Go struct's name into its settings section, as in
-// BackendServer to backend_server.
+// snakeCase turns the name of a Go struct into that of its settings section: BackendServer
+// becomes backend_server.
 func snakeCase(name string) string {
 	var out strings.Builder
 	lower := false
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -1,28 +1,28 @@
-// Package settings holds the daemon's settings: one commented struct, its
-// defaults, and the checks. docs/SETTINGS.md is generated from this file.
+// Package settings defines, loads and validates the daemon's settings.
+// docs/SETTINGS.md is generated from the comments, tags and defaults in this file.
 package settings
 
 import (
 	"time"
 )
 
-// Settings is everything that one rushrampd reads at its start. Durations are
-// written as in "10ms" or "2s".
+// Settings is the content of the settings file that rushrampd reads at its start.
+// Durations are written as in "10ms" or "2s".
 type Settings struct {
 	// The identity of the VM that this daemon runs on.
 	VM VM `yaml:"vm"`
 	// The addresses that this daemon listens on.
 	Listen Listen `yaml:"listen"`
-	// The backend server that this daemon guards. Without an address the daemon
-	// is an entry only.
+	// The backend server beside this daemon. Without an address the daemon is an entry
+	// only: it forwards calls and runs none.
 	BackendServer BackendServer `yaml:"backend_server"`
 	// The platform's table service, object store and VM list.
 	Platform Platform `yaml:"platform"`
-	// How a backend server is chosen.
+	// The policy that chooses a backend server for a call.
 	Choosing Choosing `yaml:"choosing"`
 	// Requests that are routed by host and path.
 	Routing Routing `yaml:"routing"`
-	// Teams, their keys and limits.
+	// Limits and keys of teams.
 	Teams Teams `yaml:"teams"`
 	// Links between daemons.
 	Links Links `yaml:"links"`
@@ -30,39 +30,39 @@
 	Gate Gate `yaml:"gate"`
 	// Retries and hedges.
 	Retries Retries `yaml:"retries"`
-	// Calls that may never be repeated.
+	// Calls that may run at most once.
 	Once Once `yaml:"once"`
 	// How the placement is kept up to date.
 	Placement Placement `yaml:"placement"`
-	// The budget for measuring load.
+	// The bandwidth for load reports.
 	Measurement Measurement `yaml:"measurement"`
-	// Bounds on what callers may send.
+	// Limits on requests and connections.
 	Limits Limits `yaml:"limits"`
-	// How the daemon leaves.
+	// How the daemon drains before it ends.
 	Drain Drain `yaml:"drain"`
 	// Certificates for daemons and operators.
 	TLS TLS `yaml:"tls"`
-	// Who may change which placements.
+	// The operators and what they may change. Empty: everybody who reaches the listener may change everything.
 	Operators []Operator `yaml:"operators" validate:"dive"`
 	// The log.
 	Log Log `yaml:"log"`
-	// Time between two runs of the systems.
+	// Interval of the daemon's periodic work.
 	Tick time.Duration `yaml:"tick" validate:"min=1ms,max=1s"`
 }
 
-// VM names the VM and where it stands.
+// VM holds the name and the location of the VM.
 type VM struct {
-	// Name of the VM, as the platform's list of VMs gives it.
+	// Name of the VM in the platform's list of VMs.
 	ID string `yaml:"id" validate:"required"`
 	// Region that the data centre belongs to.
 	Region string `yaml:"region"`
-	// Data centre that this VM stands in.
+	// Data centre of this VM.
 	DataCentre string `yaml:"data_centre" validate:"required"`
 }
 
 // Listen holds the addresses of the listeners, each an IP number and a port.
 type Listen struct {
-	// Callers' HTTP requests.
+	// HTTP requests of callers.
 	Callers string `yaml:"callers" validate:"required,ip_port"`
 	// Links from other daemons.
 	Links string `yaml:"links" validate:"required,ip_port"`
@@ -70,101 +70,101 @@
 	Operators string `yaml:"operators" validate:"required,ip_port"`
 	// Metrics, health and readiness over HTTP.
 	Metrics string `yaml:"metrics" validate:"required,ip_port"`
-	// Requests that are routed by host and path; empty: none are taken.
+	// HTTP requests that are routed by host and path. Empty: not served.
 	Routed string `yaml:"routed" validate:"omitempty,ip_port"`
-	// Readiness alone, for a platform that asks elsewhere than at metrics; empty: not served.
+	// Readiness checks of the platform, if it does not make them at the metrics address. Empty: not served.
 	Readiness string `yaml:"readiness" validate:"omitempty,ip_port"`
-	// Announcements of the backend server beside this daemon; empty: it announces nothing.
+	// Announcements of the backend server beside this daemon. Empty: not served.
 	Announcements string `yaml:"announcements" validate:"omitempty,ip_port"`
 }
 
-// BackendServer describes the backend server beside this daemon.
+// BackendServer holds the settings of the backend server beside this daemon.
 type BackendServer struct {
 	// Service that the backend server runs.
 	Service string `yaml:"service" validate:"required_with=Address"`
-	// Address of the backend server; empty for a daemon that is an entry only.
+	// Address of the backend server. Empty: the daemon is an entry only.
 	Address string `yaml:"address" validate:"omitempty,ip_port"`
-	// Version of the service's program that the backend server runs, as operators name it in roll-outs; empty: it takes part in none. Only with platform.form "http" and without listen.routed: elsewhere backend servers announce their version.
+	// Version that the backend server runs, by the name that operators use in roll-outs. Empty: it takes part in no roll-out. Allowed only with platform.form "http" and without listen.routed; otherwise backend servers announce their version.
 	Version string `yaml:"version" validate:"max=256"`
-	// Number of calls that the backend server runs at once.
+	// Number of calls that the backend server runs concurrently.
 	Slots int `yaml:"slots" validate:"min=1,max=10000"`
-	// Largest number of connections that the daemon opens to it.
+	// Maximum number of connections that the daemon opens to the backend server.
 	Connections int `yaml:"connections" validate:"min=1,max=10000"`
-	// Time to open a connection before the backend server counts as unreachable.
+	// Timeout for opening a connection, after which the backend server counts as unreachable.
 	DialTimeout time.Duration `yaml:"dial_timeout" validate:"min=1ms"`
-	// Path that takes cancellations, with the call's id appended; empty when the backend server takes none.
+	// Path to which the daemon sends cancellations, with the id of the call appended. Empty: it sends none.
 	CancelPath string `yaml:"cancel_path"`
 }
 
-// Platform says how the platform is reached.
+// Platform holds the settings of the connection to the platform.
 type Platform struct {
 	// Address of the platform's HTTP service.
 	Address string `yaml:"address" validate:"required,ip_port"`
-	// Longest wait for one answer of the platform.
+	// Timeout of one request to the platform.
 	Timeout time.Duration `yaml:"timeout" validate:"min=1ms"`
-	// Time between two reads of the list of VMs.
+	// Interval at which the list of VMs is read.
 	VMListEvery time.Duration `yaml:"vm_list_every" validate:"min=10ms"`
-	// Name of the adapter that speaks to the platform; "http" is the product's own.
+	// Name of the adapter for the platform. "http" is the adapter for rushramp's own HTTP interface.
 	Form string `yaml:"form" validate:"required"`
-	// True when the whole system starts for the first time, so that nothing of an earlier run binds. Daemons then learn of each other before most of them ask the store, and have their first placement some three seconds after they start.
+	// True when all daemons of the deployment start for the first time, so that no state of earlier processes has to be respected. Daemons then connect to each other before most of them read the store, and have their first placement about three seconds after they start.
 	FirstStart bool `yaml:"first_start"`
-	// Least time between the end of a daemon's process and the start of the next one, as the platform keeps it. What the one before may have started at a cold backend server counts as started by then; a VM that starts together with its backend server loses a second to that where it is shorter than the daemon's own start takes.
+	// Minimum time that the platform leaves between the end of a daemon's process and the start of the next one. The new process assumes that the previous one was active until then: it counts the requests that the previous one may have started at a cold backend server, and waits until leases of the previous one have expired. If it is shorter than the start of the daemon takes, a backend server that starts together with its VM gets its first requests up to a second later.
 	RestartAfter time.Duration `yaml:"restart_after" validate:"min=0"`
-	// What the platform holds all daemons to, each entry name=value; those that the adapter knows go before the settings under routing.
+	// Bounds that the platform sets for all daemons, each as name=value. Those that the adapter knows override the settings under routing and teams; others are ignored.
 	Bounds []string `yaml:"bounds"`
 }
 
 // Routing holds the settings of requests that are routed by host and path.
 type Routing struct {
-	// Attempts that a slowed or nearly full backend server's gate refuses at once, before one may queue.
+	// Number of attempts of a request that are soft: the gate of a slow or nearly full backend server refuses them at once. Later attempts may wait in the gate's queue.
 	SoftAttempts int `yaml:"soft_attempts" validate:"min=0,max=10"`
-	// Slowdown, 1 for none, above which a gate refuses soft attempts.
+	// Slowdown of the backend server above which its gate refuses soft attempts, as a factor; 1 is normal speed.
 	SoftSlowdown float64 `yaml:"soft_slowdown" validate:"min=1"`
-	// Share of a backend server's slots that its gate uses: work slows for all runs of one that is nearly full.
+	// Share of a backend server's slots that its gate uses. A backend server that uses nearly all of its slots runs all requests more slowly.
 	Use float64 `yaml:"use" validate:"min=0.1,max=1"`
-	// What the dearest crossing of a request costs, as a share of its target latency: to another region or, in a deployment of one, to another data centre.
+	// Cost of sending a request of mean size to another region, as a share of its target latency. In a deployment with a single region, the cost of sending it to another data centre.
 	LeaveCost float64 `yaml:"leave_cost" validate:"min=0,max=10"`
-	// What a crossing to another data centre of the own region costs of that, as bytes there cost of bytes between regions; 0: told by the links, as the round trip there is of that to other regions.
+	// Cost of sending a request to another data centre of the same region, as a share of the cost of sending it to another region. 0: the ratio of the measured round trip times of the links.
 	RegionShare float64 `yaml:"region_share" validate:"min=0,max=1"`
-	// Region of each data centre, for placements that name regions. The own one is known from vm.
+	// Region of each data centre, for placements that name regions. The data centre of this VM is known from vm.
 	Regions map[string]string `yaml:"regions"`
-	// When callers that found all backend servers full are told to come back.
+	// Retry-After that callers receive when all backend servers are full.
 	RetryAfter time.Duration `yaml:"retry_after" validate:"min=1ms"`
-	// Retries that reach a backend server, per request of the service.
+	// Allowed retries that reach a backend server, per request of the service.
 	RetryRatio float64 `yaml:"retry_ratio" validate:"min=0,max=1"`
-	// Retries of all daemons together that a service may save up besides.
+	// Number of retries that a service may use beyond retry_ratio, over all daemons.
 	RetrySlack int `yaml:"retry_slack" validate:"min=0"`
-	// Age of the backend server's own word on its speed after which its health path is asked.
+	// Age of the backend server's last load report after which the daemon checks its health path.
 	HealthEvery time.Duration `yaml:"health_every" validate:"min=10ms"`
-	// What asking it costs, as a time: a request that could start asks first where its run is expected to take that much longer, since a slow spell may have begun after the newest word.
+	// Cost of a health check, as a time. A request that could start triggers a check first if its run is expected to take longer by at least this time because the backend server may have become slower since its last load report.
 	LookCost time.Duration `yaml:"look_cost" validate:"min=0"`
-	// Longest time that a request waits for the answer of the health path.
+	// Maximum time that a request waits for a health check.
 	LookWithin time.Duration `yaml:"look_within" validate:"min=1ms"`
-	// Questions to the health path a second that starting requests may cause, in the mean.
+	// Mean number of health checks per second that starting requests may trigger.
 	LooksPerSecond int `yaml:"looks_per_second" validate:"min=0"`
-	// How many times what a cold backend server bears, by the placement's cold_rate, its gate starts in a second.
+	// Number of requests per second that the gate starts at a cold backend server, as a multiple of the service's cold_rate in the placement.
 	ColdFactor float64 `yaml:"cold_factor" validate:"min=0"`
-	// Starts in a second that a cold backend server may get besides.
+	// Number of requests per second that the gate may start at a cold backend server in addition to that.
 	ColdSlack float64 `yaml:"cold_slack" validate:"min=0"`
-	// Time that a drained daemon goes on taking requests.
+	// Time for which a draining daemon still accepts routed requests, so that callers notice that it is not ready.
 	Linger time.Duration `yaml:"linger" validate:"min=0"`
 }
 
-// Teams holds the settings of teams, whose keys and limits the placement names.
+// Teams holds the settings of teams. Their keys and limits are part of the placement.
 type Teams struct {
-	// Requests by which a team may exceed its limit in limit_window, over all daemons together. Half of it lets tokens lie unused at daemons, half makes up for those that are lost with the daemon that counts.
+	// Number of requests by which a team may exceed its limit within limit_window, over all daemons. One half covers tokens that daemons hold but have not used, the other half replaces tokens that are lost when the daemon that counts a team's requests fails.
 	LimitSlack float64 `yaml:"limit_slack" validate:"min=0"`
-	// The window in which that holds.
+	// Window to which limit_slack applies.
 	LimitWindow time.Duration `yaml:"limit_window" validate:"min=1s"`
-	// Time after which a key that was taken away lets no request in anywhere. A daemon that cannot tell for so long whether keys are in force refuses requests with keys; 0: it goes on letting them in.
+	// Time after which a revoked key is refused by all daemons. A daemon that could not confirm for this time that its placement is in force refuses all requests with keys. 0: it continues to accept the keys that it knows.
 	RevokeWithin time.Duration `yaml:"revoke_within" validate:"min=0"`
 }
 
 // Links holds the settings of links between daemons.
 type Links struct {
-	// Time without traffic after which a link carries a heartbeat; three missed ones end it. Above 32 VMs both are stretched with the fleet, up to four times.
+	// Time without traffic after which a daemon sends a heartbeat on a link. A link ends after three missed heartbeats. With more than 32 VMs both times grow with the number of VMs, up to four times.
 	Heartbeat time.Duration `yaml:"heartbeat" validate:"min=50ms"`
-	// VMs whose daemons a new daemon asks for members and the placement, each an IP number and a port. The port is passed over: links use that of listen.links, which is alike on all VMs.
+	// VMs whose daemons a new daemon asks for the members and the placement, each as an IP number and a port. The port is ignored: links use the port of listen.links, which is the same on all VMs.
 	Seeds []string `yaml:"seeds" validate:"dive,ip_port"`
 }
 
@@ -172,99 +172,99 @@
 type Choosing struct {
 	// Name of the policy.
 	Policy string `yaml:"policy" validate:"oneof=random round_robin least_outstanding hot_cold expected_wait idle_hints"`
-	// Whether the first attempt is refused at once by a gate that is busier than the entry believed.
+	// Whether a gate refuses the first attempt at once if it is busier than the entry assumed.
 	SoftFirst bool `yaml:"soft_first"`
-	// Number of backend servers up to which an entry works with all of a service.
+	// Number of backend servers of a service up to which an entry sends calls to all of them.
 	Subset int `yaml:"subset" validate:"min=2,max=1000"`
-	// Most backend servers of its own data centre that an entry works with in a larger service; 32 at most, and fewer with many lists, where routes of the service name data centres.
+	// Maximum number of backend servers of its own data centre to which an entry sends calls of a larger service. Where routes of the service name data centres, at most 32, and fewer with many different lists of data centres.
 	Near int `yaml:"near" validate:"min=1,max=1000"`
-	// Number of backend servers of other data centres of the region that it works with besides; more where the own one has few, so that there are half of choosing.subset in all.
+	// Number of backend servers of other data centres of the region to which an entry sends calls of a larger service. More if its own data centre has few, so that there are at least half of choosing.subset in total.
 	Far int `yaml:"far" validate:"min=0,max=1000"`
-	// Age at which a load report has lost most of its weight.
+	// Half-life of the weight of a load report.
 	StampHalfLife time.Duration `yaml:"stamp_half_life" validate:"min=1ms"`
 }
 
 // Gate holds the settings of the gate in front of the backend server.
 type Gate struct {
-	// Largest number of calls that wait at the gate.
+	// Maximum number of calls that wait at the gate.
 	QueueLength int `yaml:"queue_length" validate:"min=0,max=100000"`
-	// Longest expected wait that the gate accepts.
+	// Maximum expected wait of a call that the gate accepts.
 	QueueTime time.Duration `yaml:"queue_time" validate:"min=0"`
 	// Order in which waiting calls start.
 	Order string `yaml:"order" validate:"oneof=fifo edf priority slack"`
-	// Whether the limit falls below the slots while a noisy neighbour slows the backend server.
+	// Whether the gate runs fewer calls than there are slots while a noisy neighbour slows the backend server down.
 	Adaptive bool `yaml:"adaptive"`
 }
 
 // Retries holds the settings of retries and hedges.
 type Retries struct {
-	// Most attempts of one call, the first included.
+	// Maximum number of attempts of one call, including the first one.
 	Attempts int `yaml:"attempts" validate:"min=1,max=10"`
-	// Retries allowed per answered call, over the whole service.
+	// Retries allowed per answered call of a service.
 	Budget float64 `yaml:"budget" validate:"min=0,max=1"`
-	// Retries that a service may use before any call was answered.
+	// Number of retries and of hedges that a service may use before any call was answered.
 	BudgetFloor int `yaml:"budget_floor" validate:"min=0"`
-	// Hedges allowed per answered call of the kinds marked safe.
+	// Hedges allowed per answered call, for the kinds that are marked safe for hedging.
 	HedgeBudget float64 `yaml:"hedge_budget" validate:"min=0,max=1"`
-	// Quantile of the answer times after which a hedge is sent.
+	// Quantile of the response times after which a hedge is sent.
 	HedgeQuantile float64 `yaml:"hedge_quantile" validate:"min=0.5,max=0.9999"`
-	// Time that a call has when neither the caller nor the placement names one.
+	// Timeout of calls for which neither the caller nor the placement sets one.
 	DefaultTimeout time.Duration `yaml:"default_timeout" validate:"min=1ms"`
 }
 
-// Once holds the settings of calls that may never be repeated.
+// Once holds the settings of calls that may run at most once.
 type Once struct {
-	// Longest wait for the table service at a claim; a shorter deadline of the call goes first.
+	// Timeout for claiming a call in the table service. A shorter deadline of the call takes precedence.
 	Timeout time.Duration `yaml:"timeout" validate:"min=1ms"`
-	// Time for which an Idempotency-Key is remembered. A caller may not retry a key after it.
+	// Time for which an Idempotency-Key is stored. Callers must not retry with a key after that.
 	KeepFor time.Duration `yaml:"keep_for" validate:"min=1m"`
-	// Largest answer that is kept for a repeat, in bytes.
+	// Maximum size in bytes of an answer that is stored for retries of the same key.
 	StoredAnswerBytes int `yaml:"stored_answer_bytes" validate:"min=0"`
 }
 
-// Placement holds the settings of how placement versions are followed.
+// Placement holds the settings for reading and distributing placement versions.
 type Placement struct {
-	// Time between two reads of the head by a head reader.
+	// Interval at which a head reader reads the number of the newest version in the store.
 	HeadEvery time.Duration `yaml:"head_every" validate:"min=10ms"`
-	// Number of head readers per data centre.
+	// Number of daemons per data centre that are head readers.
 	HeadReaders int `yaml:"head_readers" validate:"min=1,max=10"`
-	// Number of daemons per data centre that follow a feed of placements, where the store has one; in a deployment of several regions, per region.
+	// Number of daemons that follow the store's feed of placements, if it has one: per data centre or, with several regions, per region.
 	FeedReaders int `yaml:"feed_readers" validate:"min=1,max=1000"`
-	// Time without news of the store or of other data centres after which strict kinds are refused.
+	// Time after which calls of strict kinds are refused if neither the store nor a reader of another data centre was heard.
 	UnsureAfter time.Duration `yaml:"unsure_after" validate:"min=100ms"`
-	// What a caller outside the allowed data centres receives.
+	// How calls are answered outside the allowed data centres of their kind.
 	Misplaced string `yaml:"misplaced" validate:"oneof=redirect refuse"`
 }
 
-// Measurement is the budget of this daemon for measuring load.
+// Measurement holds the settings for load reports.
 type Measurement struct {
-	// Bytes a second that load reports may take, those on answers included.
+	// Maximum bytes per second for load reports, including those on answers.
 	BytesPerSecond int `yaml:"bytes_per_second" validate:"min=0"`
 }
 
-// Limits bounds what one caller may send.
+// Limits holds limits on requests, connections and links.
 type Limits struct {
-	// Largest body of a request or an answer, in bytes.
+	// Maximum size of the body of a request or an answer, in bytes.
 	MaxBodyBytes int `yaml:"max_body_bytes" validate:"min=1024"`
-	// Bytes of request bodies that this daemon holds at once, those of its entry and of its executor together; at least limits.max_body_bytes. Requests beyond are refused as not run.
+	// Maximum bytes of request bodies that this daemon holds in memory, at its entry and its executor together. At least limits.max_body_bytes. Requests beyond that are refused and do not run.
 	BodiesBytes int `yaml:"bodies_bytes" validate:"min=1024"`
-	// Largest head of a request, in bytes.
+	// Maximum size of the headers of a request, in bytes.
 	MaxHeaderBytes int `yaml:"max_header_bytes" validate:"min=1024"`
-	// Routed requests of one connection that may be unanswered at once; 1: none runs beside another.
+	// Maximum number of unanswered routed requests per connection. 1: a connection's requests run one after another.
 	PipelinedRequests int `yaml:"pipelined_requests" validate:"min=1"`
-	// Bytes that the routed requests of one connection and their answers may hold while they wait for their turn, and bytes read ahead of it.
+	// Maximum bytes that are buffered per connection for routed requests and answers that wait for earlier answers, and maximum bytes that are read ahead.
 	PipelinedBytes int `yaml:"pipelined_bytes" validate:"min=4096"`
-	// Calls in flight from one caller address.
+	// Maximum number of calls in flight per IP number of a caller.
 	CallsPerCaller int `yaml:"calls_per_caller" validate:"min=1"`
-	// Links accepted from other daemons.
+	// Maximum number of links that are accepted from other daemons.
 	Links int `yaml:"links" validate:"min=1"`
 }
 
-// Drain says how the daemon leaves.
+// Drain holds the settings for the end of the daemon.
 type Drain struct {
-	// Longest time that calls in flight have to end.
+	// Maximum time that the daemon waits for calls in flight to end.
 	Bound time.Duration `yaml:"bound" validate:"min=0"`
-	// Time that the daemon keeps refusing with "leaving" before it closes its listeners.
+	// Minimum time for which the daemon refuses new calls with "leaving" before it closes its listeners.
 	Linger time.Duration `yaml:"linger" validate:"min=0"`
 }
 
@@ -274,34 +274,33 @@
 	Cert string `yaml:"cert" validate:"omitempty,file,required_with=Key CA"`
 	// Private key of this daemon, PEM.
 	Key string `yaml:"key" validate:"omitempty,file,required_with=Cert CA"`
-	// Authorities that sign the certificates of daemons and operators, PEM.
+	// Certificates of the authorities that sign the certificates of daemons and operators, PEM.
 	CA string `yaml:"ca" validate:"omitempty,file,required_with=Cert Key"`
-	// Set to true to run without TLS on addresses other than loopback.
+	// Whether the listeners for daemons and operators may be open to the network without TLS.
 	PlainTextOnTheNetwork bool `yaml:"plain_text_on_the_network"`
 }
 
-// Operator gives one operator rights. The list is empty when any operator who
-// reaches the listener may change anything.
+// Operator holds the rights of one operator.
 type Operator struct {
-	// Name in the operator's certificate, or the name that the command line sends on loopback.
+	// Common name of the operator's certificate. Without TLS, the name that the command line sends.
 	Name string `yaml:"name" validate:"required"`
-	// Services whose placement the operator may change; "*" stands for all.
+	// Services whose placement and roll-outs the operator may change. "*" stands for all services and includes the right to evacuate data centres.
 	Services []string `yaml:"services" validate:"required,min=1"`
 }
 
 // Log holds the settings of the log.
 type Log struct {
-	// Least severe level that is written.
+	// Lowest level of the lines that are written.
 	Level string `yaml:"level" validate:"oneof=debug info warn error"`
-	// Most lines a second. Routine lines are left out first; what is left out is counted in a line of its own.
+	// Maximum number of lines per second. Routine lines are dropped first. The number of dropped lines is logged.
 	LinesPerSecond int `yaml:"lines_per_second" validate:"min=1"`
-	// Most bytes a second. Each line counts with its length.
+	// Maximum number of bytes per second.
 	BytesPerSecond int `yaml:"bytes_per_second" validate:"min=400"`
-	// Bytes that may wait for a reader that stands still. Requests never wait for it.
+	// Bytes that are buffered while the reader of the log is blocked. Requests never wait for the log.
 	BufferBytes int `yaml:"buffer_bytes" validate:"min=4096"`
 }
 
-// Default returns the settings that hold where a file says nothing.
+// Default returns the default values of all settings.
 func Default() Settings {
 	return Settings{
 		BackendServer: BackendServer{Slots: 12, Connections: 200, DialTimeout: 500 * time.Millisecond},
@@ -327,13 +326,12 @@
 		},
 		Measurement: Measurement{BytesPerSecond: 15000},
 		Limits: Limits{
-			// The users' smallest processes have 184 MB and take 17 MB at their peak
-			// without large bodies; the garbage collector lets held bytes double.
+			// The smallest processes of users have 184 MB of memory and use 17 MB without
+			// large bodies. The garbage collector may let the held bytes double.
 			MaxBodyBytes: 8 << 20, BodiesBytes: 64 << 20, MaxHeaderBytes: 16 << 10,
-			// Users' callers have up to 3 requests unanswered on a connection, and
-			// answers of 30 kB at most; some 26 connections a daemon on their busiest
-			// site hold 26 x (256 kB read ahead + 256 kB + 3 answers of 30 kB), 16 MB at
-			// most of 184 MB.
+			// Callers of users have up to 3 unanswered requests per connection, with answers
+			// of up to 30 kB, and up to 26 connections per daemon. These hold at most 26 x
+			// (256 kB read ahead + 256 kB + 3 x 30 kB), 16 MB of the 184 MB.
 			PipelinedRequests: 16, PipelinedBytes: 256 << 10,
 			CallsPerCaller: 1000, Links: 2000,
 		},
--- a/pkg/trace/text.go
+++ b/pkg/trace/text.go
@@ -8,31 +8,31 @@
 	"github.com/rushramp/rushramp/pkg/events"
 )
 
-// WriteText writes the account for people to read.
-func (a *Report) WriteText(w io.Writer) error {
+// WriteText writes the report as text for operators.
+func (r *Report) WriteText(w io.Writer) error {
 	var out strings.Builder
-	if a.Entry == "" {
-		fmt.Fprintf(&out, "request %s: the line of its entry is missing\n", a.Request)
+	if r.Entry == "" {
+		fmt.Fprintf(&out, "request %s: the line of its entry is missing\n", r.Request)
 	} else {
-		fmt.Fprintf(&out, "request %s: %s after %s, entry %s\n", a.Request, a.Outcome, events.Milliseconds(a.Took), a.Entry)
+		fmt.Fprintf(&out, "request %s: %s after %s, entry %s\n", r.Request, r.Outcome, events.Milliseconds(r.Took), r.Entry)
 		fmt.Fprintf(&out, "time: %s queued, %s run, %s elsewhere (entry, links, attempts without an answer)\n",
-			events.Milliseconds(a.Queued), events.Milliseconds(a.Run), events.Milliseconds(a.Elsewhere))
+			events.Milliseconds(r.Queued), events.Milliseconds(r.Run), events.Milliseconds(r.Elsewhere))
 	}
-	for i, attempt := range a.Attempts {
+	for i, attempt := range r.Attempts {
 		fmt.Fprintf(&out, "attempt %d: %s\n", i+1, attempt)
 	}
-	out.WriteString("lines, by the clocks of their VMs:\n")
-	for i := range a.Lines {
-		a.writeLine(&out, &a.Lines[i])
+	out.WriteString("log lines, by the clocks of their VMs:\n")
+	for i := range r.Lines {
+		r.writeLine(&out, &r.Lines[i])
 	}
 	_, err := io.WriteString(w, out.String())
 	return err
 }
 
-func (a *Report) writeLine(out *strings.Builder, line *Line) {
+func (r *Report) writeLine(out *strings.Builder, line *Line) {
 	const clock = "15:04:05.000000"
 	fmt.Fprintf(out, "  %s %s event %d: %s", line.Time.Format(clock), line.VM, line.Event, line.Text)
-	if line.Request != a.Request {
+	if line.Request != r.Request {
 		fmt.Fprintf(out, " (call %s)", line.Request)
 	}
 	out.WriteByte('\n')
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -1,6 +1,6 @@
 // Package trace joins the log lines that several daemons wrote about one routed
-// request into one account: who decided what, on which knowledge, and where the
-// time went. Source: docs/OPERATIONS.md.
+// request into one report: its attempts, what the entry knew at each, its outcome, and
+// where its time was spent. Source: docs/OPERATIONS.md.
 package trace
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/rushramp/rushramp/pkg/events"
 )
 
-// maxLine bounds a log line that is read, in bytes.
-const maxLine = 1 << 20
+// maxLineBytes is the maximum length of a log line.
+const maxLineBytes = 1 << 20
 
 // Line is one log line about the request.
 type Line struct {
@@ -26,10 +26,10 @@
 	VM    string    `json:"vm"`
 	Event events.ID `json:"event"`
 	Text  string    `json:"text"`
-	// Request is the id of the line: the request's own, or that of a call that
-	// its run made.
+	// Request is the id in the line: that of the request, or that of a call that the
+	// backend server made while it ran the request.
 	Request string `json:"request"`
-	// Fields are the other fields, in the order of the line.
+	// Fields holds the other fields in the order of the line.
 	Fields []Field `json:"fields"`
 }
 
@@ -39,7 +39,7 @@
 	Value string `json:"value"`
 }
 
-// Value returns the value of a field; empty when the line has none.
+// Value returns the value of a field; empty if the line does not have it.
 func (l *Line) Value(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// duration returns a field that holds a time; 0 when it does not.
+// duration returns the value of a field as a duration; 0 if it is not one.
 func (l *Line) duration(key string) time.Duration {
 	d, err := time.ParseDuration(l.Value(key))
 	if err != nil {
@@ -58,40 +58,42 @@
 	return d
 }
 
-// Report is what the lines tell of one request.
+// Report holds the log lines about one request and a summary of them.
 type Report struct {
 	Request string `json:"request"`
-	// Outcome, Entry and Server are empty while the entry's line is missing.
+	// Outcome, Entry and Server are empty if the line of the entry is missing. Entry and
+	// Server are names of VMs.
 	Outcome string `json:"outcome"`
 	Entry   string `json:"entry"`
 	Server  string `json:"server,omitempty"`
-	// Took is the whole time at the entry; Queued and Run are the parts at the
-	// gate and at the backend server that answered, Elsewhere is the rest: the
-	// entry, the links, and attempts that ended without an answer.
+	// Took is the total time at the entry. Queued is the time at the gate, Run that at the
+	// backend server that answered. Elsewhere is the rest: the time in the entry, on
+	// links, and in attempts without an answer.
 	Took      time.Duration `json:"took_ns"`
 	Queued    time.Duration `json:"queued_ns"`
 	Run       time.Duration `json:"run_ns"`
 	Elsewhere time.Duration `json:"elsewhere_ns"`
-	// Attempts are the entry's attempts in turn, as its line holds them.
+	// Attempts holds the attempts in their order, as the line of the entry describes them.
 	Attempts []string `json:"attempts"`
 	Lines    []Line   `json:"lines"`
 }
 
-// NotFoundError says that no line names the request.
+// NotFoundError is returned if no line is about the request.
 type NotFoundError struct{ Request string }
 
 // Error implements error.
 func (n *NotFoundError) Error() string {
-	return "no line names request " + n.Request + ". Give the logs of all daemons; routine lines may have been left out (event 108 counts them)."
+	return "no log line names request " + n.Request + ". Give the logs of all daemons; routine lines may have been dropped (event 108 counts them)."
 }
 
-// Read joins what the inputs say of a request. Text before a line's first field
-// is passed over, so that logs that a collector has prefixed can be read.
+// Read reads logs and returns a report of the lines about a request, ordered by time. It
+// ignores text before the first field of a line, such as the prefix of a log collector.
+// The error is a *NotFoundError if there is no such line.
 func Read(request string, inputs ...io.Reader) (*Report, error) {
 	out := &Report{Request: request}
 	for _, in := range inputs {
 		scanner := bufio.NewScanner(in)
-		scanner.Buffer(nil, maxLine)
+		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
 			if line, ok := parse(request, scanner.Text()); ok {
 				out.Lines = append(out.Lines, line)
@@ -105,16 +107,16 @@
 		return nil, &NotFoundError{Request: request}
 	}
 	sort.SliceStable(out.Lines, func(i, j int) bool { return out.Lines[i].Time.Before(out.Lines[j].Time) })
-	out.sum()
+	out.summarise()
 	return out, nil
 }
 
-// firstField begins each log line.
-const firstField = "ts="
+// firstKey is the key of the first field of each log line, with the equals sign.
+const firstKey = "ts="
 
-// parse reads one line; ok is false when it is not about the request.
+// parse parses one line; ok is false if it is not about the request.
 func parse(request, text string) (line Line, ok bool) {
-	at := strings.Index(text, firstField)
+	at := strings.Index(text, firstKey)
 	if at < 0 || !strings.Contains(text, "request="+request) {
 		return line, false
 	}
@@ -123,13 +125,14 @@
 		return line, false
 	}
 	for decoder.ScanKeyval() {
-		line.take(string(decoder.Key()), string(decoder.Value()))
+		line.setField(string(decoder.Key()), string(decoder.Value()))
 	}
-	mine := line.Request == request || strings.HasPrefix(line.Request, request+".")
-	return line, mine && decoder.Err() == nil
+	isAboutRequest := line.Request == request || strings.HasPrefix(line.Request, request+".")
+	return line, isAboutRequest && decoder.Err() == nil
 }
 
-func (l *Line) take(key, value string) {
+// setField stores one key and value of the line; it ignores the level.
+func (l *Line) setField(key, value string) {
 	switch key {
 	case "ts":
 		l.Time, _ = time.Parse(time.RFC3339Nano, value)
@@ -148,21 +151,22 @@
 	}
 }
 
-// sum takes the account from the entry's own line.
-func (a *Report) sum() {
-	for i := range a.Lines {
-		line := &a.Lines[i]
-		if line.Request != a.Request || (line.Event != events.RequestAnswered && line.Event != events.RequestFailed) {
+// summarise fills in the summary from the line that the entry logged at the end of the
+// request.
+func (r *Report) summarise() {
+	for i := range r.Lines {
+		line := &r.Lines[i]
+		if line.Request != r.Request || (line.Event != events.RequestAnswered && line.Event != events.RequestFailed) {
 			continue
 		}
-		a.Outcome, a.Entry, a.Server = line.Value("outcome"), line.VM, line.Value("server")
+		r.Outcome, r.Entry, r.Server = line.Value("outcome"), line.VM, line.Value("server")
 		if status := line.Value("status"); status != "" {
-			a.Outcome += " " + status
+			r.Outcome += " " + status
 		}
-		a.Took, a.Queued, a.Run = line.duration("took"), line.duration("queued"), line.duration("run")
-		a.Elsewhere = a.Took - a.Queued - a.Run
+		r.Took, r.Queued, r.Run = line.duration("took"), line.duration("queued"), line.duration("run")
+		r.Elsewhere = r.Took - r.Queued - r.Run
 		if attempts := line.Value("attempts"); attempts != "" {
-			a.Attempts = strings.Split(attempts, "; ")
+			r.Attempts = strings.Split(attempts, "; ")
 		}
 	}
 }
--- a/pkg/trace/trace_test.go
+++ b/pkg/trace/trace_test.go
@@ -20,38 +20,38 @@
 ts=2000-01-01T00:00:01.47Z vm=vm-3 level=info event=504 msg="routed request was not answered by a backend server" request=r-7.1 outcome=overloaded
 `
 
-func TestLinesOfSeveralDaemonsBecomeOneAccount(t *testing.T) {
-	account, err := Read("r-7", strings.NewReader(entryLog), strings.NewReader(executorLog))
+func TestReadJoinsLinesOfSeveralDaemons(t *testing.T) {
+	report, err := Read("r-7", strings.NewReader(entryLog), strings.NewReader(executorLog))
 	must.NoError(t, err)
-	test.Eq(t, "answered 200", account.Outcome)
-	test.Eq(t, "vm-1", account.Entry)
-	test.Eq(t, "vm-3", account.Server)
-	test.Eq(t, 20*time.Millisecond, account.Elsewhere)
-	test.Len(t, 2, account.Attempts)
+	test.Eq(t, "answered 200", report.Outcome)
+	test.Eq(t, "vm-1", report.Entry)
+	test.Eq(t, "vm-3", report.Server)
+	test.Eq(t, 20*time.Millisecond, report.Elsewhere)
+	test.Len(t, 2, report.Attempts)
 	var vms []string
-	for _, line := range account.Lines {
+	for _, line := range report.Lines {
 		vms = append(vms, line.VM+" "+line.Request)
 	}
 	test.Eq(t, []string{"vm-2 r-7", "vm-3 r-7.1", "vm-3 r-7", "vm-1 r-7"}, vms)
 	var out strings.Builder
-	must.NoError(t, account.WriteText(&out))
+	must.NoError(t, report.WriteText(&out))
 	for _, want := range []string{"answered 200 after 120.5ms, entry vm-1", "attempt 2: vm-3 far", "outcome: gate_busier", "(call r-7.1)"} {
 		test.StrContains(t, out.String(), want)
 	}
 }
 
-func TestARequestThatNoLineNames(t *testing.T) {
+func TestReadOfAnUnknownRequest(t *testing.T) {
 	_, err := Read("r-8", strings.NewReader(entryLog))
 	must.Error(t, err)
 	test.StrContains(t, err.Error(), "r-8")
 }
 
-// TestALostEntryLine: an executor's line alone is an account, too.
-func TestALostEntryLine(t *testing.T) {
-	account, err := Read("r-7", strings.NewReader(executorLog))
+// TestReadWithoutTheEntryLine: lines of executors alone make a report, too.
+func TestReadWithoutTheEntryLine(t *testing.T) {
+	report, err := Read("r-7", strings.NewReader(executorLog))
 	must.NoError(t, err)
 	var out strings.Builder
-	must.NoError(t, account.WriteText(&out))
+	must.NoError(t, report.WriteText(&out))
 	test.StrContains(t, out.String(), "the line of its entry is missing")
 }
 
--- a/pkg/utils/label.go
+++ b/pkg/utils/label.go
@@ -2,12 +2,12 @@
 
 import "strings"
 
-// Label makes a word from outside fit to stand between quotes as the value of a metric's
-// label: the metrics library ends the process at a name that is none. What would end the
-// label, or its line, becomes an underscore.
-func Label(value string) string { return strings.Map(labelRune, value) }
+// Label returns a text that is safe as the quoted value of a metric label: it replaces
+// quotes, backslashes and control characters by underscores. The metrics library ends the
+// process if the name of a metric is invalid.
+func Label(value string) string { return strings.Map(sanitiseRune, value) }
 
-func labelRune(c rune) rune {
+func sanitiseRune(c rune) rune {
 	if c == '"' || c == '\\' || c < ' ' {
 		return '_'
 	}
--- a/pkg/utils/rendezvous.go
+++ b/pkg/utils/rendezvous.go
@@ -1,11 +1,12 @@
-// Package utils holds small general helpers that belong to no one concern.
+// Package utils holds small helpers that several packages use.
 package utils
 
 import "github.com/cespare/xxhash/v2"
 
-// RendezvousWeight is the weight of a candidate for a key, after Thaler and
-// Ravishankar's highest random weight hashing: those who rank candidates by it
-// agree without talking, and a candidate that leaves moves nobody else.
+// RendezvousWeight returns the weight of a candidate for a key in rendezvous hashing
+// (highest random weight, Thaler and Ravishankar). Daemons that rank the same candidates
+// by it agree without communication, and removing a candidate does not change the order
+// of the others.
 func RendezvousWeight(key, candidate string) uint64 {
 	var digest xxhash.Digest
 	digest.Reset()
