--- a/pkg/operators/convert.go
+++ b/pkg/operators/convert.go
@@ -9,7 +9,7 @@
 	"github.com/rushramp/rushramp/pkg/placement"
 )
 
-// KindToAPI turns a kind into its message.
+// KindToAPI converts a kind to its message.
 func KindToAPI(k placement.Kind) *api.Kind {
 	return &api.Kind{
 		Name: k.Name, Method: k.Method, Path: k.Path, DataCentres: k.DataCentres,
@@ -19,7 +19,7 @@
 	}
 }
 
-// KindFromAPI turns a message into a kind.
+// KindFromAPI converts a message to a kind. It returns an error if the class is unknown.
 func KindFromAPI(k *api.Kind) (placement.Kind, error) {
 	out := placement.Kind{
 		Name: k.GetName(), Method: k.GetMethod(), Path: k.GetPath(), DataCentres: k.GetDataCentres(),
@@ -35,7 +35,7 @@
 	return out, out.Class.UnmarshalText([]byte(k.GetClass()))
 }
 
-// DocumentToAPI turns services into messages.
+// DocumentToAPI converts the services of a placement to messages.
 func DocumentToAPI(doc *placement.Document) []*api.Service {
 	var out []*api.Service
 	for _, s := range doc.Services {
@@ -48,7 +48,8 @@
 	return out
 }
 
-// DocumentFromAPI turns an answer into a document.
+// DocumentFromAPI converts a response to a placement. It returns an error if the class of a
+// kind is unknown.
 func DocumentFromAPI(in *api.GetPlacementResponse) (*placement.Document, error) {
 	out := &placement.Document{Version: in.GetVersion()}
 	for _, s := range in.GetServices() {
@@ -65,7 +66,7 @@
 	return out, nil
 }
 
-// ChangesToAPI turns changes into messages.
+// ChangesToAPI converts changes of a placement to messages.
 func ChangesToAPI(changes []placement.Change) []*api.Change {
 	var out []*api.Change
 	for _, c := range changes {
@@ -78,7 +79,8 @@
 	return out
 }
 
-// ChangesFromAPI turns messages into changes.
+// ChangesFromAPI converts messages to changes of a placement. It returns an error if a
+// message is empty or the class of a kind is unknown.
 func ChangesFromAPI(in []*api.Change) ([]placement.Change, error) {
 	var out []placement.Change
 	for _, c := range in {
--- a/pkg/operators/evacuate.go
+++ b/pkg/operators/evacuate.go
@@ -12,7 +12,7 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// allServices is the right to change the placement of any service.
+// allServices stands for all services in the rights of an operator.
 const allServices = "*"
 
 // Evacuate implements the call of the schema.
@@ -24,24 +24,25 @@
 	if err != nil {
 		return nil, err
 	}
-	if err := se.mayEvacuate(author, in.GetDataCentre()); err != nil {
+	if err := se.checkEvacuationRight(author, in.GetDataCentre()); err != nil {
 		return nil, err
 	}
 	set, err := se.Evacuation.Change(ctx, evacuation.Change{DataCentre: in.GetDataCentre(), Evacuated: !in.GetBack()})
 	if err != nil {
-		return nil, status.Errorf(codes.Unavailable, "the platform's store did not answer: %v. The change may have been made; send it again, which harms nothing.", err)
+		return nil, status.Errorf(codes.Unavailable, "the platform's store did not answer: %v. The change may have been made; it is safe to send it again.", err)
 	}
 	se.World.Inbox.Post(true, func(m *tables.Mail) { m.Evacuation = &set })
-	// In force here before the operator is answered. Where the daemon is too busy for
-	// that, it is in force with its next tick.
+	// The query runs after the systems have processed the change, so that it is in force
+	// here before the operator gets the response. If ctx ends first, it comes into force
+	// with the next tick.
 	se.World.Inbox.RunQuery(ctx.Done(), func(*tables.World) {})
 	se.Log.Event(events.EvacuationOrdered, events.F("data_centre", in.GetDataCentre()), events.F("back", in.GetBack()), events.F("author", author), events.F("revision", set.Revision))
 	return &api.EvacuateResponse{Evacuated: set.DataCentres, Revision: set.Revision}, nil
 }
 
-// mayEvacuate refuses operators without a right to all services, whose backend
-// servers an evacuation concerns.
-func (se *Server) mayEvacuate(author, dataCentre string) error {
+// checkEvacuationRight refuses operators without the right to all services: an evacuation
+// affects the backend servers of all of them.
+func (se *Server) checkEvacuationRight(author, dataCentre string) error {
 	if dataCentre == "" {
 		return status.Error(codes.InvalidArgument, "an evacuation needs a data centre; name one")
 	}
--- a/pkg/operators/rollout.go
+++ b/pkg/operators/rollout.go
@@ -21,37 +21,37 @@
 
 // StartRollout implements the call of the schema.
 func (se *Server) StartRollout(ctx context.Context, in *api.StartRolloutRequest) (*api.RolloutsResponse, error) {
-	asked := rollout.OrderRequest{
+	request := rollout.OrderRequest{
 		ID: in.GetChangeId(), Service: in.GetService(), Version: in.GetVersion(),
 		Duration: time.Duration(in.GetDurationMs()) * time.Millisecond,
 	}
-	if asked.Version == "" {
+	if request.Version == "" {
 		return nil, status.Error(codes.InvalidArgument, "a roll-out needs the version to move to; name one")
 	}
-	author, err := se.mayRollOut(ctx, in.GetAuthor(), asked)
+	author, err := se.checkRolloutRight(ctx, in.GetAuthor(), request)
 	if err != nil {
 		return nil, err
 	}
-	if err := se.isRun(ctx, asked.Service); err != nil {
+	if err := se.checkServers(ctx, request.Service); err != nil {
 		return nil, err
 	}
-	return se.changeOrders(ctx, author, asked)
+	return se.changeOrders(ctx, author, request)
 }
 
 // CancelRollout implements the call of the schema.
 func (se *Server) CancelRollout(ctx context.Context, in *api.CancelRolloutRequest) (*api.RolloutsResponse, error) {
-	asked := rollout.OrderRequest{ID: in.GetChangeId(), Service: in.GetService()}
-	author, err := se.mayRollOut(ctx, in.GetAuthor(), asked)
+	request := rollout.OrderRequest{ID: in.GetChangeId(), Service: in.GetService()}
+	author, err := se.checkRolloutRight(ctx, in.GetAuthor(), request)
 	if err != nil {
 		return nil, err
 	}
-	return se.changeOrders(ctx, author, asked)
+	return se.changeOrders(ctx, author, request)
 }
 
 // GetRollouts implements the call of the schema.
 func (se *Server) GetRollouts(ctx context.Context, in *api.GetRolloutsRequest) (*api.RolloutsResponse, error) {
 	out := &api.RolloutsResponse{}
-	asked := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
+	answered := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
 		out.Revision = w.Rollouts.Snapshot().Orders.Revision
 		for _, r := range se.rollouts(w) {
 			if in.GetService() == "" || r.Service == in.GetService() {
@@ -59,100 +59,102 @@
 			}
 		}
 	})
-	if !asked {
+	if !answered {
 		return nil, status.Error(codes.DeadlineExceeded, "the daemon did not answer in time")
 	}
 	return out, nil
 }
 
-// mayRollOut checks an operator's change, and the right to change the service.
-func (se *Server) mayRollOut(ctx context.Context, claimed string, asked rollout.OrderRequest) (author string, err error) {
+// checkRolloutRight validates an operator's request and checks the right to change the
+// service.
+func (se *Server) checkRolloutRight(ctx context.Context, claimed string, request rollout.OrderRequest) (author string, err error) {
 	if se.Orders == nil {
 		return "", status.Error(codes.Unimplemented, "operators of this platform order roll-outs in its store; see docs/operators/rollout.md")
 	}
 	if author, err = se.author(ctx, claimed); err != nil {
 		return "", err
 	}
-	if err := asked.Check(); err != nil {
+	if err := request.Check(); err != nil {
 		return "", status.Error(codes.InvalidArgument, err.Error())
 	}
-	if len(se.Settings.Operators) > 0 && !se.hasRight(author, asked.Service) {
-		return "", status.Errorf(codes.PermissionDenied, "%s may not roll out versions of %s; ask an operator who may, or add the right under operators in the settings", author, asked.Service)
+	if len(se.Settings.Operators) > 0 && !se.hasRight(author, request.Service) {
+		return "", status.Errorf(codes.PermissionDenied, "%s may not roll out versions of %s; ask an operator who may, or add the right under operators in the settings", author, request.Service)
 	}
 	return author, nil
 }
 
-// isRun refuses a service of which no backend server is known, or none that says its
-// version: nobody could carry the order out.
-func (se *Server) isRun(ctx context.Context, service string) error {
+// checkServers refuses an order if no backend server of the service is known, or none that
+// reports its version: the roll-out could never begin.
+func (se *Server) checkServers(ctx context.Context, service string) error {
 	var members, versioned int
 	services := map[string]bool{}
-	asked := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
+	answered := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
 		w.Members.EachRow(func(row int) {
 			m := &w.Members.Record[row]
 			services[m.Service] = true
 			if m.Service == service {
 				members++
-				versioned += asInt(m.Version != "")
+				versioned += toInt(m.Version != "")
 			}
 		})
 	})
 	delete(services, "")
 	switch {
-	case !asked:
+	case !answered:
 		return status.Error(codes.DeadlineExceeded, "the daemon did not answer in time; nothing was ordered")
 	case members == 0:
 		return status.Errorf(codes.NotFound, "no VM runs service %q; those that this daemon knows run: %s. Correct the name, or start the service's backend servers first.", service, strings.Join(slices.Sorted(maps.Keys(services)), ", "))
 	case versioned == 0:
-		return status.Errorf(codes.NotFound, "no backend server of service %q has said its version, so nothing could be moved. Set backend_server.version in the settings of their daemons.", service)
+		return status.Errorf(codes.NotFound, "no backend server of service %q reports its version, so there is nothing to roll out. Set backend_server.version in the settings of their daemons.", service)
 	}
 	return nil
 }
 
-func asInt(is bool) int {
-	if is {
+func toInt(b bool) int {
+	if b {
 		return 1
 	}
 	return 0
 }
 
-// changeOrders makes the change and puts it in force here.
-func (se *Server) changeOrders(ctx context.Context, author string, asked rollout.OrderRequest) (*api.RolloutsResponse, error) {
-	orders, err := se.Orders.Apply(ctx, asked)
+// changeOrders writes an operator's change to the store and puts it in force here.
+func (se *Server) changeOrders(ctx context.Context, author string, request rollout.OrderRequest) (*api.RolloutsResponse, error) {
+	orders, err := se.Orders.Apply(ctx, request)
 	if err != nil {
-		return nil, explainOrder(asked, err)
+		return nil, orderStatus(request, err)
 	}
 	se.World.Inbox.Post(true, func(m *tables.Mail) { m.KeepNewestOrders(orders) })
-	se.Log.Event(events.RolloutAsked, events.F("service", asked.Service), events.F("version", asked.Version), events.F("duration", asked.Duration),
-		events.F("author", author), events.F("change", asked.ID), events.F("revision", orders.Revision))
-	out, err := se.GetRollouts(ctx, &api.GetRolloutsRequest{Service: asked.Service})
+	se.Log.Event(events.RolloutAsked, events.F("service", request.Service), events.F("version", request.Version), events.F("duration", request.Duration),
+		events.F("author", author), events.F("change", request.ID), events.F("revision", orders.Revision))
+	out, err := se.GetRollouts(ctx, &api.GetRolloutsRequest{Service: request.Service})
 	if err != nil {
-		// The order stands, and is in force with the daemon's next tick.
+		// The order is stored and comes into force with the daemon's next tick.
 		return &api.RolloutsResponse{Revision: orders.Revision}, nil
 	}
 	return out, nil
 }
 
-func explainOrder(asked rollout.OrderRequest, err error) error {
+// orderStatus turns an error of OrderStore.Apply into a gRPC status that says what to do.
+func orderStatus(request rollout.OrderRequest, err error) error {
 	var unknown *store.UnknownOutcomeError
 	switch {
 	case errors.Is(err, rollout.ErrNoOrder):
-		return status.Errorf(codes.NotFound, "no roll-out of service %q is ordered, so there is nothing to cancel. `rushramp rollout status` lists those that are.", asked.Service)
+		return status.Errorf(codes.NotFound, "no roll-out of service %q is ordered, so there is nothing to cancel. `rushramp rollout status` lists those that are.", request.Service)
 	case errors.As(err, &unknown):
-		return status.Errorf(codes.Unknown, "%v. Send it again with --change-id %s, which harms nothing.", err, asked.ID)
+		return status.Errorf(codes.Unknown, "%v. Send it again with --change-id %s, which is safe.", err, request.ID)
 	}
 	return status.Errorf(codes.Unavailable, "%v; nothing was ordered", err)
 }
 
-// rollouts is what this daemon knows of roll-outs, by the services' names.
+// rollouts returns the roll-outs that this daemon knows of, ordered by service.
 func (se *Server) rollouts(w *tables.World) []*api.Rollout {
 	services := map[string]bool{}
-	news := w.Rollouts.Snapshot()
-	for _, o := range news.Orders.List {
+	state := w.Rollouts.Snapshot()
+	for _, o := range state.Orders.List {
 		services[o.Service] = true
 	}
-	for i := range news.Plans {
-		services[news.Plans[i].Service] = true
+	for i := range state.Plans {
+		services[state.Plans[i].Service] = true
 	}
 	var out []*api.Rollout
 	for _, service := range slices.Sorted(maps.Keys(services)) {
@@ -161,13 +163,14 @@
 	return out
 }
 
-// The phases of a roll-out that no plan tells of.
+// The phases of a roll-out whose newest order is not yet reflected in a plan.
 const (
 	phaseOrdered   = "ordered"
 	phaseCancelled = "cancelled"
 )
 
-// rollout is what this daemon knows of the roll-out of a service; nil: of none.
+// rollout returns what this daemon knows of the roll-out of a service, or nil if it knows
+// of none.
 func (se *Server) rollout(w *tables.World, service string) *api.Rollout {
 	order, ordered := w.Rollouts.Order(service)
 	plan, planned := w.Rollouts.Plan(service)
@@ -177,7 +180,7 @@
 	out := &api.Rollout{Service: service, Order: max(order.Revision, plan.Order), Plan: plan.Revision, DurationMs: order.Duration.Milliseconds()}
 	switch {
 	case order.Revision > plan.Order:
-		out.Target, out.Phase, out.Cause = order.Version, phaseOrdered, "no plan of this order was written yet"
+		out.Target, out.Phase, out.Cause = order.Version, phaseOrdered, "no plan for this order has been written yet"
 		out.Plan = 0
 	default:
 		se.fillPlan(out, &plan)
@@ -194,6 +197,7 @@
 	return out
 }
 
+// fillPlan adds the plan of a roll-out to the response.
 func (se *Server) fillPlan(out *api.Rollout, plan *rollout.Plan) {
 	out.Target, out.Phase, out.Cause, out.Old = plan.Target, plan.Phase.String(), plan.Cause, plan.Old
 	if plan.Phase == rollout.Canary {
@@ -204,7 +208,7 @@
 	}
 }
 
-// countServers counts the live backend servers of the version and of others.
+// countServers counts the live backend servers with the target version and with others.
 func countServers(w *tables.World, out *api.Rollout) {
 	w.Members.EachRowOfService(out.Service, func(row int) {
 		m := &w.Members.Record[row]
--- a/pkg/operators/rollout_test.go
+++ b/pkg/operators/rollout_test.go
@@ -20,8 +20,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// newServer makes the server of a daemon that knows backend servers of a service "s",
-// of versions, one of each. Its systems are the ones that take orders over and answer.
+// newServer returns the server of a daemon that knows one backend server of service "s" for
+// each of the versions, and its store. A goroutine in place of the systems applies orders
+// and runs queries.
 func newServer(t *testing.T, versions ...string) (*Server, *fakestore.Store) {
 	s := settings.Default()
 	w := tables.NewWorld("vm", "here")
@@ -53,16 +54,16 @@
 	}, platform
 }
 
-func start(id string) *api.StartRolloutRequest {
+func startRequest(id string) *api.StartRolloutRequest {
 	return &api.StartRolloutRequest{Service: "s", Version: "v2", DurationMs: 60_000, ChangeId: id, Author: "anna"}
 }
 
-// TestAnOrderIsInForceWhenItIsAnswered, also when it is sent again, and until it is
-// taken away.
-func TestAnOrderIsInForceWhenItIsAnswered(t *testing.T) {
+// TestOrderIsInForceWhenAnswered checks that an order is in force when the response arrives,
+// also if the order is sent again, until it is cancelled.
+func TestOrderIsInForceWhenAnswered(t *testing.T) {
 	se, _ := newServer(t, "v1", "v2", "v1")
 	for range 2 {
-		answer, err := se.StartRollout(t.Context(), start("1"))
+		answer, err := se.StartRollout(t.Context(), startRequest("1"))
 		must.NoError(t, err)
 		must.Len(t, 1, answer.GetRollouts())
 		got := answer.GetRollouts()[0]
@@ -78,55 +79,56 @@
 	test.Eq(t, 2, answer.GetRevision())
 }
 
-// TestOrdersThatAreRefused say what to do, and write nothing.
-func TestOrdersThatAreRefused(t *testing.T) {
+// TestRefusedOrders checks that the error says what to do, and that nothing is written.
+func TestRefusedOrders(t *testing.T) {
 	for name, c := range map[string]struct {
-		spoil func(*Server, *fakestore.Store, *api.StartRolloutRequest)
-		code  codes.Code
-		says  string
+		modify    func(*Server, *fakestore.Store, *api.StartRolloutRequest)
+		code      codes.Code
+		wantError string
 	}{
-		"nobody runs it": {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.Service = "t" }, codes.NotFound, "no VM runs service \"t\"; those that this daemon knows run: s."},
-		"no version":     {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.Version = "" }, codes.InvalidArgument, "name one"},
-		"too short":      {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.DurationMs = 1000 }, codes.InvalidArgument, "12s at least"},
-		"no author":      {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.Author = "" }, codes.InvalidArgument, "--author"},
+		"unknown service": {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.Service = "t" }, codes.NotFound, "no VM runs service \"t\"; those that this daemon knows run: s."},
+		"no version":      {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.Version = "" }, codes.InvalidArgument, "name one"},
+		"too short":       {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.DurationMs = 1000 }, codes.InvalidArgument, "12s at least"},
+		"no author":       {func(_ *Server, _ *fakestore.Store, in *api.StartRolloutRequest) { in.Author = "" }, codes.InvalidArgument, "--author"},
 		"no right": {func(se *Server, _ *fakestore.Store, _ *api.StartRolloutRequest) {
 			se.Settings.Operators = []settings.Operator{{Name: "anna", Services: []string{"t"}}}
 		}, codes.PermissionDenied, "may not roll out"},
-		"another platform": {func(se *Server, _ *fakestore.Store, _ *api.StartRolloutRequest) { se.Orders = nil }, codes.Unimplemented, "in its store"},
+		"orders in the store of the platform": {func(se *Server, _ *fakestore.Store, _ *api.StartRolloutRequest) { se.Orders = nil }, codes.Unimplemented, "in its store"},
 		"the store is down": {func(_ *Server, platform *fakestore.Store, _ *api.StartRolloutRequest) {
 			platform.SetFaults(fakestore.Faults{Down: true})
 		}, codes.Unavailable, "nothing was ordered"},
 	} {
 		se, platform := newServer(t, "v1")
-		in := start("1")
-		c.spoil(se, platform, in)
+		in := startRequest("1")
+		c.modify(se, platform, in)
 		_, err := se.StartRollout(t.Context(), in)
 		test.Eq(t, c.code, status.Code(err), test.Sprint(name))
-		test.ErrorContains(t, err, c.says, test.Sprint(name))
+		test.ErrorContains(t, err, c.wantError, test.Sprint(name))
 		test.SliceEmpty(t, se.World.Rollouts.Snapshot().Orders.List, test.Sprint(name))
 	}
-	silent, _ := newServer(t, "")
-	_, err := silent.StartRollout(t.Context(), start("1"))
+	unversioned, _ := newServer(t, "")
+	_, err := unversioned.StartRollout(t.Context(), startRequest("1"))
 	test.ErrorContains(t, err, "backend_server.version")
-	_, err = silent.CancelRollout(t.Context(), &api.CancelRolloutRequest{Service: "s", ChangeId: "2", Author: "bert"})
+	_, err = unversioned.CancelRollout(t.Context(), &api.CancelRolloutRequest{Service: "s", ChangeId: "2", Author: "bert"})
 	test.ErrorContains(t, err, "nothing to cancel")
 }
 
-// TestALostAnswerNamesTheChange that resolves it.
-func TestALostAnswerNamesTheChange(t *testing.T) {
+// TestLostAnswerNamesTheChangeID checks that the error after a lost answer names the change
+// id, with which the change can be sent again.
+func TestLostAnswerNamesTheChangeID(t *testing.T) {
 	se, platform := newServer(t, "v1")
 	platform.SetFaults(fakestore.Faults{LoseAnswers: 1})
-	_, err := se.StartRollout(t.Context(), start("1"))
+	_, err := se.StartRollout(t.Context(), startRequest("1"))
 	test.Eq(t, codes.Unknown, status.Code(err))
 	test.ErrorContains(t, err, "--change-id 1")
 	platform.SetFaults(fakestore.Faults{})
-	answer, err := se.StartRollout(t.Context(), start("1"))
+	answer, err := se.StartRollout(t.Context(), startRequest("1"))
 	must.NoError(t, err)
 	test.Eq(t, 1, answer.GetRevision())
 }
 
-// TestWhatOperatorsSeeOfARollout is the table of phases.
-func TestWhatOperatorsSeeOfARollout(t *testing.T) {
+// TestReportedRollouts checks the phase that operators see in each state of a roll-out.
+func TestReportedRollouts(t *testing.T) {
 	plan := rollout.Plan{
 		Service: "s", Target: "v2", Old: []string{"v1"}, Order: 3, Revision: 7, Phase: rollout.Canary,
 		Canaries: []string{"vm-b"}, PerMille: 90, Deadline: 2 * time.Minute, Cause: "ready",
@@ -139,25 +141,25 @@
 	ended := plan
 	ended.Phase, ended.Cause = rollout.Completed, "empty"
 	for name, c := range map[string]struct {
-		news     rollout.Update
+		update   rollout.Update
 		phase    string
 		target   string
 		canaries int
 		leftMS   int64
 		stopped  bool
 	}{
-		"tried":          {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
-		"stopped":        {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{plan}, Stops: []rollout.Stop{{Service: "s", Order: 3, Cause: "bad"}}}, "canary", "v2", 0, 60_000, true},
-		"taken away":     {rollout.Update{Orders: orders(8), Plans: []rollout.Plan{plan}}, "cancelled", "v2", 0, 0, false},
-		"ordered anew":   {rollout.Update{Orders: orders(9, later), Plans: []rollout.Plan{plan}}, "ordered", "v3", 0, 0, false},
-		"completed":      {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{ended}}, "completed", "v2", 0, 0, false},
-		"orders unknown": {rollout.Update{Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
+		"canary":          {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
+		"stopped":         {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{plan}, Stops: []rollout.Stop{{Service: "s", Order: 3, Cause: "bad"}}}, "canary", "v2", 0, 60_000, true},
+		"order cancelled": {rollout.Update{Orders: orders(8), Plans: []rollout.Plan{plan}}, "cancelled", "v2", 0, 0, false},
+		"newer order":     {rollout.Update{Orders: orders(9, later), Plans: []rollout.Plan{plan}}, "ordered", "v3", 0, 0, false},
+		"completed":       {rollout.Update{Orders: orders(3, first), Plans: []rollout.Plan{ended}}, "completed", "v2", 0, 0, false},
+		"orders unknown":  {rollout.Update{Plans: []rollout.Plan{plan}}, "canary", "v2", 1, 60_000, false},
 	} {
 		se, _ := newServer(t, "v1", "v2")
-		book := rollout.NewReplica()
-		book.Merge(c.news)
+		replica := rollout.NewReplica()
+		replica.Merge(c.update)
 		w := tables.NewWorld("vm", "here")
-		w.Rollouts = book
+		w.Rollouts = replica
 		got := se.rollout(w, "s")
 		must.NotNil(t, got, must.Sprint(name))
 		test.Eq(t, c.phase, got.GetPhase(), test.Sprint(name))
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -1,5 +1,5 @@
-// Package operators serves the operators' calls, which are generated from
-// api/operators/operators.proto.
+// Package operators implements the gRPC service for operators, which
+// api/operators/operators.proto defines.
 package operators
 
 import (
@@ -28,30 +28,33 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// progressEvery is the time between two reports of a drain.
-const progressEvery = 100 * time.Millisecond
+// progressInterval is the time between two reports of a drain.
+const progressInterval = 100 * time.Millisecond
 
-// Server serves the operators' calls of one daemon.
+// Server implements the operators' gRPC service at one daemon.
 type Server struct {
 	api.UnimplementedOperatorsServer
 	*common.Common
-	World    *tables.World
-	Store    *placement.Store
-	Policy   choose.Policy
+	World  *tables.World
+	Store  *placement.Store
+	Policy choose.Policy
+	// Executor is nil on a daemon without a backend server.
 	Executor *executor.Executor
-	// Evacuation is nil where operators write to the platform's store themselves.
+	// Evacuation is nil where operators write evacuations to the platform's store themselves.
 	Evacuation *evacuation.Register
 	// Orders is nil where operators write orders of roll-outs to the platform's store
-	// themselves. StoreClock is the clock that deadlines of roll-outs stand on; nil where
-	// this daemon has no reading of it at hand.
+	// themselves. StoreClock returns the time by the clock of roll-out deadlines; nil where
+	// this daemon cannot read that clock.
 	Orders     *rollout.OrderStore
 	StoreClock func() time.Duration
-	// Leave begins the drain; InFlight counts calls that have not ended.
+	// Leave begins to drain the daemon; InFlight returns the number of calls that have not
+	// ended.
 	Leave    func()
 	InFlight func() int64
 }
 
-// Start opens the listener in the settings and serves until stop is called.
+// Start listens at settings listen.operators and serves until stop is called. conf is nil
+// for a listener without TLS.
 func Start(s *Server, conf *tls.Config) (stop func(), err error) {
 	listener, err := net.Listen("tcp", s.Settings.Listen.Operators)
 	if err != nil {
@@ -67,6 +70,7 @@
 	return server.Stop, nil
 }
 
+// current returns the placement in force.
 func (se *Server) current() (*placement.Document, error) {
 	if p := se.World.View.Placement(); p != nil {
 		return p.Document, nil
@@ -97,18 +101,18 @@
 	if err != nil {
 		return nil, err
 	}
-	return se.commit(ctx, placement.Proposal{
+	return se.commitChange(ctx, placement.Proposal{
 		Base: base, ChangeID: in.GetChangeId(), Author: in.GetAuthor(), Changes: changes, At: time.Now(),
 	})
 }
 
-// Apply makes changes on top of the placement in force here.
+// Apply commits changes of the placement in force here and returns the new version.
 func (se *Server) Apply(ctx context.Context, changeID, author string, changes []placement.Change) (uint64, error) {
 	base, err := se.current()
 	if err != nil {
 		return 0, err
 	}
-	out, err := se.commit(ctx, placement.Proposal{Base: base, ChangeID: changeID, Author: author, Changes: changes, At: time.Now()})
+	out, err := se.commitChange(ctx, placement.Proposal{Base: base, ChangeID: changeID, Author: author, Changes: changes, At: time.Now()})
 	return out.GetVersion(), err
 }
 
@@ -120,16 +124,16 @@
 	}
 	to, err := se.Store.Version(ctx, in.GetToVersion())
 	if err != nil {
-		return nil, status.Errorf(codes.NotFound, "%v; look at `rushramp placement history` for the versions there are", err)
+		return nil, status.Errorf(codes.NotFound, "%v; `rushramp placement history` lists the versions", err)
 	}
-	return se.commit(ctx, placement.Proposal{
+	return se.commitChange(ctx, placement.Proposal{
 		Base: base, ChangeID: in.GetChangeId(), Author: in.GetAuthor(),
 		Changes: placement.Diff(base, to), RollbackOf: in.GetToVersion(), At: time.Now(),
 	})
 }
 
-// base returns the document that an operator read, which may be older or newer
-// than what is in force here.
+// base returns the placement version that an operator's change is based on, which may be
+// older or newer than the one in force here.
 func (se *Server) base(ctx context.Context, version uint64) (*placement.Document, error) {
 	doc, err := se.current()
 	if err == nil && doc.Version == version {
@@ -145,13 +149,15 @@
 	return doc, nil
 }
 
-func (se *Server) commit(ctx context.Context, p placement.Proposal) (*api.ApplyPlacementResponse, error) {
+// commitChange checks the operator's right to a change, commits the change to the store and
+// puts the new version in force.
+func (se *Server) commitChange(ctx context.Context, p placement.Proposal) (*api.ApplyPlacementResponse, error) {
 	author, err := se.author(ctx, p.Author)
 	if err != nil {
 		return nil, err
 	}
 	p.Author = author
-	if err := se.mayChange(author, p.Changes); err != nil {
+	if err := se.checkPlacementRight(author, p.Changes); err != nil {
 		return nil, err
 	}
 	if p.ChangeID == "" {
@@ -159,33 +165,35 @@
 	}
 	doc, err := se.Store.Commit(ctx, p)
 	if err != nil {
-		return nil, explain(err)
+		return nil, commitStatus(err)
 	}
-	if err := se.force(p, doc); err != nil {
+	if err := se.putInForce(p, doc); err != nil {
 		return nil, err
 	}
 	se.Log.Event(events.PlacementChanged, events.F("version", doc.Version), events.F("author", author), events.F("changes", len(p.Changes)))
 	return &api.ApplyPlacementResponse{Version: doc.Version}, nil
 }
 
-// force puts an accepted version in force here, which passes it on.
-func (se *Server) force(p placement.Proposal, doc *placement.Document) error {
+// putInForce puts a committed version in force at this daemon, which sends it to others.
+func (se *Server) putInForce(p placement.Proposal, doc *placement.Document) error {
 	hash, err := doc.Hash()
 	if err != nil {
 		return err
 	}
-	v := tables.ReceivedPlacement{Document: doc, Hash: hash, FromStore: true}
+	received := tables.ReceivedPlacement{Document: doc, Hash: hash, FromStore: true}
 	if doc.Version == p.Base.Version+1 {
-		v.Entries = []placement.LogEntry{{
+		received.Entries = []placement.LogEntry{{
 			Version: doc.Version, ChangeID: p.ChangeID, Author: p.Author, At: p.At,
 			Changes: p.Changes, Hash: hash, RollbackOf: p.RollbackOf,
 		}}
 	}
-	se.World.Inbox.Post(true, func(m *tables.Mail) { m.Placements = append(m.Placements, v) })
+	se.World.Inbox.Post(true, func(m *tables.Mail) { m.Placements = append(m.Placements, received) })
 	return nil
 }
 
-func explain(err error) error {
+// commitStatus turns an error of Store.Commit into a gRPC status. The operators' command
+// line derives its exit code from the status code.
+func commitStatus(err error) error {
 	var conflict *placement.ConflictError
 	var unknown *placement.UnknownOutcomeError
 	var notSent *placement.NotSentError
@@ -200,8 +208,8 @@
 	return status.Error(codes.InvalidArgument, err.Error())
 }
 
-// author is the name in the operator's certificate; without TLS, on loopback,
-// the name that the tool sends.
+// author returns the common name of the operator's certificate or, without TLS, the name
+// that the operator claims.
 func (se *Server) author(ctx context.Context, claimed string) (string, error) {
 	p, ok := peer.FromContext(ctx)
 	if ok {
@@ -215,7 +223,8 @@
 	return claimed, nil
 }
 
-func (se *Server) mayChange(author string, changes []placement.Change) error {
+// checkPlacementRight refuses changes to services that the author has no right to change.
+func (se *Server) checkPlacementRight(author string, changes []placement.Change) error {
 	if len(se.Settings.Operators) == 0 {
 		return nil
 	}
@@ -227,6 +236,7 @@
 	return nil
 }
 
+// hasRight reports whether the settings give an operator the right to change a service.
 func (se *Server) hasRight(author, service string) bool {
 	for _, o := range se.Settings.Operators {
 		if o.Name != author {
@@ -243,10 +253,10 @@
 
 // History implements the call of the schema.
 func (se *Server) History(ctx context.Context, in *api.HistoryRequest) (*api.HistoryResponse, error) {
-	const most = 1000
+	const maxEntries = 1000
 	limit := int(in.GetLimit())
-	if limit == 0 || limit > most {
-		limit = most
+	if limit == 0 || limit > maxEntries {
+		limit = maxEntries
 	}
 	entries, err := se.Store.History(ctx, in.GetAfterVersion(), limit)
 	if err != nil {
@@ -265,7 +275,7 @@
 // Drain implements the call of the schema.
 func (se *Server) Drain(_ *api.DrainRequest, stream grpc.ServerStreamingServer[api.DrainProgress]) error {
 	se.Leave()
-	ticker := time.NewTicker(progressEvery)
+	ticker := time.NewTicker(progressInterval)
 	defer ticker.Stop()
 	for {
 		inFlight := se.InFlight()
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -33,13 +33,14 @@
 		out.Running, out.Queued, out.Limit = stamp.Running, stamp.Queued, stamp.Limit
 		out.Slots = uint32(se.Executor.Gate().Slots())
 	}
-	asked := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) { se.fillStatus(w, out) })
-	if !asked {
+	answered := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) { se.fillStatus(w, out) })
+	if !answered {
 		return nil, status.Error(codes.DeadlineExceeded, "the daemon did not answer in time")
 	}
 	return out, nil
 }
 
+// fillStatus adds what the tables hold to the response.
 func (se *Server) fillStatus(w *tables.World, out *api.StatusResponse) {
 	out.Placement = w.PlacementVersion()
 	evacuated := w.View.Evacuation()
@@ -48,23 +49,23 @@
 	if age, ok := w.StoreReadAge(se.Now()); ok {
 		out.StoreAgeMs = age.Milliseconds()
 	}
-	told := map[string]uint64{w.VM: w.PlacementVersion()}
+	versions := map[string]uint64{w.VM: w.PlacementVersion()}
 	w.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
-		told[peer.Hello.VM] = max(told[peer.Hello.VM], row.PlacementVersion)
+		versions[peer.Hello.VM] = max(versions[peer.Hello.VM], row.PlacementVersion)
 	})
 	w.Members.EachRow(func(row int) {
 		vm := &w.Members.Record[row]
-		_, linked := told[vm.VM]
+		_, linked := versions[vm.VM]
 		out.Members = append(out.Members, &api.Member{
 			Vm: vm.VM, DataCentre: vm.DataCentre, Service: vm.Service,
-			Leaving: w.Members.Leaving(row), Linked: linked, Placement: told[vm.VM],
+			Leaving: w.Members.Leaving(row), Linked: linked, Placement: versions[vm.VM],
 		})
 	})
 	sort.Slice(out.Members, func(i, j int) bool { return out.Members[i].Vm < out.Members[j].Vm })
 }
 
-// coster is a policy that can say what it expects of a candidate.
-type coster interface {
+// costEstimator is a policy that can estimate the time of a call at a candidate.
+type costEstimator interface {
 	Cost(req *choose.Request, i int) time.Duration
 }
 
@@ -89,6 +90,8 @@
 	return out, nil
 }
 
+// fillExplain adds the members that run the kind's service to the response, each with the
+// reason why it is a candidate or not.
 func (se *Server) fillExplain(w *tables.World, kind *placement.CompiledKind, out *api.ExplainResponse) {
 	inSubset := map[string]bool{}
 	req := &choose.Request{Now: se.Now()}
@@ -98,16 +101,16 @@
 			req.CandidateSet = append(req.CandidateSet, tables.Candidate{Endpoint: route, Load: route.Load})
 		}
 	}
-	costs := se.costs(req)
+	estimates := se.estimateCosts(req)
 	out.Rollout = se.rollout(w, kind.Service)
 	w.Members.EachRowOfService(kind.Service, func(row int) {
 		vm := &w.Members.Record[row]
 		c := &api.Candidate{Vm: vm.VM, DataCentre: vm.DataCentre, ExpectedUs: -1, Version: vm.Version}
 		c.Reason = reason(w, row, kind, inSubset[vm.VM])
-		c.Eligible = c.Reason == eligible || c.Reason == trying
-		known := w.Members.Endpoint[row].Load.Snapshot(req.Now)
-		c.InFlight, c.Outstanding, c.ServiceTimeUs = known.InFlight, known.Outstanding, known.ServiceTime.Microseconds()
-		if cost, ok := costs[vm.VM]; ok {
+		c.Eligible = c.Reason == eligible || c.Reason == onTrial
+		load := w.Members.Endpoint[row].Load.Snapshot(req.Now)
+		c.InFlight, c.Outstanding, c.ServiceTimeUs = load.InFlight, load.Outstanding, load.ServiceTime.Microseconds()
+		if cost, ok := estimates[vm.VM]; ok {
 			c.ExpectedUs = cost
 		}
 		out.Candidates = append(out.Candidates, c)
@@ -116,9 +119,11 @@
 	out.Verdict = verdict(out.Candidates, kind)
 }
 
-func (se *Server) costs(req *choose.Request) map[string]int64 {
+// estimateCosts returns the expected time of a call at each candidate in microseconds, by
+// VM. It is empty if the policy estimates none.
+func (se *Server) estimateCosts(req *choose.Request) map[string]int64 {
 	out := map[string]int64{}
-	policy, ok := se.Policy.(coster)
+	policy, ok := se.Policy.(costEstimator)
 	if !ok {
 		return out
 	}
@@ -128,16 +133,17 @@
 	return out
 }
 
-// The reasons of those that may get a call.
+// The reasons of members that may get a call.
 const (
 	eligible = "a candidate"
-	trying   = "a candidate for the few calls that try its version"
+	onTrial  = "a candidate for the few calls that try its version"
 )
 
+// reason returns why a member may get calls of a kind, or why it may not.
 func reason(w *tables.World, row int, kind *placement.CompiledKind, inSubset bool) string {
 	traffic, version := w.View.RolloutTraffic(kind.Service), w.Members.Record[row].Version
-	takes := traffic.Permits(rollout.LaneOld, version, w.Members.Record[row].VM)
-	tries := !takes && traffic.Permits(rollout.LaneTarget, version, w.Members.Record[row].VM)
+	runsOld := traffic.Permits(rollout.LaneOld, version, w.Members.Record[row].VM)
+	runsTarget := !runsOld && traffic.Permits(rollout.LaneTarget, version, w.Members.Record[row].VM)
 	switch {
 	case w.View.Evacuation().Has(w.Members.Record[row].DataCentre):
 		return "its data centre is evacuated"
@@ -146,19 +152,20 @@
 	case w.Members.Leaving(row):
 		return "it is leaving"
 	case w.Members.Record[row].Backend != wire.BackendLive:
-		return "its backend server takes nothing now"
-	case !takes && !tries:
+		return "its backend server accepts no requests now"
+	case !runsOld && !runsTarget:
 		return "a roll-out lets its version " + version + " run nothing"
 	case !inSubset:
 		return "it is outside the subset of this entry (choosing.subset)"
 	case w.Members.Endpoint[row].Runner() == nil:
 		return "there is no link to it yet"
-	case tries:
-		return trying
+	case runsTarget:
+		return onTrial
 	}
 	return eligible
 }
 
+// verdict says what happens to calls of a kind that has these candidates.
 func verdict(candidates []*api.Candidate, kind *placement.CompiledKind) string {
 	count := 0
 	for _, c := range candidates {
--- a/pkg/operators/teams.go
+++ b/pkg/operators/teams.go
@@ -15,7 +15,7 @@
 func (se *Server) GetTeams(context.Context, *api.GetTeamsRequest) (*api.TeamsResponse, error) {
 	current := se.World.View.Placement()
 	if current == nil {
-		return nil, status.Error(codes.Unavailable, "this daemon has no placement yet; ask another one, or come back later")
+		return nil, status.Error(codes.Unavailable, "this daemon has no placement yet; ask another daemon, or try again later")
 	}
 	out := &api.TeamsResponse{Version: current.Version, ProofAgeMs: -1}
 	if at := se.World.View.PlacementProvenAt(); at > 0 {
@@ -28,22 +28,23 @@
 		})
 	}
 	if se.Quota != nil {
-		se.fillCounts(out)
+		se.fillUsage(out)
 	}
 	return out, nil
 }
 
-// fillCounts adds what this daemon knows of the teams' requests.
-func (se *Server) fillCounts(out *api.TeamsResponse) {
+// fillUsage adds the numbers of granted and refused requests and, for each team, its counter,
+// this daemon's share of its limit, and the tokens held here.
+func (se *Server) fillUsage(out *api.TeamsResponse) {
 	stats := se.Quota.Stats()
 	out.Granted, out.Refused, out.Unsure = stats.Granted, stats.Refused, stats.Unsure
-	counted := map[string]quota.Usage{}
-	for _, use := range se.Quota.Usages(se.Now()) {
-		counted[use.Team] = use
+	usages := map[string]quota.Usage{}
+	for _, usage := range se.Quota.Usages(se.Now()) {
+		usages[usage.Team] = usage
 	}
 	counters := se.Quota.Counters()
 	for _, team := range out.Teams {
 		team.Counter = counters[quota.GroupOf(team.Name)]
-		team.Part, team.Tokens = counted[team.Name].Share, counted[team.Name].Tokens
+		team.Part, team.Tokens = usages[team.Name].Share, usages[team.Name].Tokens
 	}
 }
