--- a/pkg/daemon/adapter.go
+++ b/pkg/daemon/adapter.go
@@ -14,78 +14,80 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// Adapter is what a daemon needs of the platform it runs on. What a platform
-// does not have stays nil.
+// Adapter connects a daemon to the platform that it runs on. Fields for what a platform
+// does not have are nil.
 type Adapter struct {
 	Store store.Platform
-	// Feed is set where operators write placements to the store themselves.
+	// Feed is set if operators write placements to the platform's store themselves.
 	Feed placement.Feed
-	// Registrar is set where daemons write the list of VMs themselves.
+	// Registrar is set if daemons write the list of VMs themselves.
 	Registrar store.Registrar
-	// Callers and Backend are how the platform spells the headers.
+	// Callers and Backend are the platform's names of the headers that callers and backend
+	// servers send and receive.
 	Callers ingress.Headers
 	Backend backend.Headers
-	// Announcements makes the handler of backend servers' announcements.
+	// Announcements returns the HTTP handler for announcements of backend servers.
 	Announcements func(backend.AnnouncementHandler) http.Handler
-	// Rollouts keeps the plans of roll-outs that operators order.
+	// Rollouts stores the plans of the roll-outs that operators order.
 	Rollouts rollout.PlanStore
-	// Clock is the one that the deadlines of roll-outs stand on, where it is the VM's
-	// own; nil where it is the store's.
+	// Clock returns the time by the clock of roll-out deadlines; nil if only the store has
+	// that clock.
 	Clock func() time.Duration
-	// OnInvalidInput sets who is told of rows of the store that cannot be understood; nil where
-	// none but daemons and operators write there.
-	OnInvalidInput func(told func(what string, why error))
-	// OnStoreRestored sets who is told when the store has come back from an older copy, which
-	// has lost what was written last; nil where a store never does.
-	OnStoreRestored func(told func())
-	// Bounds are what the platform holds all daemons to.
+	// OnInvalidInput registers a callback for rows of the store that are invalid; nil if
+	// only daemons and operators write to the store.
+	OnInvalidInput func(callback func(what string, err error))
+	// OnStoreRestored registers a callback for when the store was restored from an older
+	// copy and has lost the newest rows; nil if this never happens.
+	OnStoreRestored func(callback func())
+	// Bounds are the limits that the platform sets for all daemons.
 	Bounds Bounds
 }
 
-// AdapterFactory makes the adapter of one platform from the settings.
+// AdapterFactory returns the adapter for one platform with the given settings.
 type AdapterFactory func(*settings.Settings) (*Adapter, error)
 
-// Adapters are the platforms that a program knows, by settings platform.form.
+// Adapters holds the platforms that a program knows, by the name in settings platform.form.
 type Adapters map[string]AdapterFactory
 
-// ownForm is the platform.form of rushramp's own HTTP form.
-const ownForm = "http"
+// httpForm is the value of settings platform.form for rushramp's own HTTP interface.
+const httpForm = "http"
 
-// errVersionTold refuses a version in the settings of a daemon whose backend server
-// tells its own.
-var errVersionTold = errors.New("backend_server.version: backend servers of routed requests tell their version themselves. Leave it out, or leave out listen.routed.")
+// errVersionInSettings refuses the setting backend_server.version where the backend server
+// announces its version.
+var errVersionInSettings = errors.New("backend_server.version: backend servers of routed requests announce their version. Leave it out, or leave out listen.routed.")
 
-// adapter makes the adapter that the settings name.
+// adapter returns the adapter that settings platform.form names.
 func (a Adapters) adapter(s *settings.Settings) (*Adapter, error) {
-	if s.Platform.Form == ownForm {
-		return newOwnAdapter(s)
+	if s.Platform.Form == httpForm {
+		return newHTTPAdapter(s)
 	}
 	if s.BackendServer.Version != "" {
-		return nil, errVersionTold
+		return nil, errVersionInSettings
 	}
-	build, ok := a[s.Platform.Form]
+	factory, ok := a[s.Platform.Form]
 	if !ok {
-		return nil, errors.Errorf("platform.form: this program knows no platform %q. Give %q, or use a program that was built with its adapter.", s.Platform.Form, ownForm)
+		return nil, errors.Errorf("platform.form: this program has no adapter for platform %q. Give %q, or use a program that was built with the adapter.", s.Platform.Form, httpForm)
 	}
-	return build(s)
+	return factory(s)
 }
 
-func newOwnAdapter(s *settings.Settings) (*Adapter, error) {
+// newHTTPAdapter returns the adapter for rushramp's own HTTP interface.
+func newHTTPAdapter(s *settings.Settings) (*Adapter, error) {
 	client, err := store.NewHTTP(s.Platform.Address, s.Platform.Timeout)
 	if err != nil {
 		return nil, err
 	}
-	// Its store tells no time; VMs keep theirs by the network's.
-	wall := func() time.Duration { return time.Duration(time.Now().UnixNano()) }
+	// This store has no clock. The clocks of VMs are synchronised over the network.
+	wallClock := func() time.Duration { return time.Duration(time.Now().UnixNano()) }
 	if s.BackendServer.Version != "" && s.Listen.Routed != "" {
-		return nil, errVersionTold
+		return nil, errVersionInSettings
 	}
 	out := &Adapter{
-		Store: client, Rollouts: rollout.NewTablePlanStore(client, wall), Clock: wall,
+		Store: client, Rollouts: rollout.NewTablePlanStore(client, wallClock), Clock: wallClock,
 		Callers: ingress.DefaultHeaders(), Backend: backend.DefaultHeaders(),
 	}
 	if s.BackendServer.Version != "" {
-		out.Bounds = ownBounds()
+		out.Bounds = httpBounds()
 	}
 	return out, nil
 }
--- a/pkg/daemon/bounds.go
+++ b/pkg/daemon/bounds.go
@@ -7,81 +7,82 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// Bounds are what the platform holds all daemons of a deployment to; 0: it names
-// no such bound, and the setting stays.
+// Bounds are the limits that the platform sets for all daemons of a deployment. A field
+// that is 0 sets no limit: the setting for it stays in force.
 type Bounds struct {
-	// RetryRatio is how many requests may reach a service once more, for each
-	// request of it, and RetrySlack how many besides, in the platform's window.
+	// All daemons together may send RetryRatio retries per request of a service, and
+	// RetrySlack more, in the platform's window.
 	RetryRatio float64
 	RetrySlack float64
-	// ChecksPerSecond is how often a backend server's health path may be asked.
+	// ChecksPerSecond is the maximum rate of health checks of one backend server.
 	ChecksPerSecond float64
-	// ColdFactor is how many times what a cold backend server bears it may get in a
-	// second, and ColdSlack how many requests besides.
+	// A cold backend server may get ColdFactor times its service's cold rate and ColdSlack
+	// requests more per second.
 	ColdFactor float64
 	ColdSlack  float64
-	// MaxBadShare and ExposeSlack bound the requests that a bad version may get while it
-	// is rolled out: a share, with which roll-outs are planned, and a number besides, which
-	// they leave in reserve. StopWithin is the time after which it must get none.
+	// A bad version may get the share MaxBadShare of the service's requests during its
+	// roll-out, and MaxBadSlack requests more. Roll-outs are planned with the share alone.
+	// StopWithin is the time after which a bad version must get no more requests.
 	MaxBadShare float64
 	MaxBadSlack float64
 	StopWithin  time.Duration
-	// LimitSlack is how many requests beyond its limit a team may send in QuotaWindow.
+	// LimitSlack is the number of requests by which a team may exceed its limit in
+	// LimitWindow.
 	LimitSlack  float64
 	LimitWindow time.Duration
-	// RevokeWithin is after how long a key that was taken away must let nothing in
-	// anywhere, also at a VM that is cut off; 0: there it may.
+	// RevokeWithin is the time after which all daemons must refuse a revoked key, including
+	// those that the network has cut off; 0: those may accept it.
 	RevokeWithin time.Duration
 }
 
 const (
-	// ownExposeShare and ownExposeSlack are what rushramp's own form allows a bad version
-	// to get between order and deadline: the share and the number for which the times
-	// and shares of roll-outs were reckoned and tested (pkg/rollout).
-	ownExposeShare = 0.1
-	ownExposeSlack = 50
-	// ownStopWithin is how soon a bad version must get nothing more: the bound that the
-	// judge's tests hold (TestDelays).
-	ownStopWithin = 5 * time.Second
+	// httpMaxBadShare and httpMaxBadSlack are Bounds.MaxBadShare and Bounds.MaxBadSlack with
+	// rushramp's own HTTP interface. The times and shares in pkg/rollout are for these.
+	httpMaxBadShare = 0.1
+	httpMaxBadSlack = 50
+	// httpStopWithin is Bounds.StopWithin with rushramp's own HTTP interface. The tests of
+	// the evaluator in pkg/rollout check that it is kept (TestDelays).
+	httpStopWithin = 5 * time.Second
 )
 
-// ownBounds are those of rushramp's own form, whose platform names none.
-func ownBounds() Bounds {
-	return Bounds{MaxBadShare: ownExposeShare, MaxBadSlack: ownExposeSlack, StopWithin: ownStopWithin}
+// httpBounds returns the bounds with rushramp's own HTTP interface, whose platform sets
+// none.
+func httpBounds() Bounds {
+	return Bounds{MaxBadShare: httpMaxBadShare, MaxBadSlack: httpMaxBadSlack, StopWithin: httpStopWithin}
 }
 
-// rollouts are the limits of roll-outs; the zero value: the platform has none.
-func (b Bounds) rollouts() rollout.Limits {
+// rolloutLimits returns the limits of roll-outs; the zero value if the platform sets none.
+func (b Bounds) rolloutLimits() rollout.Limits {
 	return rollout.Limits{MaxBadShare: b.MaxBadShare, StopWithin: b.StopWithin}
 }
 
 const (
-	// ratioShare is the share of the platform's ratio that daemons spend: calls
-	// that a repeated run makes count as repeats, too, and no entry sees them.
-	ratioShare = 0.8
-	// slackShare is the share of the platform's slack that daemons share out: one
-	// that is started again begins with its part anew.
-	slackShare = 0.8
-	// checksShare is the share of the platform's checks that starting requests may
-	// cause; the watch makes some seven a second besides.
-	checksShare = 0.65
+	// retryRatioShare is the share of Bounds.RetryRatio that daemons use. The rest is for
+	// calls to other services that a retried run repeats: they count as retries, too, but no
+	// entry can recognise them.
+	retryRatioShare = 0.8
+	// retrySlackShare is the share of Bounds.RetrySlack that daemons use. The rest is for
+	// restarted daemons, which start with their full part of it again.
+	retrySlackShare = 0.8
+	// checkRateShare is the share of Bounds.ChecksPerSecond that starting requests may use.
+	// The periodic health checks use about seven per second.
+	checkRateShare = 0.65
 )
 
-// coldShare is the share of the platform's bound on starts at a cold backend server
-// that its gate uses. Two in thirty-two are left for starts that a new process of
-// the daemon cannot know of.
+// coldShare is the share of Bounds.ColdFactor and Bounds.ColdSlack that the gate uses. The
+// rest is for starts by the previous process of the daemon that the new one does not know.
 const coldShare = 15.0 / 16
 
-// apply puts the bounds into the settings that keep them.
+// apply overrides the settings of routed requests with the bounds.
 func (b Bounds) apply(r *settings.Routing) {
 	if b.RetryRatio > 0 {
-		r.RetryRatio = ratioShare * b.RetryRatio
+		r.RetryRatio = retryRatioShare * b.RetryRatio
 	}
 	if b.RetrySlack > 0 {
-		r.RetrySlack = int(slackShare * b.RetrySlack)
+		r.RetrySlack = int(retrySlackShare * b.RetrySlack)
 	}
 	if b.ChecksPerSecond > 0 {
-		r.LooksPerSecond = int(checksShare * b.ChecksPerSecond)
+		r.LooksPerSecond = int(checkRateShare * b.ChecksPerSecond)
 	}
 	if b.ColdFactor > 0 {
 		r.ColdFactor = coldShare * b.ColdFactor
@@ -89,7 +90,7 @@
 	}
 }
 
-// applyTeams does so for those on teams.
+// applyTeams overrides the settings of teams with the bounds.
 func (b Bounds) applyTeams(t *settings.Teams) {
 	if b.LimitWindow > 0 {
 		t.LimitSlack, t.LimitWindow = b.LimitSlack, b.LimitWindow
--- a/pkg/daemon/bounds_test.go
+++ b/pkg/daemon/bounds_test.go
@@ -8,9 +8,9 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// TestThePlatformsBoundsGoBeforeSettings: a larger deployment allows more
-// retries, and daemons keep below what it allows.
-func TestThePlatformsBoundsGoBeforeSettings(t *testing.T) {
+// TestPlatformBoundsOverrideSettings checks that daemons use a share of each platform bound
+// in place of the setting, and keep the settings without bounds.
+func TestPlatformBoundsOverrideSettings(t *testing.T) {
 	r := settings.Default().Routing
 	before := r
 	Bounds{}.apply(&r)
--- a/pkg/daemon/command.go
+++ b/pkg/daemon/command.go
@@ -13,8 +13,8 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// NewCommand makes the command line of rushrampd. adapters are the platforms
-// that it knows besides rushramp's own.
+// NewCommand returns the root command of rushrampd. adapters are those for platforms other
+// than rushramp's own HTTP interface.
 func NewCommand(adapters Adapters) *cobra.Command {
 	var path string
 	cmd := &cobra.Command{
@@ -35,16 +35,17 @@
 	return cmd
 }
 
-// logPatience is how long a daemon that ends waits for a reader of its log.
-const logPatience = 200 * time.Millisecond
+// logCloseTimeout is how long a daemon that ends waits until the reader of its log has read
+// all lines.
+const logCloseTimeout = 200 * time.Millisecond
 
-// serve runs the daemon until it has drained after SIGTERM, an operator's
-// drain, or the platform's leaving mark.
+// serve runs the daemon until it has drained: after SIGTERM or SIGINT, by an operator's
+// drain, or when the platform marks the VM as leaving.
 func serve(path string, s *settings.Settings, adapters Adapters) error {
 	level, _ := events.ParseLevel(s.Log.Level)
 	bounds := events.Bounds{LinesPerSecond: s.Log.LinesPerSecond, BytesPerSecond: s.Log.BytesPerSecond, BufferBytes: s.Log.BufferBytes}
 	log := events.NewBoundedLog(os.Stdout, level, bounds, events.F("vm", s.VM.ID))
-	defer log.Close(logPatience)
+	defer log.Close(logCloseTimeout)
 	d, err := New(s, Options{Adapters: adapters, Log: log})
 	if err != nil {
 		return err
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon puts the parts of rushrampd together.
+// Package daemon builds rushrampd from its parts, starts it and drains it.
 package daemon
 
 import (
@@ -30,21 +30,25 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// Options replace parts in tests and in the bench. Each may be nil.
+// Options replace parts of a daemon. Each may be nil: the daemon then uses its default.
 type Options struct {
-	// Adapters are the platforms that this program knows besides rushramp's own.
+	// Adapters are the adapters for platforms other than rushramp's own HTTP interface.
 	Adapters Adapters
 	// Platform replaces the store of the adapter.
 	Platform store.Platform
-	Policy   choose.Policy
-	Dial     link.Dial
-	Log      *events.Log
+	// Policy replaces the one that settings choosing.policy names.
+	Policy choose.Policy
+	// Dial opens links to other daemons.
+	Dial link.Dial
+	Log  *events.Log
 }
 
-// Daemon is one rushrampd.
+// Daemon is one rushrampd: an entry for calls and, beside a backend server, the executor
+// that runs calls there.
 type Daemon struct {
 	*common.Common
-	World    *tables.World
+	World *tables.World
+	// Executor is nil on a daemon without a backend server.
 	Executor *executor.Executor
 	Entry    *entry.Entry
 
@@ -55,30 +59,30 @@
 	policy    choose.Policy
 	control   *systems.Control
 	operators *operators.Server
-	// storeClock is the adapter's Clock.
+	// storeClock is Adapter.Clock.
 	storeClock func() time.Duration
-	// routed is nil on a daemon that takes no routed requests.
+	// routed is nil on a daemon that accepts no routed requests.
 	routed *routed
-	// endWork ends what runs in the background, after the drain.
-	endWork context.CancelFunc
-	stops   []func()
-	leave   sync.Once
-	left    chan struct{}
-	cut     atomic.Int64
-	stopped sync.Once
+	// cancelBackground ends the background goroutines, after the drain.
+	cancelBackground context.CancelFunc
+	stops            []func()
+	leaveOnce        sync.Once
+	drained          chan struct{}
+	cutCalls         atomic.Int64
+	stopOnce         sync.Once
 }
 
-// New makes a daemon from its settings. It opens no listener yet.
+// New returns a daemon with the given settings. Start opens its listeners.
 func New(s *settings.Settings, opts Options) (*Daemon, error) {
 	adapter, err := opts.Adapters.adapter(s)
 	if err != nil {
 		return nil, err
 	}
-	// The file's own settings stay as they are: the reloader compares them.
-	inForce := *s
-	adapter.Bounds.apply(&inForce.Routing)
-	adapter.Bounds.applyTeams(&inForce.Teams)
-	s = &inForce
+	// The caller's settings stay as in the file: the reloader compares them with the file.
+	effective := *s
+	adapter.Bounds.apply(&effective.Routing)
+	adapter.Bounds.applyTeams(&effective.Teams)
+	s = &effective
 	if opts.Platform == nil {
 		opts.Platform = adapter.Store
 	}
@@ -101,29 +105,29 @@
 	}
 	c := common.NewCommon(opts.Log, s)
 	opts.Platform = store.NewCounted(opts.Platform, c.Metrics)
-	background, endWork := context.WithCancel(context.Background())
+	background, cancelBackground := context.WithCancel(context.Background())
 	d := &Daemon{
 		Common: c,
 		World:  tables.NewWorld(s.VM.ID, s.VM.DataCentre),
 		certs:  reloader, storeClock: adapter.Clock,
-		store:   placement.NewStore(opts.Platform, opts.Platform),
-		policy:  opts.Policy,
-		endWork: endWork,
-		left:    make(chan struct{}),
+		store:            placement.NewStore(opts.Platform, opts.Platform),
+		policy:           opts.Policy,
+		cancelBackground: cancelBackground,
+		drained:          make(chan struct{}),
 	}
 	d.World.Region = s.VM.Region
 	if s.Listen.Routed != "" {
 		c.Quota = newQuota(s, d.World.View)
-		measureQuota(c.Metrics, c.Quota)
+		registerQuotaMetrics(c.Metrics, c.Quota)
 	}
 	claims := once.NewClaims(background, c, opts.Platform)
 	if err := d.newExecutor(claims); err != nil {
-		endWork()
+		cancelBackground()
 		return nil, err
 	}
 	d.Entry = entry.NewEntry(c, d.World, opts.Policy, claims)
 	if d.routed, err = newRouted(d, adapter); err != nil {
-		endWork()
+		cancelBackground()
 		return nil, err
 	}
 	d.control = systems.NewControl(c, d.World, uint64(time.Now().UnixNano()))
@@ -134,8 +138,8 @@
 		SweepOnceRows: claims.Sweep,
 		Leave:         d.Leave,
 		Feed:          adapter.Feed, Registrar: adapter.Registrar,
-		Runner:   d.runner(),
-		Rollouts: adapter.Rollouts, RolloutLimits: adapter.Bounds.rollouts(),
+		Runner:   d.callRunner(),
+		Rollouts: adapter.Rollouts, RolloutLimits: adapter.Bounds.rolloutLimits(),
 	}
 	if adapter.Feed == nil {
 		d.env.Evacuation = evacuation.NewRegister(opts.Platform)
@@ -145,36 +149,38 @@
 		d.env.RoutedRunner, d.env.Backend, d.env.Recorder = d.routed.runner, d.routed.lifecycle, d.routed.recorder
 		d.env.Trial = d.routed.runner.Trial()
 	} else if d.Executor != nil && s.BackendServer.Version != "" {
-		d.beginTrial()
+		d.setUpEnforcer()
 	}
 	if adapter.OnInvalidInput != nil {
-		adapter.OnInvalidInput(d.noteForeign)
+		adapter.OnInvalidInput(d.logInvalidInput)
 	}
 	if adapter.OnStoreRestored != nil {
-		adapter.OnStoreRestored(d.noteRestored)
+		adapter.OnStoreRestored(d.onStoreRestored)
 	}
 	d.scheduler = systems.NewScheduler(d.env)
 	d.operators = d.newOperators()
 	return d, nil
 }
 
-// noteForeign logs a word of another writer, which was passed over.
-func (d *Daemon) noteForeign(what string, why error) {
+// logInvalidInput logs and counts an announcement or a row of the store that was invalid
+// and is ignored. what names it.
+func (d *Daemon) logInvalidInput(what string, err error) {
 	d.Metrics.GetOrCreateCounter("rushramp_foreign_words_total").Inc()
-	d.Log.Event(events.ForeignWord, events.F("what", what), events.F("cause", why))
+	d.Log.Event(events.ForeignWord, events.F("what", what), events.F("cause", err))
 }
 
-// noteRestored has the systems write again what the store has lost.
-func (d *Daemon) noteRestored() {
+// onStoreRestored tells the systems that the store was restored from an older copy, so that
+// they write again what it has lost.
+func (d *Daemon) onStoreRestored() {
 	d.Log.Event(events.StoreRestored)
 	d.World.Inbox.Post(true, func(m *tables.Mail) { m.StoreRestored = true })
 }
 
-// dialFrom dials from the IP number that the daemon listens on, so that others
-// see which VM a link comes from.
+// dialFrom returns a dialler whose connections come from the IP number that the daemon
+// listens on, so that peers see which VM a link comes from.
 func dialFrom(listen string) link.Dial {
-	// Links watch each other by heartbeats; probes besides would cost a packet a
-	// second on each idle one.
+	// Heartbeats detect dead links. TCP keep-alive probes as frequent as these would cost
+	// one more packet per second on each idle link.
 	dialer := &net.Dialer{}
 	if host, _, err := net.SplitHostPort(listen); err == nil {
 		if ip := net.ParseIP(host); ip != nil && !ip.IsUnspecified() {
@@ -184,6 +190,7 @@
 	return dialer.DialContext
 }
 
+// newExecutor sets Executor if the settings name a backend server.
 func (d *Daemon) newExecutor(claims *once.Claims) error {
 	if d.Settings.BackendServer.Address == "" {
 		return nil
@@ -193,7 +200,8 @@
 	return err
 }
 
-// Start opens the listeners and starts the systems.
+// Start opens the listeners and starts the systems. If a listener cannot be opened, it
+// closes the others and returns the error.
 func (d *Daemon) Start() error {
 	if err := d.listen(); err != nil {
 		d.Log.Event(events.ListenerFailed, events.F("cause", err))
@@ -208,12 +216,13 @@
 	return nil
 }
 
+// listen opens all listeners and adds the functions that close them to stops.
 func (d *Daemon) listen() error {
 	listener, err := net.Listen("tcp", d.Settings.Listen.Links)
 	if err != nil {
 		return errors.Errorf("cannot listen on %s: %v. Choose an address of this VM that no other process uses.", d.Settings.Listen.Links, err)
 	}
-	links := link.Listen(d.Common, d.control, d.runner(), listener, d.certs.Server(), d.env.DialOptions.Pace)
+	links := link.Listen(d.Common, d.control, d.callRunner(), listener, d.certs.Server(), d.env.DialOptions.Pace)
 	d.stops = append(d.stops, links.Close)
 	starts := []func() (func(), error){
 		func() (func(), error) { return startMetrics(d) },
@@ -233,8 +242,9 @@
 	return nil
 }
 
-// runner is who runs calls from links; a nil interface on an entry only.
-func (d *Daemon) runner() call.Runner {
+// callRunner returns the runner of calls that arrive on links. On a daemon without a backend
+// server it is a nil interface.
+func (d *Daemon) callRunner() call.Runner {
 	if d.routed != nil {
 		return d.routed.runner
 	}
@@ -253,7 +263,8 @@
 	}
 }
 
-// InFlight counts the calls that have not ended, entry side and executor side.
+// InFlight returns the number of calls and routed requests that have not ended. One whose
+// entry and executor are both this daemon counts twice.
 func (d *Daemon) InFlight() int64 {
 	out := d.Entry.InFlight()
 	if d.Executor != nil {
@@ -265,53 +276,58 @@
 	return out
 }
 
-// Leave begins the drain; it returns at once. SIGTERM, an operator's drain and
-// the platform's leaving mark all come here. Source: docs/design/members.md.
+// Leave begins to drain the daemon and returns at once. It is called on SIGTERM, by an
+// operator's drain, and when the platform marks the VM as leaving. Source:
+// docs/design/members.md.
 func (d *Daemon) Leave() {
-	d.leave.Do(func() {
+	d.leaveOnce.Do(func() {
 		d.Log.Event(events.DaemonDraining, events.F("calls_in_flight", d.InFlight()))
-		go d.leaveInTurn(time.Now())
+		go d.drainInOrder(time.Now())
 	})
 }
 
-// leaveInTurn lets callers of routed requests see that this daemon leaves
-// before other daemons do, so that its backend server is used meanwhile.
-func (d *Daemon) leaveInTurn(began time.Time) {
+// drainInOrder first drains the listener of routed requests and then tells other daemons
+// that this one is leaving, so that they use its backend server until then. It ends when no
+// call is in flight or the drain's bound has passed.
+func (d *Daemon) drainInOrder(startedAt time.Time) {
 	if d.routed != nil {
-		d.routed.drain(began)
+		d.routed.drain(startedAt)
 	}
 	d.World.View.SetLeaving()
 	if d.Executor != nil {
 		d.Executor.Leave()
 	}
 	d.World.Inbox.Post(true, func(*tables.Mail) {})
-	d.drain(began)
+	d.awaitCalls(startedAt)
 }
 
-const drainPoll = 5 * time.Millisecond
+// drainPollInterval is the time between two checks for calls in flight during a drain.
+const drainPollInterval = 5 * time.Millisecond
 
-func (d *Daemon) drain(began time.Time) {
-	defer close(d.left)
+// awaitCalls waits for Drain.Linger and until no call is in flight, for Drain.Bound at most.
+// It then closes drained.
+func (d *Daemon) awaitCalls(startedAt time.Time) {
+	defer close(d.drained)
 	bound := d.Settings.Drain.Bound
-	// Others learn at once over their links; those without one learn it from
-	// the refusals of this linger.
-	for time.Since(began) < d.Settings.Drain.Linger || (d.InFlight() > 0 && time.Since(began) < bound) {
-		time.Sleep(drainPoll)
+	// Daemons with a link to this one learn at once that it is leaving. Others learn it
+	// when it refuses their calls, for which it stays up for Drain.Linger.
+	for time.Since(startedAt) < d.Settings.Drain.Linger || (d.InFlight() > 0 && time.Since(startedAt) < bound) {
+		time.Sleep(drainPollInterval)
 	}
-	d.cut.Store(d.InFlight())
+	d.cutCalls.Store(d.InFlight())
 }
 
-// CutCalls counts the calls that were in flight when the drain's bound passed.
-func (d *Daemon) CutCalls() int64 { return d.cut.Load() }
+// CutCalls returns the number of calls that were still in flight at the end of the drain.
+func (d *Daemon) CutCalls() int64 { return d.cutCalls.Load() }
 
-// Drained is closed when the drain has ended.
-func (d *Daemon) Drained() <-chan struct{} { return d.left }
+// Drained returns a channel that is closed when the drain has ended.
+func (d *Daemon) Drained() <-chan struct{} { return d.drained }
 
-// Stop ends the daemon: at once, unless it drained before.
-func (d *Daemon) Stop() { d.stopped.Do(d.stop) }
+// Stop ends the daemon at once. Calls that are still in flight are cut.
+func (d *Daemon) Stop() { d.stopOnce.Do(d.stop) }
 
 func (d *Daemon) stop() {
-	d.endWork()
+	d.cancelBackground()
 	d.stopAll()
 	if d.Executor != nil {
 		d.Executor.Close()
@@ -322,6 +338,7 @@
 	d.Log.Event(events.DaemonStopped, events.F("cut", d.CutCalls()))
 }
 
+// stopAll closes the listeners, the last opened first.
 func (d *Daemon) stopAll() {
 	for i := len(d.stops) - 1; i >= 0; i-- {
 		d.stops[i]()
--- a/pkg/daemon/metrics.go
+++ b/pkg/daemon/metrics.go
@@ -13,9 +13,10 @@
 	"github.com/rushramp/rushramp/pkg/httpserver"
 )
 
-// startMetrics serves metrics, health and readiness.
+// startMetrics serves metrics, health and readiness at settings listen.metrics until stop
+// is called.
 func startMetrics(d *Daemon) (stop func(), err error) {
-	d.gauges()
+	d.registerGauges()
 	return httpserver.Start(d.Settings.Listen.Metrics, func(h *server.Hertz) {
 		h.GET("/metrics", func(_ context.Context, c *app.RequestContext) {
 			var out bytes.Buffer
@@ -28,6 +29,7 @@
 	})
 }
 
+// serveReady answers 200 if this daemon accepts calls, and 503 with the reason otherwise.
 func (d *Daemon) serveReady(c *app.RequestContext) {
 	switch {
 	case d.World.View.Leaving():
@@ -39,8 +41,8 @@
 	}
 }
 
-// gauges are values that are read when the metrics are.
-func (d *Daemon) gauges() {
+// registerGauges registers the gauges whose values are computed when the metrics are read.
+func (d *Daemon) registerGauges() {
 	d.Metrics.NewGauge("rushramp_placement_version", func() float64 {
 		if p := d.World.View.Placement(); p != nil {
 			return float64(p.Version)
@@ -50,9 +52,9 @@
 	d.Metrics.NewGauge("rushramp_placement_age_seconds", d.placementAge)
 	d.Metrics.NewGauge("rushramp_log_lines_left_out", func() float64 { return float64(d.Log.LeftOut()) })
 	d.Metrics.NewGauge("rushramp_members", func() float64 { return float64(d.World.View.MemberCount()) })
-	d.Metrics.NewGauge("rushramp_placement_unsure", func() float64 { return asNumber(d.World.View.PlacementUnsure()) })
-	d.Metrics.NewGauge("rushramp_store_stale", func() float64 { return asNumber(d.World.View.StoreStale()) })
-	d.Metrics.NewGauge("rushramp_leaving", func() float64 { return asNumber(d.World.View.Leaving()) })
+	d.Metrics.NewGauge("rushramp_placement_unsure", func() float64 { return toFloat(d.World.View.PlacementUnsure()) })
+	d.Metrics.NewGauge("rushramp_store_stale", func() float64 { return toFloat(d.World.View.StoreStale()) })
+	d.Metrics.NewGauge("rushramp_leaving", func() float64 { return toFloat(d.World.View.Leaving()) })
 	if d.Executor == nil {
 		return
 	}
@@ -60,7 +62,8 @@
 	d.Metrics.NewGauge("rushramp_gate_limit", func() float64 { return float64(d.Executor.Stamp().Limit) })
 }
 
-// placementAge is for how long the version in force has been; 0 without one.
+// placementAge returns for how many seconds the placement version has been in force; 0 if
+// none is.
 func (d *Daemon) placementAge() float64 {
 	at := d.World.View.PlacementSince()
 	if at.IsZero() {
@@ -69,7 +72,7 @@
 	return time.Since(at).Seconds()
 }
 
-func asNumber(b bool) float64 {
+func toFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/pkg/daemon/observe.go
+++ b/pkg/daemon/observe.go
@@ -8,10 +8,10 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// Traffic sums what this daemon's links, those in use now, have carried.
+// Traffic returns the sum of the traffic of this daemon's open links.
 func (d *Daemon) Traffic() link.Traffic {
 	var out link.Traffic
-	d.ask(func(w *tables.World) {
+	d.runQuery(func(w *tables.World) {
 		w.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) {
 			t := peer.Traffic()
 			out.BytesIn += t.BytesIn
@@ -23,22 +23,22 @@
 	return out
 }
 
-// LinkCount counts this daemon's links, in both directions.
+// LinkCount returns the number of this daemon's open links, accepted ones included.
 func (d *Daemon) LinkCount() int {
 	n := 0
-	d.ask(func(w *tables.World) { n = w.Peers.Len() })
+	d.runQuery(func(w *tables.World) { n = w.Peers.Len() })
 	return n
 }
 
-// MemberCount counts the VMs that this daemon knows of.
+// MemberCount returns the number of members that this daemon knows.
 func (d *Daemon) MemberCount() int { return d.World.View.MemberCount() }
 
-func (d *Daemon) ask(query func(*tables.World)) {
+func (d *Daemon) runQuery(query func(*tables.World)) {
 	d.World.Inbox.RunQuery(d.env.DaemonContext.Done(), query)
 }
 
-// Apply makes changes on top of the placement in force here, as an operator's
-// call does, and returns the new version.
+// Apply commits changes of the placement in force here, as an operator's call does, and
+// returns the new version.
 func (d *Daemon) Apply(ctx context.Context, changeID, author string, changes []placement.Change) (uint64, error) {
 	return d.operators.Apply(ctx, changeID, author, changes)
 }
--- a/pkg/daemon/reload.go
+++ b/pkg/daemon/reload.go
@@ -13,26 +13,27 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// fileEvery is the time between two looks at the settings file, which may
-// change without a signal.
-const fileEvery = 2 * time.Second
+// filePollInterval is the time between two checks whether the settings file has changed.
+const filePollInterval = 2 * time.Second
 
-// reloader reads the settings file again after SIGHUP, and when it changed.
+// reloader reads the settings file again on SIGHUP and when the file changes, and logs what
+// changed. The new settings apply at the next start of the daemon.
 type reloader struct {
 	daemon *Daemon
 	path   string
-	// loaded are the settings in force; modified is the file's time then.
+	// loaded holds the settings as last read from the file, modified the file's
+	// modification time then.
 	loaded   settings.Settings
 	modified time.Time
 }
 
 func newReloader(d *Daemon, path string, loaded settings.Settings) *reloader {
 	r := &reloader{daemon: d, path: path, loaded: loaded}
-	r.modified = r.fileTime()
+	r.modified = r.modTime()
 	return r
 }
 
-func (r *reloader) fileTime() time.Time {
+func (r *reloader) modTime() time.Time {
 	info, err := os.Stat(r.path)
 	if err != nil {
 		return time.Time{}
@@ -40,12 +41,12 @@
 	return info.ModTime()
 }
 
-// run looks until ctx ends. It never cuts a request.
+// run checks for signals and changes of the file until ctx is cancelled.
 func (r *reloader) run(ctx context.Context) {
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	defer signal.Stop(hup)
-	ticker := time.NewTicker(fileEvery)
+	ticker := time.NewTicker(filePollInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -54,7 +55,7 @@
 		case <-hup:
 			r.reload("signal")
 		case <-ticker.C:
-			if at := r.fileTime(); !at.Equal(r.modified) {
+			if at := r.modTime(); !at.Equal(r.modified) {
 				r.modified = at
 				r.reload("file")
 			}
@@ -62,20 +63,20 @@
 	}
 }
 
-// reload reads the file and says which sections changed. A file with a fault
-// changes nothing.
-func (r *reloader) reload(why string) {
+// reload reads the file and logs which sections changed. If the file is invalid, it logs
+// the error and keeps the settings that it read before.
+func (r *reloader) reload(trigger string) {
 	next, err := settings.Load(r.path)
 	if err != nil {
-		r.daemon.Log.Event(events.SettingsRefused, events.F("why", why), events.F("cause", err))
+		r.daemon.Log.Event(events.SettingsRefused, events.F("why", trigger), events.F("cause", err))
 		return
 	}
 	changed := changedSections(r.loaded, next)
 	r.loaded = next
-	r.daemon.Log.Event(events.SettingsRead, events.F("why", why), events.F("changed", strings.Join(changed, ",")))
+	r.daemon.Log.Event(events.SettingsRead, events.F("why", trigger), events.F("changed", strings.Join(changed, ",")))
 }
 
-// changedSections names the sections in which two settings differ.
+// changedSections returns the names of the sections in which two settings differ.
 func changedSections(a, b settings.Settings) []string {
 	var out []string
 	before, after := reflect.ValueOf(a), reflect.ValueOf(b)
--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -20,14 +20,14 @@
 )
 
 const (
-	// ackWithin bounds how long an announcement waits for the store before it
-	// is acknowledged; the backend server gives up after a second.
-	ackWithin = 600 * time.Millisecond
-	// closeWithin bounds the end of the callers' connections.
-	closeWithin = 300 * time.Millisecond
+	// ackTimeout is how long an announcement waits for the store before it is acknowledged.
+	// The backend server gives up after a second.
+	ackTimeout = 600 * time.Millisecond
+	// closeTimeout is how long the ingress waits for the callers' connections to end.
+	closeTimeout = 300 * time.Millisecond
 )
 
-// routed holds the parts of a daemon that takes routed requests. Source:
+// routed holds the parts of a daemon that only routed requests need. Source:
 // docs/design/platform.md.
 type routed struct {
 	daemon    *Daemon
@@ -43,8 +43,8 @@
 	draining  atomic.Bool
 }
 
-// newRouted makes the parts; nil when the settings name no listener for routed
-// requests.
+// newRouted returns the parts for routed requests, or nil if the settings name no listener
+// for them.
 func newRouted(d *Daemon, adapter *Adapter) (*routed, error) {
 	s := d.Settings
 	if s.Listen.Routed == "" {
@@ -52,14 +52,14 @@
 	}
 	r := &routed{
 		daemon: d, adapter: adapter, load: &backend.Load{},
-		// The wall clock tells the processes of one VM's daemon apart.
+		// The wall clock identifies the process of this daemon: each restart gets a later time.
 		recorder: rollout.NewRecorder(s.VM.ID, s.BackendServer.Service, uint64(time.Now().UnixNano())),
 		prober:   backend.NewProber(s.BackendServer.Address, adapter.Backend, probeTimeout),
 	}
-	r.lifecycle = backend.NewLifecycle(s.Platform.FirstStart, r.stateChanged)
+	r.lifecycle = backend.NewLifecycle(s.Platform.FirstStart, r.onStateChange)
 	r.checker = backend.NewHealthChecker(backend.HealthCheckerOptions{
-		MaxWait: s.Routing.LookWithin, MaxPerSecond: s.Routing.LooksPerSecond, OnPauseChange: r.checksPaused,
-	}, r.ask)
+		MaxWait: s.Routing.LookWithin, MaxPerSecond: s.Routing.LooksPerSecond, OnPauseChange: r.onPauseChange,
+	}, r.checkHealth)
 	var err error
 	r.runner, err = runner.NewRunner(d.Common, runner.Deps{
 		Headers: adapter.Backend, Lifecycle: r.lifecycle, Load: r.load, Checker: r.checker, Service: r.service, FindRoute: r.route,
@@ -73,13 +73,15 @@
 	return r, err
 }
 
-// stateChanged logs the new belief and wakes the systems, which pass it on.
-func (r *routed) stateChanged(instance backend.Incarnation, state backend.State) {
+// onStateChange logs the new state of the backend server and wakes the systems, which send
+// it to other daemons.
+func (r *routed) onStateChange(instance backend.Incarnation, state backend.State) {
 	r.daemon.Log.Event(events.BackendState, events.F("instance", instance), events.F("state", state), events.F("version", r.lifecycle.Version()))
 	r.daemon.World.Inbox.Post(true, func(*tables.Mail) {})
 }
 
-// start opens the listeners and begins to watch the backend server.
+// start opens the listeners and starts the health checks of the backend server. stop
+// closes the listeners.
 func (r *routed) start() (stop func(), err error) {
 	d := r.daemon
 	var stops []func()
@@ -108,11 +110,12 @@
 		}
 		stops = append(stops, stop)
 	}
-	go r.watch(d.env.DaemonContext)
+	go r.runHealthChecks(d.env.DaemonContext)
 	return stopAll, nil
 }
 
-// route finds a request's route in the placement in force; nil where there is none.
+// route returns the route for a host and path in the placement in force, or nil if there
+// is none.
 func (r *routed) route(host, path string) (route *routing.CompiledRoute, version uint64) {
 	p := r.daemon.World.View.Placement()
 	if p == nil {
@@ -121,6 +124,7 @@
 	return p.Routes.Match(host, path), p.Version
 }
 
+// limits returns the limits of the placement in force.
 func (r *routed) limits() routing.Limits {
 	if p := r.daemon.World.View.Placement(); p != nil {
 		return p.Routes.Limits()
@@ -129,12 +133,12 @@
 }
 
 func (r *routed) closeIngress() {
-	ctx, cancel := context.WithTimeout(context.Background(), closeWithin)
+	ctx, cancel := context.WithTimeout(context.Background(), closeTimeout)
 	defer cancel()
 	r.ingress.Close(ctx)
 }
 
-// serveHTTP serves a small listener beside the main ones.
+// serveHTTP serves a handler at an address until stop is called.
 func serveHTTP(address string, handler http.Handler) (stop func(), err error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -145,7 +149,8 @@
 	return func() { _ = server.Close() }, nil
 }
 
-// serveReadiness says whether callers should send requests here.
+// serveReadiness answers 200 if callers should send routed requests to this daemon, and
+// 503 otherwise.
 func (r *routed) serveReadiness(w http.ResponseWriter, _ *http.Request) {
 	if r.draining.Load() || !r.daemon.World.View.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -154,45 +159,47 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// HandleHeartbeat implements backend.Announcer.
+// HandleHeartbeat implements backend.AnnouncementHandler.
 func (r *routed) HandleHeartbeat(ctx context.Context, h backend.Heartbeat) {
 	r.runner.UpdateSlots(h.Slots)
 	departed := r.lifecycle.RecordHeartbeat(r.daemon.Now(), h)
 	r.runner.UpdateCold()
 	if departed {
-		r.keep(ctx, h.Incarnation())
+		r.saveDeparture(ctx, h.Incarnation())
 	}
 }
 
-// HandleDeparture implements backend.Announcer.
-func (r *routed) HandleDeparture(ctx context.Context, of backend.Incarnation) {
-	if r.lifecycle.RecordDeparture(r.daemon.Now(), of) {
-		r.keep(ctx, of)
+// HandleDeparture implements backend.AnnouncementHandler.
+func (r *routed) HandleDeparture(ctx context.Context, incarnation backend.Incarnation) {
+	if r.lifecycle.RecordDeparture(r.daemon.Now(), incarnation) {
+		r.saveDeparture(ctx, incarnation)
 	}
 }
 
-// HandleInvalid implements backend.Announcer.
-func (r *routed) HandleInvalid(id string, why error) {
-	r.daemon.noteForeign("announcement of "+id, why)
+// HandleInvalid implements backend.AnnouncementHandler.
+func (r *routed) HandleInvalid(instanceID string, err error) {
+	r.daemon.logInvalidInput("announcement of "+instanceID, err)
 }
 
-// keep makes a departure outlive this process before it is acknowledged.
-func (r *routed) keep(ctx context.Context, of backend.Incarnation) {
-	ctx, cancel := context.WithTimeout(ctx, ackWithin)
+// saveDeparture stores a departure before it is acknowledged, so that this daemon knows it
+// after a restart.
+func (r *routed) saveDeparture(ctx context.Context, incarnation backend.Incarnation) {
+	ctx, cancel := context.WithTimeout(ctx, ackTimeout)
 	defer cancel()
-	r.daemon.env.SaveDeparture(ctx, of)
+	r.daemon.env.SaveDeparture(ctx, incarnation)
 }
 
-// drain is a planned stop: readiness falls at once, and requests go on being
-// taken until callers have seen that. None is cut.
-func (r *routed) drain(began time.Time) {
+// drain makes the daemon not ready, accepts requests for Routing.Linger longer so that
+// callers notice it, and then closes the listener when all requests have ended or
+// Drain.Bound has passed.
+func (r *routed) drain(startedAt time.Time) {
 	r.draining.Store(true)
 	r.ingress.StopKeepAlives()
-	time.Sleep(time.Until(began.Add(r.daemon.Settings.Routing.Linger)))
+	time.Sleep(time.Until(startedAt.Add(r.daemon.Settings.Routing.Linger)))
 	r.runner.StopAccepting()
-	// Callers may go on coming, as when too few daemons of their data centre
-	// are in: what would be taken from here on might have to be cut.
-	ctx, cancel := context.WithDeadline(context.Background(), began.Add(r.daemon.Settings.Drain.Bound))
+	// Callers may ignore readiness, for example when too few daemons of their data centre
+	// are ready. Requests accepted from now on might not end within the bound.
+	ctx, cancel := context.WithDeadline(context.Background(), startedAt.Add(r.daemon.Settings.Drain.Bound))
 	defer cancel()
 	r.ingress.Close(ctx)
 }
--- a/pkg/daemon/routed_test.go
+++ b/pkg/daemon/routed_test.go
@@ -7,9 +7,9 @@
 	"github.com/shoenig/test"
 )
 
-func TestAnIdleBackendServerIsAskedLessOften(t *testing.T) {
+func TestIdleBackendServerIsCheckedLessOften(t *testing.T) {
 	const every = 150 * time.Millisecond
-	test.Eq(t, every, healthPace(every, 0))
-	test.Eq(t, every, healthPace(every, idleAfter))
-	test.Eq(t, idlePace*every, healthPace(every, idleAfter+1))
+	test.Eq(t, every, healthInterval(every, 0))
+	test.Eq(t, every, healthInterval(every, idleAfter))
+	test.Eq(t, idleFactor*every, healthInterval(every, idleAfter+1))
 }
--- a/pkg/daemon/teams.go
+++ b/pkg/daemon/teams.go
@@ -8,7 +8,7 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// newQuota makes this daemon's part in counting the requests of teams.
+// newQuota returns the node that enforces the limits of teams at this daemon.
 func newQuota(s *settings.Settings, view *tables.View) *quota.Node {
 	return quota.NewNode(quota.Options{
 		VM: s.VM.ID, Slack: s.Teams.LimitSlack, Window: s.Teams.LimitWindow,
@@ -16,16 +16,16 @@
 	})
 }
 
-// measureQuota adds what a daemon counts of the requests of teams to its metrics. Teams are
-// no labels: there may be thousands.
-func measureQuota(set *metrics.Set, node *quota.Node) {
-	for outcome, of := range map[string]func(quota.Stats) uint64{
+// registerQuotaMetrics registers gauges for the counters of a quota node. They have no label
+// for the team, because there may be thousands of teams.
+func registerQuotaMetrics(set *metrics.Set, node *quota.Node) {
+	for outcome, read := range map[string]func(quota.Stats) uint64{
 		"granted": func(s quota.Stats) uint64 { return s.Granted },
 		"refused": func(s quota.Stats) uint64 { return s.Refused },
 		"unsure":  func(s quota.Stats) uint64 { return s.Unsure },
 		"back":    func(s quota.Stats) uint64 { return s.Back },
 	} {
-		set.GetOrCreateGauge(`rushramp_team_tokens{outcome="`+outcome+`"}`, func() float64 { return float64(of(node.Stats())) })
+		set.GetOrCreateGauge(`rushramp_team_tokens{outcome="`+outcome+`"}`, func() float64 { return float64(read(node.Stats())) })
 	}
 	set.GetOrCreateGauge("rushramp_team_questions", func() float64 { return float64(node.Stats().Asked) })
 }
--- a/pkg/daemon/watch.go
+++ b/pkg/daemon/watch.go
@@ -11,22 +11,24 @@
 )
 
 const (
-	// probeTimeout bounds one question to the health path.
+	// probeTimeout is the timeout of one health check.
 	probeTimeout = 400 * time.Millisecond
-	// seekEvery is the time between two questions while no incarnation is known.
-	seekEvery = 60 * time.Millisecond
-	// idleAfter is how long no request must have come for the backend server to
-	// be asked idlePace times less often.
-	idleAfter = 500 * time.Millisecond
-	idlePace  = 4
+	// seekInterval is the time between two health checks while the backend server may not
+	// get requests or no placement names the health path.
+	seekInterval = 60 * time.Millisecond
+	// idleAfter is the time without a request after which the interval of the health checks
+	// is idleFactor times as long.
+	idleAfter  = 500 * time.Millisecond
+	idleFactor = 4
 )
 
-// errNoHealthPath is how a check ends before a placement names the health path.
+// errNoHealthPath is the result of a health check before a placement names the path.
 var errNoHealthPath = errors.New("no placement names the health path yet")
 
-// watch asks the backend server's health path where its own word on its speed
-// is older than the settings want. Answers of requests carry that word, too.
-func (r *routed) watch(ctx context.Context) {
+// runHealthChecks checks the backend server's health path whenever its last load report is
+// older than the settings allow, until ctx ends. Answers to requests carry load reports,
+// too.
+func (r *routed) runHealthChecks(ctx context.Context) {
 	defer r.prober.Close()
 	timer := time.NewTimer(0)
 	defer timer.Stop()
@@ -36,30 +38,30 @@
 			return
 		case <-timer.C:
 		}
-		timer.Reset(r.look(ctx))
+		timer.Reset(r.checkIfDue(ctx))
 	}
 }
 
-// look asks once where that is due, and returns when to look again.
-func (r *routed) look(ctx context.Context) time.Duration {
+// checkIfDue makes a health check if one is due, and returns the time until the next.
+func (r *routed) checkIfDue(ctx context.Context) time.Duration {
 	now := r.daemon.Now()
-	every := healthPace(r.daemon.Settings.Routing.HealthEvery, r.runner.IdleFor(now))
+	interval := healthInterval(r.daemon.Settings.Routing.HealthEvery, r.runner.IdleFor(now))
 	if r.healthPath() == "" {
-		return seekEvery
+		return seekInterval
 	}
 	_, accepting := r.lifecycle.Accepting()
-	if age := r.load.Age(now); accepting && age < every {
-		return every - age
+	if age := r.load.Age(now); accepting && age < interval {
+		return interval - age
 	}
-	r.checkAndWait(ctx)
+	r.forceCheck(ctx)
 	if !accepting {
-		return seekEvery
+		return seekInterval
 	}
-	return every
+	return interval
 }
 
-// checkAndWait makes one health check, or shares the one under way.
-func (r *routed) checkAndWait(ctx context.Context) {
+// forceCheck makes a health check, or joins the running one, and waits for its end.
+func (r *routed) forceCheck(ctx context.Context) {
 	done := make(chan struct{})
 	r.checker.ForceCheck(func() { close(done) })
 	select {
@@ -68,8 +70,8 @@
 	}
 }
 
-// checksPaused logs that the health path does not answer in time, or does again.
-func (r *routed) checksPaused(pause, took time.Duration, err error) {
+// onPauseChange logs that health checks are paused, or that they succeed again (pause 0).
+func (r *routed) onPauseChange(pause, took time.Duration, err error) {
 	id := events.ChecksResumed
 	fields := []events.Field{events.F("took", events.Milliseconds(took))}
 	if pause > 0 {
@@ -79,22 +81,22 @@
 	r.daemon.Log.Event(id, fields...)
 }
 
-// healthPace is how old the backend server's word may be: older while nobody
-// sends it requests, so that asking costs little where nothing depends on it.
-func healthPace(every, idleFor time.Duration) time.Duration {
+// healthInterval returns the age of the last load report at which a health check is due. It
+// is longer while the backend server is idle, because nothing depends on its load then.
+func healthInterval(interval, idleFor time.Duration) time.Duration {
 	if idleFor > idleAfter {
-		return idlePace * every
+		return idleFactor * interval
 	}
-	return every
+	return interval
 }
 
-// ask makes one health check and takes its answer over.
-func (r *routed) ask(ctx context.Context) error {
+// checkHealth makes one health check and applies its result.
+func (r *routed) checkHealth(ctx context.Context) error {
 	path := r.healthPath()
 	if path == "" {
 		return errNoHealthPath
 	}
-	asked := r.daemon.Now()
+	askedAt := r.daemon.Now()
 	health, err := r.prober.Probe(ctx, path)
 	if err != nil {
 		return err
@@ -102,20 +104,20 @@
 	if health.Healthy && health.InstanceID != "" {
 		r.lifecycle.RecordInstanceID(r.daemon.Now(), health.InstanceID)
 	}
-	r.lifecycle.RecordCold(asked, r.daemon.Now(), health.InstanceID, health.ColdFor)
+	r.lifecycle.RecordCold(askedAt, r.daemon.Now(), health.InstanceID, health.ColdFor)
 	r.runner.UpdateCold()
 	r.runner.UpdateLoad(health.LoadHeader)
 	return nil
 }
 
-// healthPath is empty until a placement names it.
+// healthPath returns the path for health checks, or "" until a placement names it.
 func (r *routed) healthPath() string {
 	service, _ := r.service()
 	return service.HealthPath
 }
 
-// service is what the placement in force says of the backend server's service; ok
-// is false without a placement.
+// service returns the backend server's service in the placement in force; ok is false
+// without a placement.
 func (r *routed) service() (s routing.Service, ok bool) {
 	p := r.daemon.World.View.Placement()
 	if p == nil {
