--- a/pkg/operatorcli/placement.go
+++ b/pkg/operatorcli/placement.go
@@ -227,8 +227,8 @@
 		return printJSON(out, &api.ApplyPlacementResponse{Version: version})
 	}
 	fmt.Fprintf(out, "version %d accepted\n", version)
-	for _, p := range states {
-		fmt.Fprintln(out, p)
+	for _, state := range states {
+		fmt.Fprintln(out, state)
 	}
 	return nil
 }
--- a/pkg/operatorcli/status.go
+++ b/pkg/operatorcli/status.go
@@ -39,16 +39,16 @@
 }
 
 // String returns the line of the output for operators.
-func (p dataCentreState) String() string {
+func (s dataCentreState) String() string {
 	switch {
-	case len(p.behind) > 0:
-		return fmt.Sprintf("  %s: not yet in force at %v", p.dataCentre, p.behind)
-	case p.inForce == 0:
-		return fmt.Sprintf("  %s: not known; this daemon has no link to a daemon there", p.dataCentre)
-	case p.unlinked > 0:
-		return fmt.Sprintf("  %s: in force at all %d linked daemons; %d others are leaving or have no link with this one", p.dataCentre, p.inForce, p.unlinked)
-	}
-	return fmt.Sprintf("  %s: in force at all %d daemons", p.dataCentre, p.inForce)
+	case len(s.behind) > 0:
+		return fmt.Sprintf("  %s: not yet in force at %v", s.dataCentre, s.behind)
+	case s.inForce == 0:
+		return fmt.Sprintf("  %s: not known; this daemon has no link to a daemon there", s.dataCentre)
+	case s.unlinked > 0:
+		return fmt.Sprintf("  %s: in force at all %d linked daemons; %d others are leaving or have no link with this one", s.dataCentre, s.inForce, s.unlinked)
+	}
+	return fmt.Sprintf("  %s: in force at all %d daemons", s.dataCentre, s.inForce)
 }
 
 // statesByDataCentre returns how far a placement version is in force, ordered by the names
@@ -56,23 +56,23 @@
 func statesByDataCentre(in *api.StatusResponse, version uint64) []dataCentreState {
 	byName := map[string]*dataCentreState{}
 	for _, m := range in.GetMembers() {
-		p := byName[m.GetDataCentre()]
-		if p == nil {
-			p = &dataCentreState{dataCentre: m.GetDataCentre()}
-			byName[m.GetDataCentre()] = p
+		state := byName[m.GetDataCentre()]
+		if state == nil {
+			state = &dataCentreState{dataCentre: m.GetDataCentre()}
+			byName[m.GetDataCentre()] = state
 		}
 		switch {
 		case !m.GetLinked() || m.GetLeaving():
-			p.unlinked++
+			state.unlinked++
 		case m.GetPlacement() >= version:
-			p.inForce++
+			state.inForce++
 		default:
-			p.behind = append(p.behind, m.GetVm())
+			state.behind = append(state.behind, m.GetVm())
 		}
 	}
 	out := make([]dataCentreState, 0, len(byName))
-	for _, p := range byName {
-		out = append(out, *p)
+	for _, state := range byName {
+		out = append(out, *state)
 	}
 	sort.Slice(out, func(i, j int) bool { return out[i].dataCentre < out[j].dataCentre })
 	return out
@@ -81,8 +81,8 @@
 // allInForce reports whether the version is in force at all linked daemons, and at one
 // daemon at least in each data centre.
 func allInForce(states []dataCentreState) bool {
-	for _, p := range states {
-		if len(p.behind) > 0 || p.inForce == 0 {
+	for _, state := range states {
+		if len(state.behind) > 0 || state.inForce == 0 {
 			return false
 		}
 	}
--- a/pkg/settings/load_test.go
+++ b/pkg/settings/load_test.go
@@ -22,7 +22,7 @@
 		{"unknown field", validSettings + "gate: {slot: 3}\n", []string{"4:", "slot"}},
 		{"bad address", "listen: {links: localhost}\n" + validSettings[:28], []string{"listen.links", "localhost", "IP number and a port"}},
 		{"value out of range", validSettings + "backend_server: {slots: 0}\n", []string{"backend_server.slots", "at least 1"}},
-		{"word not in the list", validSettings + "choosing: {policy: best}\n", []string{"choosing.policy", "expected_wait"}},
+		{"value not in the list", validSettings + "choosing: {policy: best}\n", []string{"choosing.policy", "expected_wait"}},
 		{"missing certificate file", validSettings + "tls: {cert: /nope.pem, key: /nope.pem, ca: /nope.pem}\n", []string{"tls.cert", "existing file"}},
 		{"missing required field", "tick: 10ms\n", []string{"vm.id", "Give a value"}},
 		{"open to the network without TLS", "vm: {id: a, data_centre: d}\nlisten: {callers: '0.0.0.0:1', links: '0.0.0.0:2', operators: '127.0.0.1:3', metrics: '127.0.0.1:4'}\nplatform: {address: '127.0.0.1:5'}\n", []string{"listen.links", "without TLS"}},
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -230,7 +230,7 @@
 	HeadReaders int `yaml:"head_readers" validate:"min=1,max=10"`
 	// Number of daemons that follow the store's feed of placements, if it has one: per data centre or, with several regions, per region.
 	FeedReaders int `yaml:"feed_readers" validate:"min=1,max=1000"`
-	// Time after which calls of strict kinds are refused if neither the store nor a reader of another data centre was heard.
+	// Time after which calls of strict kinds are refused if no news arrived from the store or from readers in other data centres.
 	UnsureAfter time.Duration `yaml:"unsure_after" validate:"min=100ms"`
 	// How calls are answered outside the allowed data centres of their kind.
 	Misplaced string `yaml:"misplaced" validate:"oneof=redirect refuse"`
