--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -189,9 +189,9 @@
 	r.daemon.env.SaveDeparture(ctx, incarnation)
 }
 
-// drain makes the daemon not ready, accepts requests for Routing.Linger longer so that
-// callers notice it, and then closes the listener when all requests have ended or
-// Drain.Bound has passed.
+// drain makes the daemon not ready and accepts requests for Routing.Linger longer, so that
+// callers notice it. It then closes the ingress, which waits for the requests in flight
+// until Drain.Bound has passed since startedAt.
 func (r *routed) drain(startedAt time.Time) {
 	r.draining.Store(true)
 	r.ingress.StopKeepAlives()
