--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -78,7 +78,7 @@
 	}
 	cl := &Client{
 		Peer:    &Peer{Conn: newConn(ws, codec, c.Traffic, opts.HeartbeatTiming), Outgoing: true},
-		handler: handler, location: c.Here(),
+		handler: handler, location: c.Location(),
 		maxBody: c.Settings.Limits.MaxBodyBytes,
 		pending: map[uint64]*pendingCall{},
 	}
