--- a/pkg/atmostonce/claims_test.go
+++ b/pkg/atmostonce/claims_test.go
@@ -90,7 +90,7 @@
 	for range hi.choose(4) {
 		modes = append(modes, fakestore.Mode(hi.choose(int(fakestore.ModeCount))))
 	}
-	hi.table.SetNext(modes)
+	hi.table.SetModes(modes)
 }
 
 // deliver lets an executor claim for a call in transit.
@@ -174,8 +174,8 @@
 
 // arrive applies a write that was on its way.
 func (hi *history) arrive() {
-	if late := hi.table.Late(); late > 0 {
-		hi.table.Arrive(hi.choose(late))
+	if late := hi.table.Pending(); late > 0 {
+		hi.table.ApplyPending(hi.choose(late))
 	}
 }
 
@@ -263,10 +263,10 @@
 		modes []fakestore.Mode
 		runs  bool
 	}{
-		{"the write took effect", []fakestore.Mode{fakestore.Loses}, true},
-		{"it had no effect", []fakestore.Mode{fakestore.Fails}, false},
-		{"it is still on its way", []fakestore.Mode{fakestore.Delays}, false},
-		{"and the read-back fails, too", []fakestore.Mode{fakestore.Loses, fakestore.Fails}, false},
+		{"the write took effect", []fakestore.Mode{fakestore.ModeLoseAnswer}, true},
+		{"it had no effect", []fakestore.Mode{fakestore.ModeFail}, false},
+		{"it is still on its way", []fakestore.Mode{fakestore.ModeDelay}, false},
+		{"and the read-back fails, too", []fakestore.Mode{fakestore.ModeLoseAnswer, fakestore.ModeFail}, false},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
--- a/pkg/bench/arrivals.go
+++ b/pkg/bench/arrivals.go
@@ -94,7 +94,7 @@
 
 func drawService(k *Kind, rnd *rand.Rand) time.Duration {
 	factor := 1.0
-	switch k.Spread {
+	switch k.Distribution {
 	case "", "exponential":
 		factor = rnd.ExpFloat64()
 	case "lognormal":
--- a/pkg/bench/command.go
+++ b/pkg/bench/command.go
@@ -16,8 +16,8 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrPromise is returned when a promise count is not 0.
-var ErrPromise = errors.New("a promise did not hold; see the counts above")
+// ErrViolations is returned when a promise count is not 0.
+var ErrViolations = errors.New("a promise did not hold; see the counts above")
 
 // NewCommand makes the command line of rushramp-bench.
 func NewCommand() *cobra.Command {
@@ -112,7 +112,7 @@
 			return err
 		}
 		for _, r := range found {
-			broken += r.Broken()
+			broken += r.TotalViolations()
 		}
 		reports = append(reports, found...)
 	}
@@ -120,7 +120,7 @@
 		return err
 	}
 	if broken > 0 {
-		return ErrPromise
+		return ErrViolations
 	}
 	return nil
 }
@@ -153,25 +153,25 @@
 			printFigures(w, name, r.Kinds[name])
 		}
 	}
-	printFigures(w, "all", r.Figures)
+	printFigures(w, "all", r.Stats)
 	_ = w.Flush()
 	fmt.Fprintf(out, "refusals %.3f, retries %.3f, hedges %.3f a call; added p99 %d us by the daemons' clocks, %d us from outside\n",
 		r.Refusals, r.Retries, r.Hedges, r.AddedP99, r.AddedOutsideP99)
 	fmt.Fprintf(out, "measuring %.0f bytes/s, %.1f messages/s a daemon; control %.2f%% of a core, %.1f MB a daemon\n",
-		r.MeasureBytes, r.MeasureMsgs, r.ControlCPU, r.RSS)
-	printPromises(out, &r.Promises)
+		r.MeasureBytes, r.MeasureMessages, r.ControlCPU, r.RSS)
+	printPromises(out, &r.Violations)
 	for _, kind := range sortedKeys(r.Outcomes) {
 		fmt.Fprintf(out, "  %s: %d\n", kind, r.Outcomes[kind])
 	}
 	fmt.Fprintln(out)
 }
 
-func printPromises(out io.Writer, p *Promises) {
+func printPromises(out io.Writer, p *Violations) {
 	fmt.Fprintf(out, "promises broken: crossed %d, truncated %d, doubled %d, false not-run %d, wrong place %d, cut by drain %d, work after leaving %d, config reverts %d, budget overruns %d\n",
 		p.Crossed, p.Truncated, p.Doubled, p.FalseNotRun, p.WrongPlace, p.CutByDrain, p.WorkAfterLeaving, p.ConfigReverts, p.BudgetOverruns)
 }
 
-func printFigures(w io.Writer, name string, f Figures) {
+func printFigures(w io.Writer, name string, f Stats) {
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, f.Calls, f.Answered, f.RefusedNotRun, f.OutcomeUnknown,
 		ms(f.P50), ms(f.P99), ms(f.WaitP50), ms(f.WaitP99), ms(f.WaitP999))
 }
--- a/pkg/bench/deployment.go
+++ b/pkg/bench/deployment.go
@@ -48,14 +48,14 @@
 // Kind is a kind of request with its load.
 type Kind struct {
 	Placement placement.Kind `yaml:"placement" validate:"required"`
-	// Use is the share of the service's slots that this kind keeps busy.
-	Use float64 `yaml:"use" validate:"min=0"`
+	// Utilisation is the share of the service's slots that this kind keeps busy.
+	Utilisation float64 `yaml:"use" validate:"min=0"`
 	// Rate is calls a second; it goes before Use when both are given.
 	Rate float64 `yaml:"rate" validate:"min=0"`
 	// ServiceTime is the mean nominal time of a run.
 	ServiceTime time.Duration `yaml:"service_time" validate:"required"`
-	// Spread is the distribution of service times around their mean.
-	Spread string `yaml:"spread" validate:"omitempty,oneof=exponential fixed lognormal pareto"`
+	// Distribution is the distribution of service times around their mean.
+	Distribution string `yaml:"spread" validate:"omitempty,oneof=exponential fixed lognormal pareto"`
 	// AnswerBytes and RequestBytes are the sizes of bodies.
 	AnswerBytes  int `yaml:"answer_bytes"`
 	RequestBytes int `yaml:"request_bytes"`
@@ -66,17 +66,17 @@
 // Shape is how load and servers change during the run.
 type Shape struct {
 	// Slow slows servers of a service.
-	Slow *Slow `yaml:"slow"`
+	Slow *Slowdown `yaml:"slow"`
 	// Burst adds calls in short bursts.
 	Burst *Burst `yaml:"burst"`
 	// FailFast makes one server of a service answer errors at once.
-	FailFast *Trouble `yaml:"fail_fast"`
+	FailFast *ServerFault `yaml:"fail_fast"`
 	// Cold makes one server of a service start cold.
-	Cold *Trouble `yaml:"cold"`
+	Cold *ServerFault `yaml:"cold"`
 }
 
-// Slow slows servers of a service by a factor, each for a time.
-type Slow struct {
+// Slowdown slows servers of a service by a factor, each for a time.
+type Slowdown struct {
 	Service string        `yaml:"service"`
 	Factor  float64       `yaml:"factor"`
 	For     time.Duration `yaml:"for"`
@@ -93,8 +93,8 @@
 	Every   time.Duration `yaml:"every"`
 }
 
-// Trouble befalls the first server of a service for a time.
-type Trouble struct {
+// ServerFault befalls the first server of a service for a time.
+type ServerFault struct {
 	Service string        `yaml:"service"`
 	At      time.Duration `yaml:"at"`
 	For     time.Duration `yaml:"for"`
@@ -143,7 +143,7 @@
 	if s.Burst != nil {
 		out = append(out, &s.Burst.Over, &s.Burst.Every)
 	}
-	for _, t := range []*Trouble{s.FailFast, s.Cold} {
+	for _, t := range []*ServerFault{s.FailFast, s.Cold} {
 		if t != nil {
 			out = append(out, &t.At, &t.For)
 		}
@@ -169,5 +169,5 @@
 	if k.Rate > 0 {
 		return k.Rate
 	}
-	return k.Use * float64(s.Workers*d.Slots) / k.ServiceTime.Seconds()
+	return k.Utilisation * float64(s.Workers*d.Slots) / k.ServiceTime.Seconds()
 }
--- a/pkg/bench/faultkinds.go
+++ b/pkg/bench/faultkinds.go
@@ -93,7 +93,7 @@
 	old.Leave()
 	return func() {
 		<-old.Left()
-		dr.note(func(p *Promises) {
+		dr.note(func(p *Violations) {
 			p.CutByDrain += int(old.Cut())
 			if last := n.backend.Ledger().Last(); last.Sub(began) > leavingBound {
 				p.WorkAfterLeaving++
--- a/pkg/bench/faults.go
+++ b/pkg/bench/faults.go
@@ -34,7 +34,7 @@
 
 	mu        sync.Mutex
 	busy      map[*node]bool
-	promises  Promises
+	promises  Violations
 	outcomes  []outcome
 	seen      map[string]int
 	races     int
@@ -42,8 +42,8 @@
 	failure   error
 }
 
-// DrillReport is the outcome of a drill.
-type DrillReport struct {
+// FaultReport is the outcome of a drill.
+type FaultReport struct {
 	Deployment  string         `json:"deployment"`
 	Seed        uint64         `json:"seed"`
 	Calls       int            `json:"calls"`
@@ -54,13 +54,13 @@
 	Faults      map[string]int `json:"faults"`
 	Races       int            `json:"races"`
 	RacesLost   int            `json:"races_lost"`
-	Kinds       map[string]int `json:"outcomes"`
-	// Wrong describes answers that were crossed or truncated.
-	Wrong []string `json:"wrong"`
-	Promises
+	Outcomes    map[string]int `json:"outcomes"`
+	// WrongAnswers describes answers that were crossed or truncated.
+	WrongAnswers []string `json:"wrong"`
+	Violations
 }
 
-func (dr *drill) note(change func(*Promises)) {
+func (dr *drill) note(change func(*Violations)) {
 	dr.mu.Lock()
 	defer dr.mu.Unlock()
 	change(&dr.promises)
@@ -92,8 +92,8 @@
 	return out
 }
 
-// RunDrill runs one drill.
-func RunDrill(d *Deployment, seed uint64) (*DrillReport, error) {
+// RunFaults runs one drill.
+func RunFaults(d *Deployment, seed uint64) (*FaultReport, error) {
 	c, err := startCluster(d, clusterOptions{faulty: true, change: func(s *settings.Settings) {
 		s.Drain.Bound = 5 * time.Second
 		s.Platform.VMListEvery = 200 * time.Millisecond
@@ -156,7 +156,7 @@
 					continue
 				}
 				if p.Version < highest[d] {
-					dr.note(func(p *Promises) { p.ConfigReverts++ })
+					dr.note(func(p *Violations) { p.ConfigReverts++ })
 				}
 				highest[d] = p.Version
 			}
@@ -168,10 +168,10 @@
 	}
 }
 
-func (dr *drill) report(seed uint64) (*DrillReport, error) {
-	out := &DrillReport{
+func (dr *drill) report(seed uint64) (*FaultReport, error) {
+	out := &FaultReport{
 		Deployment: dr.cluster.deployment.Name, Seed: seed, Faults: dr.seen,
-		Races: dr.races, RacesLost: dr.racesLost, Kinds: map[string]int{}, Promises: dr.promises,
+		Races: dr.races, RacesLost: dr.racesLost, Outcomes: map[string]int{}, Violations: dr.promises,
 	}
 	found, err := checkPromises(dr.cluster, dr.outcomes)
 	if err != nil {
@@ -194,10 +194,10 @@
 			out.Unknown++
 		}
 		if !o.answered() {
-			out.Kinds[nameOf(o)]++
+			out.Outcomes[nameOf(o)]++
 		}
 		if o.detail != "" {
-			out.Wrong = append(out.Wrong, o.detail)
+			out.WrongAnswers = append(out.WrongAnswers, o.detail)
 		}
 	}
 	return out, nil
@@ -233,30 +233,30 @@
 			return err
 		}
 		for i := range f.seeds {
-			r, err := RunDrill(d, f.seed+uint64(i))
+			r, err := RunFaults(d, f.seed+uint64(i))
 			if err != nil {
 				return errors.Wrapf(err, "%s, seed %d", file, f.seed+uint64(i))
 			}
 			printDrill(out, r)
-			broken += r.Broken()
+			broken += r.TotalViolations()
 			never += r.NeverRepeat
 		}
 	}
 	fmt.Fprintf(out, "%d never-repeat calls in all, %d promises broken\n", never, broken)
 	if broken > 0 {
-		return ErrPromise
+		return ErrViolations
 	}
 	return nil
 }
 
-func printDrill(out io.Writer, r *DrillReport) {
+func printDrill(out io.Writer, r *FaultReport) {
 	fmt.Fprintf(out, "%s, seed %d: %d calls (%d never-repeat), %d answered, %d not run, %d unknown; %d races, %d lost\n",
 		r.Deployment, r.Seed, r.Calls, r.NeverRepeat, r.Answered, r.NotRun, r.Unknown, r.Races, r.RacesLost)
-	printPromises(out, &r.Promises)
-	for _, wrong := range r.Wrong {
+	printPromises(out, &r.Violations)
+	for _, wrong := range r.WrongAnswers {
 		fmt.Fprintf(out, "  wrong answer: %s\n", wrong)
 	}
-	fmt.Fprintf(out, "  faults: %s\n  outcomes: %s\n", counts(r.Faults), counts(r.Kinds))
+	fmt.Fprintf(out, "  faults: %s\n  outcomes: %s\n", counts(r.Faults), counts(r.Outcomes))
 }
 
 func counts(m map[string]int) string {
--- a/pkg/bench/promises.go
+++ b/pkg/bench/promises.go
@@ -9,9 +9,9 @@
 	"github.com/rushramp/rushramp/pkg/placement"
 )
 
-// Promises are counts that must be 0. They come from the stand-ins' ledgers
+// Violations are counts that must be 0. They come from the stand-ins' ledgers
 // and from what callers received, not from the daemons' word.
-type Promises struct {
+type Violations struct {
 	// Crossed and Truncated are answers that were not the call's own, or whole.
 	Crossed   int `json:"crossed"`
 	Truncated int `json:"truncated"`
@@ -32,8 +32,8 @@
 	BudgetOverruns int `json:"budget_overruns"`
 }
 
-// Broken counts the promises that did not hold.
-func (p *Promises) Broken() int {
+// TotalViolations counts the promises that did not hold.
+func (p *Violations) TotalViolations() int {
 	return p.Crossed + p.Truncated + p.Doubled + p.FalseNotRun + p.WrongPlace +
 		p.CutByDrain + p.WorkAfterLeaving + p.ConfigReverts + p.BudgetOverruns
 }
@@ -104,8 +104,8 @@
 	return false
 }
 
-func checkPromises(c *cluster, outcomes []outcome) (Promises, error) {
-	var out Promises
+func checkPromises(c *cluster, outcomes []outcome) (Violations, error) {
+	var out Violations
 	calls, keys := c.ledgers()
 	rules, err := c.rules()
 	if err != nil {
@@ -126,7 +126,7 @@
 	return out, nil
 }
 
-func (p *Promises) checkCall(rules *rules, o *outcome, r ran) {
+func (p *Violations) checkCall(rules *rules, o *outcome, r ran) {
 	if o.crossed {
 		p.Crossed++
 	}
--- a/pkg/bench/ratios.go
+++ b/pkg/bench/ratios.go
@@ -56,7 +56,7 @@
 		at := func(figure func(*Report) float64) float64 { return rt.median(policy, figure) }
 		broken := 0
 		for _, r := range rt.reports[policy] {
-			broken += r.Broken()
+			broken += r.TotalViolations()
 		}
 		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.0f\t%d\t\n", policy,
 			at(waitP50)/1000, at(waitP99)/1000, at(waitP999)/1000,
--- a/pkg/bench/report.go
+++ b/pkg/bench/report.go
@@ -6,9 +6,9 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Figures are the measures of a run or of one service of it. Times are in
+// Stats are the measures of a run or of one service of it. Times are in
 // microseconds; a wait is a latency less the call's own nominal service time.
-type Figures struct {
+type Stats struct {
 	Calls          int     `json:"calls"`
 	Answered       int     `json:"answered"`
 	RefusedNotRun  int     `json:"refused_not_run"`
@@ -37,16 +37,16 @@
 	Policy     string `json:"policy"`
 	Seed       uint64 `json:"seed"`
 	Daemons    int    `json:"daemons"`
-	Figures
-	Promises
-	Measured
-	Services map[string]Figures `json:"services"`
+	Stats
+	Violations
+	Overhead
+	Services map[string]Stats `json:"services"`
 	// Kinds are the figures by "service/kind".
-	Kinds map[string]Figures `json:"kinds"`
+	Kinds map[string]Stats `json:"kinds"`
 	// Outcomes counts rushramp's own answers by kind.
 	Outcomes map[string]int `json:"outcomes"`
-	// Spread is, by service, the most runs of one server over the mean.
-	Spread map[string]float64 `json:"max_over_mean"`
+	// MaxOverMean is, by service, the most runs of one server over the mean.
+	MaxOverMean map[string]float64 `json:"max_over_mean"`
 	// Shares is the part of a service's runs that each server took.
 	Shares map[string]float64 `json:"shares"`
 	// StoreWrites and StoreReads are requests to the platform during the load.
@@ -54,10 +54,10 @@
 	StoreReads  int64 `json:"store_reads"`
 }
 
-// Measured is the cost of control and of measuring, per daemon.
-type Measured struct {
-	MeasureBytes float64 `json:"measure_bytes_per_s"`
-	MeasureMsgs  float64 `json:"measure_msgs_per_s"`
+// Overhead is the cost of control and of measuring, per daemon.
+type Overhead struct {
+	MeasureBytes    float64 `json:"measure_bytes_per_s"`
+	MeasureMessages float64 `json:"measure_msgs_per_s"`
 	// ControlCPU is taken before the load begins, as a share of one core.
 	ControlCPU float64 `json:"control_cpu_percent"`
 	// RSS is the process's resident memory over its daemons: stand-ins and the
@@ -74,7 +74,7 @@
 
 // tally gathers the figures of one group of calls.
 type tally struct {
-	figures Figures
+	figures Stats
 	whole   *hdrhistogram.Histogram
 	wait    *hdrhistogram.Histogram
 	added   *hdrhistogram.Histogram
@@ -113,7 +113,7 @@
 	_ = h.RecordValue(min(max(d.Microseconds(), lowestUS), highestUS))
 }
 
-func (t *tally) finish() Figures {
+func (t *tally) finish() Stats {
 	f := t.figures
 	f.P50, f.P99, f.P999 = t.whole.ValueAtQuantile(50), t.whole.ValueAtQuantile(99), t.whole.ValueAtQuantile(99.9)
 	f.WaitP50, f.WaitP99, f.WaitP999 = t.wait.ValueAtQuantile(50), t.wait.ValueAtQuantile(99), t.wait.ValueAtQuantile(99.9)
@@ -125,7 +125,7 @@
 	all, byService, byKind := newTally(), map[string]*tally{}, map[string]*tally{}
 	out := &Report{
 		Deployment: c.deployment.Name, Policy: opts.Policy, Seed: opts.Seed, Daemons: len(c.nodes),
-		Services: map[string]Figures{}, Kinds: map[string]Figures{}, Outcomes: map[string]int{}, Spread: map[string]float64{}, Shares: map[string]float64{},
+		Services: map[string]Stats{}, Kinds: map[string]Stats{}, Outcomes: map[string]int{}, MaxOverMean: map[string]float64{}, Shares: map[string]float64{},
 	}
 	for i := range outcomes {
 		o := &outcomes[i]
@@ -135,7 +135,7 @@
 		tallyOf(byKind, o.arrival.service.Name+"/"+o.arrival.kind.Placement.Name).add(o, 0)
 		out.countOutcome(o)
 	}
-	out.Figures = all.finish()
+	out.Stats = all.finish()
 	finishAll(byService, out.Services)
 	finishAll(byKind, out.Kinds)
 	after := c.counters()
@@ -145,7 +145,7 @@
 	if err != nil {
 		return nil, err
 	}
-	out.Promises = promises
+	out.Violations = promises
 	out.fillSpread(c)
 	out.ControlCPU = idle
 	out.RSS = residentMB() / float64(len(c.nodes))
@@ -159,7 +159,7 @@
 	return by[name]
 }
 
-func finishAll(from map[string]*tally, to map[string]Figures) {
+func finishAll(from map[string]*tally, to map[string]Stats) {
 	for name, t := range from {
 		to[name] = t.finish()
 	}
@@ -185,7 +185,7 @@
 	daemons := float64(r.Daemons)
 	r.MeasureBytes = float64(after.measureBytes-before.measureBytes) / seconds / daemons
 	// Load reports ride on answers; none has a message of its own.
-	r.MeasureMsgs = float64(after.measureMsgs-before.measureMsgs) / seconds / daemons
+	r.MeasureMessages = float64(after.measureMsgs-before.measureMsgs) / seconds / daemons
 	r.StoreReads = after.storeReads - before.storeReads
 	r.StoreWrites = after.storeWrites - before.storeWrites
 }
@@ -208,7 +208,7 @@
 		if sum == 0 {
 			continue
 		}
-		r.Spread[service] = float64(most) * float64(len(counts)) / float64(sum)
+		r.MaxOverMean[service] = float64(most) * float64(len(counts)) / float64(sum)
 		for i, count := range counts {
 			r.Shares[names[service][i]] = float64(count) / float64(sum)
 		}
--- a/pkg/bench/shape.go
+++ b/pkg/bench/shape.go
@@ -55,7 +55,7 @@
 }
 
 // slowInTurn slows one server after the other.
-func slowInTurn(servers []*backend.Backend, s *Slow, done <-chan struct{}) {
+func slowInTurn(servers []*backend.Backend, s *Slowdown, done <-chan struct{}) {
 	for turn := 0; ; turn++ {
 		at := 0
 		if s.InTurn {
@@ -72,7 +72,7 @@
 	}
 }
 
-func trouble(b *backend.Backend, t *Trouble, f backend.Faults, done <-chan struct{}) {
+func trouble(b *backend.Backend, t *ServerFault, f backend.Faults, done <-chan struct{}) {
 	if !pause(t.At, done) {
 		return
 	}
--- a/pkg/bench/slopecalls.go
+++ b/pkg/bench/slopecalls.go
@@ -16,7 +16,7 @@
 		Name: "calls", DataCentres: []string{"one"}, Slots: 100, Connections: 200, TimeScale: 1,
 		ExtraEntries: 1, EnterAtEntries: true,
 		Services: []Service{{Name: "work", Workers: 1, Kinds: []Kind{{
-			Placement: kind, Rate: rate, ServiceTime: 5 * time.Millisecond, Spread: "fixed", AnswerBytes: 500,
+			Placement: kind, Rate: rate, ServiceTime: 5 * time.Millisecond, Distribution: "fixed", AnswerBytes: 500,
 		}}}},
 	}
 }
--- a/pkg/burn/command.go
+++ b/pkg/burn/command.go
@@ -56,7 +56,7 @@
 	if err != nil {
 		return err
 	}
-	report := Make(objectives.Objectives, samples)
+	report := NewReport(objectives.Objectives, samples)
 	if o.html != "" {
 		if err := writeHTML(o.html, &report); err != nil {
 			return err
@@ -81,7 +81,7 @@
 			time.Sleep(o.watch)
 		}
 		now := time.Now()
-		s := Read(objectives.Daemons, now)
+		s := TakeSample(objectives.Daemons, now)
 		if len(s.Missing) == len(objectives.Daemons) {
 			return nil, errors.New("no daemon answered. Check the addresses under daemons; they are those of listen.metrics.")
 		}
@@ -103,7 +103,7 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "objective\twithin\tshare\tcalls\tbad\t5m\t30m\t1h\t6h\tbudget left\talarm")
-	for _, l := range r.Lines {
+	for _, l := range r.Objectives {
 		longest := l.Burns[len(l.Burns)-1]
 		fmt.Fprintf(w, "%s/%s\t%v\t%g\t%.0f\t%.0f\t", l.Objective.Service, l.Objective.Kind, l.Objective.Within, l.Objective.Share, longest.Calls, longest.Bad)
 		for _, b := range l.Burns {
@@ -112,7 +112,7 @@
 		fmt.Fprintf(w, "%.0f%%\t%s\n", 100*l.BudgetLeft, l.Alarm)
 	}
 	_ = w.Flush()
-	for _, l := range r.Lines {
+	for _, l := range r.Objectives {
 		printParts(out, &l)
 	}
 }
@@ -120,14 +120,14 @@
 // mostParts is how many places of each sort are printed.
 const mostParts = 3
 
-func printParts(out io.Writer, l *Line) {
+func printParts(out io.Writer, l *ObjectiveReport) {
 	if l.Burns[len(l.Burns)-1].Bad == 0 {
 		return
 	}
 	fmt.Fprintf(out, "%s/%s burns at:\n", l.Objective.Service, l.Objective.Kind)
 	for _, group := range []struct {
 		name  string
-		parts []Part
+		parts []Contribution
 	}{{"data centre", l.DataCentres}, {"backend server", l.Servers}, {"outcome", l.Outcomes}} {
 		for i, p := range group.parts {
 			if i == mostParts || p.Bad == 0 {
--- a/pkg/burn/html.go
+++ b/pkg/burn/html.go
@@ -28,7 +28,7 @@
 }
 
 type lineView struct {
-	Line
+	ObjectiveReport
 	Name  string
 	State string
 	// Plot is an SVG that this package drew.
@@ -38,20 +38,20 @@
 
 type groupView struct {
 	Name  string
-	Parts []Part
+	Parts []Contribution
 }
 
 // Percent is a share for people.
-func (p Part) Percent() string { return fmt.Sprintf("%.0f%%", 100*p.Share) }
+func (p Contribution) Percent() string { return fmt.Sprintf("%.0f%%", 100*p.Share) }
 
 // Percent is the budget left, for people.
 func (l lineView) Percent() float64 { return 100 * l.BudgetLeft }
 
 func viewOf(r *Report) view {
 	out := view{At: r.At.UTC().Format(time.RFC1123), Samples: r.Samples, Missing: r.Missing}
-	for _, l := range r.Lines {
+	for _, l := range r.Objectives {
 		out.Lines = append(out.Lines, lineView{
-			Line: l, Name: l.Objective.Service + " / " + l.Objective.Kind, State: stateOf(&l), Plot: plotOf(&l),
+			ObjectiveReport: l, Name: l.Objective.Service + " / " + l.Objective.Kind, State: stateOf(&l), Plot: plotOf(&l),
 			Groups: []groupView{{"Data centre", l.DataCentres}, {"Backend server", l.Servers}, {"Outcome", l.Outcomes}},
 		})
 	}
@@ -59,7 +59,7 @@
 }
 
 // stateOf is the colour class of an objective.
-func stateOf(l *Line) string {
+func stateOf(l *ObjectiveReport) string {
 	switch {
 	case l.Alarm != "":
 		return "alarm"
@@ -75,7 +75,7 @@
 )
 
 // plotOf draws the share of bad calls over time, with the objective's line.
-func plotOf(l *Line) template.HTML {
+func plotOf(l *ObjectiveReport) template.HTML {
 	if len(l.Points) < 2 {
 		return ""
 	}
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -30,8 +30,8 @@
 	Rate   float64 `json:"rate"`
 }
 
-// Part is what one place contributes to the bad calls of an objective.
-type Part struct {
+// Contribution is what one place contributes to the bad calls of an objective.
+type Contribution struct {
 	Name  string  `json:"name"`
 	Calls float64 `json:"calls"`
 	Bad   float64 `json:"bad"`
@@ -39,17 +39,17 @@
 	Share float64 `json:"share"`
 }
 
-// Line is the report on one objective.
-type Line struct {
+// ObjectiveReport is the report on one objective.
+type ObjectiveReport struct {
 	Objective Objective `json:"objective"`
 	Burns     []Burn    `json:"burns"`
 	// BudgetLeft is the share of the longest window's budget that is unspent.
 	BudgetLeft float64 `json:"budget_left"`
 	// Alarm is set when both windows of a pair burn fast.
-	Alarm       string `json:"alarm,omitempty"`
-	DataCentres []Part `json:"data_centres"`
-	Servers     []Part `json:"servers"`
-	Outcomes    []Part `json:"outcomes"`
+	Alarm       string         `json:"alarm,omitempty"`
+	DataCentres []Contribution `json:"data_centres"`
+	Servers     []Contribution `json:"servers"`
+	Outcomes    []Contribution `json:"outcomes"`
 	// Points are bad shares over time, for the plot.
 	Points []Point `json:"points"`
 }
@@ -62,14 +62,14 @@
 
 // Report is the whole report.
 type Report struct {
-	At      time.Time `json:"at"`
-	Samples int       `json:"samples"`
-	Missing []string  `json:"missing,omitempty"`
-	Lines   []Line    `json:"objectives"`
+	At         time.Time         `json:"at"`
+	Samples    int               `json:"samples"`
+	Missing    []string          `json:"missing,omitempty"`
+	Objectives []ObjectiveReport `json:"objectives"`
 }
 
-// Make reports on the samples, oldest first.
-func Make(objectives []Objective, samples []Sample) Report {
+// NewReport reports on the samples, oldest first.
+func NewReport(objectives []Objective, samples []Sample) Report {
 	out := Report{Samples: len(samples)}
 	if len(samples) == 0 {
 		return out
@@ -77,16 +77,16 @@
 	last := samples[len(samples)-1]
 	out.At, out.Missing = last.At, last.Missing
 	for _, o := range objectives {
-		out.Lines = append(out.Lines, makeLine(o, samples))
+		out.Objectives = append(out.Objectives, makeLine(o, samples))
 	}
 	return out
 }
 
-func makeLine(o Objective, samples []Sample) Line {
-	out := Line{Objective: o, BudgetLeft: 1}
+func makeLine(o Objective, samples []Sample) ObjectiveReport {
+	out := ObjectiveReport{Objective: o, BudgetLeft: 1}
 	last := samples[len(samples)-1]
 	rates := map[string]float64{}
-	var widest []Count
+	var widest []CallHistogram
 	for _, w := range windows {
 		first := firstOf(samples, last.At.Add(-w.long))
 		grown := growth(first, last)
@@ -101,9 +101,9 @@
 		out.BudgetLeft = 1 - b.Rate
 	}
 	out.Alarm = alarm(rates)
-	out.DataCentres = parts(o, widest, func(c *Count) string { return c.DataCentre })
-	out.Servers = parts(o, widest, func(c *Count) string { return c.Server })
-	out.Outcomes = parts(o, widest, func(c *Count) string { return c.Outcome })
+	out.DataCentres = parts(o, widest, func(c *CallHistogram) string { return c.DataCentre })
+	out.Servers = parts(o, widest, func(c *CallHistogram) string { return c.Server })
+	out.Outcomes = parts(o, widest, func(c *CallHistogram) string { return c.Outcome })
 	out.Points = points(o, samples)
 	return out
 }
@@ -138,14 +138,14 @@
 
 // growth is what was counted between two samples. A count that fell belongs to
 // a daemon that was started again: it began anew from 0.
-func growth(first, last Sample) []Count {
+func growth(first, last Sample) []CallHistogram {
 	before := map[string]map[string]float64{}
-	for i := range first.Counts {
-		before[first.Counts[i].key()] = first.Counts[i].Buckets
+	for i := range first.Histograms {
+		before[first.Histograms[i].key()] = first.Histograms[i].Buckets
 	}
-	var out []Count
-	for i := range last.Counts {
-		c := last.Counts[i]
+	var out []CallHistogram
+	for i := range last.Histograms {
+		c := last.Histograms[i]
 		grown := map[string]float64{}
 		for bound, n := range c.Buckets {
 			was := before[c.key()][bound]
@@ -160,11 +160,11 @@
 	return out
 }
 
-func (o *Objective) covers(c *Count) bool {
+func (o *Objective) covers(c *CallHistogram) bool {
 	return c.Service == o.Service && c.Kind == o.Kind
 }
 
-func judge(o Objective, counts []Count) (calls, bad float64) {
+func judge(o Objective, counts []CallHistogram) (calls, bad float64) {
 	for i := range counts {
 		if c := &counts[i]; o.covers(c) {
 			calls += c.total()
@@ -174,8 +174,8 @@
 	return calls, bad
 }
 
-func parts(o Objective, counts []Count, by func(*Count) string) []Part {
-	found := map[string]*Part{}
+func parts(o Objective, counts []CallHistogram, by func(*CallHistogram) string) []Contribution {
+	found := map[string]*Contribution{}
 	all := 0.0
 	for i := range counts {
 		c := &counts[i]
@@ -187,14 +187,14 @@
 			name = "none"
 		}
 		if found[name] == nil {
-			found[name] = &Part{Name: name}
+			found[name] = &Contribution{Name: name}
 		}
 		bad := c.total() - c.within(o.Within)
 		found[name].Calls += c.total()
 		found[name].Bad += bad
 		all += bad
 	}
-	out := make([]Part, 0, len(found))
+	out := make([]Contribution, 0, len(found))
 	for _, p := range found {
 		if all > 0 {
 			p.Share = p.Bad / all
--- a/pkg/burn/report_test.go
+++ b/pkg/burn/report_test.go
@@ -11,8 +11,8 @@
 
 var start = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func count(server, outcome string, fast, slow float64) Count {
-	return Count{
+func count(server, outcome string, fast, slow float64) CallHistogram {
+	return CallHistogram{
 		Service: "glyphserve", Kind: "subset", DataCentre: "dc-" + server, Server: server, Outcome: outcome,
 		Buckets: map[string]float64{"1.000e-02": fast, "1.000e+00": slow},
 	}
@@ -24,10 +24,10 @@
 
 func TestBurnNamesThePlace(t *testing.T) {
 	samples := []Sample{
-		{At: start, Counts: []Count{count("a", answered, 100, 0), count("b", answered, 100, 0)}},
-		{At: start.Add(4 * time.Minute), Counts: []Count{count("a", answered, 1000, 0), count("b", answered, 700, 200), count("b", "overloaded", 100, 0)}},
+		{At: start, Histograms: []CallHistogram{count("a", answered, 100, 0), count("b", answered, 100, 0)}},
+		{At: start.Add(4 * time.Minute), Histograms: []CallHistogram{count("a", answered, 1000, 0), count("b", answered, 700, 200), count("b", "overloaded", 100, 0)}},
 	}
-	line := Make(objective(), samples).Lines[0]
+	line := NewReport(objective(), samples).Objectives[0]
 	// 900 calls at a, 800 and 100 refused at b, of which 300 were bad.
 	burn := line.Burns[0]
 	test.Eq(t, 1800, burn.Calls)
@@ -44,10 +44,10 @@
 
 func TestARestartedDaemonBeginsAnew(t *testing.T) {
 	samples := []Sample{
-		{At: start, Counts: []Count{count("a", answered, 1000, 50)}},
-		{At: start.Add(time.Minute), Counts: []Count{count("a", answered, 10, 1)}},
+		{At: start, Histograms: []CallHistogram{count("a", answered, 1000, 50)}},
+		{At: start.Add(time.Minute), Histograms: []CallHistogram{count("a", answered, 10, 1)}},
 	}
-	burn := Make(objective(), samples).Lines[0].Burns[0]
+	burn := NewReport(objective(), samples).Objectives[0].Burns[0]
 	test.Eq(t, 11, burn.Calls)
 	test.Eq(t, 1, burn.Bad)
 }
--- a/pkg/burn/sample.go
+++ b/pkg/burn/sample.go
@@ -15,8 +15,8 @@
 	"github.com/pkg/errors"
 )
 
-// Count is the calls of one kind, at one place, up to a moment.
-type Count struct {
+// CallHistogram is the calls of one kind, at one place, up to a moment.
+type CallHistogram struct {
 	Service    string `json:"service"`
 	Kind       string `json:"kind"`
 	DataCentre string `json:"data_centre"`
@@ -28,26 +28,26 @@
 	Buckets map[string]float64 `json:"buckets"`
 }
 
-func (c *Count) key() string {
+func (c *CallHistogram) key() string {
 	return strings.Join([]string{c.Service, c.Kind, c.DataCentre, c.Server, c.Outcome}, "\x00")
 }
 
 // Sample is all counts of all daemons that were read at one moment.
 type Sample struct {
-	At     time.Time `json:"at"`
-	Counts []Count   `json:"counts"`
+	At         time.Time   `json:"at"`
+	Histograms []CallHistogram `json:"counts"`
 	// Missing are daemons that did not answer.
 	Missing []string `json:"missing,omitempty"`
-	// Starts tell daemons that were started again since: their counts begin
+	// StartTimes tell daemons that were started again since: their counts begin
 	// anew.
-	Starts map[string]float64 `json:"starts"`
+	StartTimes map[string]float64 `json:"starts"`
 }
 
 const readTime = 2 * time.Second
 
-// Read takes a sample of all daemons.
-func Read(daemons []string, now time.Time) Sample {
-	out := Sample{At: now, Starts: map[string]float64{}}
+// TakeSample takes a sample of all daemons.
+func TakeSample(daemons []string, now time.Time) Sample {
+	out := Sample{At: now, StartTimes: map[string]float64{}}
 	client := &http.Client{Timeout: readTime}
 	for _, d := range daemons {
 		resp, err := client.Get("http://" + d + "/metrics")
@@ -57,8 +57,8 @@
 		}
 		counts, started := parse(resp.Body)
 		_ = resp.Body.Close()
-		out.Counts = append(out.Counts, counts...)
-		out.Starts[d] = started
+		out.Histograms = append(out.Histograms, counts...)
+		out.StartTimes[d] = started
 	}
 	return out
 }
@@ -66,8 +66,8 @@
 // line is a histogram's bucket as the daemons write it.
 var line = regexp.MustCompile(`^rushramp_served_seconds_bucket\{service="([^"]*)",kind="([^"]*)",data_centre="([^"]*)",server="([^"]*)",outcome="([^"]*)",vmrange="[^"]*\.\.\.([^"]*)"\} (\S+)$`)
 
-func parse(text io.Reader) (counts []Count, started float64) {
-	by := map[string]*Count{}
+func parse(text io.Reader) (counts []CallHistogram, started float64) {
+	by := map[string]*CallHistogram{}
 	scanner := bufio.NewScanner(text)
 	for scanner.Scan() {
 		if value, ok := strings.CutPrefix(scanner.Text(), "process_start_time_seconds "); ok {
@@ -77,7 +77,7 @@
 		if m == nil {
 			continue
 		}
-		c := Count{Service: m[1], Kind: m[2], DataCentre: m[3], Server: m[4], Outcome: m[5]}
+		c := CallHistogram{Service: m[1], Kind: m[2], DataCentre: m[3], Server: m[4], Outcome: m[5]}
 		if by[c.key()] == nil {
 			c.Buckets = map[string]float64{}
 			by[c.key()] = &c
@@ -143,9 +143,9 @@
 }
 
 // total sums a count's buckets; within sums those whose bound is at most a time.
-func (c *Count) total() float64 { return c.upTo(math.Inf(1)) }
+func (c *CallHistogram) total() float64 { return c.upTo(math.Inf(1)) }
 
-func (c *Count) within(d time.Duration) float64 {
+func (c *CallHistogram) within(d time.Duration) float64 {
 	if c.Outcome != answered {
 		return 0
 	}
@@ -155,7 +155,7 @@
 	return c.upTo(d.Seconds() * bucketWidth)
 }
 
-func (c *Count) upTo(seconds float64) float64 {
+func (c *CallHistogram) upTo(seconds float64) float64 {
 	sum := 0.0
 	for bound, n := range c.Buckets {
 		upper, err := strconv.ParseFloat(bound, 64)
--- a/pkg/placement/store_test.go
+++ b/pkg/placement/store_test.go
@@ -36,7 +36,7 @@
 		docs := []*Document{{}}
 		var attempts []*attempt
 		for i := range rapid.IntRange(5, 40).Draw(t, "steps") {
-			table.SetNext(rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(fakestore.ModeCount)-1),
+			table.SetModes(rapid.SliceOfN(rapid.Map(rapid.IntRange(0, int(fakestore.ModeCount)-1),
 				func(n int) fakestore.Mode { return fakestore.Mode(n) }), 0, 4).Draw(t, "modes"))
 			a := nextAttempt(t, attempts, docs, i)
 			if a.outcome == "" {
@@ -51,11 +51,11 @@
 			if err == nil {
 				docs = append(docs, doc)
 			}
-			if table.Late() > 0 && rapid.Bool().Draw(t, "apply a late write") {
-				table.Arrive(0)
+			if table.Pending() > 0 && rapid.Bool().Draw(t, "apply a late write") {
+				table.ApplyPending(0)
 			}
 		}
-		table.SetNext(nil)
+		table.SetModes(nil)
 		checkHistory(t, s, attempts)
 	})
 }
--- a/pkg/standin/fakestore/flaky.go
+++ b/pkg/standin/fakestore/flaky.go
@@ -12,14 +12,14 @@
 
 // The modes.
 const (
-	// Works answers.
-	Works Mode = iota
-	// Loses applies a write and loses its answer.
-	Loses
-	// Delays fails now, and applies the write when Arrive is called, or never.
-	Delays
-	// Fails has no effect.
-	Fails
+	// ModeSucceed answers.
+	ModeSucceed Mode = iota
+	// ModeLoseAnswer applies a write and loses its answer.
+	ModeLoseAnswer
+	// ModeDelay fails now, and applies the write when Arrive is called, or never.
+	ModeDelay
+	// ModeFail has no effect.
+	ModeFail
 	// ModeCount counts the modes.
 	ModeCount
 )
@@ -36,15 +36,15 @@
 // NewFlaky makes an empty stand-in whose first requests go as the modes say.
 func NewFlaky(next ...Mode) *Flaky { return &Flaky{Store: New(), next: next} }
 
-// SetNext says how the next requests go; those after them work.
-func (f *Flaky) SetNext(modes []Mode) {
+// SetModes says how the next requests go; those after them work.
+func (f *Flaky) SetModes(modes []Mode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.next = modes
 }
 
-// Late counts the writes on their way.
-func (f *Flaky) Late() int {
+// Pending counts the writes on their way.
+func (f *Flaky) Pending() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.late)
@@ -54,7 +54,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.next) == 0 {
-		return Works
+		return ModeSucceed
 	}
 	m := f.next[0]
 	f.next = f.next[1:]
@@ -64,22 +64,22 @@
 // write plays one write that takes effect by apply.
 func (f *Flaky) write(apply func() error) error {
 	switch f.take() {
-	case Loses:
+	case ModeLoseAnswer:
 		_ = apply()
 		return ErrDown
-	case Delays:
+	case ModeDelay:
 		f.mu.Lock()
 		f.late = append(f.late, func() { _ = apply() })
 		f.mu.Unlock()
 		return ErrDown
-	case Fails:
+	case ModeFail:
 		return ErrDown
 	}
 	return apply()
 }
 
-// Arrive applies one of the writes on their way.
-func (f *Flaky) Arrive(i int) {
+// ApplyPending applies one of the writes on their way.
+func (f *Flaky) ApplyPending(i int) {
 	f.mu.Lock()
 	apply := f.late[i]
 	f.late = append(f.late[:i], f.late[i+1:]...)
@@ -107,7 +107,7 @@
 
 // Get implements store.Table.
 func (f *Flaky) Get(ctx context.Context, key string) (store.Row, error) {
-	if f.take() != Works {
+	if f.take() != ModeSucceed {
 		return store.Row{}, ErrDown
 	}
 	return f.Store.Get(ctx, key)
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -120,14 +120,14 @@
 			ts.Fatalf("there is no fault %q", name)
 		}
 	}
-	n.proxy.Set(faultproxy.Everybody, f)
+	n.proxy.SetFault(faultproxy.AllClients, f)
 	// The links that it dialled itself pass the others' proxies, the other way
 	// round.
 	back := f
 	back.HoldIn, back.HoldOut = f.HoldOut, f.HoldIn
 	for _, other := range w.workers {
 		if other != n {
-			other.proxy.Set(n.address.IP(), back)
+			other.proxy.SetFault(n.address.IP(), back)
 		}
 	}
 }
--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -36,8 +36,8 @@
 	closed bool
 }
 
-// Everybody names the fault that befalls all diallers.
-const Everybody = ""
+// AllClients names the fault that befalls all diallers.
+const AllClients = ""
 
 // Start opens a proxy on address for target.
 func Start(address, target string) (*Proxy, error) {
@@ -51,8 +51,8 @@
 	return p, nil
 }
 
-// Set replaces the fault of a dialler's IP number, or of Everybody.
-func (p *Proxy) Set(from string, f Fault) {
+// SetFault replaces the fault of a dialler's IP number, or of Everybody.
+func (p *Proxy) SetFault(from string, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.faults[from] = f
@@ -81,7 +81,7 @@
 	if f, ok := p.faults[dialler]; ok {
 		return f
 	}
-	return p.faults[Everybody]
+	return p.faults[AllClients]
 }
 
 func (p *Proxy) accept() {
