--- a/pkg/bench/arrivals.go
+++ b/pkg/bench/arrivals.go
@@ -8,22 +8,27 @@
 	"time"
 )
 
-// arrival is one call of the load. Everything about it is drawn before the
-// run, so that each policy meets the same calls.
+// arrival is one call of the load. All its random values are drawn before the
+// run, so that every policy gets the same calls.
 type arrival struct {
+	// at is the intended start, counted from the start of the load.
 	at      time.Duration
 	id      string
 	service *Service
 	kind    *Kind
-	// entry picks the daemon among those that may take the caller.
-	entry   uint64
-	nominal time.Duration
-	key     string
-	// attempt counts the times that the caller has sent the call before.
+	// entryDraw is a random number that selects one of the daemons that may
+	// receive the call.
+	entryDraw uint64
+	// serviceTime is the nominal time that the call runs at a backend server.
+	serviceTime time.Duration
+	// key is the Idempotency-Key of a never-repeat call; empty for other calls.
+	key string
+	// attempt counts earlier attempts by the caller to send the same call.
 	attempt int
 }
 
-// ledgerID names one attempt in the ledgers of backend servers.
+// ledgerID returns the id under which the backend servers' ledgers record this
+// attempt.
 func (a *arrival) ledgerID() string {
 	if a.attempt == 0 {
 		return a.id
@@ -31,18 +36,18 @@
 	return fmt.Sprintf("%s.%d", a.id, a.attempt)
 }
 
-// drawArrivals draws the calls of a run.
+// drawArrivals returns the calls of a run, in order of their start.
 func drawArrivals(d *Deployment, duration time.Duration, seed uint64) []arrival {
 	rnd := rand.New(rand.NewPCG(seed, 1))
 	var out []arrival
 	for si := range d.Services {
 		s := &d.Services[si]
 		for ki := range s.Kinds {
-			out = append(out, drawKind(d, s, &s.Kinds[ki], duration, rnd)...)
+			out = append(out, drawKindArrivals(d, s, &s.Kinds[ki], duration, rnd)...)
 		}
 	}
 	if d.Shape.Burst != nil {
-		out = append(out, drawBursts(d, duration, rnd)...)
+		out = append(out, drawBurstArrivals(d, duration, rnd)...)
 	}
 	sort.SliceStable(out, func(i, j int) bool { return out[i].at < out[j].at })
 	for i := range out {
@@ -54,8 +59,8 @@
 	return out
 }
 
-// drawKind draws a Poisson process.
-func drawKind(d *Deployment, s *Service, k *Kind, duration time.Duration, rnd *rand.Rand) []arrival {
+// drawKindArrivals draws the arrivals of a kind from a Poisson process.
+func drawKindArrivals(d *Deployment, s *Service, k *Kind, duration time.Duration, rnd *rand.Rand) []arrival {
 	rate := d.callsPerSecond(s, k)
 	if rate <= 0 {
 		return nil
@@ -67,7 +72,8 @@
 	return out
 }
 
-func drawBursts(d *Deployment, duration time.Duration, rnd *rand.Rand) []arrival {
+// drawBurstArrivals draws the additional calls of Shape.Burst.
+func drawBurstArrivals(d *Deployment, duration time.Duration, rnd *rand.Rand) []arrival {
 	b := d.Shape.Burst
 	s := d.service(b.Service)
 	var out []arrival
@@ -81,18 +87,20 @@
 }
 
 func newArrival(at time.Duration, s *Service, k *Kind, rnd *rand.Rand) arrival {
-	return arrival{at: at, service: s, kind: k, entry: rnd.Uint64(), nominal: drawService(k, rnd)}
+	return arrival{at: at, service: s, kind: k, entryDraw: rnd.Uint64(), serviceTime: drawServiceTime(k, rnd)}
 }
 
-// The parameters of the wide distributions, each with mean 1.
+// Parameters of the heavy-tailed distributions, each scaled to a mean of 1.
 const (
 	lognormalSigma = 1.0
 	paretoAlpha    = 2.1
-	// longest bounds a draw, in means: a heavy tail of one run is no second's.
-	longest = 50
+	// maxServiceTimeFactor limits a service time to a multiple of the mean, so
+	// that a single call does not decide the result of a run.
+	maxServiceTimeFactor = 50
 )
 
-func drawService(k *Kind, rnd *rand.Rand) time.Duration {
+// drawServiceTime draws a service time from the kind's distribution.
+func drawServiceTime(k *Kind, rnd *rand.Rand) time.Duration {
 	factor := 1.0
 	switch k.Distribution {
 	case "", "exponential":
@@ -102,9 +110,11 @@
 	case "pareto":
 		factor = (paretoAlpha - 1) / paretoAlpha / math.Pow(1-rnd.Float64(), 1/paretoAlpha)
 	}
-	return time.Duration(min(factor, longest) * float64(k.ServiceTime))
+	return time.Duration(min(factor, maxServiceTimeFactor) * float64(k.ServiceTime))
 }
 
+// service returns the service of that name, or the first one when there is
+// none.
 func (d *Deployment) service(name string) *Service {
 	for i := range d.Services {
 		if d.Services[i].Name == name {
--- a/pkg/bench/check_test.go
+++ b/pkg/bench/check_test.go
@@ -8,9 +8,10 @@
 	"github.com/rushramp/rushramp/pkg/standin/backend"
 )
 
-// TestCheckKnowsAnEarlierAttemptsAnswer brings about what a drill showed: the
-// stored answer of the first attempt counted as a truncated one of the second.
-func TestCheckKnowsAnEarlierAttemptsAnswer(t *testing.T) {
+// A never-repeat call that is sent again may get the stored answer of an
+// earlier attempt. checkBody once reported that answer, which is shorter than
+// the one of the second attempt, as truncated.
+func TestCheckBodyAcceptsAnswerOfEarlierAttempt(t *testing.T) {
 	kind := &Kind{AnswerBytes: 200}
 	scenarios := []struct {
 		name               string
@@ -18,17 +19,17 @@
 		body               string
 		crossed, truncated bool
 	}{
-		{"its own", 0, string(backend.AnswerBody("c1", 200, nil)), false, false},
-		{"its own second", 1, string(backend.AnswerBody("c1.1", 200, nil)), false, false},
-		{"the first attempt's", 1, string(backend.AnswerBody("c1", 200, nil)), false, false},
-		{"another call's", 0, string(backend.AnswerBody("c2", 200, nil)), true, false},
-		{"a part of its own", 0, string(backend.AnswerBody("c1", 200, nil)[:50]), false, true},
-		{"nothing", 1, "", false, true},
+		{"own answer", 0, string(backend.AnswerBody("c1", 200, nil)), false, false},
+		{"own answer to the second attempt", 1, string(backend.AnswerBody("c1.1", 200, nil)), false, false},
+		{"own answer to the first attempt", 1, string(backend.AnswerBody("c1", 200, nil)), false, false},
+		{"another call's answer", 0, string(backend.AnswerBody("c2", 200, nil)), true, false},
+		{"part of the own answer", 0, string(backend.AnswerBody("c1", 200, nil)[:50]), false, true},
+		{"empty answer", 1, "", false, true},
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
 			o := &outcome{arrival: &arrival{id: "c1", kind: kind, attempt: s.attempt}, entry: &node{}}
-			o.check([]byte(s.body))
+			o.checkBody([]byte(s.body))
 			test.Eq(t, s.crossed, o.crossed)
 			test.Eq(t, s.truncated, o.truncated)
 		})
--- a/pkg/bench/cluster.go
+++ b/pkg/bench/cluster.go
@@ -19,21 +19,21 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// node is one VM of an embedded deployment.
+// node is one VM of a cluster, with its daemon and its backend server.
 type node struct {
 	vm      store.VM
 	address loopback.VM
-	// daemon changes when a fault restarts it; current reads it.
+	// mu protects daemon, which a restart by a fault replaces.
 	mu     sync.Mutex
 	daemon *daemon.Daemon
-	// unlisted leaves the VM out of the platform's list.
+	// unlisted omits the VM from the platform's list.
 	unlisted bool
-	// backend is nil for an entry only.
+	// backend is nil on a VM that only receives calls.
 	backend     *backend.Backend
 	stopBackend func()
 }
 
-// cluster is an embedded deployment.
+// cluster is a deployment that runs inside this process.
 type cluster struct {
 	clock      *precise.Clock
 	deployment *Deployment
@@ -41,16 +41,19 @@
 	store      *fakestore.Store
 	nodes      []*node
 	addresses  loopback.Allocator
-	// ends finds the VM behind a links address.
-	ends map[string]end
-	// faulty is true when connections may meet faults.
-	faulty bool
-	// change adapts the settings of each daemon.
-	change func(*settings.Settings)
-	policy func(*cluster) choose.Policy
+	// endpoints maps a VM's links address to the VM.
+	endpoints map[string]endpoint
+	// injectFaults subjects the connections between daemons to the faults of
+	// network.
+	injectFaults bool
+	// adaptSettings changes the settings of each daemon; may be nil.
+	adaptSettings func(*settings.Settings)
+	// newPolicy makes the policy of each daemon; nil uses the one in the
+	// settings.
+	newPolicy func(*cluster) choose.Policy
 }
 
-// clusterOptions adapt a cluster.
+// clusterOptions adapts a cluster.
 type clusterOptions struct {
 	change func(*settings.Settings)
 	// policy makes each daemon's policy; nil takes the one in the settings.
@@ -59,18 +62,18 @@
 	faulty bool
 }
 
-// startCluster starts the stand-ins and the daemons, and waits until all are
-// ready.
+// startCluster starts the stand-ins and the daemons, and waits until all
+// daemons are ready.
 func startCluster(d *Deployment, opts clusterOptions) (*cluster, error) {
 	c := &cluster{
 		clock:      precise.NewClock(),
-		deployment: d, store: fakestore.New(), ends: map[string]end{}, network: newNetwork(),
-		change: opts.change, policy: opts.policy, faulty: opts.faulty,
+		deployment: d, store: fakestore.New(), endpoints: map[string]endpoint{}, network: newNetwork(),
+		adaptSettings: opts.change, newPolicy: opts.policy, injectFaults: opts.faulty,
 	}
 	if err := c.applyPlacement(); err != nil {
 		return nil, err
 	}
-	if err := c.plan(); err != nil {
+	if err := c.addNodes(); err != nil {
 		c.stop()
 		return nil, err
 	}
@@ -88,25 +91,27 @@
 	return c, nil
 }
 
+// applyPlacement stores the deployment's placement as the first version.
 func (c *cluster) applyPlacement() error {
 	doc := c.deployment.Document()
 	_, err := placement.NewStore(c.store, c.store).Commit(context.Background(), placement.Proposal{
 		Base: &placement.Document{}, ChangeID: "first", Author: "bench",
 		Changes: placement.Diff(&placement.Document{}, doc), At: time.Now(),
 	})
-	return errors.Wrap(err, "first placement")
+	return errors.Wrap(err, "apply the initial placement")
 }
 
-// plan lays out the VMs: workers of each service over its data centres in turn.
-func (c *cluster) plan() error {
+// addNodes creates the VMs of all services and the extra entries, placed in
+// their data centres in turn.
+func (c *cluster) addNodes() error {
 	for i := range c.deployment.Services {
 		s := &c.deployment.Services[i]
-		where := s.DataCentres
-		if len(where) == 0 {
-			where = c.deployment.DataCentres
+		dataCentres := s.DataCentres
+		if len(dataCentres) == 0 {
+			dataCentres = c.deployment.DataCentres
 		}
 		for w := range s.Workers {
-			if err := c.addNode(fmt.Sprintf("%s-%d", s.Name, w+1), s.Name, where[w%len(where)]); err != nil {
+			if err := c.addNode(fmt.Sprintf("%s-%d", s.Name, w+1), s.Name, dataCentres[w%len(dataCentres)]); err != nil {
 				return err
 			}
 		}
@@ -120,6 +125,8 @@
 	return nil
 }
 
+// addNode creates a VM and starts its backend server; an empty service means
+// that it has none.
 func (c *cluster) addNode(id, service, dataCentre string) error {
 	address := c.addresses.Next()
 	n := &node{address: address, vm: store.VM{
@@ -127,7 +134,7 @@
 		Links: address.Address(loopback.PortLinks), Callers: address.Address(loopback.PortCallers),
 		Slots: c.deployment.Slots, Started: 1,
 	}}
-	c.ends[n.vm.Links] = end{vm: id, dataCentre: dataCentre}
+	c.endpoints[n.vm.Links] = endpoint{vm: id, dataCentre: dataCentre}
 	c.nodes = append(c.nodes, n)
 	if service == "" {
 		return nil
@@ -165,16 +172,16 @@
 	s.Choosing.StampHalfLife *= scale
 	s.Gate.QueueTime *= scale
 	s.Retries.DefaultTimeout *= scale
-	if c.change != nil {
-		c.change(&s)
+	if c.adaptSettings != nil {
+		c.adaptSettings(&s)
 	}
 	return &s
 }
 
 func (c *cluster) startDaemon(n *node) error {
-	opts := daemon.Options{Platform: c.store, Dial: c.dialer(end{vm: n.vm.ID, dataCentre: n.vm.DataCentre})}
-	if c.policy != nil {
-		opts.Policy = c.policy(c)
+	opts := daemon.Options{Platform: c.store, Dial: c.dialer(endpoint{vm: n.vm.ID, dataCentre: n.vm.DataCentre})}
+	if c.newPolicy != nil {
+		opts.Policy = c.newPolicy(c)
 	}
 	d, err := daemon.New(c.settingsOf(n), opts)
 	if err != nil {
@@ -186,19 +193,19 @@
 	return d.Start()
 }
 
-// current is the daemon that runs on the node now, or ran last.
-func (n *node) current() *daemon.Daemon {
+// currentDaemon returns the daemon that runs on the node, or ran there last.
+func (n *node) currentDaemon() *daemon.Daemon {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.daemon
 }
 
-func (c *cluster) endOf(address string) end { return c.ends[address] }
+func (c *cluster) endpointOf(address string) endpoint { return c.endpoints[address] }
 
-const readyBound = 30 * time.Second
+const readyTimeout = 30 * time.Second
 
 func (c *cluster) waitReady() error {
-	return waitFor(readyBound, "all daemons to be ready", func() bool {
+	return waitFor(readyTimeout, "all daemons to be ready", func() bool {
 		for _, n := range c.nodes {
 			view := n.daemon.World.View
 			if !view.Ready() || view.Placement() == nil || view.Placement().Version == 0 || view.MemberCount() < len(c.nodes) {
@@ -209,17 +216,20 @@
 	})
 }
 
-func waitFor(bound time.Duration, what string, ready func() bool) error {
+// waitFor polls until ready returns true. It returns an error that names what
+// after the timeout.
+func waitFor(timeout time.Duration, what string, ready func() bool) error {
 	const poll = 2 * time.Millisecond
-	for end := time.Now().Add(bound); time.Now().Before(end); time.Sleep(poll) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(poll) {
 		if ready() {
 			return nil
 		}
 	}
-	return errors.Errorf("waited %v in vain for %s", bound, what)
+	return errors.Errorf("timed out after %v waiting for %s", timeout, what)
 }
 
-// stop ends all nodes at once: each waits a little for its listeners.
+// stop stops all nodes in parallel, because each takes a moment to close its
+// listeners.
 func (c *cluster) stop() {
 	var wait sync.WaitGroup
 	for _, n := range c.nodes {
@@ -234,7 +244,7 @@
 }
 
 func (n *node) stop() {
-	if d := n.current(); d != nil {
+	if d := n.currentDaemon(); d != nil {
 		d.Stop()
 	}
 	if n.stopBackend != nil {
@@ -242,7 +252,8 @@
 	}
 }
 
-// entriesFor returns the nodes where callers from outside may enter with a kind.
+// entriesFor returns the nodes at which outside callers may send calls of a
+// kind.
 func (c *cluster) entriesFor(k *placement.Kind) []*node {
 	var out []*node
 	for _, n := range c.nodes {
--- a/pkg/bench/command.go
+++ b/pkg/bench/command.go
@@ -16,14 +16,14 @@
 	"github.com/spf13/cobra"
 )
 
-// ErrViolations is returned when a promise count is not 0.
-var ErrViolations = errors.New("a promise did not hold; see the counts above")
+// ErrViolations is returned when a run violated at least one guarantee.
+var ErrViolations = errors.New("guarantees were violated; see the counts of broken promises above")
 
-// NewCommand makes the command line of rushramp-bench.
+// NewCommand returns the root command of rushramp-bench.
 func NewCommand() *cobra.Command {
 	root := &cobra.Command{
 		Use:           "rushramp-bench",
-		Short:         "Load and experiments: daemons and stand-ins run inside this process over loopback TCP",
+		Short:         "Run load experiments with daemons and stand-ins inside this process, over loopback TCP",
 		SilenceUsage:  true,
 		SilenceErrors: true,
 	}
@@ -31,6 +31,7 @@
 	return root
 }
 
+// flags holds the values of the commands' flags.
 type flags struct {
 	duration time.Duration
 	policy   string
@@ -42,30 +43,30 @@
 }
 
 func (f *flags) register(cmd *cobra.Command) {
-	cmd.Flags().DurationVar(&f.duration, "duration", 5*time.Second, "how long the load lasts")
+	cmd.Flags().DurationVar(&f.duration, "duration", 5*time.Second, "duration of the load")
 	cmd.Flags().Uint64Var(&f.seed, "seed", 1, "seed of the arrivals")
 	cmd.Flags().StringVar(&f.json, "json", "", "file for the report as JSON")
-	cmd.Flags().StringVar(&f.profile, "profile", "", "file for a processor profile of the whole command")
+	cmd.Flags().StringVar(&f.profile, "profile", "", "file for a CPU profile of the whole command")
 }
 
-// benchGC is the bench's GOGC.
-const benchGC = 400
+// gcPercent is the GOGC value of the bench.
+const gcPercent = 400
 
-// profiled runs the command, with a processor profile when one is wanted.
-func (f *flags) profiled(do func() error) error {
-	// The stand-ins and the load make garbage that a daemon does not; its
-	// collection would be counted as the daemons' time.
-	debug.SetGCPercent(benchGC)
+// withProfile runs do, and writes a CPU profile of it when --profile is set.
+func (f *flags) withProfile(do func() error) error {
+	// The stand-ins and the load allocate memory that a daemon alone would not.
+	// Rare garbage collection keeps that cost out of the daemons' CPU time.
+	debug.SetGCPercent(gcPercent)
 	if f.profile == "" {
 		return do()
 	}
 	file, err := os.Create(f.profile)
 	if err != nil {
-		return errors.Wrap(err, "profile")
+		return errors.Wrap(err, "write the CPU profile")
 	}
 	defer func() { _ = file.Close() }()
 	if err := pprof.StartCPUProfile(file); err != nil {
-		return errors.Wrap(err, "profile")
+		return errors.Wrap(err, "write the CPU profile")
 	}
 	defer pprof.StopCPUProfile()
 	return do()
@@ -78,7 +79,7 @@
 		Short: "Run deployments under their load and report",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.profiled(func() error { return runAll(cmd.OutOrStdout(), args, f) })
+			return f.withProfile(func() error { return runAll(cmd.OutOrStdout(), args, f) })
 		},
 	}
 	f.register(cmd)
@@ -87,7 +88,7 @@
 }
 
 func runAll(out io.Writer, files []string, f *flags) error {
-	return f.each(files, func(d *Deployment) ([]*Report, error) {
+	return f.forEachFile(files, func(d *Deployment) ([]*Report, error) {
 		report, err := Run(d, Options{Duration: f.duration, Policy: f.policy, Seed: f.seed})
 		if err != nil {
 			return nil, err
@@ -97,11 +98,11 @@
 	})
 }
 
-// each runs experiment files one after the other, writes their reports, and
-// fails when a promise did not hold.
-func (f *flags) each(files []string, run func(*Deployment) ([]*Report, error)) error {
+// forEachFile runs the experiment files one after the other and writes their
+// reports. It returns ErrViolations when a guarantee was violated.
+func (f *flags) forEachFile(files []string, run func(*Deployment) ([]*Report, error)) error {
 	var reports []*Report
-	broken := 0
+	violations := 0
 	for _, file := range files {
 		d, err := LoadDeployment(file)
 		if err != nil {
@@ -112,20 +113,20 @@
 			return err
 		}
 		for _, r := range found {
-			broken += r.TotalViolations()
+			violations += r.TotalViolations()
 		}
 		reports = append(reports, found...)
 	}
 	if err := writeJSON(f.json, reports); err != nil {
 		return err
 	}
-	if broken > 0 {
+	if violations > 0 {
 		return ErrViolations
 	}
 	return nil
 }
 
-// writeJSON writes one report as an object, several as a list.
+// writeJSON writes a single report as an object, several as a list.
 func writeJSON(path string, reports []*Report) error {
 	if path == "" {
 		return nil
@@ -136,9 +137,9 @@
 	}
 	data, err := json.MarshalIndent(value, "", "  ")
 	if err != nil {
-		return errors.Wrap(err, "report")
+		return errors.Wrap(err, "encode the report")
 	}
-	return errors.Wrap(os.WriteFile(path, append(data, '\n'), 0o644), "report")
+	return errors.Wrap(os.WriteFile(path, append(data, '\n'), 0o644), "write the report")
 }
 
 func printReport(out io.Writer, r *Report) {
@@ -146,37 +147,38 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "service\tcalls\tanswered\tnot run\tunknown\tp50 ms\tp99 ms\twait p50 ms\twait p99 ms\twait p99.9 ms\t")
 	for _, name := range sortedKeys(r.Services) {
-		printFigures(w, name, r.Services[name])
+		printStats(w, name, r.Services[name])
 	}
 	if len(r.Kinds) > len(r.Services) {
 		for _, name := range sortedKeys(r.Kinds) {
-			printFigures(w, name, r.Kinds[name])
+			printStats(w, name, r.Kinds[name])
 		}
 	}
-	printFigures(w, "all", r.Stats)
+	printStats(w, "all", r.Stats)
 	_ = w.Flush()
 	fmt.Fprintf(out, "refusals %.3f, retries %.3f, hedges %.3f a call; added p99 %d us by the daemons' clocks, %d us from outside\n",
 		r.Refusals, r.Retries, r.Hedges, r.AddedP99, r.AddedOutsideP99)
 	fmt.Fprintf(out, "measuring %.0f bytes/s, %.1f messages/s a daemon; control %.2f%% of a core, %.1f MB a daemon\n",
 		r.MeasureBytes, r.MeasureMessages, r.ControlCPU, r.RSS)
-	printPromises(out, &r.Violations)
+	printViolations(out, &r.Violations)
 	for _, kind := range sortedKeys(r.Outcomes) {
 		fmt.Fprintf(out, "  %s: %d\n", kind, r.Outcomes[kind])
 	}
 	fmt.Fprintln(out)
 }
 
-func printPromises(out io.Writer, p *Violations) {
+func printViolations(out io.Writer, v *Violations) {
 	fmt.Fprintf(out, "promises broken: crossed %d, truncated %d, doubled %d, false not-run %d, wrong place %d, cut by drain %d, work after leaving %d, config reverts %d, budget overruns %d\n",
-		p.Crossed, p.Truncated, p.Doubled, p.FalseNotRun, p.WrongPlace, p.CutByDrain, p.WorkAfterLeaving, p.ConfigReverts, p.BudgetOverruns)
+		v.Crossed, v.Truncated, v.Doubled, v.FalseNotRun, v.WrongPlace, v.CutByDrain, v.WorkAfterLeaving, v.ConfigReverts, v.BudgetOverruns)
 }
 
-func printFigures(w io.Writer, name string, f Stats) {
+func printStats(w io.Writer, name string, f Stats) {
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\t%s\t\n", name, f.Calls, f.Answered, f.RefusedNotRun, f.OutcomeUnknown,
-		ms(f.P50), ms(f.P99), ms(f.WaitP50), ms(f.WaitP99), ms(f.WaitP999))
+		formatMS(f.P50), formatMS(f.P99), formatMS(f.WaitP50), formatMS(f.WaitP99), formatMS(f.WaitP999))
 }
 
-func ms(us int64) string { return fmt.Sprintf("%.2f", float64(us)/1000) }
+// formatMS formats microseconds as milliseconds.
+func formatMS(us int64) string { return fmt.Sprintf("%.2f", float64(us)/1000) }
 
 func sortedKeys[V any](m map[string]V) []string {
 	out := make([]string, 0, len(m))
@@ -194,19 +196,20 @@
 		Short: "Run policies in turn on the same arrivals, and print each figure as a ratio to the oracle's",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.profiled(func() error { return compareAll(cmd.OutOrStdout(), args, f) })
+			return f.withProfile(func() error { return compareAll(cmd.OutOrStdout(), args, f) })
 		},
 	}
 	f.register(cmd)
-	cmd.Flags().StringVar(&f.policies, "policies", "oracle,least_outstanding,expected_wait+soft", "policies, with commas between")
-	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "how many seeds, from --seed on")
+	cmd.Flags().StringVar(&f.policies, "policies", "oracle,least_outstanding,expected_wait+soft", "comma-separated policies")
+	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "number of seeds, starting with --seed")
 	return cmd
 }
 
 func compareAll(out io.Writer, files []string, f *flags) error {
-	return f.each(files, func(d *Deployment) ([]*Report, error) { return comparePolicies(out, d, f) })
+	return f.forEachFile(files, func(d *Deployment) ([]*Report, error) { return comparePolicies(out, d, f) })
 }
 
+// comparePolicies runs a deployment with each policy and each seed.
 func comparePolicies(out io.Writer, d *Deployment, f *flags) ([]*Report, error) {
 	var reports []*Report
 	policies := strings.Split(f.policies, ",")
--- a/pkg/bench/counters.go
+++ b/pkg/bench/counters.go
@@ -10,18 +10,18 @@
 	"github.com/VictoriaMetrics/metrics"
 )
 
-// counters are totals over all daemons at one moment.
+// counters holds totals over all daemons at one moment.
 type counters struct {
-	at           time.Time
-	retries      uint64
-	softRefusals uint64
-	hedges       uint64
-	measureBytes int64
-	measureMsgs  int64
-	overruns     int64
-	storeReads   int64
-	storeWrites  int64
-	addedP99     time.Duration
+	at              time.Time
+	retries         uint64
+	softRefusals    uint64
+	hedges          uint64
+	measureBytes    int64
+	measureMessages int64
+	budgetOverruns  int64
+	storeReads      int64
+	storeWrites     int64
+	addedP99        time.Duration
 }
 
 func (c *cluster) counters() counters {
@@ -34,14 +34,15 @@
 		out.hedges += counts.Hedges
 		budget := n.daemon.Measure.Usage()
 		out.measureBytes += budget.Bytes
-		out.overruns += budget.Overruns
+		out.budgetOverruns += budget.Overruns
 		added.Merge(n.daemon.Entry.AddedLatency())
 	}
 	out.addedP99 = quantile(added, 0.99)
 	return out
 }
 
-// quantile reads a quantile off a metric's buckets, at their upper bounds.
+// quantile estimates a quantile from a histogram's buckets. It returns the
+// upper bound of the bucket.
 func quantile(h *metrics.Histogram, q float64) time.Duration {
 	type bucket struct {
 		upper float64
@@ -51,7 +52,7 @@
 	total := uint64(0)
 	h.VisitNonZeroBuckets(func(vmrange string, count uint64) {
 		_, upper, _ := strings.Cut(vmrange, "...")
-		// "+Inf" parses, too; what does not parse would be a change of the library.
+		// Every bound of the library parses, "+Inf" too.
 		bound, err := strconv.ParseFloat(upper, 64)
 		if err != nil {
 			return
@@ -69,8 +70,8 @@
 	return 0
 }
 
-// processCPU is the processor time of this process so far.
-func processCPU() time.Duration {
+// processCPUTime returns the CPU time that this process has used.
+func processCPUTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		return 0
@@ -78,16 +79,17 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// measureIdle returns the processor share of control per daemon, in percent of
-// a core, while no calls come.
-func measureIdle(c *cluster, window time.Duration) float64 {
-	began, used := time.Now(), processCPU()
+// measureIdleCPU returns the CPU time that each daemon uses without calls, in
+// percent of a core.
+func measureIdleCPU(c *cluster, window time.Duration) float64 {
+	began, used := time.Now(), processCPUTime()
 	time.Sleep(window)
-	share := (processCPU() - used).Seconds() / time.Since(began).Seconds()
+	share := (processCPUTime() - used).Seconds() / time.Since(began).Seconds()
 	return 100 * share / float64(len(c.nodes))
 }
 
-// residentMB is the resident memory of this process in MB.
+// residentMB returns the resident memory of this process in MiB; 0 when it is
+// unknown.
 func residentMB() float64 {
 	text, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
--- a/pkg/bench/delay.go
+++ b/pkg/bench/delay.go
@@ -12,71 +12,75 @@
 	"github.com/rushramp/rushramp/pkg/link"
 )
 
-// dialer returns the dial function of a VM. Its connections hold back each byte
-// for the one-way latency in both directions, in order, and meet the faults of
-// the network. Without latency and faults it is an ordinary dial.
-func (c *cluster) dialer(from end) link.Dial {
+// dialer returns the dial function of a VM. Its connections delay each byte by
+// the one-way latency in both directions and are subject to the network's
+// faults. Without latency and faults it is an ordinary dial.
+func (c *cluster) dialer(from endpoint) link.Dial {
 	return func(ctx context.Context, proto, address string) (net.Conn, error) {
 		var dialer net.Dialer
 		conn, err := dialer.DialContext(ctx, proto, address)
 		if err != nil {
 			return nil, err
 		}
-		to := c.endOf(address)
+		to := c.endpointOf(address)
 		latency := c.deployment.OneWayLatency
 		if to.dataCentre == from.dataCentre {
 			latency = 0
 		}
-		if latency == 0 && !c.faulty {
+		if latency == 0 && !c.injectFaults {
 			return conn, nil
 		}
-		out := newDelayed(c.clock, c.network, conn, latency, route{from, to})
-		if !c.network.enter(out, route{from, to}) {
+		out := newDelayedConn(c.clock, c.network, conn, latency, route{from, to})
+		if !c.network.addConn(out, route{from, to}) {
 			_ = out.Close()
-			return nil, errParted
+			return nil, errPartitioned
 		}
 		out.start()
 		return out, nil
 	}
 }
 
-var errParted = errors.New("the network is parted")
+var errPartitioned = errors.New("the network between the two VMs is partitioned")
 
-// delayed is a connection with latency.
-type delayed struct {
+// delayedConn is a connection with latency and the network's faults.
+type delayedConn struct {
 	net.Conn
 	network *network
 	out     *delayLine
 	in      *delayLine
 
-	mu   sync.Mutex
-	rest []byte
+	mu sync.Mutex
+	// unread is the part of the last received chunk that Read has not returned
+	// yet.
+	unread []byte
 }
 
-// parcel is what was written at once, and when it is due.
-type parcel struct {
+// chunk is the data of one write or read, and when it is delivered.
+type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// delayLine hands parcels on in order when they are due.
+// delayLine delivers the chunks of one direction in order when they are due.
 type delayLine struct {
 	clock   *precise.Clock
 	network *network
-	from    end
-	to      end
+	from    endpoint
+	to      endpoint
 	latency time.Duration
-	queue   chan parcel
+	queue   chan chunk
 	done    chan struct{}
 	once    sync.Once
 }
 
-const delayQueue = 4096
+// delayLineCapacity is the number of chunks that a delayLine holds.
+const delayLineCapacity = 4096
 
+// put queues a copy of data. It returns net.ErrClosed when the line is closed.
 func (d *delayLine) put(data []byte) error {
-	p := parcel{data: append([]byte(nil), data...), due: time.Now().Add(d.latency)}
+	c := chunk{data: append([]byte(nil), data...), due: time.Now().Add(d.latency)}
 	select {
-	case d.queue <- p:
+	case d.queue <- c:
 		return nil
 	case <-d.done:
 		return net.ErrClosed
@@ -85,21 +89,23 @@
 
 func (d *delayLine) close() { d.once.Do(func() { close(d.done) }) }
 
-// next returns the next parcel's data when it is due; false when closed.
+// next waits for the next chunk to be due and returns its data; false when the
+// line is closed.
 func (d *delayLine) next() ([]byte, bool) {
 	select {
-	case p := <-d.queue:
-		d.clock.SleepUntil(p.due)
-		return p.data, d.waitForDelivery()
+	case c := <-d.queue:
+		d.clock.SleepUntil(c.due)
+		return c.data, d.waitWhileHeld()
 	case <-d.done:
 		return nil, false
 	}
 }
 
-// waitForDelivery waits while the direction is held; false when closed.
-func (d *delayLine) waitForDelivery() bool {
+// waitWhileHeld waits until the network delivers in this direction; false when
+// the line is closed first.
+func (d *delayLine) waitWhileHeld() bool {
 	for {
-		held := d.network.holding(d.from, d.to)
+		held := d.network.heldUntil(d.from, d.to)
 		if held == nil {
 			return true
 		}
@@ -111,22 +117,22 @@
 	}
 }
 
-func newDelayed(clock *precise.Clock, n *network, conn net.Conn, latency time.Duration, r route) *delayed {
-	line := func(from, to end) *delayLine {
+func newDelayedConn(clock *precise.Clock, n *network, conn net.Conn, latency time.Duration, r route) *delayedConn {
+	line := func(from, to endpoint) *delayLine {
 		return &delayLine{
 			clock: clock, network: n, from: from, to: to, latency: latency,
-			queue: make(chan parcel, delayQueue), done: make(chan struct{}),
+			queue: make(chan chunk, delayLineCapacity), done: make(chan struct{}),
 		}
 	}
-	return &delayed{Conn: conn, network: n, out: line(r.from, r.to), in: line(r.to, r.from)}
+	return &delayedConn{Conn: conn, network: n, out: line(r.from, r.to), in: line(r.to, r.from)}
 }
 
-func (d *delayed) start() {
+func (d *delayedConn) start() {
 	go d.pumpOut()
 	go d.pumpIn()
 }
 
-func (d *delayed) pumpOut() {
+func (d *delayedConn) pumpOut() {
 	for {
 		data, ok := d.out.next()
 		if !ok {
@@ -139,7 +145,7 @@
 	}
 }
 
-func (d *delayed) pumpIn() {
+func (d *delayedConn) pumpIn() {
 	buf := make([]byte, 64<<10)
 	for {
 		n, err := d.Conn.Read(buf)
@@ -154,7 +160,7 @@
 }
 
 // Write implements net.Conn.
-func (d *delayed) Write(data []byte) (int, error) {
+func (d *delayedConn) Write(data []byte) (int, error) {
 	if err := d.out.put(data); err != nil {
 		return 0, err
 	}
@@ -162,29 +168,29 @@
 }
 
 // Read implements net.Conn.
-func (d *delayed) Read(p []byte) (int, error) {
+func (d *delayedConn) Read(p []byte) (int, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if len(d.rest) == 0 {
+	if len(d.unread) == 0 {
 		data, ok := d.in.next()
 		if !ok {
 			return 0, net.ErrClosed
 		}
-		d.rest = data
+		d.unread = data
 	}
-	n := copy(p, d.rest)
-	d.rest = d.rest[n:]
+	n := copy(p, d.unread)
+	d.unread = d.unread[n:]
 	return n, nil
 }
 
-// SetReadDeadline implements net.Conn. The pump reads on; a peer that is
-// silent ends the link when its connection ends.
-func (d *delayed) SetReadDeadline(time.Time) error { return nil }
+// SetReadDeadline implements net.Conn and does nothing: pumpIn reads without a
+// deadline, and Read fails when the connection ends.
+func (d *delayedConn) SetReadDeadline(time.Time) error { return nil }
 
 // Close implements net.Conn.
-func (d *delayed) Close() error {
+func (d *delayedConn) Close() error {
 	d.out.close()
 	d.in.close()
-	d.network.leave(d)
+	d.network.removeConn(d)
 	return d.Conn.Close()
 }
--- a/pkg/bench/drillload.go
+++ b/pkg/bench/drillload.go
@@ -8,31 +8,33 @@
 )
 
 const (
-	// drillRate thins the deployment's load, so that faults, not the machine,
-	// are what calls meet.
-	drillRate = 0.25
-	// neverRepeatRate raises that of never-repeat kinds, which faults are about.
-	neverRepeatRate = 2
+	// faultLoadFactor reduces the deployment's load, so that calls fail because
+	// of the faults and not because the machine is overloaded.
+	faultLoadFactor = 0.25
+	// neverRepeatLoadFactor raises the load of never-repeat kinds, which are
+	// the ones that faults endanger most.
+	neverRepeatLoadFactor = 2
 	// callerRetries is how often a caller sends a never-repeat call again, with
 	// the same key, after it got no answer.
-	callerRetries = 3
-	callerPause   = 60 * time.Millisecond
-	// hurry is the time that half of the never-repeat calls allow: less than
-	// most faults last, so that entries give up on executors that go on.
-	hurry = 250 * time.Millisecond
+	callerRetries    = 3
+	callerRetryDelay = 60 * time.Millisecond
+	// shortCallTimeout is the timeout of half of the never-repeat calls. It is
+	// shorter than most faults, so that entries give up while executors still
+	// run the call.
+	shortCallTimeout = 250 * time.Millisecond
 )
 
-// startLoad sends calls until stop is called.
-func (dr *drill) startLoad(seed uint64) (stop func()) {
+// startLoad sends calls of all kinds until stop is called.
+func (fr *faultRun) startLoad(seed uint64) (stop func()) {
 	done := make(chan struct{})
 	var wait sync.WaitGroup
-	for si := range dr.cluster.deployment.Services {
-		s := &dr.cluster.deployment.Services[si]
+	for si := range fr.cluster.deployment.Services {
+		s := &fr.cluster.deployment.Services[si]
 		for ki := range s.Kinds {
 			wait.Add(1)
 			go func() {
 				defer wait.Done()
-				dr.loadKind(s, &s.Kinds[ki], rand.New(rand.NewPCG(seed, uint64(100*si+ki))), done)
+				fr.sendKind(s, &s.Kinds[ki], rand.New(rand.NewPCG(seed, uint64(100*si+ki))), done)
 			}()
 		}
 	}
@@ -42,10 +44,12 @@
 	}
 }
 
-func (dr *drill) loadKind(s *Service, k *Kind, rnd *rand.Rand, done <-chan struct{}) {
-	rate := dr.cluster.deployment.callsPerSecond(s, k) * drillRate
+// sendKind sends calls of one kind at random intervals until done is closed,
+// and waits for their answers.
+func (fr *faultRun) sendKind(s *Service, k *Kind, rnd *rand.Rand, done <-chan struct{}) {
+	rate := fr.cluster.deployment.callsPerSecond(s, k) * faultLoadFactor
 	if k.Placement.NeverRepeat {
-		rate *= neverRepeatRate / drillRate
+		rate *= neverRepeatLoadFactor / faultLoadFactor
 	}
 	var wait sync.WaitGroup
 	defer wait.Wait()
@@ -55,39 +59,39 @@
 		if k.Placement.NeverRepeat {
 			a.key = "key-" + a.id
 			if i%2 == 0 {
-				hurried := *k
-				hurried.Timeout = hurry
-				a.kind = &hurried
+				shortKind := *k
+				shortKind.Timeout = shortCallTimeout
+				a.kind = &shortKind
 			}
 		}
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			dr.sendUntilAnswered(a)
+			fr.sendUntilAnswered(a)
 		}()
 	}
 }
 
-// sendUntilAnswered sends a call, and a never-repeat one again with its key
-// when there was no answer, through another daemon. Each attempt has an id of
-// its own in the ledgers, and the same key, path and body.
-func (dr *drill) sendUntilAnswered(a arrival) {
+// sendUntilAnswered sends a call. A never-repeat call without an answer is sent
+// again through another daemon. Each attempt has the same key, path and body,
+// and an id of its own in the ledgers.
+func (fr *faultRun) sendUntilAnswered(a arrival) {
 	for attempt := range 1 + callerRetries {
-		this := a
-		this.attempt = attempt
-		entries := dr.cluster.entriesFor(&a.kind.Placement)
-		to := entries[(a.entry+uint64(attempt))%uint64(len(entries))]
-		o := dr.sender.send(&this, to, to.vm.Callers, time.Now())
-		dr.keep(o)
+		attemptCall := a
+		attemptCall.attempt = attempt
+		entries := fr.cluster.entriesFor(&a.kind.Placement)
+		to := entries[(a.entryDraw+uint64(attempt))%uint64(len(entries))]
+		o := fr.sender.send(&attemptCall, to, to.vm.Callers, time.Now())
+		fr.addOutcome(o)
 		if o.answered() || a.key == "" {
 			return
 		}
-		time.Sleep(callerPause)
+		time.Sleep(callerRetryDelay)
 	}
 }
 
-func (dr *drill) keep(o outcome) {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	dr.outcomes = append(dr.outcomes, o)
+func (fr *faultRun) addOutcome(o outcome) {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	fr.outcomes = append(fr.outcomes, o)
 }
--- a/pkg/bench/faultkinds.go
+++ b/pkg/bench/faultkinds.go
@@ -12,52 +12,54 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// fault is one kind of failure from the brief's list. begin starts it and
-// returns what puts it right again.
+// fault is one kind of failure from the brief's list. inject starts it and
+// returns a function that ends it.
 type fault struct {
-	name  string
-	begin func(d *drill, rnd *rand.Rand) (end func())
+	name   string
+	inject func(fr *faultRun, rnd *rand.Rand) (end func())
 }
 
-// faultKinds are all kinds that a drill brings about.
+// faultKinds returns all kinds of faults.
 func faultKinds() []fault {
 	return []fault{
 		{"slow server", onBackend(backend.Faults{Speed: 0.1})},
 		{"server fails fast", onBackend(backend.Faults{FailFast: true})},
 		{"server cuts answers", onBackend(backend.Faults{CutAnswers: true})},
-		{"drain", (*drill).drain},
-		{"kill", (*drill).kill},
-		{"VM replaced", (*drill).replace},
-		{"freeze", (*drill).freeze},
-		{"one-way cut", (*drill).oneWay},
-		{"parted data centres", (*drill).partDataCentres},
+		{"drain", (*faultRun).drain},
+		{"kill", (*faultRun).kill},
+		{"VM replaced", (*faultRun).replace},
+		{"freeze", (*faultRun).freeze},
+		{"one-way cut", (*faultRun).cutOneWay},
+		{"parted data centres", (*faultRun).partitionDataCentres},
 		{"store down", onStore(fakestore.Faults{Down: true})},
 		{"store slow", onStore(fakestore.Faults{Delay: 200 * time.Millisecond})},
 		{"store loses answers", onStore(fakestore.Faults{LoseAnswers: 0.5})},
-		{"racing operators", (*drill).race},
-		{"list of VMs flaps", (*drill).flap},
+		{"racing operators", (*faultRun).raceOperators},
+		{"list of VMs flaps", (*faultRun).flapVMList},
 	}
 }
 
-func onBackend(f backend.Faults) func(*drill, *rand.Rand) func() {
-	return func(d *drill, rnd *rand.Rand) func() {
-		n := d.worker(rnd)
+// onBackend sets faults of a random backend server.
+func onBackend(f backend.Faults) func(*faultRun, *rand.Rand) func() {
+	return func(fr *faultRun, rnd *rand.Rand) func() {
+		n := fr.randomWorker(rnd)
 		n.backend.SetFaults(f)
 		return func() { n.backend.SetFaults(backend.Faults{}) }
 	}
 }
 
-func onStore(f fakestore.Faults) func(*drill, *rand.Rand) func() {
-	return func(d *drill, _ *rand.Rand) func() {
-		d.cluster.store.SetFaults(f)
-		return func() { d.cluster.store.SetFaults(fakestore.Faults{}) }
+// onStore sets faults of the platform's table and object store.
+func onStore(f fakestore.Faults) func(*faultRun, *rand.Rand) func() {
+	return func(fr *faultRun, _ *rand.Rand) func() {
+		fr.cluster.store.SetFaults(f)
+		return func() { fr.cluster.store.SetFaults(fakestore.Faults{}) }
 	}
 }
 
-// worker is a random node with a backend server.
-func (dr *drill) worker(rnd *rand.Rand) *node {
+// randomWorker returns a random node with a backend server.
+func (fr *faultRun) randomWorker(rnd *rand.Rand) *node {
 	var out []*node
-	for _, n := range dr.cluster.nodes {
+	for _, n := range fr.cluster.nodes {
 		if n.backend != nil {
 			out = append(out, n)
 		}
@@ -65,166 +67,177 @@
 	return out[rnd.IntN(len(out))]
 }
 
-// take takes a running daemon for a fault; false when another fault has it.
-func (dr *drill) take(n *node) bool {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	if dr.busy[n] {
+// reserve reserves a node for one fault that stops its daemon; false when
+// another fault has reserved it.
+func (fr *faultRun) reserve(n *node) bool {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	if fr.reserved[n] {
 		return false
 	}
-	dr.busy[n] = true
+	fr.reserved[n] = true
 	return true
 }
 
-func (dr *drill) giveBack(n *node) {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	delete(dr.busy, n)
+func (fr *faultRun) unreserve(n *node) {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	delete(fr.reserved, n)
 }
 
-// drain stops a daemon as planned, under load, and starts it again.
-func (dr *drill) drain(rnd *rand.Rand) func() {
-	n := dr.worker(rnd)
-	if !dr.take(n) {
+// drain stops a daemon as in a planned stop, under load, and starts it again.
+// It counts calls cut off and work that began too late.
+func (fr *faultRun) drain(rnd *rand.Rand) func() {
+	n := fr.randomWorker(rnd)
+	if !fr.reserve(n) {
 		return func() {}
 	}
 	began := time.Now()
-	old := n.current()
+	old := n.currentDaemon()
 	old.Leave()
 	return func() {
 		<-old.Left()
-		dr.note(func(p *Violations) {
-			p.CutByDrain += int(old.Cut())
-			if last := n.backend.Ledger().Last(); last.Sub(began) > leavingBound {
-				p.WorkAfterLeaving++
+		fr.recordViolation(func(v *Violations) {
+			v.CutByDrain += int(old.Cut())
+			if last := n.backend.Ledger().Last(); last.Sub(began) > maxWorkAfterLeave {
+				v.WorkAfterLeaving++
 			}
 		})
 		old.Stop()
-		dr.restart(n)
+		fr.restart(n)
 	}
 }
 
-// leavingBound is when a leaving server may receive no new work any more.
-const leavingBound = time.Second
+// maxWorkAfterLeave is how long after Leave a server may still receive calls.
+const maxWorkAfterLeave = time.Second
 
-// kill ends a daemon with calls in flight.
-func (dr *drill) kill(rnd *rand.Rand) func() {
-	n := dr.worker(rnd)
-	if !dr.take(n) {
+// kill stops a daemon while calls are in flight, and starts it again.
+func (fr *faultRun) kill(rnd *rand.Rand) func() {
+	n := fr.randomWorker(rnd)
+	if !fr.reserve(n) {
 		return func() {}
 	}
-	n.current().Stop()
-	return func() { dr.restart(n) }
+	n.currentDaemon().Stop()
+	return func() { fr.restart(n) }
 }
 
-// replace ends a daemon and puts a new VM under its name.
-func (dr *drill) replace(rnd *rand.Rand) func() {
-	n := dr.worker(rnd)
-	if !dr.take(n) {
+// replace stops a daemon and starts it again as a new VM of the same name.
+func (fr *faultRun) replace(rnd *rand.Rand) func() {
+	n := fr.randomWorker(rnd)
+	if !fr.reserve(n) {
 		return func() {}
 	}
-	n.current().Stop()
-	dr.changeVMs(func() { n.unlisted = true })
+	n.currentDaemon().Stop()
+	fr.changeVMs(func() { n.unlisted = true })
 	return func() {
-		dr.changeVMs(func() {
+		fr.changeVMs(func() {
 			n.unlisted = false
 			n.vm.Started++
 		})
-		dr.restart(n)
+		fr.restart(n)
 	}
 }
 
-func (dr *drill) changeVMs(change func()) {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
+// changeVMs applies a change to nodes and publishes the resulting list of VMs.
+func (fr *faultRun) changeVMs(change func()) {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
 	change()
 	var vms []store.VM
-	for _, n := range dr.cluster.nodes {
+	for _, n := range fr.cluster.nodes {
 		if !n.unlisted {
 			vms = append(vms, n.vm)
 		}
 	}
-	dr.cluster.store.SetVMs(vms)
+	fr.cluster.store.SetVMs(vms)
 }
 
-func (dr *drill) restart(n *node) {
-	if err := dr.cluster.startDaemon(n); err != nil {
-		dr.fail(err)
+// restart starts the daemon of a stopped node and frees the node for other
+// faults.
+func (fr *faultRun) restart(n *node) {
+	if err := fr.cluster.startDaemon(n); err != nil {
+		fr.setError(err)
 	}
-	dr.giveBack(n)
+	fr.unreserve(n)
 }
 
-// freeze stops all that goes to and from a daemon over links, without an end
-// of any connection: to the others it looks like a paused process.
-func (dr *drill) freeze(rnd *rand.Rand) func() {
-	vm := dr.worker(rnd).vm.ID
-	dr.cluster.network.hold(vm, "")
-	dr.cluster.network.hold("", vm)
+// freeze holds all traffic over links from and to a daemon without closing
+// connections. To the other daemons it looks like a paused process.
+func (fr *faultRun) freeze(rnd *rand.Rand) func() {
+	vm := fr.randomWorker(rnd).vm.ID
+	fr.cluster.network.hold(vm, "")
+	fr.cluster.network.hold("", vm)
 	return func() {
-		dr.cluster.network.release(vm, "")
-		dr.cluster.network.release("", vm)
+		fr.cluster.network.release(vm, "")
+		fr.cluster.network.release("", vm)
 	}
 }
 
-func (dr *drill) twoDataCentres(rnd *rand.Rand) (a, b string) {
-	all := dr.cluster.deployment.DataCentres
+// randomDataCentres returns two different data centres.
+func (fr *faultRun) randomDataCentres(rnd *rand.Rand) (a, b string) {
+	all := fr.cluster.deployment.DataCentres
 	i := rnd.IntN(len(all))
 	return all[i], all[(i+1+rnd.IntN(len(all)-1))%len(all)]
 }
 
-func (dr *drill) oneWay(rnd *rand.Rand) func() {
-	a, b := dr.twoDataCentres(rnd)
-	dr.cluster.network.hold(a, b)
-	return func() { dr.cluster.network.release(a, b) }
+// cutOneWay holds the traffic from one data centre to another; the opposite
+// direction still works.
+func (fr *faultRun) cutOneWay(rnd *rand.Rand) func() {
+	a, b := fr.randomDataCentres(rnd)
+	fr.cluster.network.hold(a, b)
+	return func() { fr.cluster.network.release(a, b) }
 }
 
-func (dr *drill) partDataCentres(rnd *rand.Rand) func() {
-	a, b := dr.twoDataCentres(rnd)
-	dr.cluster.network.part(a, b)
-	return func() { dr.cluster.network.join(a, b) }
+// partitionDataCentres breaks all connections between two data centres.
+func (fr *faultRun) partitionDataCentres(rnd *rand.Rand) func() {
+	a, b := fr.randomDataCentres(rnd)
+	fr.cluster.network.partition(a, b)
+	return func() { fr.cluster.network.heal(a, b) }
 }
 
-// race lets two operators change the same kind at once, through two daemons.
-func (dr *drill) race(rnd *rand.Rand) func() {
-	s := &dr.cluster.deployment.Services[rnd.IntN(len(dr.cluster.deployment.Services))]
+// raceOperators lets two operators change the same kind at the same time,
+// through two daemons, and restores it at the end.
+func (fr *faultRun) raceOperators(rnd *rand.Rand) func() {
+	s := &fr.cluster.deployment.Services[rnd.IntN(len(fr.cluster.deployment.Services))]
 	k := s.Kinds[rnd.IntN(len(s.Kinds))].Placement
 	done := make(chan struct{}, 2)
 	for i := range 2 {
-		n := dr.cluster.nodes[rnd.IntN(len(dr.cluster.nodes))]
+		n := fr.cluster.nodes[rnd.IntN(len(fr.cluster.nodes))]
 		fewer := k
 		fewer.DataCentres = k.DataCentres[:1+(len(k.DataCentres)+i-1)%len(k.DataCentres)]
 		id := fmt.Sprintf("race-%d-%d", rnd.Uint64(), i)
 		go func() {
-			dr.apply(n, id, s.Name, fewer)
+			fr.apply(n, id, s.Name, fewer)
 			done <- struct{}{}
 		}()
 	}
 	return func() {
 		<-done
 		<-done
-		// Long enough that a run in a place that is not allowed any more counts.
-		time.Sleep(inForceBound + time.Second)
-		dr.apply(dr.cluster.nodes[0], fmt.Sprintf("restore-%d", rnd.Uint64()), s.Name, k)
+		// Wait until the new placement must be in force everywhere, so that a
+		// later run in a forbidden data centre counts as a violation.
+		time.Sleep(maxPlacementDelay + time.Second)
+		fr.apply(fr.cluster.nodes[0], fmt.Sprintf("restore-%d", rnd.Uint64()), s.Name, k)
 	}
 }
 
-// apply changes a kind through a daemon. What was accepted is read from the
-// store's history in the end, whatever the operator was told.
-func (dr *drill) apply(n *node, id, service string, k placement.Kind) {
+// apply changes a kind through a daemon. An error does not show whether the
+// store accepted the change: the report reads that from the store's history.
+func (fr *faultRun) apply(n *node, id, service string, k placement.Kind) {
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
-	_, err := n.current().Apply(ctx, id, "operator", []placement.Change{{Op: placement.PutKind, Service: service, Kind: k}})
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	dr.races++
+	_, err := n.currentDaemon().Apply(ctx, id, "operator", []placement.Change{{Op: placement.PutKind, Service: service, Kind: k}})
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	fr.races++
 	if err != nil {
-		dr.racesLost++
+		fr.racesLost++
 	}
 }
 
-// flap leaves a live VM out of the platform's list for a while.
-func (dr *drill) flap(rnd *rand.Rand) func() {
-	n := dr.worker(rnd)
-	dr.changeVMs(func() { n.unlisted = true })
-	return func() { dr.changeVMs(func() { n.unlisted = false }) }
+// flapVMList omits a live VM from the platform's list for a while.
+func (fr *faultRun) flapVMList(rnd *rand.Rand) func() {
+	n := fr.randomWorker(rnd)
+	fr.changeVMs(func() { n.unlisted = true })
+	return func() { fr.changeVMs(func() { n.unlisted = false }) }
 }
--- a/pkg/bench/faults.go
+++ b/pkg/bench/faults.go
@@ -15,34 +15,34 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// The times of a drill's phases.
+// Durations and numbers of the phases.
 const (
-	faultLeast = 300 * time.Millisecond
-	faultMost  = 1200 * time.Millisecond
-	phaseGap   = 400 * time.Millisecond
-	// drillPairs and drillTwice are how many phases have two faults at once,
-	// and the same fault twice.
-	drillPairs = 10
-	drillTwice = 4
+	minFaultDuration = 300 * time.Millisecond
+	maxFaultDuration = 1200 * time.Millisecond
+	phaseGap         = 400 * time.Millisecond
+	// pairPhases is the number of phases with two random faults at the same
+	// time, samePairPhases with the same fault twice.
+	pairPhases     = 10
+	samePairPhases = 4
 )
 
-// drill runs a deployment under load while faults come, each alone, in pairs,
-// and twice, in an order that the seed gives.
-type drill struct {
+// faultRun runs a deployment under load and injects faults: each kind alone, in
+// pairs, and twice, in an order drawn from the seed.
+type faultRun struct {
 	cluster *cluster
 	sender  *caller
 
-	mu        sync.Mutex
-	busy      map[*node]bool
-	promises  Violations
-	outcomes  []outcome
-	seen      map[string]int
-	races     int
-	racesLost int
-	failure   error
+	mu          sync.Mutex
+	reserved    map[*node]bool
+	violations  Violations
+	outcomes    []outcome
+	faultCounts map[string]int
+	races       int
+	racesLost   int
+	err         error
 }
 
-// FaultReport is the outcome of a drill.
+// FaultReport is the report of a run with faults.
 type FaultReport struct {
 	Deployment  string         `json:"deployment"`
 	Seed        uint64         `json:"seed"`
@@ -55,36 +55,38 @@
 	Races       int            `json:"races"`
 	RacesLost   int            `json:"races_lost"`
 	Outcomes    map[string]int `json:"outcomes"`
-	// WrongAnswers describes answers that were crossed or truncated.
+	// WrongAnswers describes the answers that were crossed or truncated.
 	WrongAnswers []string `json:"wrong"`
 	Violations
 }
 
-func (dr *drill) note(change func(*Violations)) {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	change(&dr.promises)
+// recordViolation changes the violations under the lock.
+func (fr *faultRun) recordViolation(change func(*Violations)) {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	change(&fr.violations)
 }
 
-func (dr *drill) fail(err error) {
-	dr.mu.Lock()
-	defer dr.mu.Unlock()
-	if dr.failure == nil {
-		dr.failure = err
+// setError keeps the first error, which RunFaults returns.
+func (fr *faultRun) setError(err error) {
+	fr.mu.Lock()
+	defer fr.mu.Unlock()
+	if fr.err == nil {
+		fr.err = err
 	}
 }
 
-// phases are the faults of each phase.
-func phases(rnd *rand.Rand) [][]fault {
+// drawPhases returns the faults of each phase, in random order.
+func drawPhases(rnd *rand.Rand) [][]fault {
 	kinds := faultKinds()
 	var out [][]fault
 	for _, k := range kinds {
 		out = append(out, []fault{k})
 	}
-	for range drillPairs {
+	for range pairPhases {
 		out = append(out, []fault{kinds[rnd.IntN(len(kinds))], kinds[rnd.IntN(len(kinds))]})
 	}
-	for range drillTwice {
+	for range samePairPhases {
 		k := kinds[rnd.IntN(len(kinds))]
 		out = append(out, []fault{k, k})
 	}
@@ -92,7 +94,8 @@
 	return out
 }
 
-// RunFaults runs one drill.
+// RunFaults runs a deployment with faults. It returns an error when the run
+// itself fails; violations are in the report.
 func RunFaults(d *Deployment, seed uint64) (*FaultReport, error) {
 	c, err := startCluster(d, clusterOptions{faulty: true, change: func(s *settings.Settings) {
 		s.Drain.Bound = 5 * time.Second
@@ -106,33 +109,34 @@
 	if err != nil {
 		return nil, err
 	}
-	dr := &drill{cluster: c, sender: sender, busy: map[*node]bool{}, seen: map[string]int{}}
+	fr := &faultRun{cluster: c, sender: sender, reserved: map[*node]bool{}, faultCounts: map[string]int{}}
 	rnd := rand.New(rand.NewPCG(seed, 2))
-	stopLoad := dr.startLoad(seed)
-	stopWatch := dr.watchVersions()
-	for _, faults := range phases(rnd) {
-		dr.phase(faults, rnd)
+	stopLoad := fr.startLoad(seed)
+	stopWatch := fr.watchVersions()
+	for _, faults := range drawPhases(rnd) {
+		fr.runPhase(faults, rnd)
 	}
 	stopLoad()
 	stopWatch()
-	if dr.failure != nil {
-		return nil, dr.failure
+	if fr.err != nil {
+		return nil, fr.err
 	}
-	return dr.report(seed)
+	return fr.report(seed)
 }
 
-// phase brings faults about, each at its own time and for its own time.
-func (dr *drill) phase(faults []fault, rnd *rand.Rand) {
+// runPhase injects the faults concurrently, each with a random start and
+// duration, and waits for all to end.
+func (fr *faultRun) runPhase(faults []fault, rnd *rand.Rand) {
 	var wait sync.WaitGroup
 	for _, f := range faults {
-		dr.seen[f.name]++
-		own := rand.New(rand.NewPCG(rnd.Uint64(), rnd.Uint64()))
+		fr.faultCounts[f.name]++
+		faultRnd := rand.New(rand.NewPCG(rnd.Uint64(), rnd.Uint64()))
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			time.Sleep(time.Duration(own.Int64N(int64(faultLeast))))
-			end := f.begin(dr, own)
-			time.Sleep(faultLeast + time.Duration(own.Int64N(int64(faultMost-faultLeast))))
+			time.Sleep(time.Duration(faultRnd.Int64N(int64(minFaultDuration))))
+			end := f.inject(fr, faultRnd)
+			time.Sleep(minFaultDuration + time.Duration(faultRnd.Int64N(int64(maxFaultDuration-minFaultDuration))))
 			end()
 		}()
 	}
@@ -140,8 +144,9 @@
 	time.Sleep(phaseGap)
 }
 
-// watchVersions looks at each daemon's placement version all the time.
-func (dr *drill) watchVersions() (stop func()) {
+// watchVersions polls the placement version of each daemon and counts
+// decreases, until stop is called.
+func (fr *faultRun) watchVersions() (stop func()) {
 	done := make(chan struct{})
 	var wait sync.WaitGroup
 	wait.Add(1)
@@ -149,14 +154,14 @@
 		defer wait.Done()
 		highest := map[*daemon.Daemon]uint64{}
 		for pause(time.Millisecond, done) {
-			for _, n := range dr.cluster.nodes {
-				d := n.current()
+			for _, n := range fr.cluster.nodes {
+				d := n.currentDaemon()
 				p := d.World.View.Placement()
 				if p == nil {
 					continue
 				}
 				if p.Version < highest[d] {
-					dr.note(func(p *Violations) { p.ConfigReverts++ })
+					fr.recordViolation(func(v *Violations) { v.ConfigReverts++ })
 				}
 				highest[d] = p.Version
 			}
@@ -168,19 +173,19 @@
 	}
 }
 
-func (dr *drill) report(seed uint64) (*FaultReport, error) {
+func (fr *faultRun) report(seed uint64) (*FaultReport, error) {
 	out := &FaultReport{
-		Deployment: dr.cluster.deployment.Name, Seed: seed, Faults: dr.seen,
-		Races: dr.races, RacesLost: dr.racesLost, Outcomes: map[string]int{}, Violations: dr.promises,
+		Deployment: fr.cluster.deployment.Name, Seed: seed, Faults: fr.faultCounts,
+		Races: fr.races, RacesLost: fr.racesLost, Outcomes: map[string]int{}, Violations: fr.violations,
 	}
-	found, err := checkPromises(dr.cluster, dr.outcomes)
+	found, err := countViolations(fr.cluster, fr.outcomes)
 	if err != nil {
 		return nil, err
 	}
 	out.Crossed, out.Truncated, out.Doubled = found.Crossed, found.Truncated, found.Doubled
 	out.FalseNotRun, out.WrongPlace, out.BudgetOverruns = found.FalseNotRun, found.WrongPlace, found.BudgetOverruns
-	for i := range dr.outcomes {
-		o := &dr.outcomes[i]
+	for i := range fr.outcomes {
+		o := &fr.outcomes[i]
 		out.Calls++
 		if o.arrival.key != "" {
 			out.NeverRepeat++
@@ -194,7 +199,7 @@
 			out.Unknown++
 		}
 		if !o.answered() {
-			out.Outcomes[nameOf(o)]++
+			out.Outcomes[outcomeName(o)]++
 		}
 		if o.detail != "" {
 			out.WrongAnswers = append(out.WrongAnswers, o.detail)
@@ -203,30 +208,31 @@
 	return out, nil
 }
 
-func nameOf(o *outcome) string {
+// outcomeName returns the error kind of a call that was not answered.
+func outcomeName(o *outcome) string {
 	if o.err != nil {
 		return "caller_error"
 	}
-	return o.kind
+	return o.errorKind
 }
 
 func faultsCommand() *cobra.Command {
 	f := &flags{}
 	cmd := &cobra.Command{
 		Use:   "faults FILE [FILE...]",
-		Short: "Run deployments under load with the brief's failures, each alone, in pairs, and twice",
+		Short: "Run deployments under load and inject faults, each alone, in pairs, and twice",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.profiled(func() error { return drillAll(cmd.OutOrStdout(), args, f) })
+			return f.withProfile(func() error { return runAllFaults(cmd.OutOrStdout(), args, f) })
 		},
 	}
 	f.register(cmd)
-	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "how many seeds, from --seed on")
+	cmd.Flags().IntVar(&f.seeds, "seeds", 1, "number of seeds, starting with --seed")
 	return cmd
 }
 
-func drillAll(out io.Writer, files []string, f *flags) error {
-	broken, never := 0, 0
+func runAllFaults(out io.Writer, files []string, f *flags) error {
+	violations, neverRepeat := 0, 0
 	for _, file := range files {
 		d, err := LoadDeployment(file)
 		if err != nil {
@@ -237,29 +243,30 @@
 			if err != nil {
 				return errors.Wrapf(err, "%s, seed %d", file, f.seed+uint64(i))
 			}
-			printDrill(out, r)
-			broken += r.TotalViolations()
-			never += r.NeverRepeat
+			printFaultReport(out, r)
+			violations += r.TotalViolations()
+			neverRepeat += r.NeverRepeat
 		}
 	}
-	fmt.Fprintf(out, "%d never-repeat calls in all, %d promises broken\n", never, broken)
-	if broken > 0 {
+	fmt.Fprintf(out, "%d never-repeat calls in all, %d promises broken\n", neverRepeat, violations)
+	if violations > 0 {
 		return ErrViolations
 	}
 	return nil
 }
 
-func printDrill(out io.Writer, r *FaultReport) {
+func printFaultReport(out io.Writer, r *FaultReport) {
 	fmt.Fprintf(out, "%s, seed %d: %d calls (%d never-repeat), %d answered, %d not run, %d unknown; %d races, %d lost\n",
 		r.Deployment, r.Seed, r.Calls, r.NeverRepeat, r.Answered, r.NotRun, r.Unknown, r.Races, r.RacesLost)
-	printPromises(out, &r.Violations)
+	printViolations(out, &r.Violations)
 	for _, wrong := range r.WrongAnswers {
 		fmt.Fprintf(out, "  wrong answer: %s\n", wrong)
 	}
-	fmt.Fprintf(out, "  faults: %s\n  outcomes: %s\n", counts(r.Faults), counts(r.Outcomes))
+	fmt.Fprintf(out, "  faults: %s\n  outcomes: %s\n", formatCounts(r.Faults), formatCounts(r.Outcomes))
 }
 
-func counts(m map[string]int) string {
+// formatCounts lists counts by name, sorted and separated by commas.
+func formatCounts(m map[string]int) string {
 	var out []string
 	for _, k := range sortedKeys(m) {
 		out = append(out, fmt.Sprintf("%s %d", k, m[k]))
--- a/pkg/bench/network.go
+++ b/pkg/bench/network.go
@@ -5,77 +5,82 @@
 	"sync"
 )
 
-// network is the faults of the embedded network. An end is a VM's name or a
-// data centre's; a fault between two ends holds for all pairs of VMs in them.
+// network holds the faults of the simulated network. A side of a fault is the
+// name of a VM or of a data centre, or "" for every VM; a fault between two
+// names applies to all pairs of VMs in them.
 type network struct {
 	mu sync.Mutex
-	// held are directions in which nothing is delivered, until released.
-	held map[way]chan struct{}
-	// cut are pairs between which connections break and none can be opened.
-	cut   map[way]struct{}
-	conns map[*delayed]route
+	// held contains the directions in which nothing is delivered. Its channels
+	// are closed by release.
+	held map[direction]chan struct{}
+	// partitioned contains the directions between which connections break and
+	// none can be opened.
+	partitioned map[direction]struct{}
+	conns       map[*delayedConn]route
 }
 
-// way is a direction between two ends.
-type way struct{ from, to string }
+// direction is a pair of names, from sender to receiver.
+type direction struct{ from, to string }
 
-// end is a VM with its data centre.
-type end struct{ vm, dataCentre string }
+// endpoint is a VM and its data centre.
+type endpoint struct{ vm, dataCentre string }
 
-// route is what a connection joins: who dialled, and whom.
-type route struct{ from, to end }
+// route is the dialling and the dialled VM of a connection.
+type route struct{ from, to endpoint }
 
 func newNetwork() *network {
-	return &network{held: map[way]chan struct{}{}, cut: map[way]struct{}{}, conns: map[*delayed]route{}}
+	return &network{held: map[direction]chan struct{}{}, partitioned: map[direction]struct{}{}, conns: map[*delayedConn]route{}}
 }
 
-// ways are the names under which a direction between two VMs may be at fault.
-func ways(from, to end) []way {
-	return []way{
+// matchingDirections returns all directions whose faults apply from one VM to
+// another.
+func matchingDirections(from, to endpoint) []direction {
+	return []direction{
 		{from.vm, to.vm}, {from.vm, to.dataCentre}, {from.dataCentre, to.vm}, {from.dataCentre, to.dataCentre},
 		{from.vm, ""}, {"", to.vm},
 	}
 }
 
-// hold stops delivery in one direction: a one-way cut that nobody is told of.
-// An empty end stands for everybody.
+// hold stops delivery in one direction without closing connections, until
+// release is called. An empty name stands for every VM.
 func (n *network) hold(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.held[way{from, to}] == nil {
-		n.held[way{from, to}] = make(chan struct{})
+	if n.held[direction{from, to}] == nil {
+		n.held[direction{from, to}] = make(chan struct{})
 	}
 }
 
 func (n *network) release(from, to string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if ch := n.held[way{from, to}]; ch != nil {
+	if ch := n.held[direction{from, to}]; ch != nil {
 		close(ch)
-		delete(n.held, way{from, to})
+		delete(n.held, direction{from, to})
 	}
 }
 
-// holding returns a channel to wait for while a direction is held; nil when it
-// is not.
-func (n *network) holding(from, to end) <-chan struct{} {
+// heldUntil returns a channel that is closed when delivery resumes; nil when
+// the direction is not held.
+func (n *network) heldUntil(from, to endpoint) <-chan struct{} {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, w := range ways(from, to) {
-		if ch := n.held[w]; ch != nil {
+	for _, d := range matchingDirections(from, to) {
+		if ch := n.held[d]; ch != nil {
 			return ch
 		}
 	}
 	return nil
 }
 
-// part breaks all connections between two ends and lets none be opened.
-func (n *network) part(a, b string) {
+// partition breaks all connections between two VMs or data centres and lets
+// none be opened, until heal is called.
+func (n *network) partition(a, b string) {
 	n.mu.Lock()
-	n.cut[way{a, b}], n.cut[way{b, a}] = struct{}{}, struct{}{}
+	n.partitioned[direction{a, b}], n.partitioned[direction{b, a}] = struct{}{}, struct{}{}
 	var broken []net.Conn
 	for conn, r := range n.conns {
-		if n.isCut(r.from, r.to) {
+		if n.isPartitioned(r.from, r.to) {
 			broken = append(broken, conn)
 		}
 	}
@@ -85,35 +90,37 @@
 	}
 }
 
-func (n *network) join(a, b string) {
+func (n *network) heal(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	delete(n.cut, way{a, b})
-	delete(n.cut, way{b, a})
+	delete(n.partitioned, direction{a, b})
+	delete(n.partitioned, direction{b, a})
 }
 
-// isCut expects the lock to be held.
-func (n *network) isCut(from, to end) bool {
-	for _, w := range ways(from, to) {
-		if _, ok := n.cut[w]; ok {
+// isPartitioned reports whether a fault cuts the connection between two VMs.
+// The caller holds n.mu.
+func (n *network) isPartitioned(from, to endpoint) bool {
+	for _, d := range matchingDirections(from, to) {
+		if _, ok := n.partitioned[d]; ok {
 			return true
 		}
 	}
 	return false
 }
 
-// enter notes a connection; false when its ends are parted.
-func (n *network) enter(conn *delayed, r route) bool {
+// addConn registers a connection, so that a partition can break it; false when
+// its VMs are partitioned already.
+func (n *network) addConn(conn *delayedConn, r route) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.isCut(r.from, r.to) {
+	if n.isPartitioned(r.from, r.to) {
 		return false
 	}
 	n.conns[conn] = r
 	return true
 }
 
-func (n *network) leave(conn *delayed) {
+func (n *network) removeConn(conn *delayedConn) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.conns, conn)
--- a/pkg/bench/oracle.go
+++ b/pkg/bench/oracle.go
@@ -7,8 +7,9 @@
 	"github.com/rushramp/rushramp/pkg/choose"
 )
 
-// oracle reads each gate's true state at no cost: the bound that policies are
-// compared with. It sees queues, not speeds. It exists in the bench only.
+// oracle is a policy that reads each gate's true state at no cost. It is the
+// optimum that other policies are compared with, and exists in the bench only.
+// It knows the number of calls, but not the servers' speeds.
 type oracle struct {
 	inFlight map[string]func() (calls int64, slots int)
 }
@@ -32,7 +33,7 @@
 
 // Choose implements choose.Policy.
 func (o *oracle) Choose(req *choose.Request, rnd choose.Random) choose.Pick {
-	best, least, nearest := choose.NoCandidate, 0.0, time.Duration(0)
+	best, minWait, minRoundTrip := choose.NoCandidate, 0.0, time.Duration(0)
 	offset := rnd.IntN(max(len(req.CandidateSet), 1))
 	for n := range req.CandidateSet {
 		i := (n + offset) % len(req.CandidateSet)
@@ -40,11 +41,11 @@
 			continue
 		}
 		calls, slots := o.inFlight[req.CandidateSet[i].Endpoint.VM]()
-		// Below its slots a gate has no wait, so only the distance counts.
+		// A gate with a free slot has no wait, so the round trip decides.
 		wait := max(float64(calls+1-int64(slots))/float64(slots), 0)
-		distance := req.CandidateSet[i].Load.RoundTrip()
-		if best == choose.NoCandidate || wait < least || (wait == least && distance < nearest) {
-			best, least, nearest = i, wait, distance
+		roundTrip := req.CandidateSet[i].Load.RoundTrip()
+		if best == choose.NoCandidate || wait < minWait || (wait == minWait && roundTrip < minRoundTrip) {
+			best, minWait, minRoundTrip = i, wait, roundTrip
 		}
 	}
 	return choose.Pick{Index: best, MaxCost: math.MaxInt64}
--- a/pkg/bench/precise/clock.go
+++ b/pkg/bench/precise/clock.go
@@ -1,6 +1,7 @@
-// Package precise wakes goroutines within some ten microseconds. The runtime's
-// own timers are late by half a millisecond and more on an idle machine, which
-// is as much as the bench wants to measure. It costs part of one core.
+// Package precise provides timers that fire within some ten microseconds. On an
+// idle machine the runtime's timers are late by half a millisecond or more,
+// which is as long as the latencies that the bench measures. A running Clock
+// uses part of one core.
 package precise
 
 import (
@@ -13,20 +14,21 @@
 )
 
 const (
-	// spinBelow is how near the next waiter must be for the clock to spin: a
-	// sleep of the runtime may be late by that much.
-	spinBelow = 2 * time.Millisecond
-	nap       = 500 * time.Microsecond
+	// spinBelow is the time before the next timer below which the clock spins
+	// instead of sleeping, because time.Sleep may return that much late.
+	spinBelow     = 2 * time.Millisecond
+	sleepInterval = 500 * time.Microsecond
 )
 
-// Clock wakes its waiters at their times, from one goroutine of its own. It
-// spins by yielding, not on a thread of its own: what it wakes stands in the
-// run queue of its processor and must get to run there.
+// Clock closes channels at given times, from a goroutine of its own. To spin,
+// it yields to the scheduler instead of occupying a thread: the goroutines that
+// it wakes are put into the run queue of its processor and have to run there.
 type Clock struct {
 	start   time.Time
 	stopped atomic.Bool
-	// next is when the nearest waiter is due, in nanoseconds since start. The
-	// clock spins on it: spinning on the lock would starve those who wait.
+	// next is when the earliest waiter is due, in nanoseconds since start. The
+	// clock reads it while it spins, because spinning on mu would starve
+	// goroutines that call After.
 	next atomic.Int64
 
 	mu      sync.Mutex
@@ -41,10 +43,10 @@
 	return c
 }
 
-// Stop ends the clock. Nobody may wait any more.
+// Stop ends the clock. Channels that are still open are never closed.
 func (c *Clock) Stop() { c.stopped.Store(true) }
 
-// After returns a channel that is closed when the time has passed.
+// After returns a channel that is closed after the duration.
 func (c *Clock) After(d time.Duration) <-chan struct{} {
 	w := waiter{at: time.Now().Add(d), done: make(chan struct{})}
 	if d <= 0 {
@@ -54,11 +56,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	heap.Push(&c.waiters, w)
-	c.noteNext()
+	c.updateNext()
 	return w.done
 }
 
-// SleepUntil returns at a time.
+// SleepUntil returns at the given time, or at once when it is past.
 func (c *Clock) SleepUntil(at time.Time) { <-c.After(time.Until(at)) }
 
 func (c *Clock) run() {
@@ -68,14 +70,14 @@
 		case left <= 0:
 			c.wake()
 		case left > spinBelow:
-			time.Sleep(nap)
+			time.Sleep(sleepInterval)
 		default:
 			runtime.Gosched()
 		}
 	}
 }
 
-// wake closes what is due.
+// wake closes the channels of all waiters that are due.
 func (c *Clock) wake() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -83,11 +85,11 @@
 	for len(c.waiters) > 0 && !c.waiters[0].at.After(now) {
 		close(heap.Pop(&c.waiters).(waiter).done)
 	}
-	c.noteNext()
+	c.updateNext()
 }
 
-// noteNext expects the lock to be held.
-func (c *Clock) noteNext() {
+// updateNext sets next from the waiters. The caller holds c.mu.
+func (c *Clock) updateNext() {
 	if len(c.waiters) == 0 {
 		c.next.Store(math.MaxInt64)
 		return
@@ -100,7 +102,8 @@
 	done chan struct{}
 }
 
-// waiters implements heap.Interface, nearest first.
+// waiters is a heap of waiters, the earliest first. It implements
+// heap.Interface.
 type waiters []waiter
 
 func (wa waiters) Len() int           { return len(wa) }
--- a/pkg/bench/promises.go
+++ b/pkg/bench/promises.go
@@ -9,85 +9,90 @@
 	"github.com/rushramp/rushramp/pkg/placement"
 )
 
-// Violations are counts that must be 0. They come from the stand-ins' ledgers
-// and from what callers received, not from the daemons' word.
+// Violations counts violations of rushramp's guarantees; all counts must be 0.
+// They come from the stand-ins' ledgers, from what callers received and from
+// the daemons' counters.
 type Violations struct {
-	// Crossed and Truncated are answers that were not the call's own, or whole.
+	// Crossed counts answers that belong to another call, Truncated answers
+	// that are incomplete.
 	Crossed   int `json:"crossed"`
 	Truncated int `json:"truncated"`
-	// Doubled are never-repeat keys that ran more than once.
+	// Doubled counts keys of never-repeat calls that ran more than once.
 	Doubled int `json:"doubled"`
-	// FalseNotRun are calls that ran although their caller was told "no".
+	// FalseNotRun counts calls that ran although their answer said
+	// Rushramp-Ran: no.
 	FalseNotRun int `json:"false_not_run"`
-	// WrongPlace are runs in a data centre that the placement did not allow.
+	// WrongPlace counts runs in a data centre that the placement did not allow.
 	WrongPlace int `json:"wrong_place"`
-	// CutByDrain are calls in flight that a planned stop cut off.
+	// CutByDrain counts calls in flight that a planned stop cut off.
 	CutByDrain int `json:"cut_by_drain"`
-	// WorkAfterLeaving are runs that began more than a few seconds after the
-	// server was told to leave.
+	// WorkAfterLeaving counts planned stops after which the server received a
+	// call later than maxWorkAfterLeave.
 	WorkAfterLeaving int `json:"work_after_leaving"`
-	// ConfigReverts are placement versions that went down at a daemon.
+	// ConfigReverts counts decreases of a daemon's placement version.
 	ConfigReverts int `json:"config_reverts"`
-	// BudgetOverruns are seconds in which measuring took more than agreed.
+	// BudgetOverruns counts seconds in which load measurement used more than
+	// its budget.
 	BudgetOverruns int `json:"budget_overruns"`
 }
 
-// TotalViolations counts the promises that did not hold.
-func (p *Violations) TotalViolations() int {
-	return p.Crossed + p.Truncated + p.Doubled + p.FalseNotRun + p.WrongPlace +
-		p.CutByDrain + p.WorkAfterLeaving + p.ConfigReverts + p.BudgetOverruns
+// TotalViolations returns the sum of all counts.
+func (v *Violations) TotalViolations() int {
+	return v.Crossed + v.Truncated + v.Doubled + v.FalseNotRun + v.WrongPlace +
+		v.CutByDrain + v.WorkAfterLeaving + v.ConfigReverts + v.BudgetOverruns
 }
 
-// ran is what all ledgers say of a call.
-type ran struct {
+// callRuns is what the ledgers of all backend servers record of a call.
+type callRuns struct {
 	times int
-	runs  []runAt
+	runs  []runRecord
 }
 
-// runAt is where and when a call began to run.
-type runAt struct {
+// runRecord is where and when a call began to run.
+type runRecord struct {
 	dataCentre string
 	at         time.Time
 }
 
-// inForceBound is how long after its acceptance a placement version may not
-// yet be in force somewhere.
-const inForceBound = 2500 * time.Millisecond
+// maxPlacementDelay is how long after the acceptance of a placement version
+// daemons may still follow the previous one.
+const maxPlacementDelay = 2500 * time.Millisecond
 
-// rules are the placements that were in force, from the store's history.
-type rules struct{ versions []ruleVersion }
+// placementHistory holds all accepted placement versions.
+type placementHistory struct{ versions []placementPeriod }
 
-// ruleVersion is a version and the time in which it may have been followed.
-type ruleVersion struct {
+// placementPeriod is a version and the time in which daemons may follow it.
+type placementPeriod struct {
 	compiled    *placement.Compiled
 	from, until time.Time
 }
 
-func (c *cluster) rules() (*rules, error) {
+// placementHistory reads the accepted versions from the store.
+func (c *cluster) placementHistory() (*placementHistory, error) {
 	entries, err := placement.NewStore(c.store, c.store).History(context.Background(), 0, 1<<20)
 	if err != nil {
-		return nil, errors.Wrap(err, "history of placements")
+		return nil, errors.Wrap(err, "read the placement history")
 	}
-	out := &rules{}
+	out := &placementHistory{}
 	doc := &placement.Document{}
 	for i, e := range entries {
 		doc, err = placement.Replay(doc, []placement.LogEntry{e}, e.Hash)
 		if err != nil {
 			return nil, err
 		}
-		v := ruleVersion{compiled: placement.Compile(doc), from: e.At, until: e.At.Add(1000 * time.Hour)}
+		v := placementPeriod{compiled: placement.Compile(doc), from: e.At, until: e.At.Add(1000 * time.Hour)}
 		if i+1 < len(entries) {
-			v.until = entries[i+1].At.Add(inForceBound)
+			v.until = entries[i+1].At.Add(maxPlacementDelay)
 		}
 		out.versions = append(out.versions, v)
 	}
 	return out, nil
 }
 
-// allow is true when a version that may have been followed at the time of a
-// run lets the kind be handled there.
-func (ru *rules) allow(a *arrival, r runAt) bool {
-	for _, v := range ru.versions {
+// allowed reports whether a version that daemons could follow at the time of
+// the run permits the call's kind in that data centre.
+func (ph *placementHistory) allowed(a *arrival, r runRecord) bool {
+	for _, v := range ph.versions {
 		if r.at.Before(v.from) || r.at.After(v.until) {
 			continue
 		}
@@ -104,16 +109,18 @@
 	return false
 }
 
-func checkPromises(c *cluster, outcomes []outcome) (Violations, error) {
+// countViolations compares the outcomes of calls with the ledgers and the
+// placement history.
+func countViolations(c *cluster, outcomes []outcome) (Violations, error) {
 	var out Violations
-	calls, keys := c.ledgers()
-	rules, err := c.rules()
+	calls, keys := c.mergeLedgers()
+	history, err := c.placementHistory()
 	if err != nil {
 		return out, err
 	}
 	for i := range outcomes {
 		o := &outcomes[i]
-		out.checkCall(rules, o, calls[o.arrival.ledgerID()])
+		out.countCall(history, o, calls[o.arrival.ledgerID()])
 	}
 	for _, times := range keys {
 		if times > 1 {
@@ -121,24 +128,25 @@
 		}
 	}
 	for _, n := range c.nodes {
-		out.BudgetOverruns += int(n.current().Measure.Usage().Overruns)
+		out.BudgetOverruns += int(n.currentDaemon().Measure.Usage().Overruns)
 	}
 	return out, nil
 }
 
-func (p *Violations) checkCall(rules *rules, o *outcome, r ran) {
+// countCall adds the violations of one call.
+func (v *Violations) countCall(history *placementHistory, o *outcome, r callRuns) {
 	if o.crossed {
-		p.Crossed++
+		v.Crossed++
 	}
 	if o.truncated {
-		p.Truncated++
+		v.Truncated++
 	}
 	if o.err == nil && o.ran == "no" && r.times > 0 {
-		p.FalseNotRun++
+		v.FalseNotRun++
 	}
 	for _, run := range r.runs {
-		if !rules.allow(o.arrival, run) {
-			p.WrongPlace++
+		if !history.allowed(o.arrival, run) {
+			v.WrongPlace++
 		}
 	}
 }
@@ -152,10 +160,10 @@
 	return false
 }
 
-// ledgers puts the records of all backend servers together: by call, and how
-// often each Idempotency-Key ran.
-func (c *cluster) ledgers() (calls map[string]ran, keys map[string]int) {
-	calls, keys = map[string]ran{}, map[string]int{}
+// mergeLedgers combines the ledgers of all backend servers into the runs by
+// call id and the number of runs by Idempotency-Key.
+func (c *cluster) mergeLedgers() (calls map[string]callRuns, keys map[string]int) {
+	calls, keys = map[string]callRuns{}, map[string]int{}
 	for _, n := range c.nodes {
 		if n.backend == nil {
 			continue
@@ -163,7 +171,7 @@
 		for id, run := range n.backend.Ledger().Runs() {
 			r := calls[id]
 			r.times += run.Times
-			r.runs = append(r.runs, runAt{n.vm.DataCentre, run.At})
+			r.runs = append(r.runs, runRecord{n.vm.DataCentre, run.At})
 			calls[id] = r
 			if run.Key != "" {
 				keys[run.Key] += run.Times
--- a/pkg/bench/ratios.go
+++ b/pkg/bench/ratios.go
@@ -7,9 +7,8 @@
 	"text/tabwriter"
 )
 
-// ratioTable shows policies beside each other. The first policy is what the
-// others are compared with. Of several seeds it shows the median: one seed's
-// p99 on a busy machine may be anything.
+// ratioTable compares policies with the first one. With several seeds it shows
+// the median, because the p99 of a single seed is unreliable on a busy machine.
 type ratioTable struct {
 	policies []string
 	reports  map[string][]*Report
@@ -23,7 +22,7 @@
 	rt.reports[policy] = append(rt.reports[policy], r)
 }
 
-// median is that of a figure over the seeds of a policy.
+// median returns the median of a figure over the seeds of a policy.
 func (rt *ratioTable) median(policy string, figure func(*Report) float64) float64 {
 	var values []float64
 	for _, r := range rt.reports[policy] {
@@ -36,8 +35,8 @@
 	return values[len(values)/2]
 }
 
-// medianRatio is the median over the seeds of a policy's figure over the first
-// policy's of the same seed.
+// medianRatio returns the median over the seeds of the ratio between a policy's
+// figure and the first policy's with the same seed.
 func (rt *ratioTable) medianRatio(policy string, figure func(*Report) float64) float64 {
 	var values []float64
 	base := rt.reports[rt.policies[0]]
@@ -53,18 +52,18 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "policy\twait p50 ms\twait p99 ms\twait p99.9 ms\tp99 ratio\tp99.9 ratio\trefusals\tretries\thedges\tnot run\tfailed\tbytes/s\tbroken\t")
 	for _, policy := range rt.policies {
-		at := func(figure func(*Report) float64) float64 { return rt.median(policy, figure) }
-		broken := 0
+		median := func(figure func(*Report) float64) float64 { return rt.median(policy, figure) }
+		violations := 0
 		for _, r := range rt.reports[policy] {
-			broken += r.TotalViolations()
+			violations += r.TotalViolations()
 		}
 		fmt.Fprintf(w, "%s\t%.2f\t%.2f\t%.2f\t%.2f\t%.2f\t%.3f\t%.3f\t%.3f\t%.0f\t%.0f\t%.0f\t%d\t\n", policy,
-			at(waitP50)/1000, at(waitP99)/1000, at(waitP999)/1000,
+			median(waitP50)/1000, median(waitP99)/1000, median(waitP999)/1000,
 			rt.medianRatio(policy, waitP99), rt.medianRatio(policy, waitP999),
-			at(func(r *Report) float64 { return r.Refusals }), at(func(r *Report) float64 { return r.Retries }),
-			at(func(r *Report) float64 { return r.Hedges }), at(func(r *Report) float64 { return float64(r.RefusedNotRun) }),
-			at(func(r *Report) float64 { return float64(r.Failed) }),
-			at(func(r *Report) float64 { return r.MeasureBytes }), broken)
+			median(func(r *Report) float64 { return r.Refusals }), median(func(r *Report) float64 { return r.Retries }),
+			median(func(r *Report) float64 { return r.Hedges }), median(func(r *Report) float64 { return float64(r.RefusedNotRun) }),
+			median(func(r *Report) float64 { return float64(r.Failed) }),
+			median(func(r *Report) float64 { return r.MeasureBytes }), violations)
 	}
 	_ = w.Flush()
 	fmt.Fprintln(out)
--- a/pkg/bench/report.go
+++ b/pkg/bench/report.go
@@ -6,8 +6,8 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Stats are the measures of a run or of one service of it. Times are in
-// microseconds; a wait is a latency less the call's own nominal service time.
+// Stats summarises the calls of a run, a service or a kind. Times are in
+// microseconds; a wait is the latency minus the call's nominal service time.
 type Stats struct {
 	Calls          int     `json:"calls"`
 	Answered       int     `json:"answered"`
@@ -22,16 +22,17 @@
 	Refusals       float64 `json:"refusals_per_call"`
 	Retries        float64 `json:"retries_per_call"`
 	Hedges         float64 `json:"hedges_per_call"`
-	// AddedP99 is the time in daemons by their own clocks, AddedOutsideP99 the
-	// same seen from outside: the whole less the nominal run and the configured
-	// network. The latter holds the stand-ins' and the caller's own time too.
+	// AddedP99 is the time spent in daemons by their own clocks.
+	// AddedOutsideP99 is the same as seen by the caller: the latency minus the
+	// nominal service time. The latter includes the network and the time of the
+	// stand-ins and the caller.
 	AddedP99        int64 `json:"added_p99_us"`
 	AddedOutsideP99 int64 `json:"added_outside_p99_us"`
 	// Failed counts answers of backend servers with status 500 or more.
 	Failed int `json:"failed"`
 }
 
-// Report is the outcome of a run.
+// Report is the report of a run.
 type Report struct {
 	Deployment string `json:"deployment"`
 	Policy     string `json:"policy"`
@@ -41,98 +42,102 @@
 	Violations
 	Overhead
 	Services map[string]Stats `json:"services"`
-	// Kinds are the figures by "service/kind".
+	// Kinds holds the figures by "service/kind".
 	Kinds map[string]Stats `json:"kinds"`
-	// Outcomes counts rushramp's own answers by kind.
+	// Outcomes counts unanswered calls by error kind.
 	Outcomes map[string]int `json:"outcomes"`
-	// MaxOverMean is, by service, the most runs of one server over the mean.
+	// MaxOverMean is, by service, the most runs of one server divided by the
+	// mean.
 	MaxOverMean map[string]float64 `json:"max_over_mean"`
-	// Shares is the part of a service's runs that each server took.
+	// Shares is, by VM, the share of its service's runs.
 	Shares map[string]float64 `json:"shares"`
-	// StoreWrites and StoreReads are requests to the platform during the load.
+	// StoreWrites and StoreReads count requests to the platform during the
+	// load.
 	StoreWrites int64 `json:"store_writes"`
 	StoreReads  int64 `json:"store_reads"`
 }
 
-// Overhead is the cost of control and of measuring, per daemon.
+// Overhead is the cost of control and of load measurement, per daemon.
 type Overhead struct {
 	MeasureBytes    float64 `json:"measure_bytes_per_s"`
 	MeasureMessages float64 `json:"measure_msgs_per_s"`
-	// ControlCPU is taken before the load begins, as a share of one core.
+	// ControlCPU is measured before the load begins, in percent of a core.
 	ControlCPU float64 `json:"control_cpu_percent"`
-	// RSS is the process's resident memory over its daemons: stand-ins and the
-	// load are in it.
+	// RSS is the process's resident memory in MiB divided by the number of
+	// daemons; it includes the stand-ins and the load.
 	RSS float64 `json:"rss_mb"`
 }
 
-// The range of the histograms, in microseconds.
+// Range and precision of the latency histograms.
 const (
-	lowestUS  = 1
-	highestUS = 60_000_000
-	digits    = 3
+	lowestUS          = 1
+	highestUS         = 60_000_000
+	significantDigits = 3
 )
 
-// tally gathers the figures of one group of calls.
-type tally struct {
-	figures Stats
-	whole   *hdrhistogram.Histogram
+// statsCollector collects the figures of a group of calls.
+type statsCollector struct {
+	stats   Stats
+	latency *hdrhistogram.Histogram
 	wait    *hdrhistogram.Histogram
 	added   *hdrhistogram.Histogram
 }
 
-func newTally() *tally {
-	fresh := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowestUS, highestUS, digits) }
-	return &tally{whole: fresh(), wait: fresh(), added: fresh()}
+func newStatsCollector() *statsCollector {
+	newHistogram := func() *hdrhistogram.Histogram { return hdrhistogram.New(lowestUS, highestUS, significantDigits) }
+	return &statsCollector{latency: newHistogram(), wait: newHistogram(), added: newHistogram()}
 }
 
-func (t *tally) add(o *outcome, network time.Duration) {
-	f := &t.figures
-	f.Calls++
+// add counts a call. network is the network time to leave out of the added
+// time.
+func (sc *statsCollector) add(o *outcome, network time.Duration) {
+	stats := &sc.stats
+	stats.Calls++
 	switch {
 	case o.answered():
-		f.Answered++
+		stats.Answered++
 	case o.err == nil && o.ran == "no":
-		f.RefusedNotRun++
+		stats.RefusedNotRun++
 	default:
-		f.OutcomeUnknown++
+		stats.OutcomeUnknown++
 	}
 	if !o.answered() {
 		return
 	}
 	if o.status >= 500 {
-		f.Failed++
+		stats.Failed++
 	}
-	wait := max(o.whole-o.arrival.nominal, 0)
-	record(t.whole, o.whole)
-	record(t.wait, wait)
-	record(t.added, max(wait-network, 0))
+	wait := max(o.latency-o.arrival.serviceTime, 0)
+	recordMicroseconds(sc.latency, o.latency)
+	recordMicroseconds(sc.wait, wait)
+	recordMicroseconds(sc.added, max(wait-network, 0))
 }
 
-func record(h *hdrhistogram.Histogram, d time.Duration) {
-	// The bounds of the histogram are the bench's own; a value beyond is the most.
+// recordMicroseconds adds a duration to a histogram, limited to its range.
+func recordMicroseconds(h *hdrhistogram.Histogram, d time.Duration) {
 	_ = h.RecordValue(min(max(d.Microseconds(), lowestUS), highestUS))
 }
 
-func (t *tally) finish() Stats {
-	f := t.figures
-	f.P50, f.P99, f.P999 = t.whole.ValueAtQuantile(50), t.whole.ValueAtQuantile(99), t.whole.ValueAtQuantile(99.9)
-	f.WaitP50, f.WaitP99, f.WaitP999 = t.wait.ValueAtQuantile(50), t.wait.ValueAtQuantile(99), t.wait.ValueAtQuantile(99.9)
-	f.AddedOutsideP99 = t.added.ValueAtQuantile(99)
-	return f
+func (sc *statsCollector) finish() Stats {
+	stats := sc.stats
+	stats.P50, stats.P99, stats.P999 = sc.latency.ValueAtQuantile(50), sc.latency.ValueAtQuantile(99), sc.latency.ValueAtQuantile(99.9)
+	stats.WaitP50, stats.WaitP99, stats.WaitP999 = sc.wait.ValueAtQuantile(50), sc.wait.ValueAtQuantile(99), sc.wait.ValueAtQuantile(99.9)
+	stats.AddedOutsideP99 = sc.added.ValueAtQuantile(99)
+	return stats
 }
 
 func newReport(c *cluster, opts Options, arrivals []arrival, outcomes []outcome, before counters, idle float64) (*Report, error) {
-	all, byService, byKind := newTally(), map[string]*tally{}, map[string]*tally{}
+	all, byService, byKind := newStatsCollector(), map[string]*statsCollector{}, map[string]*statsCollector{}
 	out := &Report{
 		Deployment: c.deployment.Name, Policy: opts.Policy, Seed: opts.Seed, Daemons: len(c.nodes),
 		Services: map[string]Stats{}, Kinds: map[string]Stats{}, Outcomes: map[string]int{}, MaxOverMean: map[string]float64{}, Shares: map[string]float64{},
 	}
 	for i := range outcomes {
 		o := &outcomes[i]
-		// Without knowing the way taken, the network is counted as none.
+		// The path that a call took is unknown, so no network time is subtracted.
 		all.add(o, 0)
-		tallyOf(byService, o.arrival.service.Name).add(o, 0)
-		tallyOf(byKind, o.arrival.service.Name+"/"+o.arrival.kind.Placement.Name).add(o, 0)
+		collectorFor(byService, o.arrival.service.Name).add(o, 0)
+		collectorFor(byKind, o.arrival.service.Name+"/"+o.arrival.kind.Placement.Name).add(o, 0)
 		out.countOutcome(o)
 	}
 	out.Stats = all.finish()
@@ -141,27 +146,28 @@
 	after := c.counters()
 	out.fillCounters(before, after, len(arrivals))
 	out.AddedP99 = after.addedP99.Microseconds()
-	promises, err := checkPromises(c, outcomes)
+	promises, err := countViolations(c, outcomes)
 	if err != nil {
 		return nil, err
 	}
 	out.Violations = promises
-	out.fillSpread(c)
+	out.fillServerShares(c)
 	out.ControlCPU = idle
 	out.RSS = residentMB() / float64(len(c.nodes))
 	return out, nil
 }
 
-func tallyOf(by map[string]*tally, name string) *tally {
+// collectorFor returns the collector of that name, a new one if necessary.
+func collectorFor(by map[string]*statsCollector, name string) *statsCollector {
 	if by[name] == nil {
-		by[name] = newTally()
+		by[name] = newStatsCollector()
 	}
 	return by[name]
 }
 
-func finishAll(from map[string]*tally, to map[string]Stats) {
-	for name, t := range from {
-		to[name] = t.finish()
+func finishAll(from map[string]*statsCollector, to map[string]Stats) {
+	for name, collector := range from {
+		to[name] = collector.finish()
 	}
 }
 
@@ -169,28 +175,31 @@
 	switch {
 	case o.err != nil:
 		r.Outcomes["caller_error"]++
-	case o.kind != "":
-		r.Outcomes[o.kind]++
+	case o.errorKind != "":
+		r.Outcomes[o.errorKind]++
 	}
 }
 
+// fillCounters sets the rates that come from the daemons' and the store's
+// counters.
 func (r *Report) fillCounters(before, after counters, calls int) {
 	n := float64(max(calls, 1))
-	soft := float64(after.softRefusals - before.softRefusals)
+	softRefusals := float64(after.softRefusals - before.softRefusals)
 	retries := float64(after.retries - before.retries)
-	r.Refusals = (soft + retries) / n
+	r.Refusals = (softRefusals + retries) / n
 	r.Retries = retries / n
 	r.Hedges = float64(after.hedges-before.hedges) / n
 	seconds := after.at.Sub(before.at).Seconds()
 	daemons := float64(r.Daemons)
 	r.MeasureBytes = float64(after.measureBytes-before.measureBytes) / seconds / daemons
-	// Load reports ride on answers; none has a message of its own.
-	r.MeasureMessages = float64(after.measureMsgs-before.measureMsgs) / seconds / daemons
+	// 0 unless load reports get messages of their own; they are part of answers.
+	r.MeasureMessages = float64(after.measureMessages-before.measureMessages) / seconds / daemons
 	r.StoreReads = after.storeReads - before.storeReads
 	r.StoreWrites = after.storeWrites - before.storeWrites
 }
 
-func (r *Report) fillSpread(c *cluster) {
+// fillServerShares sets how a service's runs are spread over its servers.
+func (r *Report) fillServerShares(c *cluster) {
 	runs := map[string][]int{}
 	names := map[string][]string{}
 	for _, n := range c.nodes {
--- a/pkg/bench/run.go
+++ b/pkg/bench/run.go
@@ -23,50 +23,54 @@
 	"github.com/rushramp/rushramp/pkg/standin/backend"
 )
 
-// Options are those of one run.
+// Options configures one run.
 type Options struct {
 	Duration time.Duration
-	// Policy is a name of choose.New, with "oracle" besides; a "+soft" or
-	// "-soft" at its end turns the soft first attempt on or off, and
-	// ":section.field=value;..." changes settings.
-	// "direct" sends calls straight to random backend servers, past the daemons.
+	// Policy is a policy name known to choose.New, "oracle", or "direct", which
+	// sends calls straight to random backend servers without daemons. A suffix
+	// "+soft" or "-soft" turns the soft first attempt on or off.
+	// ":section.field=value;..." at the end changes settings.
 	Policy string
 	Seed   uint64
-	// SkipIdle leaves out the second before the load that measures control.
+	// SkipIdle leaves out the measurement of control before the load.
 	SkipIdle bool
-	// Change adapts the daemons' settings further.
+	// Change adapts the daemons' settings, after Policy; may be nil.
 	Change func(*settings.Settings)
 }
 
-// outcome is how a call ended for its caller.
+// outcome is the result of a call as seen by its caller.
 type outcome struct {
 	arrival *arrival
 	entry   *node
 	began   time.Time
-	// whole is the time from the intended start to the end.
-	whole  time.Duration
-	status int
-	// kind and ran are rushramp's own headers; empty on an answer.
-	kind string
-	ran  string
-	err  error
-	// crossed and truncated tell of an answer that is not this call's whole one.
+	// latency is the time from the intended start to the end.
+	latency time.Duration
+	status  int
+	// errorKind and ran are the values of the headers Rushramp-Error and
+	// Rushramp-Ran; empty on an answer from a backend server.
+	errorKind string
+	ran       string
+	err       error
+	// crossed means that the body belongs to another call, truncated that it is
+	// incomplete.
 	crossed   bool
 	truncated bool
-	// detail says what was wrong with the answer.
+	// detail describes a crossed or truncated answer.
 	detail string
 }
 
-// answered is true for a backend server's own whole answer.
-func (o *outcome) answered() bool { return o.err == nil && o.kind == "" }
+// answered reports whether the answer came from a backend server.
+func (o *outcome) answered() bool { return o.err == nil && o.errorKind == "" }
 
-// settle is how long servers and links get to become quiet around a run.
-const settle = 300 * time.Millisecond
+// settleTime is the pause before and after the load, in which links and servers
+// become idle.
+const settleTime = 300 * time.Millisecond
 
-// idleWindow is how long control work is measured before the load begins.
+// idleWindow is how long the cost of control is measured before the load
+// begins.
 const idleWindow = time.Second
 
-// Run runs a deployment under its load and reports.
+// Run runs a deployment under its load and returns the report.
 func Run(d *Deployment, opts Options) (*Report, error) {
 	clusterOpts, err := policyOptions(opts)
 	if err != nil {
@@ -77,30 +81,32 @@
 		return nil, err
 	}
 	defer c.stop()
-	if err := c.warm(); err != nil {
+	if err := c.warmUp(); err != nil {
 		return nil, err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	idle := 0.0
 	if !opts.SkipIdle {
-		idle = measureIdle(c, idleWindow)
+		idle = measureIdleCPU(c, idleWindow)
 	}
 	arrivals := drawArrivals(d, opts.Duration, opts.Seed)
 	before := c.counters()
 	stopShape := startShape(c)
-	outcomes := c.load(arrivals, opts.Policy == directName)
+	outcomes := c.sendArrivals(arrivals, opts.Policy == directName)
 	stopShape()
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return newReport(c, opts, arrivals, outcomes, before, idle)
 }
 
+// policyOptions translates Options.Policy and Options.Change into cluster
+// options.
 func policyOptions(opts Options) (clusterOptions, error) {
-	text, overlays, _ := strings.Cut(opts.Policy, ":")
+	text, assignments, _ := strings.Cut(opts.Policy, ":")
 	name, soft, err := splitPolicy(text)
 	if err != nil {
 		return clusterOptions{}, err
 	}
-	if err := overlay(overlays, &settings.Settings{}); err != nil {
+	if err := applySettings(assignments, &settings.Settings{}); err != nil {
 		return clusterOptions{}, err
 	}
 	out := clusterOptions{change: func(s *settings.Settings) {
@@ -110,8 +116,8 @@
 		if soft != nil {
 			s.Choosing.SoftFirst = *soft
 		}
-		// The words were tried above.
-		_ = overlay(overlays, s)
+		// An error would have been returned by the first call above.
+		_ = applySettings(assignments, s)
 		if opts.Change != nil {
 			opts.Change(s)
 		}
@@ -122,29 +128,31 @@
 	return out, nil
 }
 
-// overlay applies "section.field=value" words, with semicolons between.
-func overlay(words string, s *settings.Settings) error {
-	for _, word := range strings.FieldsFunc(words, func(r rune) bool { return r == ';' }) {
-		path, value, ok := strings.Cut(word, "=")
+// applySettings sets fields of s from "section.field=value" assignments,
+// separated by semicolons.
+func applySettings(assignments string, s *settings.Settings) error {
+	for _, assignment := range strings.FieldsFunc(assignments, func(r rune) bool { return r == ';' }) {
+		path, value, ok := strings.Cut(assignment, "=")
 		section, field, dotted := strings.Cut(path, ".")
 		if !ok || !dotted {
-			return errors.Errorf("%q is no setting; write section.field=value", word)
+			return errors.Errorf("invalid setting %q: want section.field=value", assignment)
 		}
 		text := fmt.Sprintf("%s: {%s: %s}", section, field, value)
 		if err := yaml.UnmarshalWithOptions([]byte(text), s, yaml.Strict()); err != nil {
-			return errors.Wrapf(err, "setting %q", word)
+			return errors.Wrapf(err, "setting %q", assignment)
 		}
 	}
 	return nil
 }
 
-// The names of what exists in the bench only.
+// Policy names that exist in the bench only.
 const (
 	oracleName = "oracle"
 	directName = "direct"
 )
 
-// splitPolicy reads "name", "name+soft" or "name-soft".
+// splitPolicy parses "name", "name+soft" or "name-soft". soft is nil when the
+// name leaves the setting as it is.
 func splitPolicy(text string) (name string, soft *bool, err error) {
 	on, off := true, false
 	switch {
@@ -176,7 +184,7 @@
 		client.WithDialTimeout(time.Second),
 	)
 	if err != nil {
-		return nil, errors.Wrap(err, "bench caller")
+		return nil, errors.Wrap(err, "create the HTTP client of the load")
 	}
 	c.SetRetryIfFunc(func(*protocol.Request, *protocol.Response, error) bool { return false })
 	return &caller{http: c}, nil
@@ -184,27 +192,30 @@
 
 const callerTimeout = 30 * time.Second
 
+// send sends a call to address and waits for the result. to is the daemon of
+// that address, intended the time from which latency counts.
 func (c *caller) send(a *arrival, to *node, address string, intended time.Time) outcome {
 	req, resp := protocol.AcquireRequest(), protocol.AcquireResponse()
 	defer protocol.ReleaseRequest(req)
 	defer protocol.ReleaseResponse(resp)
-	a.fill(req, address)
+	a.fillRequest(req, address)
 	out := outcome{arrival: a, entry: to, began: intended}
 	out.err = c.http.Do(context.Background(), req, resp)
-	out.whole = time.Since(intended)
+	out.latency = time.Since(intended)
 	if out.err != nil {
 		return out
 	}
 	out.status = resp.StatusCode()
-	out.kind = string(resp.Header.Peek(callers.HeaderError))
+	out.errorKind = string(resp.Header.Peek(callers.HeaderError))
 	out.ran = string(resp.Header.Peek(callers.HeaderRan))
 	if out.answered() && out.status == http.StatusOK {
-		out.check(resp.Body())
+		out.checkBody(resp.Body())
 	}
 	return out
 }
 
-func (a *arrival) fill(req *protocol.Request, address string) {
+// fillRequest builds the HTTP request of a call.
+func (a *arrival) fillRequest(req *protocol.Request, address string) {
 	k := &a.kind.Placement
 	method := k.Method
 	if method == "" {
@@ -218,7 +229,7 @@
 	req.SetRequestURI("http://" + address + path)
 	req.Header.Set(callers.HeaderService, a.service.Name)
 	req.Header.Set(backend.HeaderCallID, a.ledgerID())
-	req.Header.Set(backend.HeaderWork, strconv.FormatInt(a.nominal.Microseconds(), 10))
+	req.Header.Set(backend.HeaderWork, strconv.FormatInt(a.serviceTime.Microseconds(), 10))
 	req.Header.Set(backend.HeaderAnswer, strconv.Itoa(a.kind.AnswerBytes))
 	if a.key != "" {
 		req.Header.Set(callers.HeaderIdempotencyKey, a.key)
@@ -232,10 +243,11 @@
 	req.SetOptions(config.WithRequestTimeout(callerTimeout))
 }
 
-// check compares the answer with what this call's answer must be.
-func (o *outcome) check(body []byte) {
+// checkBody sets crossed and truncated when the body is not what the stand-in
+// returns for this call.
+func (o *outcome) checkBody(body []byte) {
 	a := o.arrival
-	// A never-repeat call may get the answer of an earlier attempt of its own.
+	// A never-repeat call may get the stored answer of one of its earlier attempts.
 	for attempt := a.attempt; attempt >= 0; attempt-- {
 		earlier := *a
 		earlier.attempt = attempt
@@ -250,8 +262,9 @@
 	o.detail = fmt.Sprintf("%s attempt %d through %s: %d bytes, begin %.60q", a.id, a.attempt, o.entry.vm.ID, len(body), body)
 }
 
-// load sends the arrivals at their times, whether or not answers come.
-func (c *cluster) load(arrivals []arrival, direct bool) []outcome {
+// sendArrivals sends the calls at their intended times without waiting for
+// earlier answers, and returns all outcomes.
+func (c *cluster) sendArrivals(arrivals []arrival, direct bool) []outcome {
 	sender, err := newCaller()
 	if err != nil {
 		return nil
@@ -264,10 +277,10 @@
 		intended := start.Add(a.at)
 		c.clock.SleepUntil(intended)
 		entries := c.entriesFor(&a.kind.Placement)
-		to := entries[a.entry%uint64(len(entries))]
+		to := entries[a.entryDraw%uint64(len(entries))]
 		address := to.vm.Callers
 		if direct {
-			address = c.anyBackend(a)
+			address = c.backendAddressFor(a)
 		}
 		wait.Add(1)
 		go func() {
@@ -279,20 +292,21 @@
 	return outcomes
 }
 
-// anyBackend is a random backend server that may handle the call.
-func (c *cluster) anyBackend(a *arrival) string {
+// backendAddressFor returns the address of a random backend server that may
+// handle the call.
+func (c *cluster) backendAddressFor(a *arrival) string {
 	var out []*node
 	for _, n := range c.nodes {
 		if n.vm.Service == a.service.Name && allowedIn(a.kind, n.vm.DataCentre) {
 			out = append(out, n)
 		}
 	}
-	return out[a.entry%uint64(len(out))].address.Address(loopback.PortBackend)
+	return out[a.entryDraw%uint64(len(out))].address.Address(loopback.PortBackend)
 }
 
-// warm sends one short call of each kind through each entry, so that links and
-// connections stand before the measurement.
-func (c *cluster) warm() error {
+// warmUp sends a few short calls of each kind through each entry, so that links
+// and connections are open before the measurement.
+func (c *cluster) warmUp() error {
 	sender, err := newCaller()
 	if err != nil {
 		return err
@@ -300,24 +314,25 @@
 	for si := range c.deployment.Services {
 		s := &c.deployment.Services[si]
 		for ki := range s.Kinds {
-			c.warmKind(sender, s, &s.Kinds[ki])
+			c.warmUpKind(sender, s, &s.Kinds[ki])
 		}
 	}
 	return nil
 }
 
-// warmCalls is how many calls of a kind each entry sends before the load.
-const warmCalls = 4
+// warmUpCalls is the number of calls of each kind that warmUp sends through
+// each entry.
+const warmUpCalls = 4
 
-func (c *cluster) warmKind(sender *caller, s *Service, k *Kind) {
+func (c *cluster) warmUpKind(sender *caller, s *Service, k *Kind) {
 	var wait sync.WaitGroup
 	for _, n := range c.entriesFor(&k.Placement) {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			for i := range warmCalls {
+			for i := range warmUpCalls {
 				id := "warm-" + n.vm.ID + "-" + s.Name + "-" + k.Placement.Name + "-" + strconv.Itoa(i)
-				a := &arrival{id: id, service: s, kind: k, nominal: k.ServiceTime / 4}
+				a := &arrival{id: id, service: s, kind: k, serviceTime: k.ServiceTime / 4}
 				if k.Placement.NeverRepeat {
 					a.key = id
 				}
--- a/pkg/bench/shape.go
+++ b/pkg/bench/shape.go
@@ -7,30 +7,30 @@
 	"github.com/rushramp/rushramp/pkg/standin/backend"
 )
 
-// startShape starts the changes of the deployment's shape. The returned
-// function ends them and puts all servers right.
+// startShape starts the changes of Deployment.Shape. stop ends them and clears
+// the faults of all servers.
 func startShape(c *cluster) (stop func()) {
 	done := make(chan struct{})
 	var wait sync.WaitGroup
-	run := func(do func(<-chan struct{})) {
+	run := func(change func(<-chan struct{})) {
 		wait.Add(1)
 		go func() {
 			defer wait.Done()
-			do(done)
+			change(done)
 		}()
 	}
 	shape := &c.deployment.Shape
 	if shape.Slow != nil {
-		run(func(done <-chan struct{}) { slowInTurn(c.backends(shape.Slow.Service), shape.Slow, done) })
+		run(func(done <-chan struct{}) { slowServers(c.backends(shape.Slow.Service), shape.Slow, done) })
 	}
 	if shape.FailFast != nil {
 		run(func(done <-chan struct{}) {
-			trouble(c.backends(shape.FailFast.Service)[0], shape.FailFast, backend.Faults{FailFast: true}, done)
+			applyServerFault(c.backends(shape.FailFast.Service)[0], shape.FailFast, backend.Faults{FailFast: true}, done)
 		})
 	}
 	if shape.Cold != nil {
 		run(func(done <-chan struct{}) {
-			trouble(c.backends(shape.Cold.Service)[0], shape.Cold, backend.Faults{Speed: 1 / shape.Cold.Factor}, done)
+			applyServerFault(c.backends(shape.Cold.Service)[0], shape.Cold, backend.Faults{Speed: 1 / shape.Cold.Factor}, done)
 		})
 	}
 	return func() {
@@ -44,6 +44,8 @@
 	}
 }
 
+// backends returns the backend servers of a service; of all services when it is
+// empty.
 func (c *cluster) backends(service string) []*backend.Backend {
 	var out []*backend.Backend
 	for _, n := range c.nodes {
@@ -54,8 +56,8 @@
 	return out
 }
 
-// slowInTurn slows one server after the other.
-func slowInTurn(servers []*backend.Backend, s *Slowdown, done <-chan struct{}) {
+// slowServers slows one server at a time until done is closed.
+func slowServers(servers []*backend.Backend, s *Slowdown, done <-chan struct{}) {
 	for turn := 0; ; turn++ {
 		at := 0
 		if s.InTurn {
@@ -72,7 +74,9 @@
 	}
 }
 
-func trouble(b *backend.Backend, t *ServerFault, f backend.Faults, done <-chan struct{}) {
+// applyServerFault sets faults f of a server at the time of the ServerFault,
+// and clears them at its end.
+func applyServerFault(b *backend.Backend, t *ServerFault, f backend.Faults, done <-chan struct{}) {
 	if !pause(t.At, done) {
 		return
 	}
@@ -82,6 +86,7 @@
 	}
 }
 
+// pause waits for d. It returns false when done is closed first.
 func pause(d time.Duration, done <-chan struct{}) bool {
 	select {
 	case <-done:
--- a/pkg/bench/slopecalls.go
+++ b/pkg/bench/slopecalls.go
@@ -6,12 +6,14 @@
 	"github.com/rushramp/rushramp/pkg/placement"
 )
 
-// callsWindow is how long each point of the slopes of calls is measured.
-const callsWindow = 5 * time.Second
+// loadWindow is how long each point of measureCalls and measureClaims is
+// measured.
+const loadWindow = 5 * time.Second
 
-// twoDaemons is an entry and an executor with a load of one kind.
-func twoDaemons(rate float64, never bool) *Deployment {
-	kind := placement.Kind{Name: "all", Method: "GET", Path: "/*", DataCentres: []string{"one"}, NeverRepeat: never}
+// entryAndExecutor returns a deployment of one entry and one executor with a
+// load of a single kind.
+func entryAndExecutor(rate float64, neverRepeat bool) *Deployment {
+	kind := placement.Kind{Name: "all", Method: "GET", Path: "/*", DataCentres: []string{"one"}, NeverRepeat: neverRepeat}
 	return &Deployment{
 		Name: "calls", DataCentres: []string{"one"}, Slots: 100, Connections: 200, TimeScale: 1,
 		ExtraEntries: 1, EnterAtEntries: true,
@@ -21,76 +23,78 @@
 	}
 }
 
-// cost is what a load took of this process.
-type cost struct {
+// loadCost is the cost of a load: cpu in percent of a core, the other values
+// per call.
+type loadCost struct {
 	cpu          float64
 	writes       float64
 	bytes        float64
 	measureBytes float64
 }
 
-// costOf runs a load and measures it.
-func costOf(rate float64, never bool, policy string) (cost, error) {
-	opts := Options{Duration: callsWindow, Policy: policy, Seed: 1}
+// measureLoadCost runs a load and measures its cost.
+func measureLoadCost(rate float64, neverRepeat bool, policy string) (loadCost, error) {
+	opts := Options{Duration: loadWindow, Policy: policy, Seed: 1}
 	clusterOpts, err := policyOptions(opts)
 	if err != nil {
-		return cost{}, err
+		return loadCost{}, err
 	}
-	c, err := startCluster(twoDaemons(rate, never), clusterOpts)
+	c, err := startCluster(entryAndExecutor(rate, neverRepeat), clusterOpts)
 	if err != nil {
-		return cost{}, err
+		return loadCost{}, err
 	}
 	defer c.stop()
-	if err := c.warm(); err != nil {
-		return cost{}, err
+	if err := c.warmUp(); err != nil {
+		return loadCost{}, err
 	}
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	arrivals := drawArrivals(c.deployment, opts.Duration, opts.Seed)
-	before, traffic, used, began := c.counters(), c.traffic(), processCPU(), time.Now()
-	c.load(arrivals, policy == directName)
+	before, traffic, used, began := c.counters(), c.traffic(), processCPUTime(), time.Now()
+	c.sendArrivals(arrivals, policy == directName)
 	seconds := time.Since(began).Seconds()
 	after := c.counters()
-	return cost{
-		cpu:          100 * (processCPU() - used).Seconds() / seconds,
+	return loadCost{
+		cpu:          100 * (processCPUTime() - used).Seconds() / seconds,
 		writes:       float64(after.storeWrites-before.storeWrites) / float64(len(arrivals)),
 		bytes:        float64(c.traffic().bytes-traffic.bytes) / float64(len(arrivals)),
 		measureBytes: float64(after.measureBytes-before.measureBytes) / float64(len(arrivals)),
 	}, nil
 }
 
-// slopesOfCalls measures what calls take of an entry and an executor: the
-// process's time with the daemons on the way, less that past them.
-func slopesOfCalls() ([]*slope, error) {
-	cpu := &slope{name: "processor time of entry and executor together", unit: "% of a core", per: "call/s"}
-	bytes := &slope{name: "bytes on the link a call, counted at both ends", unit: "B", per: "call/s"}
-	measure := &slope{name: "bytes of load reports a call, both sides", unit: "B", per: "call/s"}
+// measureCalls measures the CPU time and the bytes that calls cost an entry and
+// an executor. The CPU time is the difference between calls through the daemons
+// and calls sent directly to the backend server.
+func measureCalls() ([]*series, error) {
+	cpu := &series{name: "processor time of entry and executor together", unit: "% of a core", sizeUnit: "call/s"}
+	bytes := &series{name: "bytes on the link a call, counted at both ends", unit: "B", sizeUnit: "call/s"}
+	measure := &series{name: "bytes of load reports a call, both sides", unit: "B", sizeUnit: "call/s"}
 	for _, rate := range []float64{50, 100, 219, 438} {
-		through, err := costOf(rate, false, "")
+		viaDaemons, err := measureLoadCost(rate, false, "")
 		if err != nil {
 			return nil, err
 		}
-		past, err := costOf(rate, false, directName)
+		direct, err := measureLoadCost(rate, false, directName)
 		if err != nil {
 			return nil, err
 		}
-		cpu.add(rate, through.cpu-past.cpu)
-		bytes.add(rate, through.bytes)
-		measure.add(rate, through.measureBytes)
+		cpu.add(rate, viaDaemons.cpu-direct.cpu)
+		bytes.add(rate, viaDaemons.bytes)
+		measure.add(rate, viaDaemons.measureBytes)
 	}
-	return []*slope{cpu, bytes, measure}, nil
+	return []*series{cpu, bytes, measure}, nil
 }
 
-// slopesOfClaims measures how many writes of the platform's table a
-// never-repeat call takes at one executor. The stand-in answers at once, so
-// few claims meet: it is the most that it takes.
-func slopesOfClaims() ([]*slope, error) {
-	writes := &slope{name: "platform writes a never-repeat call", unit: "writes", per: "call/s"}
+// measureClaims measures the table writes per never-repeat call at one
+// executor. Calls rarely overlap, because the stand-in store answers at once;
+// so few claims share a write, and the result is an upper bound.
+func measureClaims() ([]*series, error) {
+	writes := &series{name: "platform writes a never-repeat call", unit: "writes", sizeUnit: "call/s"}
 	for _, rate := range []float64{20, 50, 100, 200} {
-		found, err := costOf(rate, true, "")
+		found, err := measureLoadCost(rate, true, "")
 		if err != nil {
 			return nil, err
 		}
 		writes.add(rate, found.writes)
 	}
-	return []*slope{writes}, nil
+	return []*series{writes}, nil
 }
--- a/pkg/bench/slopes.go
+++ b/pkg/bench/slopes.go
@@ -17,52 +17,52 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// slope is a figure against a size, with a straight line through its points.
-// docs/CAPACITY.md is worked out from these lines.
-type slope struct {
-	name   string
-	unit   string
-	per    string
-	sizes  []float64
-	values []float64
+// series is a measured value at several sizes, with a linear fit. The figures
+// in docs/CAPACITY.md are computed from these fits.
+type series struct {
+	name     string
+	unit     string
+	sizeUnit string
+	sizes    []float64
+	values   []float64
 }
 
-func (s *slope) add(size, value float64) {
+func (s *series) add(size, value float64) {
 	s.sizes = append(s.sizes, size)
 	s.values = append(s.values, value)
 }
 
-// fit is the line of least squares, and the largest distance of a point from
-// it as a share of the largest value: what noise there is shows there.
-func (s *slope) fit() (base, per, off float64) {
+// fit returns the least-squares line through the points, and the largest
+// residual as a share of the largest value, which shows the noise.
+func (s *series) fit() (intercept, slope, maxResidual float64) {
 	n := float64(len(s.sizes))
-	var sx, sy, sxx, sxy, most float64
+	var sx, sy, sxx, sxy, maxValue float64
 	for i, x := range s.sizes {
 		y := s.values[i]
 		sx, sy, sxx, sxy = sx+x, sy+y, sxx+x*x, sxy+x*y
-		most = math.Max(most, math.Abs(y))
+		maxValue = math.Max(maxValue, math.Abs(y))
 	}
-	per = (n*sxy - sx*sy) / (n*sxx - sx*sx)
-	base = (sy - per*sx) / n
+	slope = (n*sxy - sx*sy) / (n*sxx - sx*sx)
+	intercept = (sy - slope*sx) / n
 	for i, x := range s.sizes {
-		off = math.Max(off, math.Abs(s.values[i]-base-per*x))
+		maxResidual = math.Max(maxResidual, math.Abs(s.values[i]-intercept-slope*x))
 	}
-	if most > 0 {
-		off /= most
+	if maxValue > 0 {
+		maxResidual /= maxValue
 	}
-	return base, per, off
+	return intercept, slope, maxResidual
 }
 
-func (s *slope) print(w io.Writer) {
-	base, per, off := s.fit()
+func (s *series) print(w io.Writer) {
+	intercept, slope, maxResidual := s.fit()
 	points := ""
 	for i, x := range s.sizes {
 		points += fmt.Sprintf("%g:%.4g ", x, s.values[i])
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g per %s\t%.0f%%\t\n", s.name, s.unit, points, base, per, s.per, 100*off)
+	fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g per %s\t%.0f%%\t\n", s.name, s.unit, points, intercept, slope, s.sizeUnit, 100*maxResidual)
 }
 
-func printSlopes(out io.Writer, slopes []*slope) {
+func printSlopes(out io.Writer, slopes []*series) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "figure\tunit\tpoints (size:value)\tbase\tslope\tfarthest point\t")
 	for _, s := range slopes {
@@ -79,23 +79,23 @@
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: []string{"daemons", "members", "services", "changes", "calls", "claims"},
 		RunE: func(cmd *cobra.Command, args []string) error {
-			return f.profiled(func() error { return runSlopes(cmd.OutOrStdout(), args[0]) })
+			return f.withProfile(func() error { return runSlopes(cmd.OutOrStdout(), args[0]) })
 		},
 	}
 	f.register(cmd)
 	return cmd
 }
 
-func runSlopes(out io.Writer, what string) error {
-	measures := map[string]func() ([]*slope, error){
-		"daemons":  slopesOfDaemons,
-		"members":  slopesOfMembers,
-		"services": slopesOfServices,
-		"changes":  slopesOfChanges,
-		"calls":    slopesOfCalls,
-		"claims":   slopesOfClaims,
+func runSlopes(out io.Writer, dimension string) error {
+	measures := map[string]func() ([]*series, error){
+		"daemons":  measureDaemons,
+		"members":  measureMembers,
+		"services": measureServices,
+		"changes":  measureChanges,
+		"calls":    measureCalls,
+		"claims":   measureClaims,
 	}
-	slopes, err := measures[what]()
+	slopes, err := measures[dimension]()
 	if err != nil {
 		return err
 	}
@@ -103,23 +103,23 @@
 	return nil
 }
 
-// slopeWindow is how long each point is measured.
-const slopeWindow = 4 * time.Second
+// controlWindow is how long the cost of control is measured at each point.
+const controlWindow = 4 * time.Second
 
-// bare is a deployment of daemons without backend servers or load.
-func bare(daemons, dataCentres, services int) *Deployment {
+// daemonsOnly returns a deployment of daemons without backend servers or load.
+func daemonsOnly(daemons, dataCentres, services int) *Deployment {
 	d := &Deployment{Name: "bare", Slots: 12, Connections: 200, ExtraEntries: daemons, TimeScale: 1}
 	for i := range dataCentres {
 		d.DataCentres = append(d.DataCentres, fmt.Sprintf("dc-%02d", i))
 	}
 	for i := range services {
-		d.Services = append(d.Services, Service{Name: fmt.Sprintf("service-%03d", i), Kinds: bareKinds(d.DataCentres)})
+		d.Services = append(d.Services, Service{Name: fmt.Sprintf("service-%03d", i), Kinds: exampleKinds(d.DataCentres)})
 	}
 	return d
 }
 
-// bareKinds are three kinds of a service, as the examples have them.
-func bareKinds(dataCentres []string) []Kind {
+// exampleKinds returns three kinds for a service.
+func exampleKinds(dataCentres []string) []Kind {
 	var out []Kind
 	for _, name := range []string{"read", "write", "list"} {
 		out = append(out, Kind{
@@ -130,22 +130,23 @@
 	return out
 }
 
-// control is what a cluster spends on control while no calls come, per daemon
-// and second.
-type control struct {
+// controlCost is the cost of control without calls: cpu in percent of a core,
+// rssMB, links, and bytes and messages per second are per daemon; reads per
+// second are of all daemons.
+type controlCost struct {
 	cpu, rssMB, bytes, messages, reads, links float64
 }
 
-func measureControl(c *cluster, window time.Duration) control {
+func measureControl(c *cluster, window time.Duration) controlCost {
 	n := float64(len(c.nodes))
 	before, reads := c.traffic(), c.store.Reads()
-	began, used := time.Now(), processCPU()
+	began, used := time.Now(), processCPUTime()
 	time.Sleep(window)
 	seconds := time.Since(began).Seconds()
 	after := c.traffic()
 	runtime.GC()
-	return control{
-		cpu:      100 * (processCPU() - used).Seconds() / seconds / n,
+	return controlCost{
+		cpu:      100 * (processCPUTime() - used).Seconds() / seconds / n,
 		rssMB:    residentMB() / n,
 		bytes:    float64(after.bytes-before.bytes) / seconds / n,
 		messages: float64(after.messages-before.messages) / seconds / n,
@@ -154,7 +155,8 @@
 	}
 }
 
-// traffic sums what all daemons have sent over links.
+// traffic sums the bytes and messages of all daemons' links, in both
+// directions, and counts the links.
 type traffic struct{ bytes, messages, links int64 }
 
 func (c *cluster) traffic() traffic {
@@ -168,21 +170,21 @@
 	return out
 }
 
-// slopesOfDaemons starts ever more daemons.
-func slopesOfDaemons() ([]*slope, error) {
-	cpu := &slope{name: "control processor time a daemon", unit: "% of a core", per: "daemon"}
-	rss := &slope{name: "memory a daemon (whole process shared out)", unit: "MB", per: "daemon"}
-	bytes := &slope{name: "control bytes a daemon, in and out", unit: "B/s", per: "daemon"}
-	messages := &slope{name: "control messages a daemon", unit: "1/s", per: "daemon"}
-	reads := &slope{name: "platform reads, all daemons", unit: "1/s", per: "daemon"}
-	links := &slope{name: "links a daemon", unit: "links", per: "daemon"}
+// measureDaemons measures the cost of control with a growing number of daemons.
+func measureDaemons() ([]*series, error) {
+	cpu := &series{name: "control processor time a daemon", unit: "% of a core", sizeUnit: "daemon"}
+	rss := &series{name: "memory a daemon (whole process shared out)", unit: "MB", sizeUnit: "daemon"}
+	bytes := &series{name: "control bytes a daemon, in and out", unit: "B/s", sizeUnit: "daemon"}
+	messages := &series{name: "control messages a daemon", unit: "1/s", sizeUnit: "daemon"}
+	reads := &series{name: "platform reads, all daemons", unit: "1/s", sizeUnit: "daemon"}
+	links := &series{name: "links a daemon", unit: "links", sizeUnit: "daemon"}
 	for _, daemons := range []int{3, 30, 100, 300} {
-		c, err := startCluster(bare(daemons, min(daemons, 18), 10), clusterOptions{})
+		c, err := startCluster(daemonsOnly(daemons, min(daemons, 18), 10), clusterOptions{})
 		if err != nil {
 			return nil, err
 		}
 		time.Sleep(2 * time.Second)
-		m := measureControl(c, slopeWindow)
+		m := measureControl(c, controlWindow)
 		c.stop()
 		size := float64(daemons)
 		cpu.add(size, m.cpu)
@@ -192,37 +194,39 @@
 		reads.add(size, m.reads)
 		links.add(size, m.links)
 	}
-	return []*slope{cpu, rss, bytes, messages, reads, links}, nil
+	return []*series{cpu, rss, bytes, messages, reads, links}, nil
 }
 
-// slopesOfMembers gives three daemons ever longer lists of VMs. The others on
-// the list do not exist, which costs no less than if they did.
-func slopesOfMembers() ([]*slope, error) {
-	cpu := &slope{name: "control processor time a daemon", unit: "% of a core", per: "member"}
-	heap := &slope{name: "heap a daemon", unit: "MB", per: "member"}
-	bytes := &slope{name: "control bytes a daemon, in and out", unit: "B/s", per: "member"}
+// measureMembers measures the cost of a growing list of VMs to three daemons.
+// All other VMs on the list do not exist, which costs a daemon as much as if
+// they did.
+func measureMembers() ([]*series, error) {
+	cpu := &series{name: "control processor time a daemon", unit: "% of a core", sizeUnit: "member"}
+	heap := &series{name: "heap a daemon", unit: "MB", sizeUnit: "member"}
+	bytes := &series{name: "control bytes a daemon, in and out", unit: "B/s", sizeUnit: "member"}
 	for _, members := range []int{100, 3000, 21000} {
 		before := heapMB()
-		c, err := startCluster(bare(3, 3, 10), clusterOptions{})
+		c, err := startCluster(daemonsOnly(3, 3, 10), clusterOptions{})
 		if err != nil {
 			return nil, err
 		}
-		c.listStrangers(members - 3)
-		if err := waitFor(readyBound, "the list of members", func() bool { return c.membersKnown() >= members }); err != nil {
+		c.listNonexistentVMs(members - 3)
+		if err := waitFor(readyTimeout, "the list of members", func() bool { return c.minMemberCount() >= members }); err != nil {
 			return nil, err
 		}
 		time.Sleep(2 * time.Second)
-		m := measureControl(c, slopeWindow)
+		m := measureControl(c, controlWindow)
 		size := float64(members)
 		cpu.add(size, m.cpu)
-		// Each daemon stands beside the stand-in's own list, which is one more.
+		// The stand-in store holds one more copy of the list.
 		heap.add(size, (heapMB()-before)/float64(len(c.nodes)+1))
 		bytes.add(size, m.bytes)
 		c.stop()
 	}
-	return []*slope{cpu, heap, bytes}, nil
+	return []*series{cpu, heap, bytes}, nil
 }
 
+// heapMB returns the size of the live heap in MiB.
 func heapMB() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -231,8 +235,8 @@
 	return float64(m.HeapAlloc) / (1 << 20)
 }
 
-// listStrangers adds VMs that do not exist to the platform's list.
-func (c *cluster) listStrangers(count int) {
+// listNonexistentVMs adds VMs that do not exist to the platform's list.
+func (c *cluster) listNonexistentVMs(count int) {
 	var vms []store.VM
 	for _, n := range c.nodes {
 		vms = append(vms, n.vm)
@@ -248,23 +252,24 @@
 	c.store.SetVMs(vms)
 }
 
-// membersKnown is the fewest members that a daemon knows of.
-func (c *cluster) membersKnown() int {
-	least := math.MaxInt
+// minMemberCount returns the smallest number of members that a daemon knows.
+func (c *cluster) minMemberCount() int {
+	fewest := math.MaxInt
 	for _, n := range c.nodes {
-		least = min(least, n.daemon.Members())
+		fewest = min(fewest, n.daemon.Members())
 	}
-	return least
+	return fewest
 }
 
-// slopesOfServices gives three daemons ever larger placements.
-func slopesOfServices() ([]*slope, error) {
-	heap := &slope{name: "heap a daemon", unit: "MB", per: "service"}
-	compile := &slope{name: "compile and hash a version", unit: "ms", per: "service"}
-	size := &slope{name: "whole placement", unit: "bytes", per: "service"}
+// measureServices measures memory, compile time and size of a growing
+// placement.
+func measureServices() ([]*series, error) {
+	heap := &series{name: "heap a daemon", unit: "MB", sizeUnit: "service"}
+	compile := &series{name: "compile and hash a version", unit: "ms", sizeUnit: "service"}
+	size := &series{name: "whole placement", unit: "bytes", sizeUnit: "service"}
 	for _, services := range []int{10, 100, 690} {
 		before := heapMB()
-		d := bare(3, 18, services)
+		d := daemonsOnly(3, 18, services)
 		c, err := startCluster(d, clusterOptions{})
 		if err != nil {
 			return nil, err
@@ -287,27 +292,28 @@
 		compile.add(float64(services), time.Since(began).Seconds()*1000/rounds)
 		size.add(float64(services), float64(len(data)))
 	}
-	return []*slope{heap, compile, size}, nil
+	return []*series{heap, compile, size}, nil
 }
 
-// changesAPoint is how many changes each point of slopesOfChanges makes.
-const changesAPoint = 10
+// changesPerPoint is the number of placement changes at each point of
+// measureChanges.
+const changesPerPoint = 10
 
-// slopesOfChanges measures how long a change takes to be in force at all
-// daemons, and what it costs.
-func slopesOfChanges() ([]*slope, error) {
-	median := &slope{name: "in force everywhere, median", unit: "ms", per: "daemon"}
-	worst := &slope{name: "in force everywhere, worst of ten", unit: "ms", per: "daemon"}
-	bytes := &slope{name: "bytes a change and daemon, in and out", unit: "B", per: "daemon"}
-	writes := &slope{name: "platform writes a change", unit: "writes", per: "daemon"}
+// measureChanges measures how long a placement change takes to be in force at
+// all daemons, and what it costs.
+func measureChanges() ([]*series, error) {
+	median := &series{name: "in force everywhere, median", unit: "ms", sizeUnit: "daemon"}
+	worst := &series{name: "in force everywhere, worst of ten", unit: "ms", sizeUnit: "daemon"}
+	bytes := &series{name: "bytes a change and daemon, in and out", unit: "B", sizeUnit: "daemon"}
+	writes := &series{name: "platform writes a change", unit: "writes", sizeUnit: "daemon"}
 	for _, daemons := range []int{3, 30, 100, 300} {
-		c, err := startCluster(bare(daemons, min(daemons, 18), 100), clusterOptions{})
+		c, err := startCluster(daemonsOnly(daemons, min(daemons, 18), 100), clusterOptions{})
 		if err != nil {
 			return nil, err
 		}
 		time.Sleep(3 * time.Second)
-		quiet := measureControl(c, slopeWindow)
-		times, cost, err := c.changeTimes(changesAPoint, quiet)
+		idle := measureControl(c, controlWindow)
+		times, cost, err := c.changeTimes(changesPerPoint, idle)
 		if err != nil {
 			return nil, err
 		}
@@ -318,19 +324,21 @@
 		bytes.add(size, cost.bytes)
 		writes.add(size, cost.writes)
 	}
-	return []*slope{median, worst, bytes, writes}, nil
+	return []*series{median, worst, bytes, writes}, nil
 }
 
-// changeCost is what one change took, beyond what goes on without changes.
+// changeCost is the cost of one change, without the cost of control that also
+// occurs without changes. bytes are per daemon.
 type changeCost struct{ bytes, writes float64 }
 
-// changeTimes makes changes through daemons in turn and waits for each to be
-// in force everywhere. Times are in milliseconds, sorted.
-func (c *cluster) changeTimes(count int, quiet control) ([]float64, changeCost, error) {
+// changeTimes applies changes through different daemons, one after the other,
+// and waits until each is in force everywhere. The times are in milliseconds,
+// sorted.
+func (c *cluster) changeTimes(count int, idle controlCost) ([]float64, changeCost, error) {
 	var times []float64
 	before, writes, began := c.traffic(), c.store.Writes(), time.Now()
 	for i := range count {
-		took, err := c.change1(c.nodes[i*7%len(c.nodes)], i)
+		took, err := c.applyChange(c.nodes[i*7%len(c.nodes)], i)
 		if err != nil {
 			return nil, changeCost{}, err
 		}
@@ -339,24 +347,25 @@
 	after, seconds := c.traffic(), time.Since(began).Seconds()
 	n := float64(len(c.nodes))
 	cost := changeCost{
-		bytes:  (float64(after.bytes-before.bytes)/n - quiet.bytes*seconds) / float64(count),
+		bytes:  (float64(after.bytes-before.bytes)/n - idle.bytes*seconds) / float64(count),
 		writes: float64(c.store.Writes()-writes) / float64(count),
 	}
 	sort.Float64s(times)
 	return times, cost, nil
 }
 
-// change1 applies one change at a daemon.
-func (c *cluster) change1(at *node, i int) (time.Duration, error) {
-	kind := bareKinds(c.deployment.DataCentres)[0].Placement
+// applyChange applies one change through a daemon and returns the time until it
+// is in force everywhere.
+func (c *cluster) applyChange(at *node, i int) (time.Duration, error) {
+	kind := exampleKinds(c.deployment.DataCentres)[0].Placement
 	kind.Timeout = time.Duration(i+1) * time.Second
 	began := time.Now()
 	version, err := at.daemon.Apply(context.Background(), fmt.Sprintf("change-%d", i), "bench",
 		[]placement.Change{{Op: placement.PutKind, Service: c.deployment.Services[0].Name, Kind: kind}})
 	if err != nil {
-		return 0, errors.Wrap(err, "change")
+		return 0, errors.Wrap(err, "apply a placement change")
 	}
-	err = waitFor(readyBound, "a change to be in force", func() bool {
+	err = waitFor(readyTimeout, "a change to be in force", func() bool {
 		for _, n := range c.nodes {
 			if n.daemon.World.View.Placement().Version < version {
 				return false
