--- a/pkg/bench/cluster.go
+++ b/pkg/bench/cluster.go
@@ -55,11 +55,14 @@
 
 // clusterOptions adapts a cluster.
 type clusterOptions struct {
-	change func(*settings.Settings)
-	// policy makes each daemon's policy; nil takes the one in the settings.
-	policy func(*cluster) choose.Policy
-	// faulty lets the network's faults befall all connections of daemons.
-	faulty bool
+	// adaptSettings changes the settings of each daemon; may be nil.
+	adaptSettings func(*settings.Settings)
+	// newPolicy makes the policy of each daemon; nil uses the one in the
+	// settings.
+	newPolicy func(*cluster) choose.Policy
+	// injectFaults subjects the connections between daemons to the faults of
+	// network.
+	injectFaults bool
 }
 
 // startCluster starts the stand-ins and the daemons, and waits until all
@@ -68,7 +71,7 @@
 	c := &cluster{
 		clock:      precise.NewClock(),
 		deployment: d, store: fakestore.New(), endpoints: map[string]endpoint{}, network: newNetwork(),
-		adaptSettings: opts.change, newPolicy: opts.policy, injectFaults: opts.faulty,
+		adaptSettings: opts.adaptSettings, newPolicy: opts.newPolicy, injectFaults: opts.injectFaults,
 	}
 	if err := c.applyPlacement(); err != nil {
 		return nil, err
--- a/pkg/bench/faults.go
+++ b/pkg/bench/faults.go
@@ -97,7 +97,7 @@
 // RunFaults runs a deployment with faults. It returns an error when the run
 // itself fails; violations are in the report.
 func RunFaults(d *Deployment, seed uint64) (*FaultReport, error) {
-	c, err := startCluster(d, clusterOptions{faulty: true, change: func(s *settings.Settings) {
+	c, err := startCluster(d, clusterOptions{injectFaults: true, adaptSettings: func(s *settings.Settings) {
 		s.Drain.Bound = 5 * time.Second
 		s.Platform.VMListEvery = 200 * time.Millisecond
 	}})
--- a/pkg/bench/run.go
+++ b/pkg/bench/run.go
@@ -109,7 +109,7 @@
 	if err := applySettings(assignments, &settings.Settings{}); err != nil {
 		return clusterOptions{}, err
 	}
-	out := clusterOptions{change: func(s *settings.Settings) {
+	out := clusterOptions{adaptSettings: func(s *settings.Settings) {
 		if name != "" && name != oracleName {
 			s.Choosing.Policy = name
 		}
@@ -123,7 +123,7 @@
 		}
 	}}
 	if name == oracleName {
-		out.policy = newOracle
+		out.newPolicy = newOracle
 	}
 	return out, nil
 }
