--- a/pkg/burn/command.go
+++ b/pkg/burn/command.go
@@ -12,6 +12,7 @@
 	"github.com/spf13/cobra"
 )
 
+// options holds the values of the command's flags.
 type options struct {
 	objectives string
 	samples    string
@@ -21,7 +22,7 @@
 	html       string
 }
 
-// NewCommand makes the command line of rushramp-burn.
+// NewCommand returns the root command of rushramp-burn.
 func NewCommand() *cobra.Command {
 	o := &options{}
 	cmd := &cobra.Command{
@@ -35,9 +36,9 @@
 	}
 	flags := cmd.Flags()
 	flags.StringVar(&o.objectives, "objectives", "objectives.yaml", "file with the daemons and the objectives")
-	flags.StringVar(&o.samples, "samples", "burn-samples.jsonl", "file in which this tool keeps its samples")
-	flags.DurationVar(&o.watch, "watch", 0, "take a sample each time this has passed; 0: one sample")
-	flags.IntVar(&o.times, "times", 2, "how many samples --watch takes")
+	flags.StringVar(&o.samples, "samples", "burn-samples.jsonl", "file in which this tool stores its samples")
+	flags.DurationVar(&o.watch, "watch", 0, "interval between samples; 0 takes a single sample")
+	flags.IntVar(&o.times, "times", 2, "number of samples that --watch takes")
 	flags.BoolVar(&o.json, "json", false, "print the report as JSON")
 	flags.StringVar(&o.html, "html", "", "write the report with plots to this file")
 	return cmd
@@ -52,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	samples, err = o.take(objectives, samples)
+	samples, err = o.takeSamples(objectives, samples)
 	if err != nil {
 		return err
 	}
@@ -65,13 +66,15 @@
 	if o.json {
 		enc := json.NewEncoder(out)
 		enc.SetIndent("", "  ")
-		return errors.Wrap(enc.Encode(report), "report")
+		return errors.Wrap(enc.Encode(report), "encode the report")
 	}
 	o.print(out, &report)
 	return nil
 }
 
-func (o *options) take(objectives *Objectives, samples []Sample) ([]Sample, error) {
+// takeSamples appends one sample, or with --watch as many as --times says, and
+// saves the file after each. It fails when no daemon answers.
+func (o *options) takeSamples(objectives *Objectives, samples []Sample) ([]Sample, error) {
 	count := 1
 	if o.watch > 0 {
 		count = o.times
@@ -113,14 +116,17 @@
 	}
 	_ = w.Flush()
 	for _, l := range r.Objectives {
-		printParts(out, &l)
+		printContributions(out, &l)
 	}
 }
 
-// mostParts is how many places of each sort are printed.
-const mostParts = 3
+// maxContributions limits how many data centres, backend servers or outcomes
+// are printed per objective.
+const maxContributions = 3
 
-func printParts(out io.Writer, l *ObjectiveReport) {
+// printContributions prints where the bad calls of an objective come from, over
+// the longest window.
+func printContributions(out io.Writer, l *ObjectiveReport) {
 	if l.Burns[len(l.Burns)-1].Bad == 0 {
 		return
 	}
@@ -130,7 +136,7 @@
 		parts []Contribution
 	}{{"data centre", l.DataCentres}, {"backend server", l.Servers}, {"outcome", l.Outcomes}} {
 		for i, p := range group.parts {
-			if i == mostParts || p.Bad == 0 {
+			if i == maxContributions || p.Bad == 0 {
 				break
 			}
 			fmt.Fprintf(out, "  %s %s: %.0f of %.0f calls bad, %.0f%% of all bad\n", group.name, p.Name, p.Bad, p.Calls, 100*p.Share)
@@ -141,11 +147,11 @@
 func writeHTML(path string, r *Report) error {
 	file, err := os.Create(path)
 	if err != nil {
-		return errors.Wrap(err, "HTML report")
+		return errors.Wrap(err, "write the HTML report")
 	}
 	if err := page.Execute(file, viewOf(r)); err != nil {
 		_ = file.Close()
-		return errors.Wrap(err, "HTML report")
+		return errors.Wrap(err, "write the HTML report")
 	}
-	return errors.Wrap(file.Close(), "HTML report")
+	return errors.Wrap(file.Close(), "write the HTML report")
 }
--- a/pkg/burn/html.go
+++ b/pkg/burn/html.go
@@ -19,19 +19,19 @@
 
 var page = template.Must(template.New("report").Parse(pageText))
 
-// view is what the page shows.
+// view is the data of the page template.
 type view struct {
 	At      string
 	Samples int
 	Missing []string
-	Lines   []lineView
+	Lines   []objectiveView
 }
 
-type lineView struct {
+type objectiveView struct {
 	ObjectiveReport
 	Name  string
 	State string
-	// Plot is an SVG that this package drew.
+	// Plot is an SVG drawn by this package, so it needs no escaping.
 	Plot   template.HTML
 	Groups []groupView
 }
@@ -41,25 +41,25 @@
 	Parts []Contribution
 }
 
-// Percent is a share for people.
+// Percent formats Share as a percentage.
 func (p Contribution) Percent() string { return fmt.Sprintf("%.0f%%", 100*p.Share) }
 
-// Percent is the budget left, for people.
-func (l lineView) Percent() float64 { return 100 * l.BudgetLeft }
+// Percent returns BudgetLeft in percent.
+func (l objectiveView) Percent() float64 { return 100 * l.BudgetLeft }
 
 func viewOf(r *Report) view {
 	out := view{At: r.At.UTC().Format(time.RFC1123), Samples: r.Samples, Missing: r.Missing}
 	for _, l := range r.Objectives {
-		out.Lines = append(out.Lines, lineView{
-			ObjectiveReport: l, Name: l.Objective.Service + " / " + l.Objective.Kind, State: stateOf(&l), Plot: plotOf(&l),
+		out.Lines = append(out.Lines, objectiveView{
+			ObjectiveReport: l, Name: l.Objective.Service + " / " + l.Objective.Kind, State: cssClass(&l), Plot: plotOf(&l),
 			Groups: []groupView{{"Data centre", l.DataCentres}, {"Backend server", l.Servers}, {"Outcome", l.Outcomes}},
 		})
 	}
 	return out
 }
 
-// stateOf is the colour class of an objective.
-func stateOf(l *ObjectiveReport) string {
+// cssClass returns the CSS class that colours an objective's section.
+func cssClass(l *ObjectiveReport) string {
 	switch {
 	case l.Alarm != "":
 		return "alarm"
@@ -74,7 +74,9 @@
 	plotHeight = 5 * vg.Centimeter
 )
 
-// plotOf draws the share of bad calls over time, with the objective's line.
+// plotOf draws the share of bad calls over time next to the share that the
+// objective allows. It returns an empty string when there is too little to draw
+// or drawing fails.
 func plotOf(l *ObjectiveReport) template.HTML {
 	if len(l.Points) < 2 {
 		return ""
@@ -108,7 +110,7 @@
 	if _, err := canvas.WriteTo(&out); err != nil {
 		return ""
 	}
-	// An XML declaration has no place inside a page.
+	// Drop the XML declaration, which is not allowed inside an HTML page.
 	svg := out.Bytes()
 	if at := bytes.Index(svg, []byte("<svg")); at > 0 {
 		svg = svg[at:]
--- a/pkg/burn/objectives.go
+++ b/pkg/burn/objectives.go
@@ -1,6 +1,7 @@
-// Package burn reports how fast services burn their error budgets: from the
-// daemons' metrics, over short and long windows, by data centre and backend
-// server. VMs keep nothing, so the tool keeps its samples in a file where it
+// Package burn reports the burn rates of services' error budgets. It reads the
+// daemons' metrics and works out the rates over short and long windows, and
+// each data centre's and backend server's share of the bad calls. VMs keep no
+// history, so the tool stores its samples in a file on the machine where it
 // runs. Source: docs/operators/burn.md.
 package burn
 
@@ -13,25 +14,26 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// Objectives is the file of objectives.
+// Objectives is the content of the objectives file.
 type Objectives struct {
-	// Daemons are the metrics addresses to read.
+	// Daemons lists the metrics addresses (host:port) to scrape.
 	Daemons []string `yaml:"daemons" validate:"required,min=1"`
-	// Objectives are what the services promise.
+	// Objectives lists the service-level objectives to report on.
 	Objectives []Objective `yaml:"objectives" validate:"required,dive"`
 }
 
-// Objective is what one kind of request promises.
+// Objective is the service-level objective of one kind of request.
 type Objective struct {
 	Service string `yaml:"service" validate:"required"`
 	Kind    string `yaml:"kind" validate:"required"`
-	// Within is the time in which a call must be answered.
+	// Within is the longest answer time of a good call.
 	Within time.Duration `yaml:"within" validate:"required"`
-	// Share is the share of calls that must be.
+	// Share is the target: the share of calls that must be good, between 0 and
+	// 1.
 	Share float64 `yaml:"share" validate:"gt=0,lt=1"`
 }
 
-// LoadObjectives reads and checks the file.
+// LoadObjectives reads and validates the objectives file at path.
 func LoadObjectives(path string) (*Objectives, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// window is one of the pairs of windows by which a burn is judged: a short one,
-// which shows that it goes on, and a long one, which shows that it matters.
-// Source: "The Site Reliability Workbook", chapter 5.
+// window is a time span over which a burn rate is computed. An alarm needs a
+// high rate in both windows of a pair: the long window shows that much of the
+// budget is gone, the short one that the burn still goes on. Source: "The Site
+// Reliability Workbook", chapter 5.
 type window struct {
 	name string
 	long time.Duration
@@ -20,17 +21,20 @@
 	{"6h", 6 * time.Hour},
 }
 
-// Burn is how fast one objective's budget burns in one window. A rate of 1
-// spends exactly the budget.
+// Burn is the burn rate of one objective in one window. A rate of 1 spends
+// exactly the error budget.
 type Burn struct {
-	Window string  `json:"window"`
+	Window string `json:"window"`
+	// Covers is the time between the samples used; it is shorter than Window
+	// while there are too few samples.
 	Covers string  `json:"covers"`
 	Calls  float64 `json:"calls"`
 	Bad    float64 `json:"bad"`
 	Rate   float64 `json:"rate"`
 }
 
-// Contribution is what one place contributes to the bad calls of an objective.
+// Contribution is what one data centre, backend server or outcome adds to the
+// bad calls of an objective.
 type Contribution struct {
 	Name  string  `json:"name"`
 	Calls float64 `json:"calls"`
@@ -43,14 +47,16 @@
 type ObjectiveReport struct {
 	Objective Objective `json:"objective"`
 	Burns     []Burn    `json:"burns"`
-	// BudgetLeft is the share of the longest window's budget that is unspent.
+	// BudgetLeft is the unspent share of the longest window's error budget; it
+	// is negative when the budget is overspent.
 	BudgetLeft float64 `json:"budget_left"`
-	// Alarm is set when both windows of a pair burn fast.
+	// Alarm is "fast" or "slow" when both windows of that pair burn too fast,
+	// and empty otherwise.
 	Alarm       string         `json:"alarm,omitempty"`
 	DataCentres []Contribution `json:"data_centres"`
 	Servers     []Contribution `json:"servers"`
 	Outcomes    []Contribution `json:"outcomes"`
-	// Points are bad shares over time, for the plot.
+	// Points holds the share of bad calls over time, for the plot.
 	Points []Point `json:"points"`
 }
 
@@ -60,7 +66,7 @@
 	Bad float64   `json:"bad"`
 }
 
-// Report is the whole report.
+// Report is the report on all objectives.
 type Report struct {
 	At         time.Time         `json:"at"`
 	Samples    int               `json:"samples"`
@@ -68,7 +74,7 @@
 	Objectives []ObjectiveReport `json:"objectives"`
 }
 
-// NewReport reports on the samples, oldest first.
+// NewReport computes the report from samples sorted oldest first.
 func NewReport(objectives []Objective, samples []Sample) Report {
 	out := Report{Samples: len(samples)}
 	if len(samples) == 0 {
@@ -77,38 +83,38 @@
 	last := samples[len(samples)-1]
 	out.At, out.Missing = last.At, last.Missing
 	for _, o := range objectives {
-		out.Objectives = append(out.Objectives, makeLine(o, samples))
+		out.Objectives = append(out.Objectives, newObjectiveReport(o, samples))
 	}
 	return out
 }
 
-func makeLine(o Objective, samples []Sample) ObjectiveReport {
+func newObjectiveReport(o Objective, samples []Sample) ObjectiveReport {
 	out := ObjectiveReport{Objective: o, BudgetLeft: 1}
 	last := samples[len(samples)-1]
 	rates := map[string]float64{}
-	var widest []CallHistogram
+	var longest []CallHistogram
 	for _, w := range windows {
-		first := firstOf(samples, last.At.Add(-w.long))
-		grown := growth(first, last)
-		calls, bad := judge(o, grown)
+		first := windowStart(samples, last.At.Add(-w.long))
+		increased := increase(first, last)
+		calls, bad := countBad(o, increased)
 		b := Burn{Window: w.name, Covers: last.At.Sub(first.At).Round(time.Second).String(), Calls: calls, Bad: bad}
 		if calls > 0 {
 			b.Rate = bad / calls / (1 - o.Share)
 		}
 		rates[w.name] = b.Rate
 		out.Burns = append(out.Burns, b)
-		widest = grown
+		longest = increased
 		out.BudgetLeft = 1 - b.Rate
 	}
 	out.Alarm = alarm(rates)
-	out.DataCentres = parts(o, widest, func(c *CallHistogram) string { return c.DataCentre })
-	out.Servers = parts(o, widest, func(c *CallHistogram) string { return c.Server })
-	out.Outcomes = parts(o, widest, func(c *CallHistogram) string { return c.Outcome })
-	out.Points = points(o, samples)
+	out.DataCentres = contributions(o, longest, func(h *CallHistogram) string { return h.DataCentre })
+	out.Servers = contributions(o, longest, func(h *CallHistogram) string { return h.Server })
+	out.Outcomes = contributions(o, longest, func(h *CallHistogram) string { return h.Outcome })
+	out.Points = badShares(o, samples)
 	return out
 }
 
-// The burn rates at which an alarm is raised, for a month's budget.
+// The burn rates that raise an alarm, for a budget of one month.
 const (
 	fastBurn = 14.4
 	slowBurn = 6
@@ -124,9 +130,9 @@
 	return ""
 }
 
-// firstOf is the newest sample that is at least as old as a moment, or the
-// oldest there is.
-func firstOf(samples []Sample, at time.Time) Sample {
+// windowStart returns the newest sample taken at or before the given time, or
+// the oldest sample when all are newer.
+func windowStart(samples []Sample, at time.Time) Sample {
 	out := samples[0]
 	for _, s := range samples {
 		if !s.At.After(at) {
@@ -136,68 +142,72 @@
 	return out
 }
 
-// growth is what was counted between two samples. A count that fell belongs to
-// a daemon that was started again: it began anew from 0.
-func growth(first, last Sample) []CallHistogram {
+// increase returns what was counted between two samples. A count that went down
+// belongs to a restarted daemon, which counts from 0 again.
+func increase(first, last Sample) []CallHistogram {
 	before := map[string]map[string]float64{}
 	for i := range first.Histograms {
 		before[first.Histograms[i].key()] = first.Histograms[i].Buckets
 	}
 	var out []CallHistogram
 	for i := range last.Histograms {
-		c := last.Histograms[i]
-		grown := map[string]float64{}
-		for bound, n := range c.Buckets {
-			was := before[c.key()][bound]
-			if n < was {
-				was = 0
+		h := last.Histograms[i]
+		increased := map[string]float64{}
+		for bound, n := range h.Buckets {
+			previous := before[h.key()][bound]
+			if n < previous {
+				previous = 0
 			}
-			grown[bound] = n - was
+			increased[bound] = n - previous
 		}
-		c.Buckets = grown
-		out = append(out, c)
+		h.Buckets = increased
+		out = append(out, h)
 	}
 	return out
 }
 
-func (o *Objective) covers(c *CallHistogram) bool {
-	return c.Service == o.Service && c.Kind == o.Kind
+func (o *Objective) matches(h *CallHistogram) bool {
+	return h.Service == o.Service && h.Kind == o.Kind
 }
 
-func judge(o Objective, counts []CallHistogram) (calls, bad float64) {
-	for i := range counts {
-		if c := &counts[i]; o.covers(c) {
-			calls += c.total()
-			bad += c.total() - c.within(o.Within)
+// countBad sums the calls that the objective covers, and those of them that
+// failed or took too long.
+func countBad(o Objective, histograms []CallHistogram) (calls, bad float64) {
+	for i := range histograms {
+		if h := &histograms[i]; o.matches(h) {
+			calls += h.total()
+			bad += h.total() - h.within(o.Within)
 		}
 	}
 	return calls, bad
 }
 
-func parts(o Objective, counts []CallHistogram, by func(*CallHistogram) string) []Contribution {
-	found := map[string]*Contribution{}
-	all := 0.0
-	for i := range counts {
-		c := &counts[i]
-		if !o.covers(c) {
+// contributions groups the objective's calls by the name that by returns, most
+// bad calls first.
+func contributions(o Objective, histograms []CallHistogram, by func(*CallHistogram) string) []Contribution {
+	byName := map[string]*Contribution{}
+	totalBad := 0.0
+	for i := range histograms {
+		h := &histograms[i]
+		if !o.matches(h) {
 			continue
 		}
-		name := by(c)
+		name := by(h)
 		if name == "" {
 			name = "none"
 		}
-		if found[name] == nil {
-			found[name] = &Contribution{Name: name}
+		if byName[name] == nil {
+			byName[name] = &Contribution{Name: name}
 		}
-		bad := c.total() - c.within(o.Within)
-		found[name].Calls += c.total()
-		found[name].Bad += bad
-		all += bad
+		bad := h.total() - h.within(o.Within)
+		byName[name].Calls += h.total()
+		byName[name].Bad += bad
+		totalBad += bad
 	}
-	out := make([]Contribution, 0, len(found))
-	for _, p := range found {
-		if all > 0 {
-			p.Share = p.Bad / all
+	out := make([]Contribution, 0, len(byName))
+	for _, p := range byName {
+		if totalBad > 0 {
+			p.Share = p.Bad / totalBad
 		}
 		out = append(out, *p)
 	}
@@ -210,10 +220,11 @@
 	return out
 }
 
-func points(o Objective, samples []Sample) []Point {
+// badShares returns the share of bad calls between each two successive samples.
+func badShares(o Objective, samples []Sample) []Point {
 	var out []Point
 	for i := 1; i < len(samples); i++ {
-		calls, bad := judge(o, growth(samples[i-1], samples[i]))
+		calls, bad := countBad(o, increase(samples[i-1], samples[i]))
 		if calls > 0 {
 			out = append(out, Point{At: samples[i].At, Bad: bad / calls})
 		}
--- a/pkg/burn/report_test.go
+++ b/pkg/burn/report_test.go
@@ -11,7 +11,7 @@
 
 var start = time.Date(2026, 12, 2, 12, 0, 0, 0, time.UTC)
 
-func count(server, outcome string, fast, slow float64) CallHistogram {
+func histogram(server, outcome string, fast, slow float64) CallHistogram {
 	return CallHistogram{
 		Service: "glyphserve", Kind: "subset", DataCentre: "dc-" + server, Server: server, Outcome: outcome,
 		Buckets: map[string]float64{"1.000e-02": fast, "1.000e+00": slow},
@@ -22,13 +22,14 @@
 	return []Objective{{Service: "glyphserve", Kind: "subset", Within: 50 * time.Millisecond, Share: 0.99}}
 }
 
-func TestBurnNamesThePlace(t *testing.T) {
+func TestReportAttributesBadCallsToTheirSource(t *testing.T) {
 	samples := []Sample{
-		{At: start, Histograms: []CallHistogram{count("a", answered, 100, 0), count("b", answered, 100, 0)}},
-		{At: start.Add(4 * time.Minute), Histograms: []CallHistogram{count("a", answered, 1000, 0), count("b", answered, 700, 200), count("b", "overloaded", 100, 0)}},
+		{At: start, Histograms: []CallHistogram{histogram("a", answered, 100, 0), histogram("b", answered, 100, 0)}},
+		{At: start.Add(4 * time.Minute), Histograms: []CallHistogram{histogram("a", answered, 1000, 0), histogram("b", answered, 700, 200), histogram("b", "overloaded", 100, 0)}},
 	}
 	line := NewReport(objective(), samples).Objectives[0]
-	// 900 calls at a, 800 and 100 refused at b, of which 300 were bad.
+	// Server a answers 900 calls. Server b answers 800, of which 200 are slow, and
+	// refuses 100.
 	burn := line.Burns[0]
 	test.Eq(t, 1800, burn.Calls)
 	test.Eq(t, 300, burn.Bad)
@@ -42,17 +43,17 @@
 	test.Negative(t, line.BudgetLeft)
 }
 
-func TestARestartedDaemonBeginsAnew(t *testing.T) {
+func TestRestartedDaemonCountsFromZero(t *testing.T) {
 	samples := []Sample{
-		{At: start, Histograms: []CallHistogram{count("a", answered, 1000, 50)}},
-		{At: start.Add(time.Minute), Histograms: []CallHistogram{count("a", answered, 10, 1)}},
+		{At: start, Histograms: []CallHistogram{histogram("a", answered, 1000, 50)}},
+		{At: start.Add(time.Minute), Histograms: []CallHistogram{histogram("a", answered, 10, 1)}},
 	}
 	burn := NewReport(objective(), samples).Objectives[0].Burns[0]
 	test.Eq(t, 11, burn.Calls)
 	test.Eq(t, 1, burn.Bad)
 }
 
-func TestParseReadsTheDaemonsMetrics(t *testing.T) {
+func TestParseDaemonMetrics(t *testing.T) {
 	text := `rushramp_served_seconds_bucket{service="s",kind="k",data_centre="d",server="vm",outcome="answered",vmrange="4.084e-03...4.642e-03"} 7
 rushramp_served_seconds_bucket{service="s",kind="k",data_centre="d",server="vm",outcome="answered",vmrange="1.000e-01...1.136e-01"} 2
 rushramp_served_seconds_sum{service="s",kind="k",data_centre="d",server="vm",outcome="answered"} 1.5
--- a/pkg/burn/sample.go
+++ b/pkg/burn/sample.go
@@ -15,92 +15,97 @@
 	"github.com/pkg/errors"
 )
 
-// CallHistogram is the calls of one kind, at one place, up to a moment.
+// CallHistogram counts the calls of one kind, place and outcome since the
+// daemon's start, by answer time.
 type CallHistogram struct {
 	Service    string `json:"service"`
 	Kind       string `json:"kind"`
 	DataCentre string `json:"data_centre"`
-	// Server is the backend server that ran the calls; empty where none did.
+	// Server is the backend server that ran the calls; empty when none did.
 	Server string `json:"server"`
 	// Outcome is "answered" or an error kind.
 	Outcome string `json:"outcome"`
-	// Buckets are counts by the upper bound of the answer time in seconds.
+	// Buckets maps the upper bound of an answer time, in seconds, to the calls
+	// in that bucket.
 	Buckets map[string]float64 `json:"buckets"`
 }
 
-func (c *CallHistogram) key() string {
-	return strings.Join([]string{c.Service, c.Kind, c.DataCentre, c.Server, c.Outcome}, "\x00")
+func (h *CallHistogram) key() string {
+	return strings.Join([]string{h.Service, h.Kind, h.DataCentre, h.Server, h.Outcome}, "\x00")
 }
 
-// Sample is all counts of all daemons that were read at one moment.
+// Sample holds the histograms of all daemons, read at one moment.
 type Sample struct {
-	At         time.Time   `json:"at"`
+	At         time.Time       `json:"at"`
 	Histograms []CallHistogram `json:"counts"`
-	// Missing are daemons that did not answer.
+	// Missing lists the daemons that did not answer.
 	Missing []string `json:"missing,omitempty"`
-	// StartTimes tell daemons that were started again since: their counts begin
-	// anew.
+	// StartTimes holds each daemon's process start time, in Unix seconds.
 	StartTimes map[string]float64 `json:"starts"`
 }
 
-const readTime = 2 * time.Second
+const readTimeout = 2 * time.Second
 
-// TakeSample takes a sample of all daemons.
+// TakeSample scrapes all daemons. Those that do not answer are listed in
+// Missing.
 func TakeSample(daemons []string, now time.Time) Sample {
 	out := Sample{At: now, StartTimes: map[string]float64{}}
-	client := &http.Client{Timeout: readTime}
+	client := &http.Client{Timeout: readTimeout}
 	for _, d := range daemons {
 		resp, err := client.Get("http://" + d + "/metrics")
 		if err != nil {
 			out.Missing = append(out.Missing, d)
 			continue
 		}
-		counts, started := parse(resp.Body)
+		histograms, started := parse(resp.Body)
 		_ = resp.Body.Close()
-		out.Histograms = append(out.Histograms, counts...)
+		out.Histograms = append(out.Histograms, histograms...)
 		out.StartTimes[d] = started
 	}
 	return out
 }
 
-// line is a histogram's bucket as the daemons write it.
-var line = regexp.MustCompile(`^rushramp_served_seconds_bucket\{service="([^"]*)",kind="([^"]*)",data_centre="([^"]*)",server="([^"]*)",outcome="([^"]*)",vmrange="[^"]*\.\.\.([^"]*)"\} (\S+)$`)
+// bucketLine matches a histogram bucket in the daemons' metrics output.
+var bucketLine = regexp.MustCompile(`^rushramp_served_seconds_bucket\{service="([^"]*)",kind="([^"]*)",data_centre="([^"]*)",server="([^"]*)",outcome="([^"]*)",vmrange="[^"]*\.\.\.([^"]*)"\} (\S+)$`)
 
-func parse(text io.Reader) (counts []CallHistogram, started float64) {
-	by := map[string]*CallHistogram{}
+// parse reads a daemon's metrics output. started is the process start time in
+// Unix seconds.
+func parse(text io.Reader) (out []CallHistogram, started float64) {
+	histograms := map[string]*CallHistogram{}
 	scanner := bufio.NewScanner(text)
 	for scanner.Scan() {
 		if value, ok := strings.CutPrefix(scanner.Text(), "process_start_time_seconds "); ok {
 			started, _ = strconv.ParseFloat(value, 64)
 		}
-		m := line.FindStringSubmatch(scanner.Text())
+		m := bucketLine.FindStringSubmatch(scanner.Text())
 		if m == nil {
 			continue
 		}
-		c := CallHistogram{Service: m[1], Kind: m[2], DataCentre: m[3], Server: m[4], Outcome: m[5]}
-		if by[c.key()] == nil {
-			c.Buckets = map[string]float64{}
-			by[c.key()] = &c
+		h := CallHistogram{Service: m[1], Kind: m[2], DataCentre: m[3], Server: m[4], Outcome: m[5]}
+		if histograms[h.key()] == nil {
+			h.Buckets = map[string]float64{}
+			histograms[h.key()] = &h
 		}
 		n, err := strconv.ParseFloat(m[7], 64)
 		if err == nil {
-			by[c.key()].Buckets[m[6]] += n
+			histograms[h.key()].Buckets[m[6]] += n
 		}
 	}
-	for _, c := range by {
-		counts = append(counts, *c)
+	for _, h := range histograms {
+		out = append(out, *h)
 	}
-	return counts, started
+	return out, started
 }
 
-// LoadSamples reads the samples kept in a file; none when there is no file yet.
+// LoadSamples reads the samples stored in a file. It returns none when the file
+// does not exist.
 func LoadSamples(path string) ([]Sample, error) {
 	file, err := os.Open(path)
 	if os.IsNotExist(err) {
 		return nil, nil
 	}
 	if err != nil {
-		return nil, errors.Wrap(err, "samples")
+		return nil, errors.Wrap(err, "open the samples file")
 	}
 	defer func() { _ = file.Close() }()
 	var out []Sample
@@ -110,54 +115,58 @@
 		if err := dec.Decode(&s); errors.Is(err, io.EOF) {
 			return out, nil
 		} else if err != nil {
-			return nil, errors.Errorf("%s cannot be read: %v. Move it away to begin anew.", path, err)
+			return nil, errors.Errorf("cannot read the samples in %s: %v. Move the file away to start without samples.", path, err)
 		}
 		out = append(out, s)
 	}
 }
 
-// keepSamplesFor is a little over the longest window.
-const keepSamplesFor = 7 * time.Hour
+// sampleRetention is a little longer than the longest window.
+const sampleRetention = 7 * time.Hour
 
-// SaveSamples writes the samples that windows can still need.
+// SaveSamples replaces the file with those samples that are still needed for a
+// window at the time now.
 func SaveSamples(path string, samples []Sample, now time.Time) error {
 	temporary := path + ".new"
 	file, err := os.Create(temporary)
 	if err != nil {
-		return errors.Wrap(err, "samples")
+		return errors.Wrap(err, "write the samples file")
 	}
 	enc := json.NewEncoder(file)
 	for _, s := range samples {
-		if now.Sub(s.At) > keepSamplesFor {
+		if now.Sub(s.At) > sampleRetention {
 			continue
 		}
 		if err := enc.Encode(s); err != nil {
 			_ = file.Close()
-			return errors.Wrap(err, "samples")
+			return errors.Wrap(err, "write the samples file")
 		}
 	}
 	if err := file.Close(); err != nil {
-		return errors.Wrap(err, "samples")
+		return errors.Wrap(err, "write the samples file")
 	}
-	return errors.Wrap(os.Rename(temporary, path), "samples")
+	return errors.Wrap(os.Rename(temporary, path), "write the samples file")
 }
 
-// total sums a count's buckets; within sums those whose bound is at most a time.
-func (c *CallHistogram) total() float64 { return c.upTo(math.Inf(1)) }
+// total returns the number of calls in all buckets.
+func (h *CallHistogram) total() float64 { return h.countUpTo(math.Inf(1)) }
 
-func (c *CallHistogram) within(d time.Duration) float64 {
-	if c.Outcome != answered {
+// within returns the number of calls answered within d.
+func (h *CallHistogram) within(d time.Duration) float64 {
+	if h.Outcome != answered {
 		return 0
 	}
-	// A bucket that the time falls into counts as within when its upper bound
-	// is no more than a tenth above it: buckets are some tenth wide.
+	// Buckets are about a tenth wide. The bucket that d falls into counts as
+	// within d: its upper bound is at most a tenth above d.
 	const bucketWidth = 1.1
-	return c.upTo(d.Seconds() * bucketWidth)
+	return h.countUpTo(d.Seconds() * bucketWidth)
 }
 
-func (c *CallHistogram) upTo(seconds float64) float64 {
+// countUpTo returns the number of calls in the buckets up to an upper bound in
+// seconds.
+func (h *CallHistogram) countUpTo(seconds float64) float64 {
 	sum := 0.0
-	for bound, n := range c.Buckets {
+	for bound, n := range h.Buckets {
 		upper, err := strconv.ParseFloat(bound, 64)
 		if err == nil && upper <= seconds {
 			sum += n
@@ -166,4 +175,5 @@
 	return sum
 }
 
+// answered is the outcome of calls that a backend server answered.
 const answered = "answered"
