--- a/pkg/standin/backend/backend.go
+++ b/pkg/standin/backend/backend.go
@@ -1,7 +1,7 @@
-// Package backend is a small stand-in for a backend server: slots, service
-// times, slow-down, shedding, fast failures, cold start, cancellation, and load
-// and health pages that lag or mislead. Its ledger says which calls it really
-// ran. Source: brief, "What the platform gives" and "What fails".
+// Package backend is a stand-in for a backend server. It has slots and service
+// times, and can slow down, shed calls, fail fast, start cold and cancel calls;
+// its load page can lag or report no load. Its ledger records which calls it
+// really ran. Source: brief, "What the platform gives" and "What fails".
 package backend
 
 import (
@@ -11,34 +11,36 @@
 	"time"
 )
 
-// Faults is how the stand-in misbehaves.
+// Faults sets how the stand-in misbehaves. The zero value is no fault.
 type Faults struct {
-	// Speed is how fast work proceeds; 1 is usual, 0.1 is slowed tenfold. 0
-	// stands for 1.
+	// Speed scales how fast calls run: 1 is normal, 0.1 is ten times slower. 0
+	// means 1.
 	Speed float64 `yaml:"speed" json:"speed"`
 	// FailFast answers each call at once with status 500, without running it.
 	FailFast bool `yaml:"fail_fast" json:"fail_fast"`
 	// ReportZero makes the load page report no load.
 	ReportZero bool `yaml:"report_zero" json:"report_zero"`
-	// ReportLag is the age of what the load page reports.
+	// ReportLag is the age of the load that the load page reports.
 	ReportLag time.Duration `yaml:"report_lag" json:"report_lag"`
-	// CutAnswers breaks off the connection in the middle of each answer.
+	// CutAnswers closes the connection in the middle of each answer.
 	CutAnswers bool `yaml:"cut_answers" json:"cut_answers"`
 }
 
-// Options are the size of the stand-in.
+// Options sets the size and the start-up behaviour of the stand-in.
 type Options struct {
-	// Slots is how many calls run at once; more are shed with status 503.
+	// Slots is the number of calls that run at the same time; calls beyond it
+	// are shed with status 503.
 	Slots int
 	// ColdFor is how long the stand-in runs at ColdSpeed after its start.
 	ColdFor   time.Duration
 	ColdSpeed float64
-	// After wakes a call when its time has passed; nil takes the runtime's
-	// timers, which are late by up to a millisecond.
+	// After returns a channel that is closed after the duration; nil uses the
+	// runtime's timers, which may fire up to a millisecond late.
 	After func(time.Duration) <-chan struct{}
 }
 
-// Backend is the stand-in. It is safe for concurrent use.
+// Backend is the stand-in for one backend server. It is safe for concurrent
+// use.
 type Backend struct {
 	opts    Options
 	started time.Time
@@ -51,7 +53,7 @@
 
 	running atomic.Int64
 	shed    atomic.Int64
-	// loads are past values of running, for a load page that lags.
+	// loads holds past values of running, for a load page that lags.
 	loads []loadSample
 }
 
@@ -60,10 +62,10 @@
 	running int64
 }
 
-// New makes a stand-in.
+// New returns a stand-in without faults.
 func New(opts Options) *Backend {
 	if opts.After == nil {
-		opts.After = after
+		opts.After = runtimeAfter
 	}
 	b := &Backend{
 		opts:    opts,
@@ -75,17 +77,17 @@
 	return b
 }
 
-// Ledger returns the record of what really ran.
+// Ledger returns the record of the calls that began to run.
 func (b *Backend) Ledger() *Ledger { return b.ledger }
 
-// Shed counts calls that came while all slots were taken.
+// Shed returns the number of calls rejected because all slots were taken.
 func (b *Backend) Shed() int64 { return b.shed.Load() }
 
-// Running counts the calls that run now.
+// Running returns the number of calls running now.
 func (b *Backend) Running() int64 { return b.running.Load() }
 
-// SetFaults replaces the faults in force. Running work changes its speed at
-// once.
+// SetFaults replaces the current faults. A new speed also applies to calls that
+// already run.
 func (b *Backend) SetFaults(f Faults) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -94,22 +96,24 @@
 	b.changed = make(chan struct{})
 }
 
-// SetSpeed changes only the speed.
+// SetSpeed changes the speed and leaves the other faults as they are.
 func (b *Backend) SetSpeed(speed float64) {
 	f := b.CurrentFaults()
 	f.Speed = speed
 	b.SetFaults(f)
 }
 
-// CurrentFaults returns the faults in force.
+// CurrentFaults returns the faults set last.
 func (b *Backend) CurrentFaults() Faults {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.faults
 }
 
-// pace returns the speed now, and when it must be looked at again.
-func (b *Backend) pace(now time.Time) (speed float64, changed <-chan struct{}, until time.Duration) {
+// currentSpeed returns the speed at the time now, a channel that is closed when
+// the faults change, and the time left of the cold start, after which the speed
+// changes as well; 0 when the stand-in is warm.
+func (b *Backend) currentSpeed(now time.Time) (speed float64, changed <-chan struct{}, until time.Duration) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	speed = b.faults.Speed
@@ -122,13 +126,13 @@
 	return speed, b.changed, 0
 }
 
-// work proceeds through the nominal time at the speed of each moment. It
-// returns false when ctx ended first.
+// work waits until the nominal service time has been worked off at the speed of
+// each moment. It returns false when ctx ends first.
 func (b *Backend) work(ctx context.Context, nominal time.Duration) bool {
 	left := float64(nominal)
 	for left > 0 {
 		began := time.Now()
-		speed, changed, until := b.pace(began)
+		speed, changed, until := b.currentSpeed(began)
 		wait := time.Duration(left / speed)
 		if until > 0 {
 			wait = min(wait, until)
@@ -141,7 +145,8 @@
 	return true
 }
 
-// pause waits for a time, or until the speed changes; false when ctx ended.
+// pause waits for the duration or until changed is closed. It returns false
+// when ctx ends first.
 func (b *Backend) pause(ctx context.Context, wait time.Duration, changed <-chan struct{}) bool {
 	select {
 	case <-ctx.Done():
@@ -153,15 +158,15 @@
 	}
 }
 
-// after is Options.After with the runtime's timers.
-func after(wait time.Duration) <-chan struct{} {
+// runtimeAfter implements Options.After with the runtime's timers.
+func runtimeAfter(wait time.Duration) <-chan struct{} {
 	done := make(chan struct{})
 	time.AfterFunc(wait, func() { close(done) })
 	return done
 }
 
-// enter takes a slot; false when none is free.
-func (b *Backend) enter() bool {
+// acquireSlot returns false when all slots are taken.
+func (b *Backend) acquireSlot() bool {
 	if b.running.Add(1) > int64(b.opts.Slots) {
 		b.running.Add(-1)
 		b.shed.Add(1)
@@ -170,9 +175,9 @@
 	return true
 }
 
-func (b *Backend) leave() { b.running.Add(-1) }
+func (b *Backend) releaseSlot() { b.running.Add(-1) }
 
-// register makes a call cancellable by the id that its executor gave it.
+// register lets Cancel end the call with the id that its executor gave it.
 func (b *Backend) register(id string, cancel context.CancelFunc) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -185,7 +190,7 @@
 	delete(b.cancels, id)
 }
 
-// Cancel ends a running call; false when it does not run.
+// Cancel ends a running call. It returns false when no such call runs.
 func (b *Backend) Cancel(id string) bool {
 	b.mu.Lock()
 	cancel, ok := b.cancels[id]
@@ -196,7 +201,8 @@
 	return ok
 }
 
-// reportedLoad is what the load page says.
+// reportedLoad returns the number of running calls that the load page shows:
+// with ReportLag an older one, with ReportZero always 0.
 func (b *Backend) reportedLoad(now time.Time) int64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -204,12 +210,12 @@
 	if b.faults.ReportZero {
 		return 0
 	}
-	seen := now.Add(-b.faults.ReportLag)
-	at := len(b.loads) - 1
-	for at > 0 && b.loads[at].at.After(seen) {
-		at--
+	oldEnough := now.Add(-b.faults.ReportLag)
+	i := len(b.loads) - 1
+	for i > 0 && b.loads[i].at.After(oldEnough) {
+		i--
 	}
-	reported := b.loads[at].running
-	b.loads = b.loads[at:]
+	reported := b.loads[i].running
+	b.loads = b.loads[i:]
 	return reported
 }
--- a/pkg/standin/backend/ledger.go
+++ b/pkg/standin/backend/ledger.go
@@ -5,26 +5,27 @@
 	"time"
 )
 
-// Ledger is the record of which calls a backend server began to run.
+// Ledger records the calls that a backend server began to run. It is safe for
+// concurrent use.
 type Ledger struct {
 	mu   sync.Mutex
 	runs map[string]Run
 	last time.Time
 }
 
-// Run is what the ledger holds of one call.
+// Run is the ledger's entry for one call id.
 type Run struct {
-	// Times counts how often the call began.
+	// Times counts how often the call began to run.
 	Times int `json:"times"`
-	// Key is the call's Idempotency-Key, or empty.
+	// Key is the call's Idempotency-Key; empty when it has none.
 	Key string `json:"key"`
-	// At is when it began last.
+	// At is the time of the last start.
 	At time.Time `json:"at"`
 }
 
 func newLedger() *Ledger { return &Ledger{runs: map[string]Run{}} }
 
-func (l *Ledger) note(call, key string, now time.Time) {
+func (l *Ledger) record(call, key string, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	run := l.runs[call]
@@ -35,7 +36,7 @@
 	l.last = now
 }
 
-// Runs returns a copy of the record, by call id.
+// Runs returns a copy of the ledger, by call id.
 func (l *Ledger) Runs() map[string]Run {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +47,7 @@
 	return out
 }
 
-// Last returns when the newest call began.
+// Last returns when the most recent call began; zero when none did.
 func (l *Ledger) Last() time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/pkg/standin/backend/server.go
+++ b/pkg/standin/backend/server.go
@@ -14,7 +14,7 @@
 	"github.com/rushramp/rushramp/pkg/httpserver"
 )
 
-// The headers with which a test says what a call should do.
+// Request headers that control how the stand-in handles a call.
 const (
 	// HeaderCallID names the call in the ledger.
 	HeaderCallID = "X-Call-Id"
@@ -24,7 +24,7 @@
 	HeaderAnswer = "X-Answer-Bytes"
 )
 
-// The pages for tests and for the executor.
+// Paths of the pages for tests and for the executor.
 const (
 	PathCancel  = "/standin/cancel/"
 	pathFaults  = "/standin/faults"
@@ -34,10 +34,11 @@
 	maxBodySize = 64 << 20
 )
 
-// statusCancelled is what a cancelled call is answered with.
+// statusCancelled is the status of the answer to a cancelled call.
 const statusCancelled = 499
 
-// Serve serves the stand-in on address until stop is called.
+// Serve serves the stand-in over HTTP on address until stop is called. It fails
+// when it cannot listen there.
 func Serve(b *Backend, address string) (stop func(), err error) {
 	return httpserver.Start(address, func(h *server.Hertz) {
 		h.POST(PathCancel+":id", func(_ context.Context, c *app.RequestContext) {
@@ -71,32 +72,33 @@
 		c.String(http.StatusInternalServerError, "failing fast\n")
 		return
 	}
-	if !b.enter() {
+	if !b.acquireSlot() {
 		c.String(http.StatusServiceUnavailable, "all slots are taken\n")
 		return
 	}
-	defer b.leave()
+	defer b.releaseSlot()
 	id := string(c.Request.Header.Peek(HeaderCallID))
-	b.ledger.note(id, string(c.Request.Header.Peek("Idempotency-Key")), time.Now())
-	ctx, cancel := b.context(ctx, c)
+	b.ledger.record(id, string(c.Request.Header.Peek("Idempotency-Key")), time.Now())
+	ctx, cancel := b.callContext(ctx, c)
 	defer cancel()
-	if !b.work(ctx, time.Duration(number(c, HeaderWork))*time.Microsecond) {
+	if !b.work(ctx, time.Duration(intHeader(c, HeaderWork))*time.Microsecond) {
 		c.SetStatusCode(statusCancelled)
 		return
 	}
 	c.Response.Header.Set(HeaderCallID, id)
 	if faults.CutAnswers {
-		c.Response.Header.SetContentLength(number(c, HeaderAnswer) + len(id) + 1)
+		c.Response.Header.SetContentLength(intHeader(c, HeaderAnswer) + len(id) + 1)
 		_ = c.GetConn().Close()
 		return
 	}
-	c.Data(http.StatusOK, "application/octet-stream", AnswerBody(id, number(c, HeaderAnswer), c.Request.Body()))
+	c.Data(http.StatusOK, "application/octet-stream", AnswerBody(id, intHeader(c, HeaderAnswer), c.Request.Body()))
 }
 
-// context ends at the deadline that the executor gave, or at a cancellation.
-func (b *Backend) context(ctx context.Context, c *app.RequestContext) (context.Context, context.CancelFunc) {
+// callContext returns a context that ends at the deadline set by the executor
+// or when the call is cancelled.
+func (b *Backend) callContext(ctx context.Context, c *app.RequestContext) (context.Context, context.CancelFunc) {
 	out, cancel := context.WithCancel(ctx)
-	if ms := number(c, "Rushramp-Timeout"); ms > 0 {
+	if ms := intHeader(c, "Rushramp-Timeout"); ms > 0 {
 		out, cancel = context.WithTimeout(ctx, time.Duration(ms)*time.Millisecond)
 	}
 	id := string(c.Request.Header.Peek("Rushramp-Call"))
@@ -110,7 +112,9 @@
 	}
 }
 
-func number(c *app.RequestContext, header string) int {
+// intHeader returns the value of a numeric header; 0 when it is missing or no
+// number.
+func intHeader(c *app.RequestContext, header string) int {
 	n, err := strconv.Atoi(string(c.Request.Header.Peek(header)))
 	if err != nil {
 		return 0
@@ -118,9 +122,9 @@
 	return n
 }
 
-// AnswerBody is what the stand-in answers: a text made of the call's id, so
-// that a caller sees at once whether it received its own answer, and the
-// request's body.
+// AnswerBody returns the body of the answer to a call: its id, repeated to at
+// least size bytes, and then the request's body. A caller can tell from it
+// whether the answer belongs to its own call.
 func AnswerBody(id string, size int, request []byte) []byte {
 	text := id + "\n"
 	repeats := size/len(text) + 1
--- a/pkg/standin/command.go
+++ b/pkg/standin/command.go
@@ -1,5 +1,5 @@
-// Package standin holds the command line of the stand-ins, which run as
-// processes in the integration tests.
+// Package standin provides the command line of the stand-ins for the platform
+// and for backend servers. Integration tests run them as separate processes.
 package standin
 
 import (
@@ -17,8 +17,8 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// NewCommand makes the command line of rushramp-standin. more are the commands
-// of other platforms' stand-ins.
+// NewCommand returns the root command of rushramp-standin, with more as
+// additional subcommands for other platforms' stand-ins.
 func NewCommand(more ...*cobra.Command) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "rushramp-standin",
@@ -31,7 +31,7 @@
 	return root
 }
 
-// vmFile is the file of the platform's first list of VMs.
+// vmFile is the content of the file with the initial list of VMs.
 type vmFile struct {
 	VMs []store.VM `yaml:"vms"`
 }
@@ -47,7 +47,7 @@
 			if err := loadVMs(s, vms); err != nil {
 				return err
 			}
-			return untilSignal(func() (func(), error) { return fakestore.Serve(s, address) })
+			return runUntilSignal(func() (func(), error) { return fakestore.Serve(s, address) })
 		},
 	}
 	cmd.Flags().StringVar(&address, "listen", "127.0.0.1:7405", "address to listen on")
@@ -61,7 +61,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return errors.Wrap(err, "list of VMs")
+		return errors.Wrap(err, "read the list of VMs")
 	}
 	var file vmFile
 	if err := settings.Strict(text, &file); err != nil {
@@ -79,7 +79,7 @@
 		Short: "A backend server with slots, faults and a ledger of what it ran",
 		Args:  cobra.NoArgs,
 		RunE: func(*cobra.Command, []string) error {
-			return untilSignal(func() (func(), error) { return backend.Serve(backend.New(opts), address) })
+			return runUntilSignal(func() (func(), error) { return backend.Serve(backend.New(opts), address) })
 		},
 	}
 	cmd.Flags().StringVar(&address, "listen", "127.0.0.1:7404", "address to listen on")
@@ -89,7 +89,8 @@
 	return cmd
 }
 
-func untilSignal(start func() (func(), error)) error {
+// runUntilSignal starts a server and stops it on SIGTERM or SIGINT.
+func runUntilSignal(start func() (func(), error)) error {
 	stop, err := start()
 	if err != nil {
 		return err
--- a/pkg/standin/fakestore/flaky.go
+++ b/pkg/standin/fakestore/flaky.go
@@ -7,69 +7,72 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// Mode is what becomes of one request to a Flaky table.
+// Mode is the result of one request to a Flaky store.
 type Mode int
 
-// The modes.
+// The possible results. Every one but ModeSucceed returns ErrDown.
 const (
-	// ModeSucceed answers.
+	// ModeSucceed handles the request normally.
 	ModeSucceed Mode = iota
-	// ModeLoseAnswer applies a write and loses its answer.
+	// ModeLoseAnswer applies a write but returns an error. A read fails.
 	ModeLoseAnswer
-	// ModeDelay fails now, and applies the write when Arrive is called, or never.
+	// ModeDelay returns an error and keeps the write pending until ApplyPending
+	// is called. A read fails.
 	ModeDelay
-	// ModeFail has no effect.
+	// ModeFail returns an error without any effect.
 	ModeFail
-	// ModeCount counts the modes.
+	// ModeCount is the number of modes.
 	ModeCount
 )
 
-// Flaky is a Store whose next requests go as a script says, for tests that play
-// histories step by step. It is safe for concurrent use.
+// Flaky is a Store whose next Get, Batch and Transact requests succeed or fail
+// as scripted, for tests that run through a history step by step. It is safe
+// for concurrent use.
 type Flaky struct {
 	*Store
-	mu   sync.Mutex
-	next []Mode
-	late []func()
+	mu      sync.Mutex
+	modes   []Mode
+	pending []func()
 }
 
-// NewFlaky makes an empty stand-in whose first requests go as the modes say.
-func NewFlaky(next ...Mode) *Flaky { return &Flaky{Store: New(), next: next} }
+// NewFlaky returns an empty store. Its first requests follow the given modes,
+// later ones succeed.
+func NewFlaky(next ...Mode) *Flaky { return &Flaky{Store: New(), modes: next} }
 
-// SetModes says how the next requests go; those after them work.
+// SetModes scripts the next requests; those after them succeed.
 func (f *Flaky) SetModes(modes []Mode) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.next = modes
+	f.modes = modes
 }
 
-// Pending counts the writes on their way.
+// Pending returns the number of delayed writes that are not applied yet.
 func (f *Flaky) Pending() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return len(f.late)
+	return len(f.pending)
 }
 
-func (f *Flaky) take() Mode {
+func (f *Flaky) nextMode() Mode {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.next) == 0 {
+	if len(f.modes) == 0 {
 		return ModeSucceed
 	}
-	m := f.next[0]
-	f.next = f.next[1:]
+	m := f.modes[0]
+	f.modes = f.modes[1:]
 	return m
 }
 
-// write plays one write that takes effect by apply.
+// write performs a write in the next scripted mode. apply makes it take effect.
 func (f *Flaky) write(apply func() error) error {
-	switch f.take() {
+	switch f.nextMode() {
 	case ModeLoseAnswer:
 		_ = apply()
 		return ErrDown
 	case ModeDelay:
 		f.mu.Lock()
-		f.late = append(f.late, func() { _ = apply() })
+		f.pending = append(f.pending, func() { _ = apply() })
 		f.mu.Unlock()
 		return ErrDown
 	case ModeFail:
@@ -78,11 +81,12 @@
 	return apply()
 }
 
-// ApplyPending applies one of the writes on their way.
+// ApplyPending applies the i-th pending write. It panics when there is no such
+// write.
 func (f *Flaky) ApplyPending(i int) {
 	f.mu.Lock()
-	apply := f.late[i]
-	f.late = append(f.late[:i], f.late[i+1:]...)
+	apply := f.pending[i]
+	f.pending = append(f.pending[:i], f.pending[i+1:]...)
 	f.mu.Unlock()
 	apply()
 }
@@ -107,7 +111,7 @@
 
 // Get implements store.Table.
 func (f *Flaky) Get(ctx context.Context, key string) (store.Row, error) {
-	if f.take() != ModeSucceed {
+	if f.nextMode() != ModeSucceed {
 		return store.Row{}, ErrDown
 	}
 	return f.Store.Get(ctx, key)
--- a/pkg/standin/fakestore/server.go
+++ b/pkg/standin/fakestore/server.go
@@ -13,20 +13,21 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// The control paths, for tests and scenarios. Bodies are JSON.
+// The control paths, for tests and scenarios. Request bodies are JSON.
 const (
 	pathFaults = "/control/faults"
 	pathSetVMs = "/control/vms"
 	pathCounts = "/control/counts"
 )
 
-// counts is the answer of pathCounts.
-type counts struct {
+// requestCounts is the answer body of pathCounts.
+type requestCounts struct {
 	Reads  int64 `json:"reads"`
 	Writes int64 `json:"writes"`
 }
 
-// Serve serves the stand-in on address until the returned function is called.
+// Serve serves the stand-in over HTTP on address until stop is called. It fails
+// when it cannot listen there.
 func Serve(s *Store, address string) (stop func(), err error) {
 	return httpserver.Start(address, func(h *server.Hertz) {
 		h.POST(store.PathGet, handle(s.serveGet))
@@ -39,7 +40,7 @@
 		h.POST(pathFaults, control(s.SetFaults))
 		h.POST(pathSetVMs, control(s.SetVMs))
 		h.GET(pathCounts, func(_ context.Context, c *app.RequestContext) {
-			c.JSON(http.StatusOK, counts{Reads: s.Reads(), Writes: s.Writes()})
+			c.JSON(http.StatusOK, requestCounts{Reads: s.Reads(), Writes: s.Writes()})
 		})
 	})
 }
--- a/pkg/standin/fakestore/store.go
+++ b/pkg/standin/fakestore/store.go
@@ -1,6 +1,6 @@
-// Package fakestore is a small stand-in for the platform: a table with conditional
-// writes, an object store, and a list of VMs that lags. It can be made slow,
-// down, or to lose the answer of a write that took effect. Source: brief,
+// Package fakestore is a stand-in for the platform: a table with conditional
+// writes, an object store, and a list of VMs that may lag. It can be slow or
+// down, and can lose the answer to a write that took effect. Source: brief,
 // "What the platform gives" and "What fails".
 package fakestore
 
@@ -18,34 +18,37 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// ErrDown is what the stand-in answers while it is down, and what the writer
-// sees of a write whose answer is lost.
+// ErrDown is returned by requests while the stand-in is down, and by writes
+// whose answer is lost.
 var ErrDown = errors.New("the stand-in platform does not answer")
 
-// Faults is how the stand-in misbehaves.
+// Faults sets how the stand-in misbehaves. The zero value is no fault.
 type Faults struct {
-	// Down makes each request to the table and the objects fail without effect.
-	// The list of VMs is another service, and stays.
+	// Down makes each request to the table and the object store fail without
+	// effect. The list of VMs is a separate service and still answers.
 	Down bool `yaml:"down" json:"down"`
-	// Delay is added to each request.
+	// Delay is added to each request to the table and the object store.
 	Delay time.Duration `yaml:"delay" json:"delay"`
-	// LoseAnswers is the share of writes that take effect and then fail.
+	// LoseAnswers is the share of writes, from 0 to 1, that take effect but
+	// return ErrDown.
 	LoseAnswers float64 `yaml:"lose_answers" json:"lose_answers"`
-	// VMLag is the age of the list of VMs that a reader sees.
+	// VMLag is the age of the list of VMs that readers see.
 	VMLag time.Duration `yaml:"vm_lag" json:"vm_lag"`
 }
 
-type listVersion struct {
+// vmList is a list of VMs and the time from which it is valid.
+type vmList struct {
 	at  time.Time
 	vms []store.VM
 }
 
-// Store is the stand-in. It is safe for concurrent use.
+// Store is the platform's stand-in, held in memory. It is safe for concurrent
+// use.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[string]store.Row
 	objects map[string][]byte
-	lists   []listVersion
+	lists   []vmList
 	faults  Faults
 	reads   atomic.Int64
 	writes  atomic.Int64
@@ -53,33 +56,33 @@
 
 var _ store.Platform = (*Store)(nil)
 
-// New makes an empty stand-in.
+// New returns an empty store without faults.
 func New() *Store {
 	return &Store{rows: map[string]store.Row{}, objects: map[string][]byte{}}
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the current faults.
 func (s *Store) SetFaults(f Faults) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.faults = f
 }
 
-// CurrentFaults returns the faults in force.
+// CurrentFaults returns the faults set last.
 func (s *Store) CurrentFaults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
-// SetVMs replaces the list of VMs. Readers see it after the lag.
+// SetVMs replaces the list of VMs. Readers see the new list after Faults.VMLag.
 func (s *Store) SetVMs(vms []store.VM) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lists = append(s.lists, listVersion{at: time.Now(), vms: append([]store.VM(nil), vms...)})
+	s.lists = append(s.lists, vmList{at: time.Now(), vms: append([]store.VM(nil), vms...)})
 }
 
-// CurrentVMs returns the newest list, without lag.
+// CurrentVMs returns the newest list of VMs, whatever Faults.VMLag is.
 func (s *Store) CurrentVMs() []store.VM {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,15 +92,15 @@
 	return append([]store.VM(nil), s.lists[len(s.lists)-1].vms...)
 }
 
-// Reads returns how many requests only read; Writes how many wrote.
+// Reads returns the number of read requests received.
 func (s *Store) Reads() int64 { return s.reads.Load() }
 
-// Writes returns how many requests wrote.
+// Writes returns the number of write requests received.
 func (s *Store) Writes() int64 { return s.writes.Load() }
 
 // Get implements store.Table.
 func (s *Store) Get(ctx context.Context, key string) (store.Row, error) {
-	if err := s.begin(ctx, &s.reads); err != nil {
+	if err := s.beginRequest(ctx, &s.reads); err != nil {
 		return store.Row{}, err
 	}
 	s.mu.Lock()
@@ -111,7 +114,7 @@
 
 // Scan implements store.Table.
 func (s *Store) Scan(ctx context.Context, prefix, after string, limit int) ([]store.Row, error) {
-	if err := s.begin(ctx, &s.reads); err != nil {
+	if err := s.beginRequest(ctx, &s.reads); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -128,31 +131,31 @@
 
 // Batch implements store.Table.
 func (s *Store) Batch(ctx context.Context, writes []store.Write) ([]store.Result, error) {
-	if err := s.begin(ctx, &s.writes); err != nil {
+	if err := s.beginRequest(ctx, &s.writes); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	out := make([]store.Result, 0, len(writes))
 	for _, w := range writes {
-		won := s.holds(w)
-		if won {
+		applied := s.conditionHolds(w)
+		if applied {
 			s.apply(w)
 		}
-		out = append(out, store.Result{Applied: won, Row: s.rows[w.Key]})
+		out = append(out, store.Result{Applied: applied, Row: s.rows[w.Key]})
 	}
 	return out, s.loseAnswer()
 }
 
 // Transact implements store.Table.
 func (s *Store) Transact(ctx context.Context, writes []store.Write) error {
-	if err := s.begin(ctx, &s.writes); err != nil {
+	if err := s.beginRequest(ctx, &s.writes); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, w := range writes {
-		if !s.holds(w) {
+		if !s.conditionHolds(w) {
 			return store.ErrConflict
 		}
 	}
@@ -164,7 +167,7 @@
 
 // PutObject implements store.Objects.
 func (s *Store) PutObject(ctx context.Context, name string, data []byte) error {
-	if err := s.begin(ctx, &s.writes); err != nil {
+	if err := s.beginRequest(ctx, &s.writes); err != nil {
 		return err
 	}
 	s.mu.Lock()
@@ -175,7 +178,7 @@
 
 // Object implements store.Objects.
 func (s *Store) Object(ctx context.Context, name string) ([]byte, error) {
-	if err := s.begin(ctx, &s.reads); err != nil {
+	if err := s.beginRequest(ctx, &s.reads); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -198,12 +201,12 @@
 	if len(s.lists) == 0 {
 		return nil, nil
 	}
-	seen := time.Now().Add(-s.faults.VMLag)
-	at := len(s.lists) - 1
-	for at > 0 && s.lists[at].at.After(seen) {
-		at--
+	visibleSince := time.Now().Add(-s.faults.VMLag)
+	i := len(s.lists) - 1
+	for i > 0 && s.lists[i].at.After(visibleSince) {
+		i--
 	}
-	return inDataCentre(s.lists[at].vms, dataCentre), nil
+	return inDataCentre(s.lists[i].vms, dataCentre), nil
 }
 
 func inDataCentre(all []store.VM, dataCentre string) []store.VM {
@@ -216,7 +219,9 @@
 	return out
 }
 
-func (s *Store) begin(ctx context.Context, counter *atomic.Int64) error {
+// beginRequest delays and counts a request, and returns ErrDown while the store
+// is down.
+func (s *Store) beginRequest(ctx context.Context, counter *atomic.Int64) error {
 	faults := s.CurrentFaults()
 	if faults.Delay > 0 {
 		select {
@@ -232,12 +237,13 @@
 	return nil
 }
 
-// The lower-case helpers expect the lock to be held.
-
-func (s *Store) holds(w store.Write) bool {
+// conditionHolds reports whether the row still has the version that the write
+// requires. The caller holds s.mu.
+func (s *Store) conditionHolds(w store.Write) bool {
 	return s.rows[w.Key].Version == w.IfVersion
 }
 
+// apply performs a write. The caller holds s.mu.
 func (s *Store) apply(w store.Write) {
 	if w.Delete {
 		delete(s.rows, w.Key)
@@ -246,6 +252,8 @@
 	s.rows[w.Key] = store.Row{Key: w.Key, Value: append([]byte(nil), w.Value...), Version: w.IfVersion + 1}
 }
 
+// loseAnswer returns ErrDown for the share of writes whose answer is lost. The
+// caller holds s.mu.
 func (s *Store) loseAnswer() error {
 	if s.faults.LoseAnswers > 0 && rand.Float64() < s.faults.LoseAnswers {
 		return ErrDown
