--- a/test/calls_test.go
+++ b/test/calls_test.go
@@ -15,7 +15,7 @@
 	"github.com/rushramp/rushramp/pkg/standin/backend"
 )
 
-// callArgs are the words of a call.
+// callArgs holds the parsed arguments of a call.
 type callArgs struct {
 	to              *worker
 	method, service string
@@ -23,8 +23,10 @@
 	headers         map[string]string
 }
 
-func parseCall(ts *testscript.TestScript, w *world, args []string) callArgs {
-	out := callArgs{to: w.worker(ts, args[0]), method: args[1], service: args[2], path: args[3], headers: map[string]string{}}
+// parseCall parses WORKER METHOD SERVICE PATH and the NAME=VALUE words of a
+// call. Without id=, the call's id is its path without the leading slash.
+func parseCall(ts *testscript.TestScript, sc *scenario, args []string) callArgs {
+	out := callArgs{to: sc.worker(ts, args[0]), method: args[1], service: args[2], path: args[3], headers: map[string]string{}}
 	out.id = strings.TrimPrefix(args[3], "/")
 	for _, word := range args[4:] {
 		name, value, _ := strings.Cut(word, "=")
@@ -52,56 +54,58 @@
 	return out
 }
 
-// cmdCall sends a call and keeps its answer for expect.
+// cmdCall sends a call and stores its answer for expect.
 func cmdCall(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 4, "call WORKER METHOD SERVICE PATH [id= body= work= answer= key= timeout= HEADER=]")
-	w := worldOf(ts)
-	c := parseCall(ts, w, args)
-	w.last = w.send(c.to, c.method, c.service, c.path, c.id, c.headers, c.body)
+	requireArgs(ts, neg, args, 4, "call WORKER METHOD SERVICE PATH [id= body= work= answer= key= timeout= HEADER=]")
+	sc := scenarioOf(ts)
+	c := parseCall(ts, sc, args)
+	sc.last = sc.send(c.to, c.method, c.service, c.path, c.id, c.headers, c.body)
 }
 
-// cmdRaw sends bytes as they stand in a file, with $PAD for as many letters as
-// asked, and ends its side of the connection: input that no client sends.
+// cmdRaw sends the content of a file unchanged, except that $PAD becomes PAD
+// letters and line ends become CRLF, and then closes the sending side of the
+// connection. It tests input that no HTTP client sends.
 func cmdRaw(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "raw WORKER FILE [PAD]")
-	w := worldOf(ts)
+	requireArgs(ts, neg, args, 2, "raw WORKER FILE [PAD]")
+	sc := scenarioOf(ts)
 	text := strings.ReplaceAll(ts.ReadFile(args[1]), "\n", "\r\n")
 	if len(args) > 2 {
 		n, err := strconv.Atoi(args[2])
 		ts.Check(err)
 		text = strings.ReplaceAll(text, "$PAD", strings.Repeat("x", n))
 	}
-	conn, err := net.Dial("tcp", w.worker(ts, args[0]).vm.Callers)
+	conn, err := net.Dial("tcp", sc.worker(ts, args[0]).vm.Callers)
 	ts.Check(err)
 	defer func() { _ = conn.Close() }()
-	ts.Check(conn.SetDeadline(time.Now().Add(patience)))
+	ts.Check(conn.SetDeadline(time.Now().Add(waitTimeout)))
 	_, err = conn.Write([]byte(text))
 	ts.Check(err)
-	// A server that has answered and closed already is no failure.
+	// The server may have answered and closed the connection already.
 	_ = conn.(*net.TCPConn).CloseWrite()
 	resp, err := http.ReadResponse(bufio.NewReader(conn), nil)
 	if err != nil {
-		w.last = &answer{err: err, header: http.Header{}}
+		sc.last = &answer{err: err, header: http.Header{}}
 		return
 	}
 	defer func() { _ = resp.Body.Close() }()
 	body, err := io.ReadAll(resp.Body)
-	w.last = &answer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
+	sc.last = &answer{status: resp.StatusCode, header: resp.Header, body: string(body), err: err}
 }
 
-// cmdLoad sends calls at a steady rate in the background, or ends that.
+// cmdLoad starts sending calls at a constant rate in the background, or stops
+// that. A "#" in a header value becomes the number of the call.
 func cmdLoad(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "load NAME stop | load NAME PER_SECOND WORKER METHOD SERVICE PATH_PREFIX [words]")
-	w := worldOf(ts)
+	requireArgs(ts, neg, args, 2, "load NAME stop | load NAME PER_SECOND WORKER METHOD SERVICE PATH_PREFIX [words]")
+	sc := scenarioOf(ts)
 	if args[1] == "stop" {
-		w.loads[args[0]].end()
+		sc.loads[args[0]].end()
 		return
 	}
 	rate, err := strconv.Atoi(args[1])
 	ts.Check(err)
-	c := parseCall(ts, w, args[2:])
+	c := parseCall(ts, sc, args[2:])
 	l := &load{stop: make(chan struct{})}
-	w.loads[args[0]] = l
+	sc.loads[args[0]] = l
 	l.wait.Add(1)
 	go func() {
 		defer l.wait.Done()
@@ -121,7 +125,7 @@
 				for name, value := range c.headers {
 					headers[name] = strings.ReplaceAll(value, "#", strconv.Itoa(i))
 				}
-				l.note(w.send(c.to, c.method, c.service, c.path, id, headers, c.body))
+				l.record(sc.send(c.to, c.method, c.service, c.path, id, headers, c.body))
 			}()
 		}
 	}()
--- a/test/certs_test.go
+++ b/test/certs_test.go
@@ -14,13 +14,13 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// authority signs certificates for a scenario.
-type authority struct {
+// certAuthority signs the certificates of a scenario.
+type certAuthority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
 }
 
-func template(name string) *x509.Certificate {
+func certTemplate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()), Subject: pkix.Name{CommonName: name},
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
@@ -35,8 +35,8 @@
 	return key
 }
 
-func newAuthority(ts *testscript.TestScript, name string) *authority {
-	a := &authority{cert: template(name), key: newKey(ts)}
+func newAuthority(ts *testscript.TestScript, name string) *certAuthority {
+	a := &certAuthority{cert: certTemplate(name), key: newKey(ts)}
 	a.cert.IsCA, a.cert.BasicConstraintsValid = true, true
 	a.cert.KeyUsage |= x509.KeyUsageCertSign
 	der, err := x509.CreateCertificate(rand.Reader, a.cert, a.cert, &a.key.PublicKey, a.key)
@@ -46,9 +46,10 @@
 	return a
 }
 
-func (a *authority) issue(ts *testscript.TestScript, name string) {
+// issue writes a certificate and its key to NAME.pem and NAME.key.
+func (a *certAuthority) issue(ts *testscript.TestScript, name string) {
 	key := newKey(ts)
-	der, err := x509.CreateCertificate(rand.Reader, template(name), a.cert, &key.PublicKey, a.key)
+	der, err := x509.CreateCertificate(rand.Reader, certTemplate(name), a.cert, &key.PublicKey, a.key)
 	ts.Check(err)
 	keyDER, err := x509.MarshalECPrivateKey(key)
 	ts.Check(err)
@@ -61,14 +62,15 @@
 	ts.Check(os.WriteFile(ts.MkAbs(file), text, 0o600))
 }
 
-// cmdCerts writes certificates of new authorities: of the daemons, of the
-// operator anna, and of a stranger whom other authorities know.
+// cmdCerts creates a new authority and writes certificates for the daemons and
+// the operator anna, and one for a stranger, signed by an authority that the
+// daemons do not trust.
 func cmdCerts(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 0, "certs")
-	w := worldOf(ts)
-	w.authority = newAuthority(ts, "authority")
-	writePEM(ts, "ca.pem", "CERTIFICATE", w.authority.cert.Raw)
-	w.authority.issue(ts, "daemon")
-	w.authority.issue(ts, "anna")
+	requireArgs(ts, neg, args, 0, "certs")
+	sc := scenarioOf(ts)
+	sc.authority = newAuthority(ts, "authority")
+	writePEM(ts, "ca.pem", "CERTIFICATE", sc.authority.cert.Raw)
+	sc.authority.issue(ts, "daemon")
+	sc.authority.issue(ts, "anna")
 	newAuthority(ts, "elsewhere").issue(ts, "stranger")
 }
--- a/test/expect_test.go
+++ b/test/expect_test.go
@@ -8,20 +8,21 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdExpect compares the last answer, or what the ledgers say.
+// cmdExpect compares the last answer, a ledger, a metric or a load with an
+// expected value.
 func cmdExpect(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, false, args, 2, "[!] expect status|error|ran|header|body|runs|load ...")
-	holds, got := expectation(ts, worldOf(ts), args)
+	requireArgs(ts, false, args, 2, "[!] expect status|error|ran|header|body|runs|load ...")
+	holds, got := evaluate(ts, scenarioOf(ts), args)
 	if holds == neg {
 		ts.Fatalf("expect %v: got %s", args, got)
 	}
 }
 
-// cmdEventually waits until an expectation holds; "eventually call ..." sends
-// the call again each time.
+// cmdEventually waits until an expectation holds. A call after "--" is sent
+// again before each check.
 func cmdEventually(ts *testscript.TestScript, neg bool, args []string) {
-	need(ts, neg, args, 2, "eventually EXPECTATION [-- call ...]")
-	w := worldOf(ts)
+	requireArgs(ts, neg, args, 2, "eventually EXPECTATION [-- call ...]")
+	sc := scenarioOf(ts)
 	var again []string
 	for i, word := range args {
 		if word == "--" {
@@ -30,62 +31,63 @@
 			break
 		}
 	}
-	await(ts, strings.Join(args, " "), func() bool {
+	waitFor(ts, strings.Join(args, " "), func() bool {
 		if again != nil {
-			c := parseCall(ts, w, again)
-			w.last = w.send(c.to, c.method, c.service, c.path, c.id, c.headers, c.body)
+			c := parseCall(ts, sc, again)
+			sc.last = sc.send(c.to, c.method, c.service, c.path, c.id, c.headers, c.body)
 		}
-		holds, _ := expectation(ts, w, args)
+		holds, _ := evaluate(ts, sc, args)
 		return holds
 	})
 }
 
-func expectation(ts *testscript.TestScript, w *world, args []string) (holds bool, got string) {
+// evaluate reports whether an expectation holds, and the actual value.
+func evaluate(ts *testscript.TestScript, sc *scenario, args []string) (holds bool, got string) {
 	switch args[0] {
 	case "status":
-		got = fmt.Sprint(w.last.status, " ", w.last.err, " ", w.last.header, " ", w.last.body)
-		return strconv.Itoa(w.last.status) == args[1], got
+		got = fmt.Sprint(sc.last.status, " ", sc.last.err, " ", sc.last.header, " ", sc.last.body)
+		return strconv.Itoa(sc.last.status) == args[1], got
 	case "error":
-		got = w.last.header.Get("Rushramp-Error")
-		return got == args[1], fmt.Sprint(got, " ", w.last.body, w.last.err)
+		got = sc.last.header.Get("Rushramp-Error")
+		return got == args[1], fmt.Sprint(got, " ", sc.last.body, sc.last.err)
 	case "ran":
-		got = w.last.header.Get("Rushramp-Ran")
+		got = sc.last.header.Get("Rushramp-Ran")
 		return got == args[1], got
 	case "header":
-		got = w.last.header.Get(args[1])
+		got = sc.last.header.Get(args[1])
 		return strings.Contains(got, args[2]), got
 	case "body":
-		return strings.Contains(w.last.body, args[1]), w.last.body
+		return strings.Contains(sc.last.body, args[1]), sc.last.body
 	case "runs":
-		n := w.runs(args[1], args[2])
+		n := sc.runs(args[1], args[2])
 		return strconv.Itoa(n) == args[3], strconv.Itoa(n)
 	case "ended":
-		return w.worker(ts, args[1]).daemon.ended(), "still running"
+		return sc.worker(ts, args[1]).daemon.ended(), "still running"
 	case "member":
-		got = w.memberState(ts, args[1], args[2])
+		got = sc.memberState(ts, args[1], args[2])
 		return got == args[3], got
 	case "metric":
-		got = strconv.FormatFloat(w.worker(ts, args[1]).metric(args[2]), 'g', -1, 64)
+		got = strconv.FormatFloat(sc.worker(ts, args[1]).metric(args[2]), 'g', -1, 64)
 		if args[3] == ">" {
-			return compare(ts, w.worker(ts, args[1]).metric(args[2]), args[3:]), got
+			return compare(ts, sc.worker(ts, args[1]).metric(args[2]), args[3:]), got
 		}
 		return got == args[3], got
 	case "load":
-		return expectLoad(ts, w, args[1:])
+		return expectLoad(ts, sc, args[1:])
 	}
-	ts.Fatalf("there is no expectation %q", args[0])
+	ts.Fatalf("unknown expectation %q", args[0])
 	return false, ""
 }
 
-func expectLoad(ts *testscript.TestScript, w *world, args []string) (bool, string) {
-	l := w.loads[args[0]]
+func expectLoad(ts *testscript.TestScript, sc *scenario, args []string) (bool, string) {
+	l := sc.loads[args[0]]
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	counts := map[string]int{"answered": l.answered, "refused": l.refused, "unknown": l.unknown}
 	return compare(ts, float64(counts[args[1]]), args[2:]), fmt.Sprintf("%+v", counts)
 }
 
-// compare holds a number against "= N" or "> N".
+// compare compares a number with the words "= N" or "> N".
 func compare(ts *testscript.TestScript, got float64, words []string) bool {
 	want, err := strconv.Atoi(words[1])
 	ts.Check(err)
@@ -95,6 +97,6 @@
 	case ">":
 		return got > float64(want)
 	}
-	ts.Fatalf("compare with = or >")
+	ts.Fatalf("the comparison must be = or >")
 	return false
 }
--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -1,6 +1,6 @@
-// Package faultproxy is a small TCP proxy for tests: it delays, throttles, cuts
-// and holds what passes, told apart by who dialled. Each process's connections
-// come from its own loopback IP number.
+// Package faultproxy is a TCP proxy for tests that delays, throttles, cuts and
+// holds traffic. Faults are set per client IP number, since each process in the
+// tests has a loopback address of its own.
 package faultproxy
 
 import (
@@ -10,75 +10,76 @@
 	"time"
 )
 
-// Fault is what befalls connections of one dialler, or of all.
+// Fault is a network fault of one client's connections, or of all connections.
+// The zero value is no fault.
 type Fault struct {
-	// Cut breaks connections and lets none be opened.
+	// Cut closes all connections and refuses new ones.
 	Cut bool
-	// HoldIn and HoldOut stop delivery towards the target, or from it, without
-	// an end of the connection: one-way cuts.
+	// HoldIn stops delivery to the target, HoldOut from it, without closing
+	// connections.
 	HoldIn  bool
 	HoldOut bool
 	// Delay is added in each direction.
 	Delay time.Duration
-	// BytesPerSecond throttles each direction; 0: not.
+	// BytesPerSecond throttles each direction; 0 means no limit.
 	BytesPerSecond int
 }
 
-// Proxy passes connections on to one target.
+// Proxy forwards connections to one target. It is safe for concurrent use.
 type Proxy struct {
 	target   string
 	listener net.Listener
 
-	mu     sync.Mutex
-	wake   *sync.Cond
-	faults map[string]Fault
-	conns  map[net.Conn]string
-	closed bool
+	mu      sync.Mutex
+	changed *sync.Cond
+	faults  map[string]Fault
+	conns   map[net.Conn]string
+	closed  bool
 }
 
-// AllClients names the fault that befalls all diallers.
+// AllClients selects the fault of clients that have none of their own.
 const AllClients = ""
 
-// Start opens a proxy on address for target.
+// Start starts a proxy that listens on address and forwards to target.
 func Start(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
 		return nil, err
 	}
 	p := &Proxy{target: target, listener: listener, faults: map[string]Fault{}, conns: map[net.Conn]string{}}
-	p.wake = sync.NewCond(&p.mu)
+	p.changed = sync.NewCond(&p.mu)
 	go p.accept()
 	return p, nil
 }
 
-// SetFault replaces the fault of a dialler's IP number, or of Everybody.
-func (p *Proxy) SetFault(from string, f Fault) {
+// SetFault replaces the fault of a client IP number, or of AllClients.
+func (p *Proxy) SetFault(clientIP string, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.faults[from] = f
-	p.wake.Broadcast()
-	for conn, dialler := range p.conns {
-		if p.faultOf(dialler).Cut {
+	p.faults[clientIP] = f
+	p.changed.Broadcast()
+	for conn, client := range p.conns {
+		if p.faultOf(client).Cut {
 			_ = conn.Close()
 		}
 	}
 }
 
-// Close ends the proxy and all its connections.
+// Close stops the proxy and closes all its connections.
 func (p *Proxy) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.closed = true
-	p.wake.Broadcast()
+	p.changed.Broadcast()
 	_ = p.listener.Close()
 	for conn := range p.conns {
 		_ = conn.Close()
 	}
 }
 
-// faultOf expects the lock to be held.
-func (p *Proxy) faultOf(dialler string) Fault {
-	if f, ok := p.faults[dialler]; ok {
+// faultOf returns the fault that applies to a client. The caller holds p.mu.
+func (p *Proxy) faultOf(client string) Fault {
+	if f, ok := p.faults[client]; ok {
 		return f
 	}
 	return p.faults[AllClients]
@@ -96,33 +97,34 @@
 
 func (p *Proxy) serve(in net.Conn) {
 	defer func() { _ = in.Close() }()
-	dialler, _, err := net.SplitHostPort(in.RemoteAddr().String())
-	if err != nil || !p.enter(in, dialler) {
+	client, _, err := net.SplitHostPort(in.RemoteAddr().String())
+	if err != nil || !p.addConn(in, client) {
 		return
 	}
-	defer p.leave(in)
+	defer p.removeConn(in)
 	out, err := net.Dial("tcp", p.target)
 	if err != nil {
 		return
 	}
 	defer func() { _ = out.Close() }()
 	done := make(chan struct{}, 2)
-	go p.pump(in, out, dialler, func(f Fault) bool { return f.HoldIn }, done)
-	go p.pump(out, in, dialler, func(f Fault) bool { return f.HoldOut }, done)
+	go p.copyWithFaults(in, out, client, func(f Fault) bool { return f.HoldIn }, done)
+	go p.copyWithFaults(out, in, client, func(f Fault) bool { return f.HoldOut }, done)
 	<-done
 }
 
-func (p *Proxy) enter(conn net.Conn, dialler string) bool {
+// addConn registers a connection; false when it must be refused.
+func (p *Proxy) addConn(conn net.Conn, client string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.closed || p.faultOf(dialler).Cut {
+	if p.closed || p.faultOf(client).Cut {
 		return false
 	}
-	p.conns[conn] = dialler
+	p.conns[conn] = client
 	return true
 }
 
-func (p *Proxy) leave(conn net.Conn) {
+func (p *Proxy) removeConn(conn net.Conn) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	delete(p.conns, conn)
@@ -130,18 +132,19 @@
 
 const bufferSize = 16 << 10
 
-func (p *Proxy) pump(from io.Reader, to io.Writer, dialler string, held func(Fault) bool, done chan<- struct{}) {
+// copyWithFaults copies one direction of a connection until it ends.
+func (p *Proxy) copyWithFaults(src io.Reader, dst io.Writer, client string, held func(Fault) bool, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	buf := make([]byte, bufferSize)
 	for {
-		n, err := from.Read(buf)
+		n, err := src.Read(buf)
 		if n > 0 {
-			f, open := p.waitWhile(dialler, held)
+			f, open := p.waitWhileHeld(client, held)
 			if !open {
 				return
 			}
 			time.Sleep(f.wait(n))
-			if _, writeErr := to.Write(buf[:n]); writeErr != nil {
+			if _, writeErr := dst.Write(buf[:n]); writeErr != nil {
 				return
 			}
 		}
@@ -151,6 +154,7 @@
 	}
 }
 
+// wait returns how long the delivery of size bytes is delayed.
 func (f Fault) wait(size int) time.Duration {
 	out := f.Delay
 	if f.BytesPerSecond > 0 {
@@ -159,12 +163,13 @@
 	return out
 }
 
-// waitWhile waits while the direction is held; false when the proxy closed.
-func (p *Proxy) waitWhile(dialler string, held func(Fault) bool) (Fault, bool) {
+// waitWhileHeld waits until the direction is not held, and returns the current
+// fault; false when the proxy is closed.
+func (p *Proxy) waitWhileHeld(client string, held func(Fault) bool) (Fault, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for !p.closed && held(p.faultOf(dialler)) {
-		p.wake.Wait()
+	for !p.closed && held(p.faultOf(client)) {
+		p.changed.Wait()
 	}
-	return p.faultOf(dialler), !p.closed
+	return p.faultOf(client), !p.closed
 }
--- a/test/scenarios_test.go
+++ b/test/scenarios_test.go
@@ -1,5 +1,5 @@
 // Package test runs the scripted scenarios in scenarios/ with real processes:
-// daemons, the platform's stand-in and backend servers' stand-ins. The words
+// daemons and stand-ins for the platform and for backend servers. The commands
 // of the scenario language are listed in docs/dev/testing.md.
 package test
 
@@ -16,6 +16,7 @@
 	"github.com/rushramp/rushramp/platform"
 )
 
+// TestMain lets the test binary run as each of the project's programs.
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"rushrampd":        func() { cli.Main(daemon.NewCommand(platform.Adapters())) },
--- a/test/world_test.go
+++ b/test/world_test.go
@@ -24,39 +24,43 @@
 	"github.com/rushramp/rushramp/test/faultproxy"
 )
 
-// addresses are shared by all scenarios of this process, which run at once.
+// addresses allocates loopback addresses for all scenarios, which run in
+// parallel.
 var addresses loopback.Allocator
 
-// patience bounds each wait for a condition. It is no measure of speed.
-const patience = 30 * time.Second
+// waitTimeout limits each wait for a condition.
+const waitTimeout = 30 * time.Second
 
-type worldKey struct{}
+type scenarioKey struct{}
 
-// world is what one scenario has started.
-type world struct {
+// scenario holds what one scenario has started.
+type scenario struct {
 	work     string
 	env      func(string) string
 	platform string
 	workers  map[string]*worker
 	procs    []*process
-	last     *answer
-	loads    map[string]*load
+	// last is the answer to the last call.
+	last  *answer
+	loads map[string]*load
+	// unlisted names the workers that are omitted from the platform's list.
 	unlisted []string
 	// authority signs certificates; nil without TLS.
-	authority *authority
+	authority *certAuthority
 }
 
-// worker is a daemon with a backend server's stand-in beside it.
+// worker is a VM with a daemon and a stand-in for its backend server.
 type worker struct {
 	vm      store.VM
 	address loopback.VM
 	daemon  *process
 	backend *process
-	// proxy stands before the daemon's listener for links.
+	// proxy forwards other daemons' links to the daemon and injects network
+	// faults.
 	proxy *faultproxy.Proxy
 }
 
-// answer is what a call got.
+// answer is the result of a call.
 type answer struct {
 	status int
 	header http.Header
@@ -65,28 +69,29 @@
 }
 
 func setup(env *testscript.Env) error {
-	w := &world{work: env.WorkDir, workers: map[string]*worker{}, loads: map[string]*load{}}
-	env.Values[worldKey{}] = w
-	env.Defer(w.stop)
+	sc := &scenario{work: env.WorkDir, workers: map[string]*worker{}, loads: map[string]*load{}}
+	env.Values[scenarioKey{}] = sc
+	env.Defer(sc.stop)
 	return nil
 }
 
-func worldOf(ts *testscript.TestScript) *world {
-	w := ts.Value(worldKey{}).(*world)
-	w.env = ts.Getenv
-	return w
+func scenarioOf(ts *testscript.TestScript) *scenario {
+	sc := ts.Value(scenarioKey{}).(*scenario)
+	sc.env = ts.Getenv
+	return sc
 }
 
-// process is a process that the scenario started.
+// process is a process started by a scenario. done is closed when it has ended.
 type process struct {
 	cmd  *exec.Cmd
 	done chan struct{}
 	log  string
 }
 
-// program finds one of the project's programs, as the scenario's exec does.
-func (wo *world) program(name string) string {
-	for _, dir := range filepath.SplitList(wo.env("PATH")) {
+// program returns the path of one of the project's programs, found in the
+// scenario's PATH.
+func (sc *scenario) program(name string) string {
+	for _, dir := range filepath.SplitList(sc.env("PATH")) {
 		if _, err := os.Stat(filepath.Join(dir, name)); err == nil {
 			return filepath.Join(dir, name)
 		}
@@ -94,14 +99,15 @@
 	return name
 }
 
-// start starts one of the project's programs and ends it with the scenario.
-func (wo *world) start(ts *testscript.TestScript, name string, args ...string) *process {
-	p := &process{cmd: exec.Command(wo.program(name), args...), done: make(chan struct{})}
-	p.log = filepath.Join(wo.work, fmt.Sprintf("%s-%d.log", name, len(wo.procs)))
+// start starts one of the project's programs. The process is killed at the end
+// of the scenario.
+func (sc *scenario) start(ts *testscript.TestScript, name string, args ...string) *process {
+	p := &process{cmd: exec.Command(sc.program(name), args...), done: make(chan struct{})}
+	p.log = filepath.Join(sc.work, fmt.Sprintf("%s-%d.log", name, len(sc.procs)))
 	file, err := os.Create(p.log)
 	ts.Check(err)
 	p.cmd.Stdout, p.cmd.Stderr = file, file
-	// The test binary stands in for the program that it is started as.
+	// Programs in this PATH are the test binary itself, see TestMain.
 	p.cmd.Env = append(os.Environ(), "PATH="+ts.Getenv("PATH"))
 	ts.Check(p.cmd.Start())
 	go func() {
@@ -109,13 +115,13 @@
 		_ = file.Close()
 		close(p.done)
 	}()
-	wo.procs = append(wo.procs, p)
+	sc.procs = append(sc.procs, p)
 	return p
 }
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// stopped is true when the system says that all threads are stopped.
+// stopped reports whether all threads of the process are in the stopped state.
 func (p *process) stopped() bool {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/stat", p.cmd.Process.Pid))
 	for _, task := range tasks {
@@ -140,14 +146,14 @@
 	}
 }
 
-func (wo *world) stop() {
-	for _, l := range wo.loads {
+func (sc *scenario) stop() {
+	for _, l := range sc.loads {
 		l.end()
 	}
-	for _, n := range wo.workers {
-		n.proxy.Close()
+	for _, w := range sc.workers {
+		w.proxy.Close()
 	}
-	for _, p := range wo.procs {
+	for _, p := range sc.procs {
 		if !p.ended() {
 			p.signal(syscall.SIGCONT)
 			p.signal(syscall.SIGKILL)
@@ -156,18 +162,19 @@
 	}
 }
 
-// await waits for a condition, and fails the scenario when it does not come.
-func await(ts *testscript.TestScript, what string, ready func() bool) {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+// waitFor polls until ready returns true. It fails the scenario after
+// waitTimeout.
+func waitFor(ts *testscript.TestScript, what string, ready func() bool) {
+	for deadline := time.Now().Add(waitTimeout); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if ready() {
 			return
 		}
 	}
-	ts.Fatalf("waited in vain for %s", what)
+	ts.Fatalf("timed out waiting for %s", what)
 }
 
-// listens is true where somebody takes connections at an address.
-func listens(address string) bool {
+// isListening reports whether an address accepts TCP connections.
+func isListening(address string) bool {
 	conn, err := net.Dial("tcp", address)
 	if err != nil {
 		return false
@@ -193,32 +200,34 @@
 	ts.Check(err)
 	_ = resp.Body.Close()
 	if resp.StatusCode >= 300 {
-		ts.Fatalf("%s answered %d", url, resp.StatusCode)
+		ts.Fatalf("%s returned status %d", url, resp.StatusCode)
 	}
 }
 
-func (wo *world) publishVMs(ts *testscript.TestScript) {
+// publishVMs sets the platform's list of VMs.
+func (sc *scenario) publishVMs(ts *testscript.TestScript) {
 	var vms []store.VM
-	for name, w := range wo.workers {
-		if !slices.Contains(wo.unlisted, name) {
+	for name, w := range sc.workers {
+		if !slices.Contains(sc.unlisted, name) {
 			vms = append(vms, w.vm)
 		}
 	}
-	post(ts, "http://"+wo.platform+"/control/vms", vms)
+	post(ts, "http://"+sc.platform+"/control/vms", vms)
 }
 
-func (wo *world) worker(ts *testscript.TestScript, name string) *worker {
-	w := wo.workers[name]
+func (sc *scenario) worker(ts *testscript.TestScript, name string) *worker {
+	w := sc.workers[name]
 	if w == nil {
-		ts.Fatalf("there is no worker %q", name)
+		ts.Fatalf("unknown worker %q", name)
 	}
 	return w
 }
 
-// runs sums what the ledgers say of calls whose id begins with a prefix.
-func (wo *world) runs(worker, prefix string) int {
+// runs returns how often calls ran whose id begins with prefix, at one worker's
+// backend server or at "any".
+func (sc *scenario) runs(worker, prefix string) int {
 	total := 0
-	for name, w := range wo.workers {
+	for name, w := range sc.workers {
 		if worker != "any" && worker != name {
 			continue
 		}
@@ -236,8 +245,8 @@
 	return total
 }
 
-// send sends one call to a worker's daemon.
-func (wo *world) send(to *worker, method, service, path, id string, headers map[string]string, body string) *answer {
+// send sends a call to a worker's daemon.
+func (sc *scenario) send(to *worker, method, service, path, id string, headers map[string]string, body string) *answer {
 	req, err := http.NewRequest(method, "http://"+to.vm.Callers+path, strings.NewReader(body))
 	if err != nil {
 		return &answer{err: err}
@@ -256,14 +265,14 @@
 	return &answer{status: resp.StatusCode, header: resp.Header, body: string(data), err: err}
 }
 
-// sender does not follow redirects: scenarios look at them.
+// sender does not follow redirects, because scenarios check them.
 var sender = &http.Client{
-	Timeout:       patience,
+	Timeout:       waitTimeout,
 	Transport:     &http.Transport{MaxIdleConnsPerHost: 100},
 	CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse },
 }
 
-// load is a steady stream of calls in the background.
+// load sends calls in the background at a constant rate and counts the answers.
 type load struct {
 	stop chan struct{}
 	wait sync.WaitGroup
@@ -283,7 +292,7 @@
 	l.wait.Wait()
 }
 
-func (l *load) note(a *answer) {
+func (l *load) record(a *answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	switch {
