--- a/tools/gendocs/main.go
+++ b/tools/gendocs/main.go
@@ -1,5 +1,5 @@
-// Command gendocs writes the pages that are generated from the code, or with
-// -check fails when one of them is stale.
+// Command gendocs writes the documentation pages that are generated from the
+// code. With -check it writes nothing and fails when a page is out of date.
 package main
 
 import (
@@ -27,23 +27,25 @@
 		{"docs/SETTINGS.md", settingsPage},
 	}
 	for _, p := range pages {
-		if err := p.do(*check); err != nil {
+		if err := p.writeOrCheck(*check); err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
 	}
 }
 
-func (p page) do(check bool) error {
-	want, err := p.make()
+// writeOrCheck writes the page, or with check returns an error when the file
+// differs from it.
+func (p page) writeOrCheck(check bool) error {
+	content, err := p.make()
 	if err != nil {
 		return err
 	}
 	if !check {
-		return os.WriteFile(p.path, want, 0o644)
+		return os.WriteFile(p.path, content, 0o644)
 	}
-	have, err := os.ReadFile(p.path)
-	if err != nil || !bytes.Equal(have, want) {
+	existing, err := os.ReadFile(p.path)
+	if err != nil || !bytes.Equal(existing, content) {
 		return fmt.Errorf("%s is stale; run `make generate` and commit it", p.path)
 	}
 	return nil
@@ -71,19 +73,19 @@
 	out.WriteString("Kinds marked `elsewhere` are tried again at another backend server before the caller sees them.\n\n")
 	out.WriteString("| kind | status | ran | elsewhere | come back after | advice |\n|---|---|---|---|---|---|\n")
 	for _, row := range errkind.Table()[1:] {
-		fmt.Fprintf(&out, "| `%s` | %d | %s | %s | %s | %s |\n", row.Name, row.Status, row.Ran, yes(row.Elsewhere), after(row.RetryAfterMS), row.Advice)
+		fmt.Fprintf(&out, "| `%s` | %d | %s | %s | %s | %s |\n", row.Name, row.Status, row.Ran, yesOrEmpty(row.Elsewhere), formatRetryAfter(row.RetryAfterMS), row.Advice)
 	}
 	return out.Bytes(), nil
 }
 
-func yes(b bool) string {
+func yesOrEmpty(b bool) string {
 	if b {
 		return "yes"
 	}
 	return ""
 }
 
-func after(ms int) string {
+func formatRetryAfter(ms int) string {
 	if ms == 0 {
 		return ""
 	}
--- a/tools/gendocs/settings.go
+++ b/tools/gendocs/settings.go
@@ -12,8 +12,8 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// settingsPage writes a table a section, from the comments, tags and defaults
-// of the settings struct.
+// settingsPage writes a table for each settings section, from the comments,
+// tags and defaults of the settings structs.
 func settingsPage() ([]byte, error) {
 	comments, err := fieldComments("pkg/settings/settings.go")
 	if err != nil {
@@ -22,18 +22,20 @@
 	var out bytes.Buffer
 	out.WriteString("# Settings\n\n" + notice)
 	out.WriteString("One YAML file a daemon, named with `--settings`. Unknown fields are refused. `rushramp settings check FILE` checks a file without starting anything.\n\n")
-	w := &writer{out: &out, comments: comments}
+	w := &sectionWriter{out: &out, comments: comments}
 	w.section("", reflect.ValueOf(settings.Default()))
 	return out.Bytes(), nil
 }
 
-type writer struct {
+// sectionWriter writes settings sections. comments maps "Struct.Field" to the
+// field's doc comment.
+type sectionWriter struct {
 	out      *bytes.Buffer
 	comments map[string]string
 }
 
-// section writes the plain fields of a struct, then its sections.
-func (w *writer) section(path string, v reflect.Value) {
+// section writes the plain fields of a struct, then its nested sections.
+func (w *sectionWriter) section(path string, v reflect.Value) {
 	title, under := "Top level", ""
 	if path != "" {
 		title, under = "`"+path+"`", path+"."
@@ -70,7 +72,8 @@
 	return strings.Trim(strings.ReplaceAll(tag, ",", ", "), ", ")
 }
 
-// fieldComments returns the doc comment of each struct field in a file.
+// fieldComments returns the doc comments of all struct fields in a file, by
+// "Struct.Field".
 func fieldComments(path string) (map[string]string, error) {
 	file, err := parser.ParseFile(token.NewFileSet(), path, nil, parser.ParseComments)
 	if err != nil {
--- a/tools/genproto/main.go
+++ b/tools/genproto/main.go
@@ -1,6 +1,7 @@
-// Command genproto compiles the operators' schema with the plugins pinned in
-// go.mod. It compiles the schema itself, so that no protoc has to be installed.
-// Run it from the repository's root after a change of the schema.
+// Command genproto generates Go code from the schema of the operators' API with
+// the plugins pinned in go.mod. It compiles the schema itself, so protoc need
+// not be installed. Run it from the repository's root after a change of the
+// schema.
 package main
 
 import (
@@ -22,11 +23,12 @@
 	schemaDir = "api/operators"
 	schema    = "operators.proto"
 	outDir    = "pkg/operatorsapi"
-	// parameter is what the plugins are told: files go beside each other.
+	// parameter makes the plugins name their output files relative to the
+	// schema.
 	parameter = "paths=source_relative"
 )
 
-// plugins are the commands that write the code, as go.mod pins them.
+// plugins lists the packages of the code generators.
 var plugins = []string{
 	"google.golang.org/protobuf/cmd/protoc-gen-go",
 	"google.golang.org/grpc/cmd/protoc-gen-go-grpc",
@@ -52,7 +54,7 @@
 	return nil
 }
 
-// compile reads the schema and returns what plugins are asked, as bytes.
+// compile compiles the schema and returns the encoded request to the plugins.
 func compile(ctx context.Context) ([]byte, error) {
 	compiler := protocompile.Compiler{
 		Resolver:       protocompile.WithStandardImports(&protocompile.SourceResolver{ImportPaths: []string{schemaDir}}),
@@ -60,7 +62,7 @@
 	}
 	files, err := compiler.Compile(ctx, schema)
 	if err != nil {
-		return nil, errors.Wrap(err, "schema")
+		return nil, errors.Wrap(err, "compile the schema")
 	}
 	request := &pluginpb.CodeGeneratorRequest{FileToGenerate: []string{schema}, Parameter: proto.String(parameter)}
 	for _, file := range files {
@@ -69,7 +71,7 @@
 	return proto.Marshal(request)
 }
 
-// generate runs one plugin and writes the files that it answers with.
+// generate runs one plugin and writes the files that it returns.
 func generate(ctx context.Context, plugin string, request []byte) error {
 	cmd := exec.CommandContext(ctx, "go", "run", plugin)
 	cmd.Stdin, cmd.Stderr = bytes.NewReader(request), os.Stderr
