--- a/pkg/bench/drillload.go
+++ b/pkg/bench/faultload.go
@@ -16,7 +16,8 @@
 	neverRepeatLoadFactor = 2
 	// callerRetries is how often a caller sends a never-repeat call again, with
 	// the same key, after it got no answer.
-	callerRetries    = 3
+	callerRetries = 3
+	// callerRetryDelay is the pause before each retry.
 	callerRetryDelay = 60 * time.Millisecond
 	// shortCallTimeout is the timeout of half of the never-repeat calls. It is
 	// shorter than most faults, so that entries give up while executors still
--- a/pkg/bench/faults.go
+++ b/pkg/bench/faults.go
@@ -32,29 +32,35 @@
 	cluster *cluster
 	sender  *caller
 
-	mu          sync.Mutex
+	mu sync.Mutex
+	// reserved contains the nodes that a fault has reserved.
 	reserved    map[*node]bool
 	violations  Violations
 	outcomes    []outcome
 	faultCounts map[string]int
 	races       int
 	racesLost   int
-	err         error
+	// err is the first error of a fault; RunFaults returns it instead of a report.
+	err error
 }
 
 // FaultReport is the report of a run with faults.
 type FaultReport struct {
-	Deployment  string         `json:"deployment"`
-	Seed        uint64         `json:"seed"`
-	Calls       int            `json:"calls"`
-	NeverRepeat int            `json:"never_repeat_calls"`
-	Answered    int            `json:"answered"`
-	NotRun      int            `json:"refused_not_run"`
-	Unknown     int            `json:"outcome_unknown"`
-	Faults      map[string]int `json:"faults"`
-	Races       int            `json:"races"`
-	RacesLost   int            `json:"races_lost"`
-	Outcomes    map[string]int `json:"outcomes"`
+	Deployment  string `json:"deployment"`
+	Seed        uint64 `json:"seed"`
+	Calls       int    `json:"calls"`
+	NeverRepeat int    `json:"never_repeat_calls"`
+	Answered    int    `json:"answered"`
+	// NotRun counts calls refused with Rushramp-Ran: no, Unknown all other
+	// calls without an answer.
+	NotRun  int            `json:"refused_not_run"`
+	Unknown int            `json:"outcome_unknown"`
+	Faults  map[string]int `json:"faults"`
+	// Races counts the placement changes by operators, RacesLost those that
+	// failed.
+	Races     int            `json:"races"`
+	RacesLost int            `json:"races_lost"`
+	Outcomes  map[string]int `json:"outcomes"`
 	// WrongAnswers describes the answers that were crossed or truncated.
 	WrongAnswers []string `json:"wrong"`
 	Violations
--- a/pkg/bench/report.go
+++ b/pkg/bench/report.go
@@ -7,7 +7,9 @@
 )
 
 // Stats summarises the calls of a run, a service or a kind. Times are in
-// microseconds; a wait is the latency minus the call's nominal service time.
+// microseconds. P50, P99 and P999 are percentiles of the latency, WaitP50,
+// WaitP99 and WaitP999 of the wait, which is the latency minus the call's
+// nominal service time.
 type Stats struct {
 	Calls          int     `json:"calls"`
 	Answered       int     `json:"answered"`
--- a/pkg/bench/run.go
+++ b/pkg/bench/run.go
@@ -174,7 +174,7 @@
 	return name, soft, errors.Wrap(err, "policy")
 }
 
-// caller sends calls over HTTP, as publishers' pages and pilots' apps do.
+// caller sends calls over HTTP and does not retry them.
 type caller struct{ http *client.Client }
 
 func newCaller() (*caller, error) {
--- a/pkg/bench/slopes.go
+++ b/pkg/bench/slopes.go
@@ -23,8 +23,10 @@
 	name     string
 	unit     string
 	sizeUnit string
-	sizes    []float64
-	values   []float64
+	// sizes and values are the coordinates of the points; sizes are in
+	// sizeUnit, values in unit.
+	sizes  []float64
+	values []float64
 }
 
 func (s *series) add(size, value float64) {
--- a/pkg/standin/backend/server.go
+++ b/pkg/standin/backend/server.go
@@ -26,6 +26,8 @@
 
 // Paths of the pages for tests and for the executor.
 const (
+	// PathCancel, followed by the id that the executor gave a call, cancels the
+	// call.
 	PathCancel  = "/standin/cancel/"
 	pathFaults  = "/standin/faults"
 	pathLedger  = "/standin/ledger"
