--- a/pkg/atmostonce/claims_test.go
+++ b/pkg/atmostonce/claims_test.go
@@ -95,7 +95,7 @@
 	for range hi.choose(4) {
 		modes = append(modes, fakestore.Mode(hi.choose(int(fakestore.ModeCount))))
 	}
-	hi.table.SetNext(modes)
+	hi.table.SetModes(modes)
 }
 
 // deliver lets an executor claim for a call in transit.
@@ -181,8 +181,8 @@
 
 // arrive applies a delayed write.
 func (hi *history) applyLateWrite() {
-	if late := hi.table.Late(); late > 0 {
-		hi.table.Arrive(hi.choose(late))
+	if late := hi.table.Pending(); late > 0 {
+		hi.table.ApplyPending(hi.choose(late))
 	}
 }
 
@@ -273,10 +273,10 @@
 		modes []fakestore.Mode
 		runs  bool
 	}{
-		{"the write took effect", []fakestore.Mode{fakestore.Loses}, true},
-		{"the write had no effect", []fakestore.Mode{fakestore.Fails}, false},
-		{"the write is delayed", []fakestore.Mode{fakestore.Delays}, false},
-		{"the write took effect, and the read-back fails", []fakestore.Mode{fakestore.Loses, fakestore.Fails}, false},
+		{"the write took effect", []fakestore.Mode{fakestore.ModeLoseAnswer}, true},
+		{"the write had no effect", []fakestore.Mode{fakestore.ModeFail}, false},
+		{"the write is delayed", []fakestore.Mode{fakestore.ModeDelay}, false},
+		{"the write took effect, and the read-back fails", []fakestore.Mode{fakestore.ModeLoseAnswer, fakestore.ModeFail}, false},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
