--- a/pkg/backend/heartbeat_history.go
+++ b/pkg/backend/heartbeat_history.go
@@ -38,7 +38,7 @@
 	incarnation := h.Incarnation()
 	history := l.histories[incarnation]
 	if history == nil {
-		l.evictSilent()
+		l.evictOldestHistory()
 		history = &heartbeatHistory{firstAt: now}
 		l.histories[incarnation] = history
 	}
@@ -53,9 +53,9 @@
 	return late
 }
 
-// evictSilent makes room for one history by removing that of the incarnation whose last
+// evictOldestHistory makes room for one history by removing that of the incarnation whose last
 // heartbeat is the oldest. It never removes that of the current incarnation.
-func (l *Lifecycle) evictSilent() {
+func (l *Lifecycle) evictOldestHistory() {
 	if len(l.histories) < maxHistories {
 		return
 	}
--- a/pkg/backend/lifecycle.go
+++ b/pkg/backend/lifecycle.go
@@ -303,7 +303,7 @@
 // including the given one. Without a start time it stands for the current incarnation
 // if that has the ID. first is true if this was not known before.
 func (l *Lifecycle) markDeparted(now int64, incarnation Incarnation) (first bool) {
-	l.dropOldEnds(now)
+	l.dropOldEndRecords(now)
 	if incarnation.StartedAtMS == 0 && incarnation.ID == l.current.ID {
 		incarnation = l.current
 	}
@@ -319,8 +319,8 @@
 	return true
 }
 
-// dropOldEnds removes end records that are older than endRetention.
-func (l *Lifecycle) dropOldEnds(now int64) {
+// dropOldEndRecords removes end records that are older than endRetention.
+func (l *Lifecycle) dropOldEndRecords(now int64) {
 	for _, ends := range []map[string]endRecord{l.departed, l.replaced} {
 		for id, end := range ends {
 			if now-end.recordedAt > int64(endRetention) {
--- a/pkg/backend/prober.go
+++ b/pkg/backend/prober.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// Health is the result of a health check.
-type Health struct {
+// ProbeResult is the result of a health check.
+type ProbeResult struct {
 	// Healthy is true if the backend server answered with status 200.
 	Healthy    bool
 	InstanceID string
@@ -46,18 +46,18 @@
 }
 
 // Probe makes one health check. An error means that there was no response.
-func (p *Prober) Probe(ctx context.Context, path string) (Health, error) {
+func (p *Prober) Probe(ctx context.Context, path string) (ProbeResult, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+p.address+path, nil)
 	if err != nil {
-		return Health{}, err
+		return ProbeResult{}, err
 	}
 	resp, err := p.client.Do(req)
 	if err != nil {
-		return Health{}, err
+		return ProbeResult{}, err
 	}
 	defer func() { _ = resp.Body.Close() }()
 	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxHealthBodyBytes))
-	return Health{
+	return ProbeResult{
 		Healthy:    resp.StatusCode == http.StatusOK,
 		InstanceID: resp.Header.Get(p.headers.InstanceID),
 		LoadHeader: resp.Header.Get(p.headers.Load),
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -143,7 +143,7 @@
 	}
 	if d.routed != nil {
 		d.env.RoutedRunner, d.env.Backend, d.env.Recorder = d.routed.runner, d.routed.lifecycle, d.routed.recorder
-		d.env.Trial = d.routed.runner.Trial()
+		d.env.Trial = d.routed.runner.Enforcer()
 	} else if d.Executor != nil && s.BackendServer.Version != "" {
 		d.beginTrial()
 	}
--- a/pkg/daemon/routed.go
+++ b/pkg/daemon/routed.go
@@ -158,7 +158,7 @@
 func (r *routed) HandleHeartbeat(ctx context.Context, h backend.Heartbeat) {
 	r.runner.UpdateSlots(h.Slots)
 	departed := r.lifecycle.RecordHeartbeat(r.daemon.Now(), h)
-	r.runner.UpdateCold()
+	r.runner.UpdateColdState()
 	if departed {
 		r.keep(ctx, h.Incarnation())
 	}
--- a/pkg/daemon/watch.go
+++ b/pkg/daemon/watch.go
@@ -103,7 +103,7 @@
 		r.lifecycle.RecordInstanceID(r.daemon.Now(), health.InstanceID)
 	}
 	r.lifecycle.RecordCold(asked, r.daemon.Now(), health.InstanceID, health.ColdFor)
-	r.runner.UpdateCold()
+	r.runner.UpdateColdState()
 	r.runner.UpdateLoad(health.LoadHeader)
 	return nil
 }
--- a/pkg/rollout/evaluator.go
+++ b/pkg/rollout/evaluator.go
@@ -24,9 +24,9 @@
 	// share of the old versions' runs in the history. It is less than the smallest share
 	// that canaries usually have (0.033).
 	minRunShare = 0.025
-	// minListenTime is the time from the first report of an old version until there can be
+	// minObservationTime is the time from the first report of an old version until there can be
 	// enough runs, in nanoseconds: four reports of each backend server.
-	minListenTime = int64(time.Second)
+	minObservationTime = int64(time.Second)
 )
 
 // Evaluator evaluates the reports of one order: it compares the runs of the new version
@@ -217,5 +217,5 @@
 			return false
 		}
 	}
-	return e.firstOldReport > 0 && now-e.firstOldReport >= minListenTime
+	return e.firstOldReport > 0 && now-e.firstOldReport >= minObservationTime
 }
--- a/pkg/rollout/histogram.go
+++ b/pkg/rollout/histogram.go
@@ -15,8 +15,8 @@
 	firstStepTime = 4 * time.Millisecond
 	// maxSlowdownPercent bounds the slowdown by which a duration is corrected.
 	maxSlowdownPercent = 2000
-	// usualSlowdownPercent is the slowdown of a backend server at its usual speed.
-	usualSlowdownPercent = 100
+	// normalSlowdownPercent is the slowdown of a backend server at its usual speed.
+	normalSlowdownPercent = 100
 )
 
 // histogramStep returns the step of a duration, from 0 to histogramSteps-1.
@@ -32,7 +32,7 @@
 func (o *Outcome) normalisedDuration() time.Duration {
 	slowdown := min(max(o.StartSlowdown, o.PeakSlowdown), maxSlowdownPercent)
 	if slowdown == 0 {
-		slowdown = usualSlowdownPercent
+		slowdown = normalSlowdownPercent
 	}
-	return max(o.Duration, 0) * usualSlowdownPercent / time.Duration(slowdown)
+	return max(o.Duration, 0) * normalSlowdownPercent / time.Duration(slowdown)
 }
--- a/pkg/rollout/simulation_test.go
+++ b/pkg/rollout/simulation_test.go
@@ -44,10 +44,10 @@
 	old, target *Recorder
 	rng         *rand.Rand
 	load        load
-	// usualFailureRate is the share of all runs that fail. From faultFrom until faultTo
+	// normalFailureRate is the share of all runs that fail. From faultFrom until faultTo
 	// faultRate takes its place, at both versions.
-	usualFailureRate, faultRate float64
-	faultFrom, faultTo          time.Duration
+	normalFailureRate, faultRate float64
+	faultFrom, faultTo           time.Duration
 	// oldReportsLate delays the old versions' reports by a tick.
 	oldReportsLate bool
 	delayedReport  Report
@@ -59,7 +59,7 @@
 	order := orderOf(5, "v2")
 	s := &simulation{
 		evaluator: NewEvaluator(order), old: NewRecorder("vm-1", "desk", 1), target: NewRecorder("vm-2", "desk", 1),
-		rng: rand.New(rand.NewPCG(seed, 1)), load: twoRouteLoad(), usualFailureRate: minFailureRate,
+		rng: rand.New(rand.NewPCG(seed, 1)), load: twoRouteLoad(), normalFailureRate: minFailureRate,
 	}
 	s.old.Begin(order.Revision, "v1")
 	s.target.Begin(order.Revision, "v2")
@@ -110,7 +110,7 @@
 	}
 	faulty := at >= version.from && (version.route == "" || version.route == route)
 	for range n {
-		failureRate := s.usualFailureRate
+		failureRate := s.normalFailureRate
 		if at >= s.faultFrom && at < s.faultTo {
 			failureRate = s.faultRate
 		}
--- a/pkg/runner/accepting.go
+++ b/pkg/runner/accepting.go
@@ -16,8 +16,8 @@
 // refuses new and waiting requests.
 func (r *Runner) SetEvacuated(evacuated bool) { r.evacuated.Store(evacuated) }
 
-// Trial returns the part ofthebackend server in a roll-out.
-func (r *Runner) Trial() *enforcer.Enforcer { return r.trial }
+// Enforcer returns the part ofthebackend server in a roll-out.
+func (r *Runner) Enforcer() *enforcer.Enforcer { return r.enforcer }
 
 // acceptingIncarnation returns the incarnation that requests may be sent to now, or a
 // refusal if there is none.
@@ -29,7 +29,7 @@
 	if !ok {
 		return backend.Incarnation{}, errkind.New(errkind.BackendAbsent, "the backend server is leaving, down or not known yet")
 	}
-	if reason := r.trial.RefusalReasonFor(incarnation.String()); reason != "" {
+	if reason := r.enforcer.RefusalReasonFor(incarnation.String()); reason != "" {
 		return backend.Incarnation{}, errkind.New(errkind.VersionHeld, "%s", reason)
 	}
 	return incarnation, nil
@@ -48,7 +48,7 @@
 	if r.leaving.Load() {
 		return errkind.New(errkind.Leaving, "the daemon is leaving")
 	}
-	if !r.coldLimitSet.Load() && !r.UpdateCold() {
+	if !r.coldLimitSet.Load() && !r.UpdateColdState() {
 		return errkind.New(errkind.PlacementUnknown, "the executor has no placement yet")
 	}
 	if c.Service != r.Settings.BackendServer.Service {
--- a/pkg/runner/cold.go
+++ b/pkg/runner/cold.go
@@ -12,10 +12,10 @@
 // cold, in nanoseconds: reports take time to arrive and are in whole milliseconds.
 const coldReportSlack = int64(50 * time.Millisecond)
 
-// UpdateCold tells the gate the backend server's reported cold period and how many
+// UpdateColdState tells the gate the backend server's reported cold period and how many
 // starts it tolerates then, by the placement in force. It returns false if there is no
 // placement yet.
-func (r *Runner) UpdateCold() bool {
+func (r *Runner) UpdateColdState() bool {
 	service, ok := r.service()
 	if !ok {
 		return false
--- a/pkg/runner/cold_reports_test.go
+++ b/pkg/runner/cold_reports_test.go
@@ -39,11 +39,11 @@
 	const longerThanSlack = 2 * time.Duration(coldReportSlack)
 	time.Sleep(longerThanSlack) // so that starts of a previous process do not count
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
-	r.UpdateCold()
+	r.UpdateColdState()
 	executeMany(t, r, maxStarts/2)
 	time.Sleep(longerThanSlack)
 	lifecycle.RecordHeartbeat(r.Now(), backend.Heartbeat{InstanceID: "i-1", Sequence: 1, ColdFor: 3 * time.Second})
-	r.UpdateCold()
+	r.UpdateColdState()
 	executeMany(t, r, 3*maxStarts)
 	test.Eq(t, uint32(maxStarts), r.gate.Stamp(r.Now()).Running)
 }
@@ -57,7 +57,7 @@
 		withColdRate(r)
 		executeMany(t, r, early) // sets the gate's limit without any report
 		lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 2*time.Second)
-		r.UpdateCold()
+		r.UpdateColdState()
 		executeMany(t, r, 100)
 		test.LessEq(t, uint32(early), r.gate.Stamp(r.Now()).Running, test.Sprint("the previous process may have made all starts of this second"))
 	}
--- a/pkg/runner/cold_test.go
+++ b/pkg/runner/cold_test.go
@@ -27,7 +27,7 @@
 	r, lifecycle := newTestRunner(t, h, 10)
 	withColdService(r)
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-	r.UpdateCold()
+	r.UpdateColdState()
 	for range 2 {
 		_, _ = execute(r, routedCall("runs"))
 		test.Eq(t, "runs", <-h.arrived)
@@ -54,12 +54,12 @@
 	asked := make(chan struct{}, 100)
 	r.checker = backend.NewHealthChecker(backend.HealthCheckerOptions{MaxWait: time.Minute, MaxPerSecond: 100}, func(context.Context) error {
 		lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-		r.UpdateCold()
+		r.UpdateColdState()
 		asked <- struct{}{}
 		return nil
 	})
 	lifecycle.RecordCold(r.Now()-int64(time.Second), r.Now()-int64(time.Second), "i-1", 0)
-	r.UpdateCold()
+	r.UpdateColdState()
 	var cancels []func()
 	for range 3 {
 		_, cancel := execute(r, routedCall("a"))
@@ -85,10 +85,10 @@
 	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
 	test.Eq(t, now+int64(120*time.Millisecond), r.latestEnd(now, run, false))
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-	r.UpdateCold()
+	r.UpdateColdState()
 	test.Eq(t, now+int64(120*time.Millisecond), r.latestEnd(now, run, true))
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 0)
-	r.UpdateCold()
+	r.UpdateColdState()
 	test.Eq(t, run.deadline, r.latestEnd(now, run, true))
 }
 
@@ -99,7 +99,7 @@
 	service := r.service
 	r.service = func() (routing.Service, bool) { return routing.Service{}, false }
 	lifecycle.RecordCold(r.Now(), r.Now(), "i-1", 3*time.Second)
-	r.UpdateCold()
+	r.UpdateColdState()
 	r.service = service
 	withColdService(r)
 	for range 2 {
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -24,7 +24,7 @@
 		events.F("gate", strconv.Itoa(int(result.Stamp.Running))+"+"+strconv.Itoa(int(result.Stamp.Queued))+"/"+strconv.Itoa(int(result.Stamp.Limit))),
 		events.F("slowdown", result.Stamp.Slowdown), events.F("load_age", events.Milliseconds(run.runner.load.Age(run.runner.Now()))),
 	}
-	if revision, underWay := run.runner.trial.PlanRevision(); underWay {
+	if revision, known := run.runner.enforcer.PlanRevision(); known {
 		fields = append(fields, events.F("backend_version", run.runner.lifecycle.Version()), events.F("plan", revision))
 	}
 	if refusal := result.Refusal; refusal != nil {
--- a/pkg/runner/rollout.go
+++ b/pkg/runner/rollout.go
@@ -16,7 +16,7 @@
 	if !counts {
 		return
 	}
-	run.runner.trial.Record(rollout.Outcome{
+	run.runner.enforcer.Record(rollout.Outcome{
 		Route: run.call.Kind, Failed: failed, Duration: took, StartSlowdown: uint32(max(slowdown, 0)),
 		PeakSlowdown: uint32(max(slowdown, run.runner.slowdowns.maxSince(start))), Cold: run.runner.cold.Load(),
 	})
--- a/pkg/runner/rollout_test.go
+++ b/pkg/runner/rollout_test.go
@@ -14,9 +14,9 @@
 
 // switchingTraffic returns the traffic of a plan that moves all requests to version v2.
 func switchingTraffic() *rollout.TrafficPolicy {
-	book := rollout.NewReplica()
-	book.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
-	return book.Traffic("s")
+	replica := rollout.NewReplica()
+	replica.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
+	return replica.Traffic("s")
 }
 
 // TestOldVersionIsDrained: the run under way ends and counts as in flight until then.
@@ -28,7 +28,7 @@
 	running, _ := execute(r, routedCall("runs"))
 	test.Eq(t, "runs", <-h.arrived)
 	waiting, _ := execute(r, routedCall("waits"))
-	r.Trial().SetGuard(&rollout.Guard{Traffic: switchingTraffic(), Revision: 6})
+	r.Enforcer().SetGuard(&rollout.Guard{Traffic: switchingTraffic(), Revision: 6})
 	arriving, _ := execute(r, routedCall("comes"))
 	r.Tick()
 	for _, refused := range []chan call.Result{waiting, arriving} {
@@ -61,7 +61,7 @@
 	} {
 		r, lifecycle := newTestRunner(t, newHoldingServer(), 1)
 		lifecycle.RecordHeartbeat(2, backend.Heartbeat{InstanceID: "i-1", Sequence: 1, Version: c.version})
-		r.Trial().SetGuard(c.guard)
+		r.Enforcer().SetGuard(c.guard)
 		_, refusal := r.acceptingIncarnation()
 		test.Eq(t, c.runs, refusal == nil, test.Sprint(name))
 	}
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -92,8 +92,8 @@
 	if run.job.Held() {
 		run.runner.heldStarts.Inc()
 	}
-	result, counts := run.execute()
-	next := run.runner.gate.Finish(run.runner.Now(), &run.job, counts)
+	result, representative := run.execute()
+	next := run.runner.gate.Finish(run.runner.Now(), &run.job, representative)
 	run.runner.startAll(next)
 	run.runner.logLimitChange()
 	run.finish(result)
@@ -102,7 +102,7 @@
 // execute runs the request at the backend server. It repeats the checks made at arrival,
 // as the request may have waited or the VM may have been suspended. counts is true if the
 // gate may learn the service time from the run.
-func (run *routedRun) execute() (result call.Result, counts bool) {
+func (run *routedRun) execute() (result call.Result, representative bool) {
 	r := run.runner
 	startedAt := r.Now()
 	left := time.Duration(run.deadline - startedAt)
@@ -133,7 +133,7 @@
 		r.crashDetector.ReportAborted(crash.AbortedRun{ID: run.call.Routed.ID, Content: run.fingerprint()})
 	}
 	done()
-	if reason := run.recalledBy(); reason != nil && reply.Answer == nil {
+	if reason := run.loadRecallReason(); reason != nil && reply.Answer == nil {
 		reply.Refusal = reason.WithRanMaybe()
 	}
 	r.applyReply(&reply)
@@ -177,15 +177,15 @@
 	}
 }
 
-// refuseSlowed refuses a request that waited while the backend server became slower.
-func (run *routedRun) refuseSlowed() {
+// refuseOverMaxCost refuses a request that waited while the backend server became slower.
+func (run *routedRun) refuseOverMaxCost() {
 	run.stopExpiryTimer()
 	run.refuse(errkind.New(errkind.Overloaded, "the backend server has become slower since the request arrived"))
 }
 
-// dismiss refuses a request that waited while the backend server stopped taking
+// refuseDrained refuses a request that waited while the backend server stopped taking
 // requests.
-func (run *routedRun) dismiss(reason *errkind.Error) {
+func (run *routedRun) refuseDrained(reason *errkind.Error) {
 	run.stopExpiryTimer()
 	run.refuse(reason)
 }
@@ -240,8 +240,8 @@
 	}
 }
 
-// recalledBy returns the reason for which the run was recalled; nil: it was not.
-func (run *routedRun) recalledBy() *errkind.Error {
+// loadRecallReason returns the reason for which the run was recalled; nil: it was not.
+func (run *routedRun) loadRecallReason() *errkind.Error {
 	run.mu.Lock()
 	defer run.mu.Unlock()
 	return run.recallReason
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -50,8 +50,8 @@
 	leaving       atomic.Bool
 	// evacuated is true while this VM's data centre is evacuated.
 	evacuated atomic.Bool
-	// trial is the part of the backend server in a roll-out.
-	trial *enforcer.Enforcer
+	// enforcer is the part of the backend server in a roll-out.
+	enforcer *enforcer.Enforcer
 	// slowdowns are recorded while a roll-out is under way.
 	slowdowns slowdownHistory
 	// cold is true while the backend server reports that it is cold. coldLimitSet is true
@@ -120,7 +120,7 @@
 		workTimes: worktime.NewTimes(),
 		origins:   newOriginTracker(deps.vmShare()),
 		checker:   deps.Checker,
-		trial:     enforcer.New(c, deps.Lifecycle, deps.Recorder),
+		enforcer:  enforcer.New(c, deps.Lifecycle, deps.Recorder),
 		transport: backend.NewTransport(backend.TransportOptions{
 			Address: s.BackendServer.Address, Headers: deps.Headers,
 			DialTimeout: s.BackendServer.DialTimeout, MaxBodyBytes: s.Limits.MaxBodyBytes, Now: c.Now,
@@ -175,9 +175,9 @@
 		r.refuseWaiting(refusal)
 		return
 	}
-	start, sendBack := r.gate.Tick(r.Now())
+	start, overMaxCost := r.gate.Tick(r.Now())
 	r.startAll(start)
-	for _, job := range sendBack {
+	for _, job := range overMaxCost {
 		job.RefuseOverMaxCost()
 	}
 }
@@ -208,7 +208,7 @@
 	r.load.Update(r.Now(), text)
 	r.UpdateSlots(r.load.Slots())
 	if slowdown := r.load.Slowdown(); slowdown > 0 {
-		if _, underWay := r.trial.PlanRevision(); underWay {
+		if _, known := r.enforcer.PlanRevision(); known {
 			r.slowdowns.record(r.Now(), slowdown)
 		}
 		r.logSpeedChange(slowdown)
@@ -251,7 +251,7 @@
 	nested := run.origin == wire.OriginService
 	run.job = gate.Job{
 		Rank: rankOf(c), Team: c.Routed.Team, Nested: nested, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.TargetRemaining),
-		Soft: c.Routed.Soft, SameDataCentre: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, RefuseOverMaxCost: run.refuseSlowed, RefuseDrained: run.dismiss,
+		Soft: c.Routed.Soft, SameDataCentre: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, RefuseOverMaxCost: run.refuseOverMaxCost, RefuseDrained: run.refuseDrained,
 	}
 	if !r.checkSpeedFirst(now, run) {
 		run.admit()
