--- a/pkg/backend/lifecycle.go
+++ b/pkg/backend/lifecycle.go
@@ -7,7 +7,7 @@
 
 const (
 	// endRetention is how long departed and replaced instance IDs are remembered. It is
-	// far longer than a process runs on after either.
+	// far longer than a process runs after it has departed or was replaced.
 	endRetention = 5 * time.Minute
 	// confirmationPeriod is how long a sign of life of the current incarnation outweighs
 	// heartbeats of others, which may arrive seconds late.
@@ -54,7 +54,7 @@
 	Leaving  bool
 	// Version is the version of the service's program that it runs; empty: not reported.
 	Version string
-	// ColdFor is how much longer it is cold after its start.
+	// ColdFor is how much longer the backend server stays cold.
 	ColdFor time.Duration
 }
 
@@ -88,8 +88,8 @@
 	mu      sync.Mutex
 	current Incarnation
 	state   State
-	// departuresKnown is true once all departures that may matter are known: a daemon that
-	// was restarted may have acknowledged one before.
+	// departuresKnown is true once all departures that may matter are known: the previous
+	// process of the daemon may have acknowledged one.
 	departuresKnown bool
 	// lastSeenAt is the time of the last sign of life of the current incarnation.
 	lastSeenAt int64
--- a/pkg/backend/load.go
+++ b/pkg/backend/load.go
@@ -24,7 +24,7 @@
 type LoadReport struct {
 	// Running and Waiting count requests. Slots is how many run at once.
 	Running, Waiting, Slots int
-	// Slowdown is how long work takes now, in percent of the usual time.
+	// Slowdown is how long work takes now, in percent of the time at normal speed.
 	Slowdown int
 }
 
