--- a/pkg/runner/accepting.go
+++ b/pkg/runner/accepting.go
@@ -8,15 +8,16 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// StopAccepting makes the runner refuse new requests from now on. Waiting and running
-// ones go on.
+// StopAccepting makes the runner refuse new requests from now on. Requests that wait or
+// run already are not affected.
 func (r *Runner) StopAccepting() { r.leaving.Store(true) }
 
 // SetEvacuated sets whether the data centre is evacuated. While it is, the runner
 // refuses new and waiting requests.
 func (r *Runner) SetEvacuated(evacuated bool) { r.evacuated.Store(evacuated) }
 
-// Enforcer returns the part ofthebackend server in a roll-out.
+// Enforcer returns the enforcer, which applies the service's roll-out to the backend
+// server.
 func (r *Runner) Enforcer() *enforcer.Enforcer { return r.enforcer }
 
 // acceptingIncarnation returns the incarnation that requests may be sent to now, or a
@@ -36,14 +37,14 @@
 }
 
 // quarantineRefusal refuses a request whose content is quarantined because it crashes
-// backend servers. The entry may not know of the quarantine yet.
+// backend servers. The entry, which checks this first, may not know of the quarantine yet.
 func (r *Runner) quarantineRefusal(c *wire.Call, body []byte) *errkind.Error {
 	refusal, _ := r.Quarantine.Refusal(r.Now(), func() quarantine.Fingerprint { return c.Fingerprint(body) })
 	return refusal
 }
 
-// checkCall refuses a call that this runner must not take. The entry may have decided
-// on older data.
+// checkCall returns the refusal of a call that this runner must not take, or nil. The
+// entry that chose this backend server may have decided on older data.
 func (r *Runner) checkCall(c *wire.Call, body []byte) *errkind.Error {
 	if r.leaving.Load() {
 		return errkind.New(errkind.Leaving, "the daemon is leaving")
--- a/pkg/runner/cold.go
+++ b/pkg/runner/cold.go
@@ -12,9 +12,9 @@
 // cold, in nanoseconds: reports take time to arrive and are in whole milliseconds.
 const coldReportSlack = int64(50 * time.Millisecond)
 
-// UpdateColdState tells the gate the backend server's reported cold period and how many
-// starts it tolerates then, by the placement in force. It returns false if there is no
-// placement yet.
+// UpdateColdState passes the gate the cold period that the backend server reported, and
+// the limit of starts per second in that period, which follows from the placement in
+// force. It returns false if there is no placement yet.
 func (r *Runner) UpdateColdState() bool {
 	service, ok := r.service()
 	if !ok {
@@ -36,9 +36,9 @@
 }
 
 // coldSince returns the earliest time at which a cold backend server may have become
-// cold. coldFor is the length of a cold period by the placement. If the backend server
-// reports more than that, it may have been cold for any time, for which a second is
-// assumed. If only a heartbeat, which may be old, reports the period, it may have begun
+// cold. coldFor is the length of a cold period according to the placement. If the backend
+// server reports a longer period, its start cannot be computed and is assumed to be one
+// second ago. If only a heartbeat, which may be old, reports the period, it may have begun
 // right after the last health check.
 func coldSince(now int64, period *backend.ColdPeriod, coldFor time.Duration) int64 {
 	since := period.EarliestEnd - int64(coldFor)
--- a/pkg/runner/log.go
+++ b/pkg/runner/log.go
@@ -8,7 +8,7 @@
 	"github.com/rushramp/rushramp/pkg/events"
 )
 
-// logOutcome logs how a request ended at this executor, with the state of the gate.
+// logOutcome logs how a request ended at this executor, with the load of the gate.
 func (run *routedRun) logOutcome(result *call.Result) {
 	id := outcomeEvent(result)
 	log := run.runner.Log
--- a/pkg/runner/origins.go
+++ b/pkg/runner/origins.go
@@ -11,12 +11,13 @@
 const (
 	// minServiceRequests is how many requests of a route in a row must begin on VMs of one
 	// service before the route counts as called by it. External callers use all VMs
-	// alike, so that this many of theirs on the VMs of one service are unlikely.
+	// alike, so it is unlikely that this many of their requests in a row begin on the VMs
+	// of one service.
 	minServiceRequests = 12
-	// maxChanceProbability is the highest probability that a route counts as called by a
-	// few services although the requests are those of external callers, which began on the
-	// VMs of these services by chance. The next request that begins on a VM of another
-	// service corrects it.
+	// maxChanceProbability is the highest accepted probability that requests of external
+	// callers all began on the VMs of a few services by chance, so that the route wrongly
+	// counts as called by these services. The next request that begins on a VM of another
+	// service corrects the error.
 	maxChanceProbability = 0.001
 	// maxServicesPerRoute limits the calling services that are tracked per route.
 	maxServicesPerRoute = 8
@@ -107,9 +108,9 @@
 	o.threshold = thresholdFor(share)
 }
 
-// thresholdFor returns how many requests of external callers in a row begin on a given
-// share of the VMs with a probability of at most maxChanceProbability, and at least
-// minServiceRequests; 0: there is no such number.
+// thresholdFor returns the smallest n, at least minServiceRequests, for which n requests
+// of external callers in a row all begin on the given share of the VMs with a probability
+// of at most maxChanceProbability; 0: there is no such number.
 func thresholdFor(share float64) int {
 	if share <= 0 || share >= 1 {
 		return 0
--- a/pkg/runner/rollout.go
+++ b/pkg/runner/rollout.go
@@ -22,8 +22,8 @@
 	})
 }
 
-// slowdownHistorySize is how many slowdown reports are kept. At ten responses a second
-// besides the health checks, it is more than arrive during a run of a second.
+// slowdownHistorySize is how many slowdown reports are kept: more than arrive during a run
+// of one second at ten responses a second, with those of the health checks.
 const slowdownHistorySize = 64
 
 // slowdownHistory is a ring buffer of the latest slowdown reports of the backend server.
--- a/pkg/runner/rollout_test.go
+++ b/pkg/runner/rollout_test.go
@@ -12,7 +12,8 @@
 	"github.com/rushramp/rushramp/pkg/rollout"
 )
 
-// switchingTraffic returns the traffic of a plan that moves all requests to version v2.
+// switchingTraffic returns the traffic policy of a plan that moves all requests to version
+// v2.
 func switchingTraffic() *rollout.TrafficPolicy {
 	replica := rollout.NewReplica()
 	replica.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
--- a/pkg/runner/run.go
+++ b/pkg/runner/run.go
@@ -100,8 +100,8 @@
 }
 
 // execute runs the request at the backend server. It repeats the checks made at arrival,
-// as the request may have waited or the VM may have been suspended. counts is true if the
-// gate may learn the service time from the run.
+// as the request may have waited or the VM may have been suspended. representative is true
+// if the gate may learn the service time from the run.
 func (run *routedRun) execute() (result call.Result, representative bool) {
 	r := run.runner
 	startedAt := r.Now()
@@ -177,14 +177,15 @@
 	}
 }
 
-// refuseOverMaxCost refuses a request that waited while the backend server became slower.
+// refuseOverMaxCost implements gate.Job.RefuseOverMaxCost: the backend server has become
+// slower while the request waited, which would now take too long.
 func (run *routedRun) refuseOverMaxCost() {
 	run.stopExpiryTimer()
 	run.refuse(errkind.New(errkind.Overloaded, "the backend server has become slower since the request arrived"))
 }
 
-// refuseDrained refuses a request that waited while the backend server stopped taking
-// requests.
+// refuseDrained implements gate.Job.RefuseDrained: the backend server has stopped taking
+// requests while the request waited.
 func (run *routedRun) refuseDrained(reason *errkind.Error) {
 	run.stopExpiryTimer()
 	run.refuse(reason)
@@ -240,7 +241,7 @@
 	}
 }
 
-// loadRecallReason returns the reason for which the run was recalled; nil: it was not.
+// loadRecallReason returns why the run was recalled; nil: it was not.
 func (run *routedRun) loadRecallReason() *errkind.Error {
 	run.mu.Lock()
 	defer run.mu.Unlock()
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -1,6 +1,8 @@
 // Package runner runs routed requests at the backend server beside the daemon: it
 // passes them through the gate, sends them, and reports of each refusal whether the
-// request ran. Source: docs/design/platform.md, "Executor and backend server".
+// request ran. The entry is the daemon that received a request, and the executor is the
+// daemon beside the backend server that runs it.
+// Source: docs/design/platform.md, "Executor and backend server".
 package runner
 
 import (
@@ -50,9 +52,9 @@
 	leaving       atomic.Bool
 	// evacuated is true while this VM's data centre is evacuated.
 	evacuated atomic.Bool
-	// enforcer is the part of the backend server in a roll-out.
+	// enforcer applies the service's roll-out to the backend server.
 	enforcer *enforcer.Enforcer
-	// slowdowns are recorded while a roll-out is under way.
+	// slowdowns are the slowdowns reported while a roll-out of the service is known.
 	slowdowns slowdownHistory
 	// cold is true while the backend server reports that it is cold. coldLimitSet is true
 	// once the gate knows how many starts it tolerates then.
@@ -166,9 +168,9 @@
 // Gate returns the gate.
 func (r *Runner) Gate() *gate.Gate { return r.gate }
 
-// Tick does the periodic work: it recalls runs of quarantined content, and starts
-// waiting requests if there are more slots than before, or refuses all of them if the
-// backend server takes none any more.
+// Tick does the periodic work. It recalls runs of quarantined content. If the backend
+// server takes requests, it starts the waiting ones that the gate now admits and refuses
+// those whose expected time has grown too long; otherwise it refuses all waiting requests.
 func (r *Runner) Tick() {
 	r.recallQuarantined()
 	if _, refusal := r.acceptingIncarnation(); refusal != nil {
--- a/pkg/runner/runs.go
+++ b/pkg/runner/runs.go
@@ -65,8 +65,8 @@
 	return float64(r.activeRuns.repeating) / float64(len(r.activeRuns.isRepeat))
 }
 
-// CallFailed records that a call made by the backend server failed: the runs under way
-// may fail because of it.
+// CallFailed records that a call made by the backend server failed. The answers of all
+// runs under way report it (call.Answer.CallsFailed), since each may have made the call.
 func (r *Runner) CallFailed() { r.callFailedAt.Store(r.Now()) }
 
 // recallQuarantined ends the runs whose content has been quarantined since they
--- a/pkg/runner/speed_check.go
+++ b/pkg/runner/speed_check.go
@@ -13,7 +13,7 @@
 
 // checkSpeedFirst starts a health check before the admission of a request that could
 // start at once, if the last known speed of the backend server is so old that the run
-// may take longer than expected: a run keeps the speed that it starts with. It returns
+// may take longer than expected, since a run keeps the speed that it starts with. It returns
 // true if the request is admitted after the check; if false, the caller admits it.
 func (r *Runner) checkSpeedFirst(now int64, run *routedRun) bool {
 	if r.checker == nil || r.gate.StalenessCost(now, &run.job) < r.Settings.Routing.LookCost {
