--- a/pkg/enforcer/enforcer.go
+++ b/pkg/enforcer/enforcer.go
@@ -38,8 +38,8 @@
 	return 0
 }
 
-// SetGuard replaces the guard. It applies at once to all requests that were not handed to
-// the backend server yet. Those that were count as in flight until they end.
+// SetGuard replaces the guard. The new guard applies at once to all requests that have not
+// been sent to the backend server yet. Requests that have been sent run to their end.
 func (e *Enforcer) SetGuard(g *rollout.Guard) { e.guard.Store(g) }
 
 // RefusalReason returns why a roll-out does not permit the backend server to run
