--- a/pkg/rollout/baseline.go
+++ b/pkg/rollout/baseline.go
@@ -35,7 +35,7 @@
 	}
 }
 
-// countTimed counts the runs in the histogram, and those in the given step or above.
+// countTimed counts all runs in the histogram, and those in fromStep or above.
 func (t *tally) countTimed(fromStep int) (all, above uint32) {
 	for i, n := range t.durations {
 		all += n
@@ -99,8 +99,8 @@
 	failureRate, slowRate float64
 	// slowFromStep is the histogram step from which a run is slow; 0 where it is not known.
 	slowFromStep int
-	// stale is true where the old versions ran too few requests at the time of the tested
-	// runs, so that the rates are of another time.
+	// stale is true where the old versions ran too few requests around the time of the
+	// tested runs, so that the rates come from earlier runs.
 	stale bool
 }
 
--- a/pkg/rollout/canaries.go
+++ b/pkg/rollout/canaries.go
@@ -85,10 +85,10 @@
 }
 
 // pickCanaries returns the VMs of the canaries and their share of the requests in
-// thousandths. It takes candidates as long as their part of all slots is within the
-// largest share allowed, so that the load of each slot is about that after the switch. It
-// takes maxPlannedCanaries at most and one at least, which then has less load than after
-// the switch where its part of the slots exceeds the largest share.
+// thousandths. It adds candidates while their part of all slots is within maxCanaryShare,
+// so that each slot has about the load that it will have after the switch. It picks at
+// least one and at most maxPlannedCanaries. Where the part of a single candidate exceeds
+// maxCanaryShare, its share of the requests is maxCanaryShare nevertheless.
 func (d *decision) pickCanaries() (vms []string, perMille uint32) {
 	all := max(d.readySlots(d.isTarget), d.readySlots(d.isOld))
 	maxShare := maxCanaryShare(d.order.Duration, d.limits)
--- a/pkg/rollout/decide.go
+++ b/pkg/rollout/decide.go
@@ -10,7 +10,7 @@
 type Limits struct {
 	// MaxBadShare is the largest share of the service's requests that a bad version may
 	// get between the order and its deadline, from 0 to 1. Platforms may allow a number of
-	// requests besides, which is not planned with.
+	// requests in addition, which the plan does not use.
 	MaxBadShare float64
 	// StopWithin is the longest time from when a version shows itself bad until it gets no
 	// more requests.
@@ -42,7 +42,7 @@
 // result depends on the arguments alone, so that daemons that decide at the same time
 // with the same knowledge write the same row, and only one write succeeds.
 //
-// now is the time on the store's steady clock. plan is the newest plan known, the zero
+// now is the time on the store's monotonic clock. plan is the newest plan known, the zero
 // value where there is none; the next plan keeps its revision, on which the write of the
 // row is conditional. order is the zero value where the order was taken away. verdict is
 // the one of the order's Evaluator, or that of a stop of the order (Stop.Verdict). The
@@ -216,9 +216,9 @@
 
 // fromSwitching returns the plan that follows one in the phase Switching. The roll-out
 // completes once all other backend servers are drained and the target has run all
-// requests for minWatchTime. Shortly before the deadline it completes without that time,
-// and without the backend servers that are unreachable. It may also complete after the
-// deadline, where the store was unavailable until then.
+// requests for minWatchTime. From endMargin before the deadline it waits neither for
+// that time nor for unreachable backend servers. It may also complete after the deadline,
+// where the store was unavailable until then.
 func (d *decision) fromSwitching() (Plan, bool) {
 	ready := d.readySlots(d.isTarget)
 	running, unreachable := d.undrainedOthers()
--- a/pkg/rollout/evaluator.go
+++ b/pkg/rollout/evaluator.go
@@ -24,8 +24,8 @@
 	// share of the old versions' runs in the history. It is less than the smallest share
 	// that canaries usually have (0.033).
 	minRunShare = 0.025
-	// minObservationTime is the time from the first report of an old version until there can be
-	// enough runs, in nanoseconds: four reports of each backend server.
+	// minObservationTime is the time from the first report of an old version until
+	// Verdict.EnoughRuns can be true, in nanoseconds: four reports of each backend server.
 	minObservationTime = int64(time.Second)
 )
 
@@ -80,7 +80,7 @@
 
 // AddReport adds the counts of a report. It ignores reports of other orders, reports
 // older than the reporter's last one, and those with values out of bounds. now is in
-// nanoseconds of a steady clock.
+// nanoseconds of a monotonic clock.
 func (e *Evaluator) AddReport(now int64, r Report) {
 	if r.Service != e.order.Service || r.Order != e.order.Revision || !isValidName(r.VM) || len(r.Version) > maxNameBytes || len(r.Routes) > maxRoutes {
 		return
@@ -156,7 +156,7 @@
 }
 
 // Verdict tests the pending runs and returns the verdict on the new version. A version
-// found bad stays bad. now is in nanoseconds of a steady clock.
+// found bad stays bad. now is in nanoseconds of a monotonic clock.
 func (e *Evaluator) Verdict(now int64) Verdict {
 	for route, evidence := range e.routes {
 		if cause := evidence.evaluatePending(now); cause != "" && !e.verdict.Bad {
@@ -206,8 +206,8 @@
 }
 
 // hasEnoughRuns is true where each route on which the old versions have recently run
-// requests has enough runs of the new version, and at least half as many with a duration
-// that counts.
+// requests has enough runs of the new version, and at least half as many of them in the
+// histogram of durations. It is false until minObservationTime has passed.
 func (e *Evaluator) hasEnoughRuns(now int64) bool {
 	for _, evidence := range e.routes {
 		recent := evidence.oldRuns.sumBetween(now-historySlices*sliceDuration+sliceDuration, now)
--- a/pkg/rollout/evaluator_test.go
+++ b/pkg/rollout/evaluator_test.go
@@ -194,7 +194,7 @@
 }
 
 // TestEachRouteNeedsEnoughRuns checks that each route needs enough runs, and half as many
-// with a duration that counts, which those of cold runs do not.
+// in the histogram of durations, which leaves out cold runs.
 func TestEachRouteNeedsEnoughRuns(t *testing.T) {
 	s := newSimulation(4)
 	s.load.canaryShare = 0
--- a/pkg/rollout/orderstore.go
+++ b/pkg/rollout/orderstore.go
@@ -17,12 +17,12 @@
 	// ordersKey is the key of the row with all orders in the platform's table, on platforms
 	// where operators give orders through rushramp's own API.
 	ordersKey = "rollout-orders/set"
-	// MinDuration is the shortest duration of an order: a canary of a bad version is found
-	// out within it, and the switch alone does not use up the share of requests that a bad
-	// version may get.
+	// MinDuration is the shortest duration of an order. Within it a bad version is
+	// detected at a canary, and the switch alone does not use up the share of requests that
+	// a bad version may get.
 	MinDuration = 12 * time.Second
-	// MaxDuration is the longest duration of an order. An order that is older is probably
-	// forgotten, and makes the service's executors count for nothing.
+	// MaxDuration is the longest duration of an order. An order that runs for longer is
+	// probably forgotten, and the service's executors would count runs needlessly.
 	MaxDuration = 30 * 24 * time.Hour
 	// maxRememberedChanges is how many ids of changes the row keeps. An id that an operator
 	// sends again after a lost answer, some minutes later, must still be among them.
--- a/pkg/rollout/plan.go
+++ b/pkg/rollout/plan.go
@@ -47,7 +47,7 @@
 	// PerMille is the canaries' share of the service's requests, in thousandths.
 	PerMille uint32
 	// Began is when the order was first seen, Since when the phase began, and Deadline by
-	// when the roll-out must have ended, all on the store's steady clock.
+	// when the roll-out must have ended, all on the store's monotonic clock.
 	Began    time.Duration
 	Since    time.Duration
 	Deadline time.Duration
--- a/pkg/rollout/planstore.go
+++ b/pkg/rollout/planstore.go
@@ -29,7 +29,7 @@
 type StoredPlan struct {
 	// Plan is the zero value where no plan was written yet.
 	Plan Plan
-	// Now is the time on the store's steady clock at some moment during the read.
+	// Now is the time on the store's monotonic clock at some moment during the read.
 	Now time.Duration
 }
 
--- a/pkg/rollout/report.go
+++ b/pkg/rollout/report.go
@@ -13,10 +13,10 @@
 	// Duration is how long the run took.
 	Duration time.Duration
 	// StartSlowdown is how long work took at the backend server when the run began, in
-	// percent of the usual time; 0 where it is not known.
+	// percent of the time at normal speed; 0 where it is not known.
 	StartSlowdown uint32
-	// PeakSlowdown is the highest slowdown reported during the run, in percent of the usual
-	// time; 0 where it is not known. Durations are corrected by it, so that runs during
+	// PeakSlowdown is the highest slowdown reported during the run, in percent as
+	// StartSlowdown; 0 where it is not known. Durations are corrected by it, so that runs during
 	// which a neighbour on the host slows the backend server down do not count as slow.
 	PeakSlowdown uint32
 	// Cold is true for a run that began before the backend server had warmed up.
--- a/pkg/rollout/schedule.go
+++ b/pkg/rollout/schedule.go
@@ -3,8 +3,9 @@
 import "time"
 
 // The schedule of a roll-out counts back from its deadline: the time needed to drain the
-// old versions and to write the plan is reserved for the switch. All the rest is the
-// canaries', because only a longer trial detects a version that turns bad late.
+// old versions and to write the plan is reserved for the switch. All other
+// time goes to the phase Canary, because only a long one detects a version that turns bad
+// late.
 const (
 	// minSwitchTime and maxSwitchTime bound the time reserved for the switch, which is a
 	// switchTimeDivisor-th of the order's duration. The minimum covers the time until all
@@ -16,8 +17,8 @@
 	minSwitchTime     = 4 * time.Second
 	maxSwitchTime     = 8 * time.Second
 	switchTimeDivisor = 6
-	// minTimeAfterSwitch is the time before the deadline from which no switch begins: usual
-	// work drains in half of it, and endMargin is the other half.
+	// minTimeAfterSwitch is the time before the deadline from which no switch begins: runs
+	// at normal speed drain in half of it, and endMargin is the other half.
 	minTimeAfterSwitch = 2 * time.Second
 	// endMargin is the time before the deadline by which the last plan is due: the order may
 	// have been seen half a second late, and a write takes up to half a second.
@@ -38,9 +39,9 @@
 }
 
 const (
-	// plannedBudget is the part of Limits.MaxBadShare that is planned with. The rest, and
-	// the requests that the platform allows besides, cover requests that come unevenly and
-	// a switch that is late.
+	// plannedBudget is the part of Limits.MaxBadShare that the plan uses. The rest, and the
+	// requests that the platform allows in addition, cover an uneven request rate and a late
+	// switch.
 	plannedBudget = 0.9
 	// maxSwitchExposure is how long a version that is bad only under the whole load runs all
 	// requests before it is stopped: a run of 190 ms, a report each 0.25 s, and the stop
--- a/pkg/rollout/stop.go
+++ b/pkg/rollout/stop.go
@@ -1,7 +1,7 @@
 package rollout
 
-// Stop returns the stop that a verdict against the order's version makes, to send to all
-// daemons. ok is false where the verdict is not bad.
+// Stop returns the stop that follows from a bad verdict on the order's version; it is to be
+// sent to all daemons. ok is false where the verdict is not bad.
 func (v Verdict) Stop(order Order) (stop Stop, ok bool) {
 	return Stop{Service: order.Service, Order: order.Revision, Cause: truncateCause(v.Cause)}, v.Bad
 }
--- a/pkg/rollout/tableplanstore.go
+++ b/pkg/rollout/tableplanstore.go
@@ -9,8 +9,9 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// planKeyPrefix begins the keys of the plans in the platform's table, on platforms where
-// operators use rushramp's own API. The state that operators read is in the plan itself.
+// planKeyPrefix begins the keys of the plans in the platform's table. tablePlanStore is for
+// platforms where operators use rushramp's own API, so it stores no separate state for
+// operators beside the plan.
 const planKeyPrefix = "rollout/"
 
 // tablePlanStore is a PlanStore in a platform's table, which has no clock of its own.
--- a/pkg/rollout/traffic.go
+++ b/pkg/rollout/traffic.go
@@ -37,7 +37,7 @@
 const goldenMultiplier = 0x9e3779b97f4a7c15
 
 // counterCount is the number of request counters of a TrafficPolicy, which take 2 kB.
-// Routes with the same hash share a counter, and keep the share together.
+// Routes whose hashes select the same counter get the canaries' share together.
 const counterCount = 256
 
 // TrafficPolicy decides on the hot path which backend servers may run which requests of a
