--- a/pkg/backend/lifecycle.go
+++ b/pkg/backend/lifecycle.go
@@ -7,7 +7,7 @@
 
 const (
 	// endRetention is how long departed and replaced instance IDs are remembered. It is
-	// far longer than a process runs on after either.
+	// far longer than a process runs after it has departed or was replaced.
 	endRetention = 5 * time.Minute
 	// confirmationPeriod is how long a sign of life of the current incarnation outweighs
 	// heartbeats of others, which may arrive seconds late.
@@ -54,7 +54,7 @@
 	Leaving  bool
 	// Version is the version of the service's program that it runs; empty: not reported.
 	Version string
-	// ColdFor is how much longer it is cold after its start.
+	// ColdFor is how much longer the backend server stays cold.
 	ColdFor time.Duration
 }
 
@@ -88,8 +88,8 @@
 	mu      sync.Mutex
 	current Incarnation
 	state   State
-	// departuresKnown is true once all departures that may matter are known: a daemon that
-	// was restarted may have acknowledged one before.
+	// departuresKnown is true once all departures that may matter are known: the previous
+	// process of the daemon may have acknowledged one.
 	departuresKnown bool
 	// lastSeenAt is the time of the last sign of life of the current incarnation.
 	lastSeenAt int64
@@ -303,7 +303,7 @@
 // including the given one. Without a start time it stands for the current incarnation
 // if that has the ID. first is true if this was not known before.
 func (l *Lifecycle) markDeparted(now int64, incarnation Incarnation) (first bool) {
-	l.dropOldEnds(now)
+	l.dropOldEndRecords(now)
 	if incarnation.StartedAtMS == 0 && incarnation.ID == l.current.ID {
 		incarnation = l.current
 	}
@@ -319,8 +319,8 @@
 	return true
 }
 
-// dropOldEnds removes end records that are older than endRetention.
-func (l *Lifecycle) dropOldEnds(now int64) {
+// dropOldEndRecords removes end records that are older than endRetention.
+func (l *Lifecycle) dropOldEndRecords(now int64) {
 	for _, ends := range []map[string]endRecord{l.departed, l.replaced} {
 		for id, end := range ends {
 			if now-end.recordedAt > int64(endRetention) {
--- a/pkg/daemon/watch.go
+++ b/pkg/daemon/watch.go
@@ -105,7 +105,7 @@
 		r.lifecycle.RecordInstanceID(r.daemon.Now(), health.InstanceID)
 	}
 	r.lifecycle.RecordCold(askedAt, r.daemon.Now(), health.InstanceID, health.ColdFor)
-	r.runner.UpdateCold()
+	r.runner.UpdateColdState()
 	r.runner.UpdateLoad(health.LoadHeader)
 	return nil
 }
--- a/pkg/runner/runner.go
+++ b/pkg/runner/runner.go
@@ -1,6 +1,8 @@
 // Package runner runs routed requests at the backend server beside the daemon: it
 // passes them through the gate, sends them, and reports of each refusal whether the
-// request ran. Source: docs/design/platform.md, "Executor and backend server".
+// request ran. The entry is the daemon that received a request, and the executor is the
+// daemon beside the backend server that runs it.
+// Source: docs/design/platform.md, "Executor and backend server".
 package runner
 
 import (
@@ -50,9 +52,9 @@
 	leaving       atomic.Bool
 	// evacuated is true while this VM's data centre is evacuated.
 	evacuated atomic.Bool
-	// trial is the part of the backend server in a roll-out.
-	trial *enforcer.Enforcer
-	// slowdowns are recorded while a roll-out is under way.
+	// enforcer applies the service's roll-out to the backend server.
+	enforcer *enforcer.Enforcer
+	// slowdowns are the slowdowns reported while a roll-out of the service is known.
 	slowdowns slowdownHistory
 	// cold is true while the backend server reports that it is cold. coldLimitSet is true
 	// once the gate knows how many starts it tolerates then.
@@ -120,7 +122,7 @@
 		workTimes: worktime.NewTimes(),
 		origins:   newOriginTracker(deps.vmShare()),
 		checker:   deps.Checker,
-		trial:     enforcer.New(c, deps.Lifecycle, deps.Recorder),
+		enforcer:  enforcer.New(c, deps.Lifecycle, deps.Recorder),
 		transport: backend.NewTransport(backend.TransportOptions{
 			Address: s.BackendServer.Address, Headers: deps.Headers,
 			DialTimeout: s.BackendServer.DialTimeout, MaxBodyBytes: s.Limits.MaxBodyBytes, Now: c.Now,
@@ -166,18 +168,18 @@
 // Gate returns the gate.
 func (r *Runner) Gate() *gate.Gate { return r.gate }
 
-// Tick does the periodic work: it recalls runs of quarantined content, and starts
-// waiting requests if there are more slots than before, or refuses all of them if the
-// backend server takes none any more.
+// Tick does the periodic work. It recalls runs of quarantined content. If the backend
+// server takes requests, it starts the waiting ones that the gate now admits and refuses
+// those whose expected time has grown too long; otherwise it refuses all waiting requests.
 func (r *Runner) Tick() {
 	r.recallQuarantined()
 	if _, refusal := r.acceptingIncarnation(); refusal != nil {
 		r.refuseWaiting(refusal)
 		return
 	}
-	start, sendBack := r.gate.Tick(r.Now())
+	start, overMaxCost := r.gate.Tick(r.Now())
 	r.startAll(start)
-	for _, job := range sendBack {
+	for _, job := range overMaxCost {
 		job.RefuseOverMaxCost()
 	}
 }
@@ -208,7 +210,7 @@
 	r.load.Update(r.Now(), text)
 	r.UpdateSlots(r.load.Slots())
 	if slowdown := r.load.Slowdown(); slowdown > 0 {
-		if _, underWay := r.trial.PlanRevision(); underWay {
+		if _, known := r.enforcer.PlanRevision(); known {
 			r.slowdowns.record(r.Now(), slowdown)
 		}
 		r.logSpeedChange(slowdown)
@@ -251,7 +253,7 @@
 	nested := run.origin == wire.OriginService
 	run.job = gate.Job{
 		Rank: rankOf(c), Team: c.Routed.Team, Nested: nested, Deadline: run.deadline, Work: r.workTimes.LookupOrEstimate(c.Kind, c.Routed.TargetRemaining),
-		Soft: c.Routed.Soft, SameDataCentre: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, RefuseOverMaxCost: run.refuseSlowed, RefuseDrained: run.dismiss,
+		Soft: c.Routed.Soft, SameDataCentre: c.Routed.Near, EndBy: r.latestEnd(now, run, nested), Start: run.start, RefuseOverMaxCost: run.refuseOverMaxCost, RefuseDrained: run.refuseDrained,
 	}
 	if !r.checkSpeedFirst(now, run) {
 		run.admit()
