--- a/pkg/clock/clock_test.go
+++ b/pkg/clock/clock_test.go
@@ -24,12 +24,12 @@
 	test.Eq(t, 3, m.bootReads)
 }
 
-// TestNowIgnoresStepsOfTheTimeOfDay sets the wall clock forward, backward, and together
+// TestNowIgnoresStepsOfTheWallClock sets the wall clock forward, backward, and together
 // with a suspension.
-func TestNowIgnoresStepsOfTheTimeOfDay(t *testing.T) {
+func TestNowIgnoresStepsOfTheWallClock(t *testing.T) {
 	c, m := NewManual()
 	for _, step := range []time.Duration{3 * time.Second, -5 * time.Second, time.Hour} {
-		m.StepTimeOfDay(step)
+		m.StepWallClock(step)
 		m.Advance(time.Millisecond)
 		now := c.Now()
 		test.Eq(t, m.monotonic, now)
@@ -37,9 +37,9 @@
 	// A step back by exactly the suspended time hides the suspension until the wall clock
 	// is next set.
 	m.Suspend(4 * time.Second)
-	m.StepTimeOfDay(-4 * time.Second)
+	m.StepWallClock(-4 * time.Second)
 	test.Eq(t, m.monotonic, c.Now())
-	m.StepTimeOfDay(time.Second)
+	m.StepWallClock(time.Second)
 	test.Eq(t, m.monotonic+int64(4*time.Second), c.Now())
 }
 
--- a/pkg/clock/manual.go
+++ b/pkg/clock/manual.go
@@ -30,8 +30,8 @@
 // Suspend lets d pass while the VM is suspended.
 func (m *Manual) Suspend(d time.Duration) { m.advance(d, 0, d) }
 
-// StepTimeOfDay changes the wall clock by a positive or negative duration.
-func (m *Manual) StepTimeOfDay(by time.Duration) { m.advance(by, 0, 0) }
+// StepWallClock changes the wall clock by a positive or negative duration.
+func (m *Manual) StepWallClock(by time.Duration) { m.advance(by, 0, 0) }
 
 func (m *Manual) advance(wall, monotonic, bootNanos time.Duration) {
 	m.mu.Lock()
--- a/pkg/link/conn.go
+++ b/pkg/link/conn.go
@@ -96,12 +96,12 @@
 	return c
 }
 
-// maxPings is after how many pings MeasureRoundTrip sends no more. One ping is not enough:
+// maxPings is after how many pings MeasureRTT sends no more. One ping is not enough:
 // the first is slow, since a link is busiest just after it was opened.
 const maxPings = 4
 
-// MeasureRoundTrip sends another ping to the peer, unless maxPings were sent.
-func (c *Conn) MeasureRoundTrip() {
+// MeasureRTT sends another ping to the peer, unless maxPings were sent.
+func (c *Conn) MeasureRTT() {
 	if c.pingsSent.Load() < maxPings {
 		c.ping()
 	}
--- a/pkg/link/slow_bench_test.go
+++ b/pkg/link/slow_bench_test.go
@@ -22,8 +22,8 @@
 // server to rate bytes per second and has small buffers, like a fully used link of that
 // bandwidth.
 type rateLimitedNetwork struct {
-	to   string
-	rate int
+	serverAddress  string
+	bytesPerSecond int
 }
 
 func (s *rateLimitedNetwork) dial(ctx context.Context, network, _ string) (net.Conn, error) {
@@ -58,7 +58,7 @@
 	if err != nil {
 		return
 	}
-	serverConn, err := net.Dial("tcp", s.to)
+	serverConn, err := net.Dial("tcp", s.serverAddress)
 	if err != nil {
 		_ = clientConn.Close()
 		return
@@ -74,7 +74,7 @@
 		if now := time.Now(); now.After(freeAt) {
 			freeAt = now
 		}
-		freeAt = freeAt.Add(time.Duration(n) * time.Second / time.Duration(s.rate))
+		freeAt = freeAt.Add(time.Duration(n) * time.Second / time.Duration(s.bytesPerSecond))
 		time.Sleep(time.Until(freeAt))
 		if _, writeErr := serverConn.Write(buf[:n]); err != nil || writeErr != nil {
 			_ = serverConn.Close()
@@ -90,7 +90,7 @@
 	must.NoError(b, err)
 	server := Listen(testCommon(), &nopHandler{up: make(chan *Peer, 10)}, runnerFunc(echo), listener, nil, NewHeartbeatTiming(testIdle))
 	defer server.Close()
-	network := &rateLimitedNetwork{to: listener.Addr().String(), rate: 10_000_000 / 8}
+	network := &rateLimitedNetwork{serverAddress: listener.Addr().String(), bytesPerSecond: 10_000_000 / 8}
 	handler := &nopHandler{up: make(chan *Peer, 10)}
 	client, err := DialClient(context.Background(), testCommon(), handler, listener.Addr().String(), DialOptions{Dial: network.dial, HeartbeatTiming: NewHeartbeatTiming(testIdle)})
 	must.NoError(b, err)
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -89,7 +89,7 @@
 	for endpoint, client := range l.clients {
 		roundTrips.record(l.World.Here().LevelTo(endpoint.DataCentre, endpoint.Region), client.MinRTT())
 		endpoint.Load.SetMinRTT(client.MinRTT())
-		client.MeasureRoundTrip()
+		client.MeasureRTT()
 	}
 	if share, ok := roundTrips.regionShare(); ok {
 		l.World.View.SetRegionShare(share)
