--- a/pkg/link/bodies_test.go
+++ b/pkg/link/bodies_test.go
@@ -42,8 +42,9 @@
 		wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 }
 
-// TestExecutorRefusesBodiesOverItsLimit checks that such a call is reported as not run, and
-// that the executor accepts bodies again once earlier calls have ended.
+// TestExecutorRefusesBodiesOverItsLimit checks that a call is reported as not run if its body
+// would exceed limits.bodies_bytes, and that the executor accepts bodies again once earlier
+// calls have ended.
 func TestExecutorRefusesBodiesOverItsLimit(t *testing.T) {
 	server := newExecutorWithBodyLimit(t, 100<<10)
 	handler := &nopHandler{up: make(chan *Peer, 10)}
--- a/pkg/link/client.go
+++ b/pkg/link/client.go
@@ -91,7 +91,7 @@
 	return cl, nil
 }
 
-// Opener is implemented by a Handler of one link that needs the Client. Opened is called
+// Opener is implemented by a Handler that needs the Client of its link. Opened is called
 // before the first frame is sent or received.
 type Opener interface{ Opened(*Client) }
 
--- a/pkg/link/conn.go
+++ b/pkg/link/conn.go
@@ -20,7 +20,7 @@
 )
 
 const (
-	// flushBytes is the size from which a WebSocket message is sent without further frames.
+	// flushBytes is the size from which no further frame is added to a WebSocket message.
 	flushBytes = 64 << 10
 	// maxQueuedFrames is how many frames may wait to be sent to a slow peer. The link is
 	// closed beyond that.
@@ -96,11 +96,13 @@
 	return c
 }
 
-// maxPings is after how many pings MeasureRTT sends no more. One ping is not enough:
-// the first is slow, since a link is busiest just after it was opened.
+// maxPings is the number of pings on a link, including those of Probe, after which
+// MeasureRTT sends no more. One ping is not enough: the first is slow, since a link is
+// busiest just after it was opened.
 const maxPings = 4
 
-// MeasureRTT sends another ping to the peer, unless maxPings were sent.
+// MeasureRTT sends another ping to the peer, unless maxPings were sent. MinRTT returns the
+// result.
 func (c *Conn) MeasureRTT() {
 	if c.pingsSent.Load() < maxPings {
 		c.ping()
@@ -112,9 +114,9 @@
 	return time.Since(c.start) - time.Duration(c.lastReceivedAt.Load())
 }
 
-// Probe asks the peer for a sign of life by a ping. It does not wait, since even sending a
-// ping may block while the network is down. Silence and UnansweredFor tell whether the
-// peer has answered.
+// Probe sends a ping to check that the peer still responds. It does not wait for the ping to
+// be sent, which may block while the network is down. Silence and UnansweredFor tell whether
+// the peer has answered.
 func (c *Conn) Probe() {
 	probedAt, receivedAt := c.probedAt.Load(), c.lastReceivedAt.Load()
 	if probedAt <= receivedAt {
@@ -205,7 +207,6 @@
 	_ = c.ws.Close()
 }
 
-// setProximity sets the proximity of the peer.
 func (c *Conn) setProximity(level proximity.Level) { c.proximity.Store(uint32(level)) }
 
 // Proximity returns how far the peer is. It is proximity.Unknown until the peer's hello
--- a/pkg/link/heartbeattiming.go
+++ b/pkg/link/heartbeattiming.go
@@ -11,9 +11,9 @@
 // closed, and how many heartbeat intervals may pass without an answer to a probe.
 const MaxMissedHeartbeats = 3
 
-// maxStatedIdle limits the idle time that a peer may state, and the stretched idle time of
-// links to other regions. A fleet whose links.heartbeat is one second needs no longer one,
-// whatever its size.
+// maxStatedIdle limits the idle time that a peer may state, and the increased idle time of
+// links to other regions. If links.heartbeat is one second, a fleet of any size needs no
+// longer idle time than this.
 const maxStatedIdle = 4 * time.Second
 
 // otherRegionFactor multiplies the idle time of links to other regions, where bytes have
--- a/pkg/link/server.go
+++ b/pkg/link/server.go
@@ -54,7 +54,7 @@
 	return s
 }
 
-// Close closes the listener and all accepted links.
+// Close closes the listener, and all accepted links whose hello frame has arrived.
 func (s *Server) Close() {
 	_ = s.http.Close()
 	s.mu.Lock()
@@ -118,7 +118,7 @@
 	assembly *wire.Assembly
 	// reservation is the reserved memory of the body.
 	reservation *bodies.Reservation
-	// cancel is nil until the call was started.
+	// cancel is nil until the call has started.
 	cancel func()
 	// cancelled is true once the peer has cancelled the call or the link has ended.
 	cancelled bool
--- a/pkg/link/slow_bench_test.go
+++ b/pkg/link/slow_bench_test.go
@@ -18,9 +18,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// rateLimitedNetwork forwards connections to the address to. It limits the direction to the
-// server to rate bytes per second and has small buffers, like a fully used link of that
-// bandwidth.
+// rateLimitedNetwork forwards connections to a server. It limits the bandwidth towards the
+// server and has small buffers, like a fully used link of that bandwidth.
 type rateLimitedNetwork struct {
 	serverAddress  string
 	bytesPerSecond int
@@ -84,7 +83,8 @@
 }
 
 // BenchmarkSmallCallsBesideLargeBodies measures the latency of small calls on a link of
-// 10 Mbit/s while bodies of 360 kB, the largest of real users, use half of its bandwidth.
+// 10 Mbit/s while bodies of 360 kB, as large as the largest of real users, use half of its
+// bandwidth.
 func BenchmarkSmallCallsBesideLargeBodies(b *testing.B) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	must.NoError(b, err)
--- a/pkg/link/stamps.go
+++ b/pkg/link/stamps.go
@@ -31,9 +31,9 @@
 }
 
 // stampValue returns the value of a stamp to a peer that has received lastSent. It is high
-// if the limit has changed, the number of calls at the gate by a quarter of the limit or
-// more, or the service time by half or more, since the peer may then choose another backend
-// server.
+// for the first stamp, and if the limit has changed, if the number of calls at the gate has
+// changed by at least a quarter of the limit, or if the service time has changed by at least
+// half, since the peer may then choose another backend server.
 func stampValue(lastSent, current wire.Stamp) measure.Value {
 	before := int64(lastSent.Running) + int64(lastSent.Queued)
 	after := int64(current.Running) + int64(current.Queued)
