--- a/pkg/wire/body.go
+++ b/pkg/wire/body.go
@@ -30,8 +30,9 @@
 	nextSeq  uint32
 }
 
-// NewAssembly starts from the Body of a Call or Answer frame. It returns an error if the
-// stated size exceeds maxSize bytes or is less than that of the first part.
+// NewAssembly returns an assembly that contains the first part of a body, as received in a
+// Call or Answer frame. It returns an error if the stated size of the body exceeds maxSize
+// bytes, or if the first part is larger than the stated size.
 func NewAssembly(first Body, maxSize int) (*Assembly, error) {
 	if first.Size > uint64(maxSize) || uint64(len(first.First)) > first.Size {
 		return nil, errors.Errorf("a body of %d bytes exceeds the limit of %d bytes", first.Size, maxSize)
--- a/pkg/wire/fingerprint.go
+++ b/pkg/wire/fingerprint.go
@@ -25,7 +25,7 @@
 }
 
 // Fingerprint returns the fingerprint of the call's request. For a request that is not
-// routed by host and path, the service stands in for the host.
+// routed by host and path, the name of the service takes the place of the host.
 func (c *Call) Fingerprint(body []byte) quarantine.Fingerprint {
 	host := c.Routed.Host
 	if c.Routed.ID == "" {
--- a/pkg/wire/frames.go
+++ b/pkg/wire/frames.go
@@ -135,8 +135,8 @@
 	// RolloutsDigest is the digest of the sender's orders, plans and stops of roll-outs; 0:
 	// it has none.
 	RolloutsDigest uint64
-	// PlacementProofAgeMS is the time, in milliseconds plus one, since the latest read of the
-	// store that showed no placement newer than Placement; 0: not stated.
+	// PlacementProofAgeMS is one more than the time in whole milliseconds since the latest read of
+	// the store that showed no placement newer than Placement; 0: not stated.
 	PlacementProofAgeMS uint64
 }
 
@@ -157,8 +157,8 @@
 // StoreNeverRead is the value of State.StoreReadAgeMS if no read of the store is known.
 const StoreNeverRead = 1 << 40
 
-// Call is a call that an entry sends to the executor. Longer bodies continue in Chunk
-// frames.
+// Call is a call that an entry sends to the executor. A body longer than ChunkSize continues
+// in Chunk frames.
 type Call struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
@@ -176,8 +176,7 @@
 	// Remaining is the time until the deadline. It is a duration because the clocks of VMs
 	// differ.
 	Remaining time.Duration
-	// Claim is the version and generation of its key under which a never-repeat call may
-	// run.
+	// Claim is the version and generation of Key under which a never-repeat call may run.
 	Claim Claim
 	// WantStamp asks for a stamp in the answer or refusal.
 	WantStamp bool
@@ -216,7 +215,7 @@
 	TeamPriority uint8
 }
 
-// Claim identifies one run of the call with an Idempotency-Key. The executor may run the
+// Claim identifies one run of a call that has an Idempotency-Key. The executor may run the
 // call only after it has replaced exactly this version of the key's row in the store.
 type Claim struct {
 	_ struct{} `cbor:",toarray"`
@@ -246,7 +245,7 @@
 }
 
 // Answer is the backend server's response to a call, which the executor sends back to the
-// entry. Longer bodies continue in Chunk frames.
+// entry. A body longer than ChunkSize continues in Chunk frames.
 type Answer struct {
 	_       struct{} `cbor:",toarray"`
 	ID      uint64
