--- a/pkg/certs/certs.go
+++ b/pkg/certs/certs.go
@@ -17,8 +17,8 @@
 // checkInterval is the minimum time between two checks whether the files have changed.
 const checkInterval = time.Second
 
-// Reloader holds the certificate and the authorities as last loaded from the files. It is
-// safe for concurrent use.
+// Reloader holds the certificate of this process, and the certificate authorities (CAs) of
+// its peers, as last loaded from the files. It is safe for concurrent use.
 type Reloader struct {
 	files settings.TLS
 
@@ -111,8 +111,9 @@
 }
 
 // Client returns the configuration for dialling. It returns nil, for plain text, if r is
-// nil. The server's certificate must be signed by one of the authorities. Its name is not
-// checked, since daemons are dialled by IP address and any of them may be replaced.
+// nil. The server's certificate must be signed by one of the authorities. The host name in
+// the certificate is not checked, since daemons are dialled by IP address and any of them
+// may be replaced.
 func (r *Reloader) Client() *tls.Config {
 	if r == nil {
 		return nil
@@ -129,7 +130,7 @@
 }
 
 // verify checks that the peer's certificate chain leads to one of the authorities.
-// InsecureSkipVerify turns off this check together with that of the name.
+// InsecureSkipVerify turns off this check together with that of the host name.
 func (r *Reloader) verify(rawCerts [][]byte, _ [][]*x509.Certificate) error {
 	if len(rawCerts) == 0 {
 		return errors.New("the peer sent no certificate")
--- a/pkg/clock/clock.go
+++ b/pkg/clock/clock.go
@@ -17,7 +17,7 @@
 const skewTolerance = 100 * time.Millisecond
 
 // Clock is a monotonic clock that includes the time for which the VM was suspended. The
-// system's own monotonic clock (CLOCK_MONOTONIC) leaves it out: after a suspension of ten
+// system's own monotonic clock (CLOCK_MONOTONIC) does not: after a suspension of ten
 // seconds a pending request would seem to have all its time left, and a peer to have been
 // heard from just now. Now reads the wall clock and the monotonic clock together, and
 // reads the boot clock (CLOCK_BOOTTIME) only when the two have drifted apart. Clock is
--- a/pkg/clock/manual.go
+++ b/pkg/clock/manual.go
@@ -12,7 +12,8 @@
 	// wall, monotonic and bootNanos are the readings of the wall clock, the monotonic clock
 	// and the boot clock (which includes suspended time), in nanoseconds.
 	wall, monotonic, bootNanos int64
-	// noBootClock simulates a system without a boot clock; bootReads counts its readings.
+	// noBootClock simulates a system without a boot clock. bootReads counts how often the
+	// boot clock was read.
 	noBootClock bool
 	bootReads   int
 }
--- a/pkg/netdial/unsent.go
+++ b/pkg/netdial/unsent.go
@@ -9,10 +9,10 @@
 )
 
 // LimitUnsent limits how many bytes of a connection the kernel queues before it sends them
-// for the first time (TCP_NOTSENT_LOWAT). A writer blocks beyond the limit, so that it can
-// still choose to write more urgent data first. Bytes that were sent but not acknowledged
-// are not counted. It returns an error if c is not a socket, or a wrapper of one such as a
-// TLS connection.
+// for the first time (TCP_NOTSENT_LOWAT). Writes beyond the limit block, so that the writer
+// can still write more urgent data first. Bytes that were sent but not acknowledged are not
+// counted. It returns an error if c is neither a socket nor a wrapper of one, such as a TLS
+// connection.
 func LimitUnsent(c net.Conn, bytes int) error {
 	if wrapper, ok := c.(interface{ NetConn() net.Conn }); ok {
 		// A TLS connection wraps the socket.
