--- a/pkg/link/bodies_test.go
+++ b/pkg/link/bodies_test.go
@@ -35,10 +35,10 @@
 	return server
 }
 
-// waitForReserved waits until the server holds bodies of exactly this size.
-func waitForReserved(t *testing.T, server *Server, bytes int64) {
+// waitForReserved waits until the server holds bodies of exactly size bytes in total.
+func waitForReserved(t *testing.T, server *Server, size int64) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return server.Bodies.Reserved() == bytes }),
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return server.Bodies.Reserved() == size }),
 		wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 }
 
--- a/pkg/wire/frames.go
+++ b/pkg/wire/frames.go
@@ -135,8 +135,8 @@
 	// RolloutsDigest is the digest of the sender's orders, plans and stops of roll-outs; 0:
 	// it has none.
 	RolloutsDigest uint64
-	// PlacementProofAgeMS is one more than the time in whole milliseconds since the latest read of
-	// the store that showed no placement newer than Placement; 0: not stated.
+	// PlacementProofAgeMS is one more than the time in whole milliseconds since the latest
+	// read of the store that showed no placement newer than Placement; 0: not stated.
 	PlacementProofAgeMS uint64
 }
 
