--- a/pkg/clock/manual.go
+++ b/pkg/clock/manual.go
@@ -12,7 +12,8 @@
 	// wall, monotonic and bootNanos are the readings of the wall clock, the monotonic clock
 	// and the boot clock (which includes suspended time), in nanoseconds.
 	wall, monotonic, bootNanos int64
-	// noBootClock simulates a system without a boot clock; bootReads counts its readings.
+	// noBootClock simulates a system without a boot clock. bootReads counts how often the
+	// boot clock was read.
 	noBootClock bool
 	bootReads   int
 }
@@ -30,8 +31,8 @@
 // Suspend lets d pass while the VM is suspended.
 func (m *Manual) Suspend(d time.Duration) { m.advance(d, 0, d) }
 
-// StepTimeOfDay changes the wall clock by a positive or negative duration.
-func (m *Manual) StepTimeOfDay(by time.Duration) { m.advance(by, 0, 0) }
+// StepWallClock changes the wall clock by a positive or negative duration.
+func (m *Manual) StepWallClock(by time.Duration) { m.advance(by, 0, 0) }
 
 func (m *Manual) advance(wall, monotonic, bootNanos time.Duration) {
 	m.mu.Lock()
--- a/pkg/link/bodies_test.go
+++ b/pkg/link/bodies_test.go
@@ -35,15 +35,16 @@
 	return server
 }
 
-// waitForReserved waits until the server holds bodies of exactly this size.
-func waitForReserved(t *testing.T, server *Server, bytes int64) {
+// waitForReserved waits until the server holds bodies of exactly size bytes in total.
+func waitForReserved(t *testing.T, server *Server, size int64) {
 	t.Helper()
-	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return server.Bodies.Reserved() == bytes }),
+	must.Wait(t, wait.InitialSuccess(wait.BoolFunc(func() bool { return server.Bodies.Reserved() == size }),
 		wait.Timeout(10*time.Second), wait.Gap(time.Millisecond)))
 }
 
-// TestExecutorRefusesBodiesOverItsLimit checks that such a call is reported as not run, and
-// that the executor accepts bodies again once earlier calls have ended.
+// TestExecutorRefusesBodiesOverItsLimit checks that a call is reported as not run if its body
+// would exceed limits.bodies_bytes, and that the executor accepts bodies again once earlier
+// calls have ended.
 func TestExecutorRefusesBodiesOverItsLimit(t *testing.T) {
 	server := newExecutorWithBodyLimit(t, 100<<10)
 	handler := &nopHandler{up: make(chan *Peer, 10)}
