--- a/pkg/crash/detector.go
+++ b/pkg/crash/detector.go
@@ -143,12 +143,12 @@
 	}
 	d.crashes.Inc()
 	d.Quarantine.RecordCrash(d.Now(), rand.Uint64(), contents)
-	d.log(instance, runs)
+	d.logCrash(instance, runs)
 	d.deps.OnCrash(instance)
 }
 
-// log logs the runs at the time of the crash: the request that caused it is among them.
-func (d *Detector) log(instance string, runs []AbortedRun) {
+// logCrash logs the runs at the time of the crash: the request that caused it is among them.
+func (d *Detector) logCrash(instance string, runs []AbortedRun) {
 	if !d.Log.Enabled(events.BackendEnded) {
 		return
 	}
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	// readyPoll is the interval at which waitUntil checks its condition.
-	readyPoll = time.Millisecond
+	// readyPollInterval is the interval at which waitUntil checks its condition.
+	readyPollInterval = time.Millisecond
 	// readyTimeout is the longest time that waitUntil waits.
 	readyTimeout = 2 * time.Second
 	// answerGrace is how long after the deadline the entry still waits for the
@@ -144,7 +144,7 @@
 func waitUntil(ctx context.Context, ready func() bool) {
 	timeout := time.NewTimer(readyTimeout)
 	defer timeout.Stop()
-	poll := time.NewTicker(readyPoll)
+	poll := time.NewTicker(readyPollInterval)
 	defer poll.Stop()
 	for !ready() {
 		select {
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -89,7 +89,7 @@
 			return a.finalResult(call.Refused(errkind.CallerGone, "the caller disconnected before the request was sent"))
 		}
 		if refusal := a.revokedKeyRefusal(); refusal != nil {
-			a.stopReason = stoppedByKind
+			a.stopReason = stoppedByFinalRefusal
 			return a.finalResult(*refusal)
 		}
 		if refusal := a.quarantineRefusal(); refusal != nil {
@@ -102,7 +102,7 @@
 		}
 		index := pick.Index
 		if index == choose.NoCandidate {
-			a.stopReason = stoppedByChoice
+			a.stopReason = stoppedByNoCandidate
 			a.recordPassedOver()
 			break
 		}
@@ -135,27 +135,27 @@
 	if result.Answer == nil && a.fallback != nil {
 		result = *a.fallback
 	}
-	result = a.withoutFalsePromise(result)
+	result = a.replaceMisleadingAnswer(result)
 	if result.Refusal != nil && result.Refusal.Kind.Row().Overload {
 		result.RetryAfter = min(a.forwarder.Settings.Routing.RetryAfter, time.Duration(retryAfterShare*float64(a.timeLeft())))
 	}
 	return result
 }
 
-// withoutFalsePromise replaces an answer whose status would tell the caller that a request
+// replaceMisleadingAnswer replaces an answer whose status would tell the caller that a request
 // that must run at most once has not run. A backend server's own 503, for example, does
 // not prove that: only its mark of a request that it did not run does, and that mark
 // makes the result a refusal.
-func (a *attempts) withoutFalsePromise(result call.Result) call.Result {
-	if result.Answer == nil || a.route.Repeatable || !promisesNotRun(result.Answer.Status) {
+func (a *attempts) replaceMisleadingAnswer(result call.Result) call.Result {
+	if result.Answer == nil || a.route.Repeatable || !impliesNotRun(result.Answer.Status) {
 		return result
 	}
 	return call.Refused(errkind.BackendFailed, "the backend server answered %d without saying that it did not run the request", result.Answer.Status)
 }
 
-// promisesNotRun reports whether callers take a status to mean that the request has not
+// impliesNotRun reports whether callers take a status to mean that the request has not
 // run, so that they repeat even one that must run at most once.
-func promisesNotRun(status int) bool {
+func impliesNotRun(status int) bool {
 	return status == 408 || status == 421 || status == 429 || status == 503
 }
 
@@ -217,7 +217,7 @@
 	queueChoice.Soft = false
 	queueChoice.Excluded = a.excluded
 	queued := choose.PickRouted(&queueChoice, a.forwarder.random)
-	if crosses && !queuesNearer(&pick, &queued, choice.TimeToTarget) {
+	if crosses && !shouldQueueNearer(&pick, &queued, choice.TimeToTarget) {
 		return pick, true
 	}
 	return queued, false
@@ -230,11 +230,11 @@
 	return a.forwarder.sizes.relative(a.route.Name, len(a.req.Body)) > 1
 }
 
-// queuesNearer reports whether a request should queue at a nearer candidate instead of
+// shouldQueueNearer reports whether a request should queue at a nearer candidate instead of
 // crossing to another region. Queueing must cost less, and its expected time, with the
 // margin that gates allow for the spread of run times, must fit into the time given by
 // within. So the cost of a crossing makes no request late.
-func queuesNearer(crossing, queued *choose.RoutedPick, within time.Duration) bool {
+func shouldQueueNearer(crossing, queued *choose.RoutedPick, within time.Duration) bool {
 	nearer := queued.Index != choose.NoCandidate && queued.Proximity < crossing.Proximity
 	return nearer && queued.Cost < crossing.Cost && gate.RunTimeMargin*queued.ExpectedTime <= float64(within)
 }
@@ -282,7 +282,7 @@
 		if result.Refusal.RetryElsewhere() {
 			return false
 		}
-		a.stopReason = stoppedByKind
+		a.stopReason = stoppedByFinalRefusal
 		return true
 	}
 	a.offered++
@@ -296,14 +296,14 @@
 
 // The reasons why no further attempt was made, as the log has them.
 const (
-	stoppedByAnswer   = "answered"
-	stoppedByKind     = "no_other_can_do_better"
-	stoppedByMaybe    = "it_may_have_run"
-	stoppedByAttempts = "attempts_used"
-	stoppedByTime     = "time_used"
-	stoppedByBudget   = "retry_budget_empty"
-	stoppedByChoice   = "nobody_left"
-	stoppedByCalls    = "its_calls_failed"
+	stoppedByAnswer       = "answered"
+	stoppedByFinalRefusal = "no_other_can_do_better"
+	stoppedByMayHaveRun   = "it_may_have_run"
+	stoppedByAttempts     = "attempts_used"
+	stoppedByTime         = "time_used"
+	stoppedByBudget       = "retry_budget_empty"
+	stoppedByNoCandidate  = "nobody_left"
+	stoppedByFailedCalls  = "its_calls_failed"
 
 	stoppedByQuarantine = "content_held_back"
 )
@@ -314,7 +314,7 @@
 func (a *attempts) reasonToStop(result *call.Result) string {
 	notRun := result.Refusal != nil && result.Refusal.Ran == errkind.RanNo
 	if !notRun && !a.route.Repeatable {
-		return stoppedByMaybe
+		return stoppedByMayHaveRun
 	}
 	if result.Refusal != nil && (result.Refusal.Kind == errkind.CallerGone || result.Refusal.Kind == errkind.DeadlineWhileRunning) {
 		return stoppedByTime
@@ -329,7 +329,7 @@
 		return stoppedByTime
 	}
 	if hasFailedCalls(result) {
-		return stoppedByCalls
+		return stoppedByFailedCalls
 	}
 	if !a.forwarder.budgets.take(a.service) {
 		return stoppedByBudget
--- a/pkg/forward/data_centres_test.go
+++ b/pkg/forward/data_centres_test.go
@@ -196,7 +196,7 @@
 		{"no candidate to queue at", choose.RoutedPick{Index: choose.NoCandidate}, 9000, false},
 		{"already late", choose.RoutedPick{Proximity: proximity.Region, Cost: 500, ExpectedTime: 500}, -1, false},
 	} {
-		test.Eq(t, s.want, queuesNearer(&crossing, &s.queued, s.within), test.Sprint(s.name))
+		test.Eq(t, s.want, shouldQueueNearer(&crossing, &s.queued, s.within), test.Sprint(s.name))
 	}
 }
 
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -64,8 +64,8 @@
 	// RepeatShare returns the share, from 0 to 1, of the runs that repeat a run
 	// elsewhere.
 	RepeatShare() float64
-	// CallFailed records that a call of that backend server failed.
-	CallFailed()
+	// RecordFailedCall records that a call of that backend server failed.
+	RecordFailedCall()
 }
 
 // Forwarder forwards the routed requests that enter at this daemon. It is safe for
@@ -154,7 +154,7 @@
 	f.Metrics.GetOrCreateCounter(`rushramp_routed_total{service="` + utils.Label(service) + `",kind="` + kindLabel(a) + `",outcome="` + outcome + `"}`).Inc()
 	f.observeTimes(service, time.Duration(f.Now()-startedAt), &result)
 	if a != nil && f.localRuns != nil && failedForCaller(&result) && f.calledRoutes.contains(a.route.Name) {
-		f.localRuns.CallFailed()
+		f.localRuns.RecordFailedCall()
 	}
 	f.logEnd(req, a, startedAt, &result)
 	return result
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -339,7 +339,7 @@
 type callFailureCounter struct{ count int }
 
 func (c *callFailureCounter) RepeatShare() float64 { return 0 }
-func (c *callFailureCounter) CallFailed()          { c.count++ }
+func (c *callFailureCounter) RecordFailedCall()    { c.count++ }
 
 // TestFailedCallsOfTheLocalBackendServerAreReported, and failed requests of other callers
 // are not.
--- a/pkg/forward/retry_budget_test.go
+++ b/pkg/forward/retry_budget_test.go
@@ -77,7 +77,7 @@
 type repeatingRuns float64
 
 func (r repeatingRuns) RepeatShare() float64 { return float64(r) }
-func (r repeatingRuns) CallFailed()          {}
+func (r repeatingRuns) RecordFailedCall()    {}
 
 // TestCallsOfRepeatedRunsAreChargedToTheBudget: a run that repeats another makes the same
 // calls again, which are retries at the called service. When they were not charged, the
--- a/pkg/operators/teams.go
+++ b/pkg/operators/teams.go
@@ -41,7 +41,7 @@
 	for _, use := range se.Quota.Usages(se.Now()) {
 		counted[use.Team] = use
 	}
-	counters := se.Quota.Counters()
+	counters := se.Quota.CounterProcesses()
 	for _, team := range out.Teams {
 		team.Counter = counters[quota.GroupOf(team.Name)]
 		team.Part, team.Tokens = counted[team.Name].Share, counted[team.Name].Tokens
--- a/pkg/placement/packed.go
+++ b/pkg/placement/packed.go
@@ -8,13 +8,13 @@
 	"github.com/pkg/errors"
 )
 
-// maxUnpackedBytes bounds the size of a document that a peer sends.
-const maxUnpackedBytes = 64 << 20
+// maxDecompressedBytes bounds the size of a document that a peer sends.
+const maxDecompressedBytes = 64 << 20
 
-// Pack encodes and compresses a document to send it to other daemons. Routes resemble
+// EncodeCompressed encodes and compresses a document to send it to other daemons. Routes resemble
 // each other, so a document with many routes compresses well and occupies a slow link
 // for a much shorter time.
-func (d *Document) Pack() ([]byte, error) {
+func (d *Document) EncodeCompressed() ([]byte, error) {
 	data, err := d.Encode()
 	if err != nil {
 		return nil, err
@@ -33,15 +33,15 @@
 	return out.Bytes(), nil
 }
 
-// Unpack decodes a document encoded by Pack. It returns an error if the document is too
+// DecodeCompressed decodes a document encoded by Pack. It returns an error if the document is too
 // large or its hash differs from want.
-func Unpack(packed []byte, want string) (*Document, error) {
-	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxUnpackedBytes+1))
+func DecodeCompressed(packed []byte, want string) (*Document, error) {
+	data, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedBytes+1))
 	if err != nil {
 		return nil, errors.Wrap(err, "unpack placement")
 	}
-	if len(data) > maxUnpackedBytes {
-		return nil, errors.Errorf("the unpacked placement is larger than %d bytes", maxUnpackedBytes)
+	if len(data) > maxDecompressedBytes {
+		return nil, errors.Errorf("the unpacked placement is larger than %d bytes", maxDecompressedBytes)
 	}
 	return Decode(data, want)
 }
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -11,16 +11,16 @@
 )
 
 const (
-	// crashesToHold is the number of crashes during which a content ran after which it is
+	// crashesToQuarantine is the number of crashes during which a content ran after which it is
 	// held. crashesToHoldOnlyCommon are enough if no other content ran during all of them.
 	// Otherwise two are not enough: requests that ran together are usually retried
 	// elsewhere, and a harmless one may run beside the cause of the crash again.
-	crashesToHold           = 3
-	crashesToHoldOnlyCommon = 2
-	// holdDuration is how long a content is held after its newest crash. Then it may run
+	crashesToQuarantine           = 3
+	crashesToQuarantineOnlyCommon = 2
+	// quarantineDuration is how long a content is held after its newest crash. Then it may run
 	// again, because a new version of the backend server may have fixed the fault; one
 	// more crash holds it again. A content thus causes at most six crashes per hour.
-	holdDuration = 10 * time.Minute
+	quarantineDuration = 10 * time.Minute
 	// CrashRetention is how long a crash counts. It exceeds holdDuration, so that the
 	// earlier crashes still count when a content runs again after its hold.
 	CrashRetention = 30 * time.Minute
@@ -189,11 +189,11 @@
 	return out
 }
 
-// Held returns whether a content is held, and for how much longer.
-func (t *Table) Held(now int64, request Fingerprint) (remaining time.Duration, held bool) {
+// Quarantined returns whether a content is held, and for how much longer.
+func (t *Table) Quarantined(now int64, request Fingerprint) (remaining time.Duration, held bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.heldFor(now, request)
+	return t.quarantinedFor(now, request)
 }
 
 // Refusal returns an error for a request whose content is held, with the time until it may
@@ -203,7 +203,7 @@
 		return nil, 0
 	}
 	request := content()
-	remaining, held := t.Held(now, request)
+	remaining, held := t.Quarantined(now, request)
 	if !held {
 		return nil, 0
 	}
@@ -221,32 +221,32 @@
 // minFailureStatus is the lowest HTTP status of a server error.
 const minFailureStatus = 500
 
-// CountHeld returns the number of contents that are held.
-func (t *Table) CountHeld(now int64) (count int) {
+// CountQuarantined returns the number of contents that are held.
+func (t *Table) CountQuarantined(now int64) (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for request := range t.suspects {
-		if _, held := t.heldFor(now, request); held {
+		if _, held := t.quarantinedFor(now, request); held {
 			count++
 		}
 	}
 	return count
 }
 
-func (t *Table) heldFor(now int64, request Fingerprint) (remaining time.Duration, held bool) {
+func (t *Table) quarantinedFor(now int64, request Fingerprint) (remaining time.Duration, held bool) {
 	s := t.suspects[request]
 	if s == nil {
 		return 0, false
 	}
 	counted := t.countedCrashes(now, s)
-	if len(counted) < crashesToHoldOnlyCommon || len(counted) < crashesToHold && !t.isOnlyCommon(request, counted) {
+	if len(counted) < crashesToQuarantineOnlyCommon || len(counted) < crashesToQuarantine && !t.isOnlyCommon(request, counted) {
 		return 0, false
 	}
 	newest := counted[0].at
 	for _, c := range counted {
 		newest = max(newest, c.at)
 	}
-	remaining = holdDuration - time.Duration(now-newest)
+	remaining = quarantineDuration - time.Duration(now-newest)
 	return remaining, remaining > 0
 }
 
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -13,7 +13,7 @@
 const second = int64(time.Second)
 
 func isHeld(t *Table, now int64, request Fingerprint) bool {
-	_, held := t.Held(now, request)
+	_, held := t.Quarantined(now, request)
 	return held
 }
 
@@ -62,10 +62,10 @@
 	table := NewTable()
 	table.RecordCrash(second, 1, []Fingerprint{10})
 	table.RecordCrash(2*second, 2, []Fingerprint{10})
-	remaining, held := table.Held(3*second, 10)
+	remaining, held := table.Quarantined(3*second, 10)
 	must.True(t, held)
-	test.Eq(t, holdDuration-time.Second, remaining)
-	later := 2*second + int64(holdDuration)
+	test.Eq(t, quarantineDuration-time.Second, remaining)
+	later := 2*second + int64(quarantineDuration)
 	test.False(t, isHeld(table, later, 10))
 	table.RecordCrash(later, 3, []Fingerprint{10})
 	test.True(t, isHeld(table, later, 10))
@@ -80,9 +80,9 @@
 	table := NewTable()
 	added := table.Merge(1, Update{Crashes: []Crash{{ID: 1, Requests: []Fingerprint{10}, AgeMS: 60_000}, {ID: 2, Requests: []Fingerprint{10}, AgeMS: 30_000}}})
 	test.Len(t, 2, added.Crashes)
-	remaining, held := table.Held(1, 10)
+	remaining, held := table.Quarantined(1, 10)
 	must.True(t, held)
-	test.Eq(t, holdDuration-30*time.Second, remaining)
+	test.Eq(t, quarantineDuration-30*time.Second, remaining)
 	test.False(t, func() bool { n := table.TakePending(); return !n.Empty() }(), test.Sprint("reports of other daemons are not pending"))
 }
 
@@ -150,7 +150,7 @@
 		table.RecordCrash(second, n+1, []Fingerprint{Fingerprint(n), Fingerprint(n + 1000), Fingerprint(n + 2000)})
 	}
 	for b.Loop() {
-		table.Held(second, 7)
+		table.Quarantined(second, 7)
 	}
 }
 
--- a/pkg/quota/node.go
+++ b/pkg/quota/node.go
@@ -21,7 +21,7 @@
 	Restarted    bool
 	RestartAfter time.Duration
 	// Limit returns the limits in force.
-	Limit LimitOf
+	Limit LimitLookup
 }
 
 // Peer is a daemon that can be a counter.
@@ -142,8 +142,8 @@
 	return n.members.count
 }
 
-// Counters returns the process that counts each group, as far as this daemon knows.
-func (n *Node) Counters() (out [Groups]string) {
+// CounterProcesses returns the process that counts each group, as far as this daemon knows.
+func (n *Node) CounterProcesses() (out [Groups]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for g := range Groups {
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -144,5 +144,5 @@
 	return leaseDuration(members) * minRenewalInterval / minLease
 }
 
-// LimitOf returns the limit of a team; ok is false if there is no such team.
-type LimitOf func(team string) (limit teams.Limit, ok bool)
+// LimitLookup returns the limit of a team; ok is false if there is no such team.
+type LimitLookup func(team string) (limit teams.Limit, ok bool)
--- a/pkg/runner/runner_test.go
+++ b/pkg/runner/runner_test.go
@@ -246,13 +246,13 @@
 func TestAnswerReportsFailedCalls(t *testing.T) {
 	h := newHoldingServer()
 	r, _ := newTestRunner(t, h, 2)
-	r.CallFailed()
+	r.RecordFailedCall()
 	time.Sleep(time.Millisecond)
 	for _, fails := range []bool{false, true} {
 		results, _ := execute(r, routedCall("a"))
 		<-h.arrived
 		if fails {
-			r.CallFailed()
+			r.RecordFailedCall()
 		}
 		h.proceed <- struct{}{}
 		got := <-results
--- a/pkg/runner/runs.go
+++ b/pkg/runner/runs.go
@@ -65,9 +65,9 @@
 	return float64(r.activeRuns.repeating) / float64(len(r.activeRuns.isRepeat))
 }
 
-// CallFailed records that a call made by the backend server failed: the runs under way
+// RecordFailedCall records that a call made by the backend server failed: the runs under way
 // may fail because of it.
-func (r *Runner) CallFailed() { r.callFailedAt.Store(r.Now()) }
+func (r *Runner) RecordFailedCall() { r.callFailedAt.Store(r.Now()) }
 
 // recallQuarantined ends the runs whose content has been quarantined since they
 // started, before they crash the backend server. Those that must not be repeated run on.
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -77,7 +77,7 @@
 	}
 	for content, row := range q.ownRows {
 		crashes := q.Quarantine.CrashesAgainst(now, content)
-		_, held := q.Quarantine.Held(now, content)
+		_, held := q.Quarantine.Quarantined(now, content)
 		switch {
 		case held && len(crashes) > row.savedCrashes:
 			q.writeRow(now, content, crashes)
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -224,7 +224,7 @@
 	if pl.packedVersion == doc.Version && pl.packedDocument != nil {
 		return pl.packedDocument, nil
 	}
-	packed, err := doc.Pack()
+	packed, err := doc.EncodeCompressed()
 	if err != nil {
 		return nil, err
 	}
@@ -259,7 +259,7 @@
 func decodeUpdate(peer *link.Peer, update *wire.Update, base *placement.Document) (tables.ReceivedPlacement, error) {
 	out := tables.ReceivedPlacement{Hash: update.Hash, Peer: peer}
 	if update.From == 0 {
-		doc, err := placement.Unpack(update.Document, update.Hash)
+		doc, err := placement.DecodeCompressed(update.Document, update.Hash)
 		out.Document = doc
 		return out, err
 	}
--- a/pkg/systems/placements_test.go
+++ b/pkg/systems/placements_test.go
@@ -35,7 +35,7 @@
 // updateFrom returns version n of the placement, as a peer in a data centre sends it.
 func updateFrom(t must.T, dataCentre string, n uint64) tables.PeerPlacementUpdate {
 	doc := documentOf(n)
-	data, err := doc.Pack()
+	data, err := doc.EncodeCompressed()
 	must.NoError(t, err)
 	hash, err := doc.Hash()
 	must.NoError(t, err)
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -52,7 +52,7 @@
 		loggedHeld: map[quarantine.Fingerprint]struct{}{}, ownRows: map[quarantine.Fingerprint]*heldRow{},
 	}
 	env.Quarantine.OnUpdate(func() { env.World.Inbox.Post(true, func(*tables.Mail) {}) })
-	env.Metrics.GetOrCreateGauge("rushramp_held_requests", func() float64 { return float64(env.Quarantine.CountHeld(env.Now())) })
+	env.Metrics.GetOrCreateGauge("rushramp_held_requests", func() float64 { return float64(env.Quarantine.CountQuarantined(env.Now())) })
 	return q
 }
 
@@ -151,7 +151,7 @@
 		return
 	}
 	for content := range q.loggedHeld {
-		if _, held := q.Quarantine.Held(now, content); !held {
+		if _, held := q.Quarantine.Quarantined(now, content); !held {
 			delete(q.loggedHeld, content)
 			q.Log.Event(events.ContentReleased, events.F("content", content), events.F("why", q.releaseReason(now, content)))
 		}
@@ -160,7 +160,7 @@
 
 // logIfHeld logs that a content is held, unless it was logged already.
 func (q *quarantines) logIfHeld(now int64, content quarantine.Fingerprint) {
-	left, held := q.Quarantine.Held(now, content)
+	left, held := q.Quarantine.Quarantined(now, content)
 	if _, logged := q.loggedHeld[content]; logged || !held {
 		return
 	}
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -54,7 +54,7 @@
 }
 
 func (h *quarantineNode) holds(content quarantine.Fingerprint) bool {
-	_, held := h.Quarantine.Held(h.Now(), content)
+	_, held := h.Quarantine.Quarantined(h.Now(), content)
 	return held
 }
 
@@ -91,7 +91,7 @@
 		test.True(t, third.system.isInformed)
 		test.True(t, third.holds(7))
 		test.False(t, third.holds(8))
-		left, _ := third.Quarantine.Held(third.Now(), 7)
+		left, _ := third.Quarantine.Quarantined(third.Now(), 7)
 		test.Between(t, 8*time.Minute, left, 9*time.Minute)
 		// It does not write rows for the crashes that it has read.
 		test.Len(t, 1, heldRows(t, platform))
@@ -168,7 +168,7 @@
 		other.tick()
 		other.tick()
 		test.True(t, other.holds(7))
-		test.Eq(t, 1, other.Quarantine.CountHeld(other.Now()))
+		test.Eq(t, 1, other.Quarantine.CountQuarantined(other.Now()))
 	})
 }
 
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -212,7 +212,7 @@
 
 // logCounters logs each group that has another counter than before.
 func (q *quotas) logCounters() {
-	counters := q.Quota.Counters()
+	counters := q.Quota.CounterProcesses()
 	for g, process := range counters {
 		if process != q.loggedCounters[g] {
 			q.loggedCounters[g] = process
--- a/pkg/wire/frames.go
+++ b/pkg/wire/frames.go
@@ -324,7 +324,7 @@
 	From uint64
 	// Entries are the encoded changes, in order.
 	Entries [][]byte
-	// Document is the whole document, as placement.Document.Pack encodes it.
+	// Document is the whole document, as placement.Document.EncodeCompressed encodes it.
 	Document []byte
 }
 
