--- a/pkg/crash/detector.go
+++ b/pkg/crash/detector.go
@@ -109,7 +109,7 @@
 	close(c.done)
 }
 
-// refusesConnections is true if no process listens on the backend server's address.
+// refusesConnections reports whether no process listens on the backend server's address.
 func (d *Detector) refusesConnections() bool {
 	c, err := netdial.New(dialTimeout, 0).DialContext(context.Background(), "tcp", d.Settings.BackendServer.Address)
 	if err == nil {
@@ -147,7 +147,8 @@
 	d.deps.OnCrash(instance)
 }
 
-// logCrash logs the runs at the time of the crash: the request that caused it is among them.
+// logCrash logs the runs at the time of the crash: the request that caused it is among
+// them.
 func (d *Detector) logCrash(instance string, runs []AbortedRun) {
 	if !d.Log.Enabled(events.BackendEnded) {
 		return
--- a/pkg/quarantine/fingerprint.go
+++ b/pkg/quarantine/fingerprint.go
@@ -1,6 +1,6 @@
-// Package quarantine holds requests that crash the backend servers that run them: it
-// finds their contents among those that ran at the time of crashes, and refuses them for
-// some time. Source: docs/design/quarantine.md.
+// Package quarantine refuses, for some time, requests that crash the backend servers that
+// run them. It identifies the contents of these requests among the contents that ran at
+// the time of crashes. Source: docs/design/quarantine.md.
 package quarantine
 
 import (
--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -11,18 +11,20 @@
 )
 
 const (
-	// crashesToQuarantine is the number of crashes during which a content ran after which it is
-	// held. crashesToHoldOnlyCommon are enough if no other content ran during all of them.
-	// Otherwise two are not enough: requests that ran together are usually retried
-	// elsewhere, and a harmless one may run beside the cause of the crash again.
+	// crashesToQuarantine is the number of crashes after which a content that ran during
+	// each of them is quarantined. crashesToQuarantineOnlyCommon crashes are enough if no
+	// other content ran during all of them. Otherwise two are not enough: requests that ran
+	// together are usually retried elsewhere, and a harmless one may run beside the cause
+	// of the crash again.
 	crashesToQuarantine           = 3
 	crashesToQuarantineOnlyCommon = 2
-	// quarantineDuration is how long a content is held after its newest crash. Then it may run
-	// again, because a new version of the backend server may have fixed the fault; one
-	// more crash holds it again. A content thus causes at most six crashes per hour.
+	// quarantineDuration is how long a content is quarantined after its newest crash. Then
+	// it may run again, because a new version of the backend server may have fixed the
+	// fault; one more crash quarantines it again. A content thus causes at most six
+	// crashes per hour.
 	quarantineDuration = 10 * time.Minute
-	// CrashRetention is how long a crash counts. It exceeds holdDuration, so that the
-	// earlier crashes still count when a content runs again after its hold.
+	// CrashRetention is how long a crash counts. It exceeds quarantineDuration, so that
+	// the earlier crashes still count when a content runs again after its quarantine.
 	CrashRetention = 30 * time.Minute
 	// maxCrashes bounds the number of crashes kept; the oldest is dropped first.
 	// MaxRequestsPerCrash bounds the contents kept per crash; further ones are ignored.
@@ -58,7 +60,7 @@
 	Completions []Completion
 }
 
-// Empty is true if the update reports nothing.
+// Empty reports whether the update reports nothing.
 func (u *Update) Empty() bool { return len(u.Crashes) == 0 && len(u.Completions) == 0 }
 
 // Add appends another update.
@@ -86,11 +88,11 @@
 // reported times can be negative: they may precede this process, whose clock starts at 0.
 const neverCompleted = math.MinInt64
 
-// Table keeps the crashes reported by daemons and decides which contents are held. Times
+// Table keeps the crashes reported by daemons and decides which contents are quarantined. Times
 // are nanoseconds of the daemon's clock, passed in by the caller. It is safe for concurrent
 // use.
 type Table struct {
-	// any is true while there are suspects. While there are none, a check of a
+	// any is true while there are suspects. While there are none, the check of a
 	// request costs one atomic load.
 	any atomic.Bool
 	// version increases with each change.
@@ -114,7 +116,7 @@
 // It must be called before the table is used.
 func (t *Table) OnUpdate(callback func()) { t.onUpdate = callback }
 
-// AnySuspects is true while there are contents that ran at the time of a crash.
+// AnySuspects reports whether there are contents that ran at the time of a crash.
 func (t *Table) AnySuspects() bool { return t.any.Load() }
 
 // Version increases with each change of the table. Callers compare versions to detect
@@ -189,22 +191,22 @@
 	return out
 }
 
-// Quarantined returns whether a content is held, and for how much longer.
-func (t *Table) Quarantined(now int64, request Fingerprint) (remaining time.Duration, held bool) {
+// Quarantined returns whether a content is quarantined, and for how much longer.
+func (t *Table) Quarantined(now int64, request Fingerprint) (remaining time.Duration, quarantined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.quarantinedFor(now, request)
 }
 
-// Refusal returns an error for a request whose content is held, with the time until it may
+// Refusal returns an error for a request whose content is quarantined, with the time until it may
 // run again, or nil if it may run. content is called only while there are suspects.
 func (t *Table) Refusal(now int64, content func() Fingerprint) (refusal *errkind.Error, remaining time.Duration) {
 	if !t.any.Load() {
 		return nil, 0
 	}
 	request := content()
-	remaining, held := t.Quarantined(now, request)
-	if !held {
+	remaining, quarantined := t.Quarantined(now, request)
+	if !quarantined {
 		return nil, 0
 	}
 	return errkind.New(errkind.RequestHeld, "requests of content %s end the backend servers that run them", request), remaining
@@ -221,19 +223,19 @@
 // minFailureStatus is the lowest HTTP status of a server error.
 const minFailureStatus = 500
 
-// CountQuarantined returns the number of contents that are held.
+// CountQuarantined returns the number of contents that are quarantined.
 func (t *Table) CountQuarantined(now int64) (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for request := range t.suspects {
-		if _, held := t.quarantinedFor(now, request); held {
+		if _, quarantined := t.quarantinedFor(now, request); quarantined {
 			count++
 		}
 	}
 	return count
 }
 
-func (t *Table) quarantinedFor(now int64, request Fingerprint) (remaining time.Duration, held bool) {
+func (t *Table) quarantinedFor(now int64, request Fingerprint) (remaining time.Duration, quarantined bool) {
 	s := t.suspects[request]
 	if s == nil {
 		return 0, false
@@ -278,7 +280,7 @@
 	return out
 }
 
-// isOnlyCommon is true if no other content ran during all of the crashes. Contents that
+// isOnlyCommon reports whether no other content ran during all of the crashes. Contents that
 // have run to completion since a crash are disregarded.
 func (t *Table) isOnlyCommon(request Fingerprint, crashes []*crash) bool {
 	for _, other := range crashes[0].requests {
@@ -289,7 +291,7 @@
 	return true
 }
 
-// ranInAll is true if a content ran during all of the crashes and has not run to completion
+// ranInAll reports whether a content ran during all of the crashes and has not run to completion
 // since.
 func (t *Table) ranInAll(request Fingerprint, crashes []*crash) bool {
 	s := t.suspects[request]
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -12,29 +12,29 @@
 
 const second = int64(time.Second)
 
-func isHeld(t *Table, now int64, request Fingerprint) bool {
-	_, held := t.Quarantined(now, request)
-	return held
+func isQuarantined(t *Table, now int64, request Fingerprint) bool {
+	_, quarantined := t.Quarantined(now, request)
+	return quarantined
 }
 
-// TestContentIsHeldAfterTwoOrThreeCrashes: two are enough for the only content that ran in
+// TestContentIsQuarantinedAfterTwoOrThreeCrashes: two are enough for the only content that ran in
 // both, three for each content that ran in all.
-func TestContentIsHeldAfterTwoOrThreeCrashes(t *testing.T) {
+func TestContentIsQuarantinedAfterTwoOrThreeCrashes(t *testing.T) {
 	table := NewTable()
 	test.False(t, table.AnySuspects())
 	table.RecordCrash(second, 1, []Fingerprint{10, 11, 12})
 	test.True(t, table.AnySuspects())
-	test.False(t, isHeld(table, second, 10), test.Sprint("one crash is not enough"))
+	test.False(t, isQuarantined(table, second, 10), test.Sprint("one crash is not enough"))
 	table.RecordCrash(2*second, 2, []Fingerprint{10, 13})
-	test.True(t, isHeld(table, 2*second, 10))
-	test.False(t, isHeld(table, 2*second, 13))
+	test.True(t, isQuarantined(table, 2*second, 10))
+	test.False(t, isQuarantined(table, 2*second, 13))
 
 	table.RecordCrash(3*second, 3, []Fingerprint{20, 21})
 	table.RecordCrash(4*second, 4, []Fingerprint{20, 21, 22})
-	test.False(t, isHeld(table, 4*second, 20), test.Sprint("two contents ran in both crashes"))
+	test.False(t, isQuarantined(table, 4*second, 20), test.Sprint("two contents ran in both crashes"))
 	table.RecordCrash(5*second, 5, []Fingerprint{20, 22})
-	test.True(t, isHeld(table, 5*second, 20))
-	test.False(t, isHeld(table, 5*second, 21))
+	test.True(t, isQuarantined(table, 5*second, 20))
+	test.False(t, isQuarantined(table, 5*second, 21))
 }
 
 // TestCompletionReleasesAContent: a content that runs to completion did not cause the
@@ -43,32 +43,32 @@
 	table := NewTable()
 	table.RecordCrash(second, 1, []Fingerprint{10, 11})
 	table.RecordCrash(2*second, 2, []Fingerprint{10, 11})
-	test.False(t, isHeld(table, 2*second, 10))
+	test.False(t, isQuarantined(table, 2*second, 10))
 	table.RecordCompletion(3*second, 11)
-	test.True(t, isHeld(table, 3*second, 10), test.Sprint("no other suspect ran in both crashes"))
+	test.True(t, isQuarantined(table, 3*second, 10), test.Sprint("no other suspect ran in both crashes"))
 	table.RecordCompletion(4*second, 10)
-	test.False(t, isHeld(table, 4*second, 10))
+	test.False(t, isQuarantined(table, 4*second, 10))
 	test.Len(t, 0, table.CrashesAgainst(4*second, 10))
 	// Crashes that are reported later but are older than the completion do not count.
 	table.Merge(5*second, Update{Crashes: []Crash{{ID: 3, Requests: []Fingerprint{10}, AgeMS: 2000}, {ID: 4, Requests: []Fingerprint{10}, AgeMS: 1500}}})
-	test.False(t, isHeld(table, 5*second, 10))
+	test.False(t, isQuarantined(table, 5*second, 10))
 	table.RecordCrash(6*second, 5, []Fingerprint{10})
 	table.RecordCrash(7*second, 6, []Fingerprint{10})
-	test.True(t, isHeld(table, 7*second, 10))
+	test.True(t, isQuarantined(table, 7*second, 10))
 }
 
-// TestOneMoreCrashHoldsAContentAgain: the crashes before its first hold still count.
-func TestOneMoreCrashHoldsAContentAgain(t *testing.T) {
+// TestOneMoreCrashQuarantinesAContentAgain: the crashes before its first quarantine still count.
+func TestOneMoreCrashQuarantinesAContentAgain(t *testing.T) {
 	table := NewTable()
 	table.RecordCrash(second, 1, []Fingerprint{10})
 	table.RecordCrash(2*second, 2, []Fingerprint{10})
-	remaining, held := table.Quarantined(3*second, 10)
-	must.True(t, held)
+	remaining, quarantined := table.Quarantined(3*second, 10)
+	must.True(t, quarantined)
 	test.Eq(t, quarantineDuration-time.Second, remaining)
 	later := 2*second + int64(quarantineDuration)
-	test.False(t, isHeld(table, later, 10))
+	test.False(t, isQuarantined(table, later, 10))
 	table.RecordCrash(later, 3, []Fingerprint{10})
-	test.True(t, isHeld(table, later, 10))
+	test.True(t, isQuarantined(table, later, 10))
 
 	expired := later + int64(CrashRetention) + 1
 	test.Len(t, 0, table.Snapshot(expired).Crashes)
@@ -80,8 +80,8 @@
 	table := NewTable()
 	added := table.Merge(1, Update{Crashes: []Crash{{ID: 1, Requests: []Fingerprint{10}, AgeMS: 60_000}, {ID: 2, Requests: []Fingerprint{10}, AgeMS: 30_000}}})
 	test.Len(t, 2, added.Crashes)
-	remaining, held := table.Quarantined(1, 10)
-	must.True(t, held)
+	remaining, quarantined := table.Quarantined(1, 10)
+	must.True(t, quarantined)
 	test.Eq(t, quarantineDuration-30*time.Second, remaining)
 	test.False(t, func() bool { n := table.TakePending(); return !n.Empty() }(), test.Sprint("reports of other daemons are not pending"))
 }
@@ -115,8 +115,8 @@
 		first.Merge(now, other.Snapshot(now))
 		other.Merge(now, first.Snapshot(now))
 		for r := Fingerprint(1); r <= 4; r++ {
-			if isHeld(first, now, r) != isHeld(other, now, r) {
-				t.Fatalf("content %s is held: %v and %v", r, isHeld(first, now, r), isHeld(other, now, r))
+			if isQuarantined(first, now, r) != isQuarantined(other, now, r) {
+				t.Fatalf("content %s is quarantined: %v and %v", r, isQuarantined(first, now, r), isQuarantined(other, now, r))
 			}
 		}
 		if added := other.Merge(now, first.Snapshot(now)); !added.Empty() {
@@ -144,7 +144,7 @@
 	}
 }
 
-func BenchmarkHeld(b *testing.B) {
+func BenchmarkQuarantined(b *testing.B) {
 	table := NewTable()
 	for n := range uint64(100) {
 		table.RecordCrash(second, n+1, []Fingerprint{Fingerprint(n), Fingerprint(n + 1000), Fingerprint(n + 2000)})
