--- a/pkg/placement/change.go
+++ b/pkg/placement/change.go
@@ -141,7 +141,7 @@
 	return out
 }
 
-// containsKind is true if the list holds a kind equal to k in all fields.
+// containsKind reports whether the list holds a kind equal to k in all fields.
 func containsKind(kinds []Kind, k Kind) bool {
 	for _, other := range kinds {
 		if reflect.DeepEqual(other, k) {
--- a/pkg/placement/compiled.go
+++ b/pkg/placement/compiled.go
@@ -128,7 +128,7 @@
 	return out
 }
 
-// moreSpecific is true if a is to be matched before b: exact paths come before prefixes,
+// moreSpecific reports whether a is to be matched before b: exact paths come before prefixes,
 // long paths before short ones, and a certain method before any method.
 func moreSpecific(a, b *CompiledKind) bool {
 	if a.isExact != b.isExact {
@@ -166,7 +166,7 @@
 	return strings.HasPrefix(path, c.prefix)
 }
 
-// Allows is true if calls of this kind may be handled in the data centre.
+// Allows reports whether calls of this kind may be handled in the data centre.
 func (c *CompiledKind) Allows(dataCentre string) bool {
 	if c.anywhere {
 		return true
--- a/pkg/placement/packed_test.go
+++ b/pkg/placement/compressed_test.go
@@ -11,9 +11,9 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// TestPackCompressesAndUnpackChecksTheHash: a daemon sends a new version to several peers
-// at once, and calls on a slow link are delayed by its size.
-func TestPackCompressesAndUnpackChecksTheHash(t *testing.T) {
+// TestEncodeCompressedShrinksAndDecodeCompressedChecksTheHash: a daemon sends
+// a new version to several peers at once, and calls on a slow link are delayed by its size.
+func TestEncodeCompressedShrinksAndDecodeCompressedChecksTheHash(t *testing.T) {
 	doc := &Document{Version: 9}
 	for i := range 1400 {
 		doc.Routes = append(doc.Routes, routing.Route{
@@ -25,15 +25,15 @@
 	must.NoError(t, err)
 	plain, err := doc.Encode()
 	must.NoError(t, err)
-	packed, err := doc.EncodeCompressed()
+	compressed, err := doc.EncodeCompressed()
 	must.NoError(t, err)
-	test.Less(t, len(plain)/3, len(packed))
-	got, err := DecodeCompressed(packed, hash)
+	test.Less(t, len(plain)/3, len(compressed))
+	got, err := DecodeCompressed(compressed, hash)
 	must.NoError(t, err)
 	test.Eq(t, doc.Routes, got.Routes)
-	_, err = DecodeCompressed(packed, "other")
+	_, err = DecodeCompressed(compressed, "other")
 	test.Error(t, err)
-	_, err = DecodeCompressed(packed[:len(packed)/2], hash)
+	_, err = DecodeCompressed(compressed[:len(compressed)/2], hash)
 	test.Error(t, err)
 	_, err = DecodeCompressed(plain, hash)
 	test.Error(t, err)
--- a/pkg/placement/store.go
+++ b/pkg/placement/store.go
@@ -19,7 +19,7 @@
 	snapshotPrefix = "placement/snapshot/"
 )
 
-// Head is the row that identifies the version in force.
+// Head identifies the version in force. It is stored in one row, under headKey.
 type Head struct {
 	Version  uint64 `cbor:"1,keyasint"`
 	ChangeID string `cbor:"2,keyasint"`
@@ -35,7 +35,7 @@
 	At       time.Time `cbor:"4,keyasint"`
 	Changes  []Change  `cbor:"5,keyasint"`
 	Hash     string    `cbor:"6,keyasint"`
-	// RollbackOf is the version whose content this one restores; 0: it is no rollback.
+	// RollbackOf is the version whose content this one restores; 0 if it is no rollback.
 	RollbackOf uint64 `cbor:"7,keyasint,omitempty"`
 }
 
--- a/pkg/routing/allowed.go
+++ b/pkg/routing/allowed.go
@@ -7,12 +7,12 @@
 // empty name, so code that compares names needs no special case.
 const NoDataCentre = ""
 
-// AllowsDataCentre is true if the list allows the data centre. An empty list allows all.
+// AllowsDataCentre reports whether the list allows the data centre. An empty list allows all.
 func AllowsDataCentre(list []string, dataCentre string) bool {
 	return len(list) == 0 || dataCentre != NoDataCentre && slices.Contains(list, dataCentre)
 }
 
-// AllowsLocation is true if a daemon in this data centre and region may handle requests of
+// AllowsLocation reports whether a daemon in this data centre and region may handle requests of
 // the route. An empty region is unknown: a route with regions does not allow it.
 func (r *Route) AllowsLocation(dataCentre, region string) bool {
 	inRegion := len(r.Regions) == 0 || region != "" && slices.Contains(r.Regions, region)
