--- a/pkg/quota/account.go
+++ b/pkg/quota/account.go
@@ -84,7 +84,7 @@
 	if grant.Count < grant.Requested {
 		a.exhaustedUntil = now + int64(retryAfter)
 	}
-	// Requests whose tokens are still on order keep waiting.
+	// Requests whose tokens were requested and not answered yet keep waiting.
 	for len(a.waiters) > int(a.requested) {
 		a.answerFirst(Verdict{RetryAfter: retryAfter})
 	}
@@ -121,7 +121,7 @@
 	return out
 }
 
-// idle is true if the account can be dropped: it has no tokens, no waiting or recent
+// idle reports whether the account can be dropped: it has no tokens, no waiting or recent
 // requests and nothing outstanding.
 func (a *account) idle() bool {
 	return len(a.tokenExpiries)+len(a.waiters)+a.recent+a.previous == 0 && a.requested+a.toReturn == 0
--- a/pkg/quota/model_test.go
+++ b/pkg/quota/model_test.go
@@ -35,7 +35,7 @@
 	// at is the earliest time of delivery.
 	at       int64
 	from, to int
-	// generation is that of the receiver when the frame was sent: a link connects two
+	// generation is the receiver's generation when the frame was sent: a link connects two
 	// processes, and its frames are lost when the receiving one ends. process is the sender.
 	generation int
 	process    string
@@ -49,20 +49,21 @@
 	vm   string
 	// generation is the number of processes that were killed before the present one.
 	generation int
-	// startedAt, restartAt and frozenUntil are times of the world. restartAt is when the
-	// killed process starts again; 0: it is running.
+	// startedAt, restartAt and frozenUntil are in world time. restartAt is when the killed
+	// process starts again; 0 if it is running.
 	startedAt   int64
 	restartAt   int64
 	frozenUntil int64
 	waiters     []*waiter
 }
 
-// now returns the daemon's time at a time of the world.
+// now converts world time to the daemon's clock.
 func (d *daemonModel) now(worldNow int64) int64 { return worldNow - d.startedAt + 1 }
 
 func (d *daemonModel) process() string { return fmt.Sprint(d.vm, "/", d.generation) }
 
-// world simulates daemons whose links delay frames, break or are cut.
+// world simulates daemons whose links delay frames, break or are cut. World time is in
+// nanoseconds since the start of the simulation.
 type world struct {
 	now     int64
 	daemons []*daemonModel
--- a/pkg/quota/node.go
+++ b/pkg/quota/node.go
@@ -64,14 +64,14 @@
 type peerState struct {
 	// counterTime is the newest CounterTime received from the process.
 	counterTime int64
-	// unansweredSince is the time of the first Ask since the last answer; 0: none is
+	// unansweredSince is the time of the first Ask since the last answer; 0 if no Ask is
 	// unanswered.
 	unansweredSince int64
 	probedAt        int64
 	usedAt          int64
 }
 
-// unresponsive is true if an Ask has been unanswered for longer than answerTimeout.
+// unresponsive reports whether an Ask has been unanswered for longer than answerTimeout.
 func (s *peerState) unresponsive(now int64) bool {
 	return s.unansweredSince != 0 && now-s.unansweredSince > int64(answerTimeout)
 }
@@ -101,8 +101,8 @@
 // Stats counts the events of a node since its start.
 type Stats struct {
 	// Asked counts Asks sent for tokens outside of lease renewals, Granted requests that got
-	// a token, Refused requests over a limit, Unsure requests that no counter answered, Back
-	// tokens of requests that were not run.
+	// a token, Refused requests over a limit, Unsure requests that no counter answered,
+	// Back tokens returned for requests that were not run.
 	Asked, Granted, Refused, Unsure, Back uint64
 }
 
@@ -142,7 +142,8 @@
 	return n.members.count
 }
 
-// CounterProcesses returns the process that counts each group, as far as this daemon knows.
+// CounterProcesses returns the process that counts each group, as known to this daemon;
+// empty if there is none.
 func (n *Node) CounterProcesses() (out [Groups]string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -230,7 +231,7 @@
 	defer n.mu.Unlock()
 	a := n.accountOf(team)
 	a.toReturn++
-	// The next request may be granted the returned token, so let it ask.
+	// The next request may be granted the returned token, so it must ask the counter.
 	a.exhaustedUntil = 0
 	n.stats.Back++
 }
--- a/pkg/quota/pool.go
+++ b/pkg/quota/pool.go
@@ -157,9 +157,8 @@
 	maxRetryAfter = 5 * time.Second
 )
 
-// untilNextToken returns the time until the bucket of a team holds a whole token. A team
-// that earns nothing, as while no share is leased here, is asked for again after
-// askInterval.
+// untilNextToken returns the time until the bucket of a team holds a whole token. It is
+// askInterval for a team that earns no tokens, for example while no share is leased here.
 func (p *pool) untilNextToken(limit teams.Limit, tokens float64) time.Duration {
 	perSecond := limit.Rate * p.shareSum
 	if perSecond <= 0 {
--- a/pkg/quota/quota.go
+++ b/pkg/quota/quota.go
@@ -1,7 +1,8 @@
 // Package quota enforces the request limits of teams across all daemons, without leader
 // election and without the store. Each daemon owns an equal share of every limit. Teams
 // are divided into groups, and each daemon leases its share, for a short time, to the
-// group's counter: the daemon that counts the requests of the group's teams. A share is
+// group's counter: the daemon that counts the requests of the group's teams (it is not a
+// metric). A share is
 // never in use at two daemons at once, even if daemons are partitioned, killed or
 // restarted. The package needs no network. Source: docs/design/teams.md, "Limits".
 package quota
@@ -57,7 +58,7 @@
 
 const (
 	// burstSlackFraction is the fraction of the platform's slack that is added to a
-	// team's burst, to make up for tokens that lie unused at daemons.
+	// team's burst, to make up for granted tokens that daemons have not used.
 	burstSlackFraction = 0.5
 	// recoverySlackFraction is the fraction of the slack that a team gets as recovery
 	// tokens when shares arrive at a new counter after the previous one was lost together
@@ -113,7 +114,7 @@
 	Members uint32
 	// CounterTime is the counter's time in nanoseconds.
 	CounterTime int64
-	// ReleaseAskedAt repeats that of the Ask: the counter no longer uses the share.
+	// ReleaseAskedAt repeats the value of the Ask: the counter no longer uses the share.
 	ReleaseAskedAt int64
 	TokenGrants    []TokenGrant
 }
--- a/pkg/quota/tick.go
+++ b/pkg/quota/tick.go
@@ -163,13 +163,13 @@
 	n.send(now, counter, ask)
 }
 
-// mayLease is false while a lease of the previous process of this daemon may still be
-// valid.
+// mayLease reports whether this daemon may lease its share. It may not while a lease of
+// its previous process may still be valid.
 func (n *Node) mayLease(now int64) bool {
 	return !n.opts.Restarted || now >= int64(leaseDuration(n.members.count)-n.opts.RestartAfter)
 }
 
-// renewalUnanswered is true if the counter has not answered for a whole renewal interval.
+// renewalUnanswered reports whether the counter has not answered for a whole renewal interval.
 // The lease is then not extended, so that a lost counter does not keep the share longer.
 func (n *Node) renewalUnanswered(now int64, counter Peer) bool {
 	state := n.peers[counter.Process]
