--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -38,8 +38,8 @@
 	return a.await(candidate, runner, cancel, ends)
 }
 
-// canGoElsewhere reports whether the request could be sent to another candidate after
-// this one is given up. Where it could not, giving up gains nothing: the backend server
+// canGoElsewhere reports whether the request could be sent to another candidate if the
+// attempt at from is abandoned. If it could not, the entry keeps waiting: the backend server
 // may be running the request, and its answer may still come.
 func (a *attempts) canGoElsewhere(from *tables.Candidate) bool {
 	if a.offered+1 >= a.route.Attempts || a.timeLeft() < minRetryTime || a.forwarder.budgets.forService(a.service).balance() < 1 {
@@ -99,9 +99,9 @@
 	return call.Result{Refusal: refusal, Offered: true}
 }
 
-// recordEnd updates what is known of the backend server and of the route at the end of an
-// attempt, also when the request has ended already. It returns the result with the
-// backend server filled in.
+// recordEnd updates the load of the candidate and the statistics of the route at the end
+// of an attempt, even if the request has already ended. It returns the result with the VM
+// and the data centre of the backend server filled in.
 func (a *attempts) recordEnd(candidate *tables.Candidate, result call.Result) call.Result {
 	now := a.forwarder.Now()
 	candidate.Load.RecordEnded(now)
--- a/pkg/forward/attempts.go
+++ b/pkg/forward/attempts.go
@@ -20,14 +20,14 @@
 	// answerGrace is how long after the deadline the entry still waits for the
 	// executor's result, because only the executor knows whether the request ran.
 	answerGrace = 20 * time.Millisecond
-	// minRetryTime is the time to the deadline below which a request that reached a
-	// backend server is not sent again.
+	// minRetryTime is the least time to the deadline with which a request that may have
+	// reached a backend server is sent again.
 	minRetryTime = 30 * time.Millisecond
 	// maxTries limits the attempts of one request, including those that were refused
 	// before they reached a backend server.
 	maxTries = 12
 	// retryAfterShare limits the Retry-After of a refusal, as a share of the request's
-	// time left: callers ignore one that is longer than a third of their time.
+	// time left: callers ignore a Retry-After that is longer than a third of their timeout.
 	retryAfterShare = 0.32
 )
 
@@ -39,7 +39,7 @@
 	ctx       context.Context
 	req       *Request
 	route     *routing.CompiledRoute
-	// version is that of the placement in which the route was found.
+	// version is the placement version in which the route was found.
 	version uint64
 	rule    dataCentreRule
 	service string
@@ -48,21 +48,24 @@
 	deadline  int64
 	// target is the latency target of the route, counted from startedAt.
 	target time.Duration
-	// team is the one whose key the request carries; nil: it carries none.
+	// team is the team whose key the request carries; nil if it carries none.
 	team *teams.Team
-	// lane says to which version of a service under roll-out the request goes.
+	// lane selects the version of a service under roll-out that handles the request.
 	lane rollout.Lane
 
 	candidates []tables.Candidate
 	// softLeft is how many more soft attempts may be refused. softRefused marks the
-	// candidates that refused one, excluded those that are not asked again.
+	// candidates that refused a soft attempt, excluded the candidates that get no further
+	// attempt of this request.
 	softLeft    int
 	softRefused choose.IndexSet
 	excluded    choose.IndexSet
-	// tries counts all attempts, offered those that may have reached a backend server.
+	// tries counts all attempts, offered the attempts that may have reached a backend
+	// server.
 	tries   int
 	offered int
-	// cachedFingerprint is that of the request's content, once hasFingerprint is true.
+	// cachedFingerprint is the fingerprint of the request's content. It is valid once
+	// hasFingerprint is true.
 	cachedFingerprint quarantine.Fingerprint
 	hasFingerprint    bool
 	// records describes the attempts for the log.
@@ -70,7 +73,7 @@
 	// stopReason says why no further attempt was made, for the log.
 	stopReason string
 	// fallback is the result of an earlier attempt that failed and may have run. The
-	// caller gets it where the last attempt has no backend server's answer.
+	// caller gets it if the last attempt got no answer from a backend server.
 	fallback *call.Result
 }
 
@@ -129,8 +132,8 @@
 	budget.addRequest()
 }
 
-// finalResult turns the result of the last attempt into the one for the caller: it
-// prefers the fallback to a refusal, and sets Retry-After on an overload.
+// finalResult turns the result of the last attempt into the result for the caller: it
+// prefers the fallback to a refusal, and sets RetryAfter on an overload.
 func (a *attempts) finalResult(result call.Result) call.Result {
 	if result.Answer == nil && a.fallback != nil {
 		result = *a.fallback
@@ -142,10 +145,10 @@
 	return result
 }
 
-// replaceMisleadingAnswer replaces an answer whose status would tell the caller that a request
-// that must run at most once has not run. A backend server's own 503, for example, does
-// not prove that: only its mark of a request that it did not run does, and that mark
-// makes the result a refusal.
+// replaceMisleadingAnswer replaces an answer whose status would tell the caller that a
+// request that must run at most once has not run. A backend server's own 503, for example,
+// does not prove that. A backend server that did not run a request marks its answer, and
+// the result of a marked answer is a refusal.
 func (a *attempts) replaceMisleadingAnswer(result call.Result) call.Result {
 	if result.Answer == nil || a.route.Repeatable || !impliesNotRun(result.Answer.Status) {
 		return result
@@ -162,9 +165,9 @@
 // timeLeft returns the time to the deadline, which is negative after it.
 func (a *attempts) timeLeft() time.Duration { return time.Duration(a.deadline - a.forwarder.Now()) }
 
-// pick chooses the candidate of the next attempt and whether the attempt is soft. A
-// request that is under a roll-out changes its lane where its own has only candidates at
-// which it would queue, or none.
+// pick chooses the candidate of the next attempt and whether the attempt is soft. During
+// a roll-out, a request moves to the lane of retries if its own lane has no candidate, or
+// only candidates at which it would queue.
 func (a *attempts) pick() (pick choose.RoutedPick, soft bool) {
 	a.loadCandidates()
 	a.updateRule()
@@ -225,15 +228,16 @@
 
 // isLarge reports whether the request moves more bytes than the mean. Only such requests
 // queue nearer to save the cost of a crossing: if small ones did too, a region with a
-// burst of callers would queue requests, and answer them late, while others have room.
+// burst of callers would queue requests, and answer them late, while other regions have
+// free capacity.
 func (a *attempts) isLarge() bool {
 	return a.forwarder.sizes.relative(a.route.Name, len(a.req.Body)) > 1
 }
 
-// shouldQueueNearer reports whether a request should queue at a nearer candidate instead of
-// crossing to another region. Queueing must cost less, and its expected time, with the
-// margin that gates allow for the spread of run times, must fit into the time given by
-// within. So the cost of a crossing makes no request late.
+// shouldQueueNearer reports whether a request should queue at a nearer candidate instead
+// of crossing to another region. Queueing must cost less, and its expected time, with the
+// margin that gates allow for the spread of run times, must be at most within. The cost of
+// a crossing thus makes no request late.
 func shouldQueueNearer(crossing, queued *choose.RoutedPick, within time.Duration) bool {
 	nearer := queued.Index != choose.NoCandidate && queued.Proximity < crossing.Proximity
 	return nearer && queued.Cost < crossing.Cost && gate.RunTimeMargin*queued.ExpectedTime <= float64(within)
@@ -248,7 +252,7 @@
 	return a.target - time.Duration(a.forwarder.Now()-a.startedAt)
 }
 
-// loadCandidates takes the candidates from the view, once there are any, and keeps them
+// loadCandidates reads the candidates from the view until it finds some, and keeps those
 // for all later attempts.
 func (a *attempts) loadCandidates() {
 	if len(a.candidates) > 0 {
@@ -264,13 +268,13 @@
 }
 
 // expectedWork returns how long the request is expected to run at a backend server that
-// works at its usual speed.
+// works at its normal speed.
 func (a *attempts) expectedWork() time.Duration {
 	return a.forwarder.work.LookupOrEstimate(a.route.Name, a.target)
 }
 
-// isLast updates the state of the request by the result of an attempt, and reports whether
-// that attempt was the last.
+// isLast updates the state of the request with the result of an attempt, and reports
+// whether that attempt was the last.
 func (a *attempts) isLast(index int, result *call.Result) bool {
 	if result.Refusal != nil && result.Refusal.Kind == errkind.GateBusier {
 		a.softRefused = a.softRefused.With(index)
@@ -294,7 +298,7 @@
 	return a.stopReason != ""
 }
 
-// The reasons why no further attempt was made, as the log has them.
+// The reasons why no further attempt was made: the values of the log field "stopped".
 const (
 	stoppedByAnswer       = "answered"
 	stoppedByFinalRefusal = "no_other_can_do_better"
@@ -309,8 +313,8 @@
 )
 
 // reasonToStop returns why a request that reached a backend server and failed is not sent
-// to another one. It is empty where the request is sent again, which takes a retry from
-// the budget.
+// to another one. If the request is to be sent again, it takes a retry from the budget and
+// returns an empty string.
 func (a *attempts) reasonToStop(result *call.Result) string {
 	notRun := result.Refusal != nil && result.Refusal.Ran == errkind.RanNo
 	if !notRun && !a.route.Repeatable {
--- a/pkg/forward/called_routes.go
+++ b/pkg/forward/called_routes.go
@@ -10,8 +10,8 @@
 const maxCalledRoutes = 4096
 
 // calledRoutes is the set of routes that services call in the middle of a run. It is
-// learned from what executors report of a route's origin, because an entry sees the
-// requests of its own VM only. It is safe for concurrent use.
+// built from the origins that executors report, because an entry sees only the requests of
+// its own VM. It is safe for concurrent use.
 type calledRoutes struct {
 	mu     sync.Mutex
 	byName map[string]struct{}
--- a/pkg/forward/forward.go
+++ b/pkg/forward/forward.go
@@ -23,8 +23,7 @@
 
 // Request is a routed request as the caller sent it.
 type Request struct {
-	// ID is the one that the caller gave the request. The backend server gets it
-	// unchanged.
+	// ID is the request id that the caller set. The backend server gets it unchanged.
 	ID      string
 	Host    string
 	Method  string
@@ -32,7 +31,7 @@
 	Path    string
 	Headers []wire.Header
 	Body    []byte
-	// TeamKey is the key of a team that came with the request.
+	// TeamKey is the team key that the request carries.
 	TeamKey TeamKey
 	// Timeout is the time that the caller allows; 0: the caller set none.
 	Timeout time.Duration
@@ -49,7 +48,7 @@
 }
 
 // RouteMatch is the route that Match found for a request, and the placement that it
-// belongs to. Both are nil where there was none.
+// belongs to. Either is nil if there is none.
 type RouteMatch struct {
 	placement *placement.Compiled
 	route     *routing.CompiledRoute
@@ -64,7 +63,8 @@
 	// RepeatShare returns the share, from 0 to 1, of the runs that repeat a run
 	// elsewhere.
 	RepeatShare() float64
-	// RecordFailedCall records that a call of that backend server failed.
+	// RecordFailedCall records that a call which that backend server made to another
+	// service failed.
 	RecordFailedCall()
 }
 
@@ -182,8 +182,7 @@
 }
 
 // observeTimes adds the times of a request to the histograms of its service: the whole
-// time, and for an answered request also the times in the queue, of the run, and
-// elsewhere.
+// time, and for an answered request also the queue time, the run time, and the rest.
 func (f *Forwarder) observeTimes(service string, took time.Duration, result *call.Result) {
 	label := `{service="` + utils.Label(service) + `"}`
 	f.Metrics.GetOrCreateHistogram("rushramp_routed_seconds" + label).Update(took.Seconds())
@@ -216,8 +215,9 @@
 }
 
 // newAttempts prepares the attempts of a request on a route. It draws the service, where
-// the route is divided among several, and the lane. version is that of the placement,
-// startedAt the time in nanoseconds from which the request's timeout and target run.
+// the route is divided among several, and the lane. version is the placement's version.
+// The request's timeout and target run from startedAt, in nanoseconds of the daemon's
+// clock.
 func (f *Forwarder) newAttempts(ctx context.Context, req *Request, route *routing.CompiledRoute, version uint64, startedAt int64) *attempts {
 	timeout := f.timeout(req, route)
 	target := route.Target
--- a/pkg/forward/forward_test.go
+++ b/pkg/forward/forward_test.go
@@ -22,7 +22,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// fakeRunner records calls and ends them as its answer function says.
+// fakeRunner records calls and ends them with the results of its answer function.
 type fakeRunner struct {
 	mu    sync.Mutex
 	calls []wire.Call
@@ -297,7 +297,7 @@
 }
 
 // TestARequestIsNotSentAgainAfterASuspension that lasted beyond its deadline, although the
-// steady clock stood still during the suspension.
+// monotonic clock stood still during the suspension.
 func TestARequestIsNotSentAgainAfterASuspension(t *testing.T) {
 	var vm *clock.Manual
 	suspends := func(*wire.Call) (call.Result, bool) {
--- a/pkg/forward/liveness.go
+++ b/pkg/forward/liveness.go
@@ -34,7 +34,7 @@
 	timer *time.Timer
 	// since is when the watch began to wait for a sign of life.
 	since time.Time
-	// probed is true once a probe was sent in that time.
+	// probed is true if a probe was sent after since.
 	probed bool
 }
 
--- a/pkg/forward/request_log.go
+++ b/pkg/forward/request_log.go
@@ -20,8 +20,8 @@
 	proximity proximity.Level
 	// target is true for an attempt at the version to which a roll-out moves.
 	target bool
-	// load is what the entry knew of the backend server's load, loadAge the age of that;
-	// a negative loadAge: the entry knew nothing.
+	// load is the load of the backend server as known to the entry, loadAge the age of the
+	// newest load stamp; it is negative if the entry has had none.
 	load    tables.LoadSnapshot
 	loadAge time.Duration
 	// passedOver counts the candidates that were passed over for this attempt, because
@@ -56,8 +56,8 @@
 // outcomePassedOver is the outcome in the record of a candidate that was not tried.
 const outcomePassedOver = "passed_over"
 
-// recordPassedOver records the candidates that were left but not tried, each with the load
-// because of which the request is refused.
+// recordPassedOver records the remaining candidates that were not tried, each with the
+// load because of which the request is refused.
 func (a *attempts) recordPassedOver() {
 	now := a.forwarder.Now()
 	for i := range a.candidates {
--- a/pkg/forward/request_sizes.go
+++ b/pkg/forward/request_sizes.go
@@ -5,11 +5,11 @@
 const (
 	// answerWeight is the weight of a new answer in the mean of its route.
 	answerWeight = 1.0 / 8
-	// requestWeight is the weight of a new request in the mean of all requests. A busy
-	// entry sees as many requests as that mean covers in about a second.
+	// requestWeight is the weight of a new request in the mean of all requests. The mean
+	// then covers about a second of the requests of a busy entry.
 	requestWeight = 1.0 / 128
-	// frameBytes is what a request and its answer take on a link besides their bodies:
-	// two frames with headers.
+	// frameBytes is the number of bytes that a request and its answer take on a link
+	// besides their bodies: two frames with headers.
 	frameBytes = 330
 	// maxSizedRoutes limits the number of routes whose answer sizes are kept.
 	maxSizedRoutes = 4096
--- a/pkg/forward/retry_budget.go
+++ b/pkg/forward/retry_budget.go
@@ -9,10 +9,9 @@
 )
 
 // retryBudget limits the retries of one service at this entry. In each window, all
-// daemons together may retry a share of the service's requests, and a fixed number, the
-// slack, besides. Each daemon spends its own part of both, so that daemons need not
-// coordinate: a request adds its share of a retry to the balance, which is at most the
-// daemon's part of the slack.
+// daemons together may retry a share of the service's requests and, in addition, a fixed
+// number, the slack. Daemons need not coordinate, because each has its own part of both:
+// every request adds ratio to the daemon's balance, which is at most its part of the slack.
 type retryBudget struct {
 	// ratio is the number of retries that one request adds.
 	ratio float64
@@ -35,10 +34,10 @@
 	return max(b.slack/float64(max(b.daemons(), 1)), 1)
 }
 
-// addRequest adds the share of a retry for one request of the service.
+// addRequest adds ratio to the balance for one request of the service.
 func (b *retryBudget) addRequest() { b.add(1) }
 
-// add adds the share of a retry for a number of requests, which may be a fraction.
+// add adds ratio to the balance for each of a number of requests, which may be a fraction.
 func (b *retryBudget) add(requests float64) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -48,7 +47,7 @@
 	b.tokens = min(b.tokens+requests*b.ratio, b.capacity())
 }
 
-// take takes one retry; false when the balance is below one.
+// take takes one retry from the balance. It returns false when the balance is below one.
 func (b *retryBudget) take() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -61,8 +60,8 @@
 
 // maxDebt limits how far charges may lower a balance below zero, in retries. It is a
 // quarter of the calls that one backend server makes to another service in the ten
-// seconds of the budget's window, at eight calls a second. A larger debt would hold
-// retries back for longer than the window.
+// seconds of the budget's window, at eight calls a second. A larger debt would
+// prevent retries for longer than the window.
 const maxDebt = 20
 
 // addCall adds a call that a backend server makes in the middle of a run. repeatShare
@@ -119,8 +118,8 @@
 	return found
 }
 
-// take takes one retry of a service; false when its budget is empty. It logs an event
-// when the budget becomes empty.
+// take takes one retry from the budget of a service. It returns false when the budget is
+// empty, and logs an event when it becomes empty.
 func (b *retryBudgets) take(service string) bool {
 	found := b.forService(service)
 	taken := found.take()
--- a/pkg/forward/rollout_test.go
+++ b/pkg/forward/rollout_test.go
@@ -28,15 +28,15 @@
 
 // setPlan puts the plan of the roll-out into force, in the given phase.
 func setPlan(view *tables.View, phase rollout.Phase) {
-	book := rollout.NewReplica()
-	book.Merge(rollout.Update{
+	replica := rollout.NewReplica()
+	replica.Merge(rollout.Update{
 		Orders: rollout.Orders{Revision: 5, List: []rollout.Order{{Service: "s", Version: "v2", Revision: 5, Duration: 1}}},
 		Plans: []rollout.Plan{{
 			Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: phase,
 			Canaries: []string{"new"}, PerMille: 250,
 		}},
 	})
-	view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{"s": book.Traffic("s")}, Digest: book.Digest()})
+	view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{"s": replica.Traffic("s")}, Digest: replica.Digest()})
 }
 
 // TestEachPhaseDividesTheRequests between the old and the target version.
@@ -130,9 +130,9 @@
 	for _, service := range []string{"first", "second"} {
 		view.Service(service).Match("GET", "/").LinkedCandidates[0].Endpoint.SetVersion("v1")
 	}
-	book := rollout.NewReplica()
-	book.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "second", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
-	view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{"second": book.Traffic("second")}})
+	replica := rollout.NewReplica()
+	replica.Merge(rollout.Update{Plans: []rollout.Plan{{Service: "second", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: rollout.Switching}}})
+	view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{"second": replica.Traffic("second")}})
 	const requests = 100
 	refused := 0
 	for range requests {
--- a/pkg/forward/team.go
+++ b/pkg/forward/team.go
@@ -15,7 +15,8 @@
 // form.
 const TeamKeyHeader = "Authorization"
 
-// TeamKey is the key that came with a request. An entry keeps only the digest of it.
+// TeamKey is the digest of the team key that a request carries. An entry does not keep the
+// key itself.
 type TeamKey struct {
 	Digest teams.KeyDigest
 	// Given is false for a request without a key.
@@ -85,8 +86,9 @@
 	}
 }
 
-// revokedKeyRefusal refuses a request whose key was revoked since the request came, as
-// long as no backend server has had the request; nil: the request may run.
+// revokedKeyRefusal refuses a request whose key was revoked after the request arrived,
+// unless an attempt may have reached a backend server. It returns nil if the request may
+// run.
 func (a *attempts) revokedKeyRefusal() *call.Result {
 	newest := a.forwarder.view.Placement()
 	if a.team == nil || a.offered > 0 || newest == nil || newest.Version == a.version {
@@ -100,8 +102,8 @@
 }
 
 // maxKeysAgeShare is the share of teams.revoke_within after which a daemon no longer
-// trusts keys that were not confirmed. The rest allows for the time that a request is on
-// its way, and for clocks that run at different speeds.
+// trusts keys that were not confirmed. The rest allows for the time that a request is in
+// transit, and for clocks that run at different speeds.
 const maxKeysAgeShare = 0.8
 
 // keysAreOutdated reports whether the keys were confirmed so long ago that one of them
