--- a/pkg/call/call.go
+++ b/pkg/call/call.go
@@ -1,5 +1,5 @@
-// Package call holds the types by which the entry, the links and the executor tell
-// each other how a call ended, and the interface through which a call is run.
+// Package call holds the types in which the executor and the links report to the entry
+// how a call ended, and the Runner that runs a call.
 package call
 
 import (
@@ -19,7 +19,7 @@
 	Queued time.Duration
 	Run    time.Duration
 	// Slowdown is the backend server's slowdown when the run started, in percent of
-	// its usual run time; 0: not known.
+	// its normal run time; 0 if unknown.
 	Slowdown int
 	// CallsFailed is true when calls that the backend server made to other services
 	// failed during the run, so that they may be the cause of a failed answer.
@@ -44,7 +44,7 @@
 	RetryAfter time.Duration
 	// Stamp is the load report of the gate; Seq 0: the result came without one.
 	Stamp wire.Stamp
-	// Server is the VM of the backend server that the result is about, DataCentre its
+	// Server is the VM of the backend server that the result concerns, DataCentre its
 	// data centre.
 	Server     string
 	DataCentre string
--- a/pkg/callers/server.go
+++ b/pkg/callers/server.go
@@ -41,7 +41,7 @@
 	*common.Common
 	entry   *entry.Entry
 	limiter *callerLimiter
-	// ownIP is the IP address of this VM. The data of a call from there are in this
+	// ownIP is the IP address of this VM. The data of a call from this address is in this
 	// data centre already. Source: docs/design/placement.md.
 	ownIP string
 }
--- a/pkg/entry/attempts.go
+++ b/pkg/entry/attempts.go
@@ -15,25 +15,25 @@
 )
 
 // attempts makes the attempts of one call. An attempt may be soft: a gate that is busier
-// than the entry believed then refuses it at once. Source: docs/design/retries.md.
+// than the entry expected then refuses it at once. Source: docs/design/retries.md.
 type attempts struct {
 	entry    *Entry
 	ctx      context.Context
 	admitted *AdmittedCall
 	body     []byte
 	budget   *retryBudget
-	// choice is the input of the choosing policy: the time, the candidates, and those
-	// that it must leave out for the attempt at hand.
+	// choice is the input of the choosing policy: the time, the candidates, and the
+	// candidates that are excluded from the next attempt.
 	choice choose.Request
 	// excluded marks the candidates that refused this call or did not answer.
 	excluded choose.IndexSet
-	// lane says to which version of a service under roll-out the next attempt goes.
+	// lane selects the version of a service under roll-out that gets the next attempt.
 	lane rollout.Lane
 	// claim is the generation of the idempotency key in which the next attempt may run.
 	claim wire.Claim
 	// started counts the attempts that were begun.
 	started int
-	// remaining is how many attempts are left, without soft ones that were refused.
+	// remaining is how many attempts are left. A refused soft attempt does not use one up.
 	remaining int
 	// soft is true while the next attempt is soft.
 	soft bool
@@ -56,7 +56,7 @@
 		}
 		result := a.runAttempt(pick.Index, a.maxCost(pick))
 		if !result.FromExecutor {
-			// An executor that did not answer is not asked again.
+			// An executor that did not answer gets no further attempt of this call.
 			a.excluded = a.excluded.With(pick.Index)
 		}
 		result = a.sealUnanswered(result)
@@ -116,8 +116,8 @@
 	soft := a.soft
 	a.soft = false
 	if soft && result.Refusal.Kind == errkind.GateBusier {
-		// The gate's load stamp has updated what is known of its load, and it stays a
-		// candidate, because the others may be busier. A gate that is full even for
+		// The load stamp with the refusal has updated the gate's known load. The gate
+		// stays a candidate, because the others may be busier. A gate that is full even for
 		// attempts that are not soft refuses with another kind, which costs a retry.
 		a.entry.stats.softRefusals.Inc()
 		return true
@@ -136,8 +136,9 @@
 const looseCostFactor = 3
 
 // maxCost returns the expected time at the gate above which an attempt is refused. It
-// is tight for a soft attempt, loose for later ones, and 0, no bound, for the last one,
-// which may queue.
+// is pick.MaxCost for a soft attempt and looseCostFactor times that for other attempts. It
+// is 0, no bound, for the last attempt, which may queue, and where pick.MaxCost is at least
+// the default timeout.
 func (a *attempts) maxCost(pick choose.Pick) time.Duration {
 	switch {
 	case a.soft:
@@ -148,9 +149,9 @@
 	return 0
 }
 
-// sealUnanswered seals the key of a call that may have run, where the call claims its
-// key and the executor gave no result, and returns the result of the seal. Any other
-// result it returns unchanged.
+// sealUnanswered seals the idempotency key of a call that may have run, if the call claims
+// its key and the executor gave no result, and returns the result of the seal. It returns
+// any other result unchanged.
 func (a *attempts) sealUnanswered(result call.Result) call.Result {
 	if result.FromExecutor || result.Refusal == nil || result.Refusal.Ran == errkind.RanNo || !a.admitted.claimsKey() {
 		return result
@@ -161,7 +162,7 @@
 // attempt is one attempt that was sent and has not ended.
 type attempt struct {
 	candidate *tables.Candidate
-	// index is that of the candidate in attempts.choice.CandidateSet.
+	// index is the candidate's index in attempts.choice.CandidateSet.
 	index int
 	// sentAt is in nanoseconds of the daemon's clock.
 	sentAt int64
@@ -206,8 +207,8 @@
 	return out, nil
 }
 
-// recordEnd updates what is known of the candidate's load at the end of an attempt,
-// also when the call has ended already. It returns the result with the backend server
+// recordEnd updates the candidate's load at the end of an attempt, even if the call has
+// already ended. It returns the result with the backend server
 // and the round-trip time filled in.
 func (a *attempts) recordEnd(ended *attempt, result call.Result) call.Result {
 	now := a.entry.Now()
--- a/pkg/entry/entry.go
+++ b/pkg/entry/entry.go
@@ -45,8 +45,8 @@
 type Sealer interface {
 	// Seal prevents the call from running with its present claim. Where the call has not
 	// run, the result is a KeyMoved refusal with the next claim; otherwise the result
-	// says what the store knows of the call. reason is the refusal to return when the
-	// store does not answer.
+	// states the outcome that the store has for the call. reason is the refusal to return
+	// when the store does not answer.
 	Seal(c *wire.Call, body []byte, reason *errkind.Error) call.Result
 }
 
@@ -90,7 +90,7 @@
 }
 
 // checkKind applies the rules of a kind to a request: a strict kind needs a placement
-// that is surely in force, a kind may require an idempotency key, and data from another
+// that is known to be in force, a kind may require an idempotency key, and data from another
 // VM must not enter a data centre that the kind does not allow.
 func (e *Entry) checkKind(req *Request, kind *tables.KindView) (*Misplaced, *errkind.Error) {
 	switch {
@@ -218,7 +218,7 @@
 }
 
 // countsAsFailure reports whether a result counts towards the failure share of a
-// backend server. Without it, a server that fails fast would look like a fast one.
+// backend server. Without the failure share, a server that fails quickly would look fast.
 func countsAsFailure(r call.Result) bool {
 	if r.Answer != nil {
 		return r.Answer.Status >= 500
--- a/pkg/entry/hedge.go
+++ b/pkg/entry/hedge.go
@@ -151,8 +151,8 @@
 	h.attempts.entry.stats.hedges.Inc()
 }
 
-// settles reports whether the end of an attempt ends the call, and then cancels the
-// other attempt. A refusal does not end the call while the other attempt may still be
+// settles reports whether the end of an attempt ends the call. If it does, settles cancels
+// the other attempt. A refusal does not end the call while the other attempt may still be
 // answered.
 func (h *hedge) settles(end attemptEnd) bool {
 	h.running--
--- a/pkg/entry/request.go
+++ b/pkg/entry/request.go
@@ -1,4 +1,4 @@
-// Package entry takes in calls: it finds the kind of each call, checks that the call
+// Package entry receives calls: it finds the kind of each call, checks that the call
 // may be handled in this data centre, chooses a backend server, retries a call that did
 // not run, and returns the answer. Source: docs/DESIGN.md, "The way of a call".
 package entry
--- a/pkg/entry/retry_budget.go
+++ b/pkg/entry/retry_budget.go
@@ -36,10 +36,10 @@
 	b.hedges.add()
 }
 
-// takeRetry takes the token for one retry; false when there is none.
+// takeRetry takes the token for one retry. It returns false when there is none.
 func (b *retryBudget) takeRetry() bool { return b.retries.take() }
 
-// takeHedge takes the token for one hedge; false when there is none.
+// takeHedge takes the token for one hedge. It returns false when there is none.
 func (b *retryBudget) takeHedge() bool { return b.hedges.take() }
 
 // tokenBucket holds tokens in fixed point. It begins full.
--- a/pkg/entry/rollout_test.go
+++ b/pkg/entry/rollout_test.go
@@ -23,12 +23,12 @@
 	for i, c := range e.view.Service("s").Match("GET", "/a").LinkedCandidates {
 		c.Endpoint.SetVersion([]string{"v1", "v2"}[i])
 	}
-	book := rollout.NewReplica()
-	book.Merge(rollout.Update{Plans: []rollout.Plan{{
+	replica := rollout.NewReplica()
+	replica.Merge(rollout.Update{Plans: []rollout.Plan{{
 		Service: "s", Target: "v2", Old: []string{"v1"}, Order: 5, Revision: 6, Phase: phase,
 		Canaries: []string{"server-1"}, PerMille: perMille,
 	}}})
-	e.view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{"s": book.Traffic("s")}})
+	e.view.SetRollouts(&tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{"s": replica.Traffic("s")}})
 	return e
 }
 
