--- a/pkg/entry/hedge.go
+++ b/pkg/entry/hedge.go
@@ -76,7 +76,7 @@
 	if !kind.HedgeSafe || kind.NeverRepeat || len(a.choice.CandidateSet) < 2 {
 		return out
 	}
-	out.after = a.entry.stats.ofCall(a.admitted).hedgeAfter.get()
+	out.after = a.entry.stats.forCall(a.admitted).hedgeAfter.get()
 	early := earlyCheckAfter * first.candidate.Load.Snapshot(first.sentAt).ServiceTime
 	if early <= 0 {
 		early = out.after
--- a/pkg/entry/stats.go
+++ b/pkg/entry/stats.go
@@ -62,7 +62,7 @@
 	if result.Refusal != nil {
 		outcome = result.Refusal.Kind
 	}
-	kind := s.ofCall(admitted)
+	kind := s.forCall(admitted)
 	kind.outcomes[outcome].Inc()
 	kind.seconds.Update(took.Seconds())
 	s.servedHistogram(admitted, result, outcome).Update(took.Seconds())
@@ -91,13 +91,13 @@
 	return h
 }
 
-// ofCall returns the metrics for the kind of a call.
-func (s *stats) ofCall(admitted *AdmittedCall) *kindStats {
-	return s.ofKind(kindKey{admitted.Request.Service, admitted.KindView.Kind.Name})
+// forCall returns the metrics for the kind of a call.
+func (s *stats) forCall(admitted *AdmittedCall) *kindStats {
+	return s.forKind(kindKey{admitted.Request.Service, admitted.KindView.Kind.Name})
 }
 
-// ofKind returns the metrics of a kind, and makes them for its first call.
-func (s *stats) ofKind(key kindKey) *kindStats {
+// forKind returns the metrics of a kind, and makes them for its first call.
+func (s *stats) forKind(key kindKey) *kindStats {
 	if k, ok := s.byKind.Load(key); ok {
 		return k.(*kindStats)
 	}
--- a/pkg/forward/attempt.go
+++ b/pkg/forward/attempt.go
@@ -18,7 +18,7 @@
 	candidate := &a.candidates[pick.Index]
 	startedAt := a.forwarder.Now()
 	record := newAttemptRecord(startedAt, candidate, soft, a.proximityOf(candidate), pick.PassedOver)
-	record.target = a.lane == rollout.LaneTarget
+	record.toTargetVersion = a.lane == rollout.LaneTarget
 	result := a.execute(candidate, soft)
 	record.setEnd(&result, time.Duration(a.forwarder.Now()-startedAt))
 	a.records = append(a.records, record)
--- a/pkg/forward/request_log.go
+++ b/pkg/forward/request_log.go
@@ -18,8 +18,8 @@
 	vm        string
 	soft      bool
 	proximity proximity.Level
-	// target is true for an attempt at the version to which a roll-out moves.
-	target bool
+	// toTargetVersion is true for an attempt at the version to which a roll-out moves.
+	toTargetVersion bool
 	// load is the load of the backend server as known to the entry, loadAge the age of the
 	// newest load stamp; it is negative if the entry has had none.
 	load    tables.LoadSnapshot
@@ -83,7 +83,7 @@
 	if r.proximity != proximity.SameDataCentre {
 		out.WriteString(" " + r.proximity.String())
 	}
-	if r.target {
+	if r.toTargetVersion {
 		out.WriteString(" target")
 	}
 	if r.loadAge >= 0 {
--- a/pkg/forward/rollout_test.go
+++ b/pkg/forward/rollout_test.go
@@ -94,7 +94,7 @@
 	test.Eq(t, requests, totalCalls(old)+totalCalls(target))
 }
 
-// TestNoRequestGoesToTheOldVersionWhileSwitching: its backend server must run out of
+// TestNoRequestGoesToTheOldVersionWhileSwitching: the old backend server must be drained of
 // requests.
 func TestNoRequestGoesToTheOldVersionWhileSwitching(t *testing.T) {
 	old, target := &fakeRunner{answer: answers(200)}, &fakeRunner{answer: refuses(errkind.Overloaded, false)}
--- a/pkg/placement/compiled.go
+++ b/pkg/placement/compiled.go
@@ -143,8 +143,8 @@
 // Service returns the compiled service, or nil.
 func (c *Compiled) Service(name string) *CompiledService { return c.services[name] }
 
-// Services returns the number of services.
-func (c *Compiled) Services() int { return len(c.services) }
+// ServiceCount returns the number of services.
+func (c *Compiled) ServiceCount() int { return len(c.services) }
 
 // Match returns the most specific kind for a method and path, or nil.
 func (c *CompiledService) Match(method, path string) *CompiledKind {
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -130,7 +130,7 @@
 	pl.updateLog(old, received)
 	pl.offers = nil
 	pl.World.View.SetPlacement(compiled)
-	pl.Log.Event(events.PlacementInForce, events.F("version", compiled.Version), events.F("services", compiled.Services()), events.F("routes", compiled.Routes.Len()), events.F("from_store", received.FromStore))
+	pl.Log.Event(events.PlacementInForce, events.F("version", compiled.Version), events.F("services", compiled.ServiceCount()), events.F("routes", compiled.Routes.Len()), events.F("from_store", received.FromStore))
 	state := pl.Control.State()
 	pl.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
 }
