--- a/pkg/quarantine/table.go
+++ b/pkg/quarantine/table.go
@@ -27,9 +27,9 @@
 	// the earlier crashes still count when a content runs again after its quarantine.
 	CrashRetention = 30 * time.Minute
 	// maxCrashes bounds the number of crashes kept; the oldest is dropped first.
-	// MaxRequestsPerCrash bounds the contents kept per crash; further ones are ignored.
+	// MaxContentsPerCrash bounds the contents kept per crash; further ones are ignored.
 	maxCrashes          = 256
-	MaxRequestsPerCrash = 64
+	MaxContentsPerCrash = 64
 )
 
 // Crash is the unexpected end of a backend server's process while it ran requests, as
@@ -38,8 +38,8 @@
 	_ struct{} `cbor:",toarray"`
 	// ID is a random id.
 	ID uint64
-	// Requests holds the fingerprints of the contents that ran, each once.
-	Requests []Fingerprint
+	// Contents holds the fingerprints of the contents that ran, each once.
+	Contents []Fingerprint
 	// AgeMS is the time since the crash in milliseconds. It is an age because the clocks
 	// of VMs differ.
 	AgeMS uint64
@@ -49,7 +49,7 @@
 // backend server.
 type Completion struct {
 	_       struct{} `cbor:",toarray"`
-	Request Fingerprint
+	Content Fingerprint
 	// AgeMS is the time since the completion in milliseconds.
 	AgeMS uint64
 }
@@ -72,7 +72,7 @@
 // crash is a crash in the table. at is its time on the daemon's clock.
 type crash struct {
 	at       int64
-	requests []Fingerprint
+	contents []Fingerprint
 }
 
 // suspect is a content that ran at the time of a crash.
@@ -124,11 +124,11 @@
 func (t *Table) Version() uint64 { return t.version.Load() }
 
 // RecordCrash records a crash of this daemon's own backend server.
-func (t *Table) RecordCrash(now int64, id uint64, requests []Fingerprint) {
+func (t *Table) RecordCrash(now int64, id uint64, contents []Fingerprint) {
 	t.mu.Lock()
-	c := Crash{ID: id, Requests: requests}
+	c := Crash{ID: id, Contents: contents}
 	if t.addCrash(now, &c) {
-		c.Requests = slices.Clone(t.crashes[id].requests)
+		c.Contents = slices.Clone(t.crashes[id].contents)
 		t.pending.Crashes = append(t.pending.Crashes, c)
 	}
 	t.mu.Unlock()
@@ -137,11 +137,11 @@
 
 // RecordCompletion records that a request ran to completion at this daemon's own backend
 // server.
-func (t *Table) RecordCompletion(now int64, request Fingerprint) {
+func (t *Table) RecordCompletion(now int64, content Fingerprint) {
 	t.mu.Lock()
-	added := t.addCompletion(request, now)
+	added := t.addCompletion(content, now)
 	if added {
-		t.pending.Completions = append(t.pending.Completions, Completion{Request: request})
+		t.pending.Completions = append(t.pending.Completions, Completion{Content: content})
 	}
 	t.mu.Unlock()
 	if added {
@@ -168,7 +168,7 @@
 		}
 	}
 	for _, c := range reported.Completions {
-		if t.addCompletion(c.Request, timeOf(now, c.AgeMS)) {
+		if t.addCompletion(c.Content, timeOf(now, c.AgeMS)) {
 			added.Completions = append(added.Completions, c)
 		}
 	}
@@ -181,21 +181,21 @@
 	defer t.mu.Unlock()
 	t.dropExpired(now)
 	for id, c := range t.crashes {
-		out.Crashes = append(out.Crashes, Crash{ID: id, Requests: c.requests, AgeMS: millisecondsSince(now, c.at)})
+		out.Crashes = append(out.Crashes, Crash{ID: id, Contents: c.contents, AgeMS: millisecondsSince(now, c.at)})
 	}
-	for request, s := range t.suspects {
+	for content, s := range t.suspects {
 		if s.completedAt != neverCompleted {
-			out.Completions = append(out.Completions, Completion{Request: request, AgeMS: millisecondsSince(now, s.completedAt)})
+			out.Completions = append(out.Completions, Completion{Content: content, AgeMS: millisecondsSince(now, s.completedAt)})
 		}
 	}
 	return out
 }
 
 // Quarantined returns whether a content is quarantined, and for how much longer.
-func (t *Table) Quarantined(now int64, request Fingerprint) (remaining time.Duration, quarantined bool) {
+func (t *Table) Quarantined(now int64, content Fingerprint) (remaining time.Duration, quarantined bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.quarantinedFor(now, request)
+	return t.quarantinedFor(now, content)
 }
 
 // Refusal returns an error for a request whose content is quarantined, with the time until it may
@@ -227,21 +227,21 @@
 func (t *Table) CountQuarantined(now int64) (count int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for request := range t.suspects {
-		if _, quarantined := t.quarantinedFor(now, request); quarantined {
+	for content := range t.suspects {
+		if _, quarantined := t.quarantinedFor(now, content); quarantined {
 			count++
 		}
 	}
 	return count
 }
 
-func (t *Table) quarantinedFor(now int64, request Fingerprint) (remaining time.Duration, quarantined bool) {
-	s := t.suspects[request]
+func (t *Table) quarantinedFor(now int64, content Fingerprint) (remaining time.Duration, quarantined bool) {
+	s := t.suspects[content]
 	if s == nil {
 		return 0, false
 	}
 	counted := t.countedCrashes(now, s)
-	if len(counted) < crashesToQuarantineOnlyCommon || len(counted) < crashesToQuarantine && !t.isOnlyCommon(request, counted) {
+	if len(counted) < crashesToQuarantineOnlyCommon || len(counted) < crashesToQuarantine && !t.isOnlyCommon(content, counted) {
 		return 0, false
 	}
 	newest := counted[0].at
@@ -254,16 +254,16 @@
 
 // CrashesAgainst returns the crashes that count against a content, each with this content
 // alone, for storage beyond the life of this process.
-func (t *Table) CrashesAgainst(now int64, request Fingerprint) (out []Crash) {
+func (t *Table) CrashesAgainst(now int64, content Fingerprint) (out []Crash) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	s := t.suspects[request]
+	s := t.suspects[content]
 	if s == nil {
 		return nil
 	}
 	for _, id := range s.crashes {
 		if c := t.crashes[id]; c != nil && c.at > s.completedAt {
-			out = append(out, Crash{ID: id, Requests: []Fingerprint{request}, AgeMS: millisecondsSince(now, c.at)})
+			out = append(out, Crash{ID: id, Contents: []Fingerprint{content}, AgeMS: millisecondsSince(now, c.at)})
 		}
 	}
 	return out
@@ -282,9 +282,9 @@
 
 // isOnlyCommon reports whether no other content ran during all of the crashes. Contents that
 // have run to completion since a crash are disregarded.
-func (t *Table) isOnlyCommon(request Fingerprint, crashes []*crash) bool {
-	for _, other := range crashes[0].requests {
-		if other != request && t.ranInAll(other, crashes) {
+func (t *Table) isOnlyCommon(content Fingerprint, crashes []*crash) bool {
+	for _, other := range crashes[0].contents {
+		if other != content && t.ranInAll(other, crashes) {
 			return false
 		}
 	}
@@ -293,10 +293,10 @@
 
 // ranInAll reports whether a content ran during all of the crashes and has not run to completion
 // since.
-func (t *Table) ranInAll(request Fingerprint, crashes []*crash) bool {
-	s := t.suspects[request]
+func (t *Table) ranInAll(content Fingerprint, crashes []*crash) bool {
+	s := t.suspects[content]
 	for _, c := range crashes {
-		if !slices.Contains(c.requests, request) || s != nil && s.completedAt >= c.at {
+		if !slices.Contains(c.contents, content) || s != nil && s.completedAt >= c.at {
 			return false
 		}
 	}
@@ -318,12 +318,12 @@
 		t.crashes[reported.ID] = c
 	}
 	added := false
-	for _, request := range reported.Requests {
-		if len(c.requests) >= MaxRequestsPerCrash || slices.Contains(c.requests, request) {
+	for _, content := range reported.Contents {
+		if len(c.contents) >= MaxContentsPerCrash || slices.Contains(c.contents, content) {
 			continue
 		}
-		c.requests = append(c.requests, request)
-		t.suspectOf(request).crashes = append(t.suspectOf(request).crashes, reported.ID)
+		c.contents = append(c.contents, content)
+		t.suspectOf(content).crashes = append(t.suspectOf(content).crashes, reported.ID)
 		added = true
 	}
 	if added {
@@ -332,11 +332,11 @@
 	return added
 }
 
-func (t *Table) suspectOf(request Fingerprint) *suspect {
-	s := t.suspects[request]
+func (t *Table) suspectOf(content Fingerprint) *suspect {
+	s := t.suspects[content]
 	if s == nil {
 		s = &suspect{completedAt: neverCompleted}
-		t.suspects[request] = s
+		t.suspects[content] = s
 		t.any.Store(true)
 	}
 	return s
@@ -344,8 +344,8 @@
 
 // addCompletion records a completion. It returns false if the completion clears no crash.
 // The caller holds the lock.
-func (t *Table) addCompletion(request Fingerprint, at int64) bool {
-	s := t.suspects[request]
+func (t *Table) addCompletion(content Fingerprint, at int64) bool {
+	s := t.suspects[content]
 	if s == nil || at <= s.completedAt {
 		return false
 	}
@@ -384,11 +384,11 @@
 
 // drop removes a crash, and the suspects that have no other. The caller holds the lock.
 func (t *Table) drop(id uint64) {
-	for _, request := range t.crashes[id].requests {
-		s := t.suspects[request]
+	for _, content := range t.crashes[id].contents {
+		s := t.suspects[content]
 		s.crashes = slices.DeleteFunc(s.crashes, func(other uint64) bool { return other == id })
 		if len(s.crashes) == 0 {
-			delete(t.suspects, request)
+			delete(t.suspects, content)
 		}
 	}
 	delete(t.crashes, id)
--- a/pkg/quarantine/table_test.go
+++ b/pkg/quarantine/table_test.go
@@ -50,7 +50,7 @@
 	test.False(t, isQuarantined(table, 4*second, 10))
 	test.Len(t, 0, table.CrashesAgainst(4*second, 10))
 	// Crashes that are reported later but are older than the completion do not count.
-	table.Merge(5*second, Update{Crashes: []Crash{{ID: 3, Requests: []Fingerprint{10}, AgeMS: 2000}, {ID: 4, Requests: []Fingerprint{10}, AgeMS: 1500}}})
+	table.Merge(5*second, Update{Crashes: []Crash{{ID: 3, Contents: []Fingerprint{10}, AgeMS: 2000}, {ID: 4, Contents: []Fingerprint{10}, AgeMS: 1500}}})
 	test.False(t, isQuarantined(table, 5*second, 10))
 	table.RecordCrash(6*second, 5, []Fingerprint{10})
 	table.RecordCrash(7*second, 6, []Fingerprint{10})
@@ -78,7 +78,7 @@
 // TestCrashesBeforeTheStartCount: a newly started daemon learns of them from others.
 func TestCrashesBeforeTheStartCount(t *testing.T) {
 	table := NewTable()
-	added := table.Merge(1, Update{Crashes: []Crash{{ID: 1, Requests: []Fingerprint{10}, AgeMS: 60_000}, {ID: 2, Requests: []Fingerprint{10}, AgeMS: 30_000}}})
+	added := table.Merge(1, Update{Crashes: []Crash{{ID: 1, Contents: []Fingerprint{10}, AgeMS: 60_000}, {ID: 2, Contents: []Fingerprint{10}, AgeMS: 30_000}}})
 	test.Len(t, 2, added.Crashes)
 	remaining, quarantined := table.Quarantined(1, 10)
 	must.True(t, quarantined)
@@ -95,12 +95,12 @@
 			requests := rapid.SliceOfNDistinct(rapid.Uint64Range(1, 4), 1, 3, rapid.ID).Draw(t, "requests")
 			c := Crash{ID: uint64(id), AgeMS: rapid.Uint64Range(0, 50_000).Draw(t, "age")}
 			for _, r := range requests {
-				c.Requests = append(c.Requests, Fingerprint(r))
+				c.Contents = append(c.Contents, Fingerprint(r))
 			}
 			updates = append(updates, Update{Crashes: []Crash{c}})
 		}
 		for range rapid.IntRange(0, 3).Draw(t, "completions") {
-			updates = append(updates, Update{Completions: []Completion{{Request: Fingerprint(rapid.Uint64Range(1, 4).Draw(t, "request")), AgeMS: rapid.Uint64Range(0, 50_000).Draw(t, "age")}}})
+			updates = append(updates, Update{Completions: []Completion{{Content: Fingerprint(rapid.Uint64Range(1, 4).Draw(t, "request")), AgeMS: rapid.Uint64Range(0, 50_000).Draw(t, "age")}}})
 		}
 		// A table ignores a completion without a crash before it. It gets the completion
 		// again with the snapshot on the next link.
@@ -128,7 +128,7 @@
 // TestTableSizeIsBounded: the newest crashes are kept.
 func TestTableSizeIsBounded(t *testing.T) {
 	table := NewTable()
-	requests := make([]Fingerprint, 2*MaxRequestsPerCrash)
+	requests := make([]Fingerprint, 2*MaxContentsPerCrash)
 	for n := range 3 * maxCrashes {
 		for i := range requests {
 			requests[i] = Fingerprint(n*len(requests) + i)
@@ -138,7 +138,7 @@
 	}
 	all := table.Snapshot(second)
 	test.Len(t, maxCrashes, all.Crashes)
-	test.MapLen(t, maxCrashes*MaxRequestsPerCrash, table.suspects)
+	test.MapLen(t, maxCrashes*MaxContentsPerCrash, table.suspects)
 	for _, c := range all.Crashes {
 		test.Greater(t, 2*maxCrashes, int(c.ID), test.Sprint(fmt.Sprint("crash ", c.ID)))
 	}
--- a/pkg/runner/crash_test.go
+++ b/pkg/runner/crash_test.go
@@ -142,7 +142,7 @@
 	<-f.results
 	reported := f.runner.Quarantine.TakePending()
 	must.Len(t, 1, reported.Crashes)
-	test.SliceContainsAll(t, reported.Crashes[0].Requests, []quarantine.Fingerprint{fingerprintOf("/a"), fingerprintOf("/b")})
+	test.SliceContainsAll(t, reported.Crashes[0].Contents, []quarantine.Fingerprint{fingerprintOf("/a"), fingerprintOf("/b")})
 	_, state := f.lifecycle.Current()
 	test.Eq(t, backend.Down, state)
 	<-f.results
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -65,7 +65,7 @@
 // crashes that count. It starts at most one write.
 func (q *quarantines) syncOwnRows(now int64, own *quarantine.Update) {
 	for i := range own.Crashes {
-		for _, content := range own.Crashes[i].Requests {
+		for _, content := range own.Crashes[i].Contents {
 			if q.ownRows[content] == nil {
 				q.ownRows[content] = &heldRow{}
 			}
@@ -173,7 +173,7 @@
 			return nil, errors.Errorf("invalid crash time at_ms=%d", c.AtMS)
 		}
 		out = append(out, quarantine.Crash{
-			ID: id, Requests: []quarantine.Fingerprint{quarantine.Fingerprint(content)}, AgeMS: uint64(max(wallNow.UnixMilli()-c.AtMS, 0)),
+			ID: id, Contents: []quarantine.Fingerprint{quarantine.Fingerprint(content)}, AgeMS: uint64(max(wallNow.UnixMilli()-c.AtMS, 0)),
 		})
 	}
 	return out, nil
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -89,7 +89,7 @@
 	if r.crash != nil {
 		return fmt.Sprint("crash ", r.crash.ID)
 	}
-	return "completion " + r.completion.Request.String()
+	return "completion " + r.completion.Content.String()
 }
 
 // quarantineReports splits an update into its crashes and completions.
@@ -142,7 +142,7 @@
 func (q *quarantines) logHeldChanges(now int64, own, received *quarantine.Update) {
 	for _, crashes := range [][]quarantine.Crash{own.Crashes, received.Crashes} {
 		for i := range crashes {
-			for _, content := range crashes[i].Requests {
+			for _, content := range crashes[i].Contents {
 				q.logIfHeld(now, content)
 			}
 		}
--- a/pkg/wire/quarantine_test.go
+++ b/pkg/wire/quarantine_test.go
@@ -18,9 +18,9 @@
 	must.NoError(t, err)
 	sent := &Quarantine{Crashes: []quarantine.Crash{{ID: 1 << 63, AgeMS: 5}}, Informed: true}
 	for n := range uint64(18) {
-		sent.Crashes[0].Requests = append(sent.Crashes[0].Requests, quarantine.Fingerprint(1<<63+n))
+		sent.Crashes[0].Contents = append(sent.Crashes[0].Contents, quarantine.Fingerprint(1<<63+n))
 	}
-	sent.Completions = []quarantine.Completion{{Request: 1 << 62, AgeMS: 7}}
+	sent.Completions = []quarantine.Completion{{Content: 1 << 62, AgeMS: 7}}
 	var buf bytes.Buffer
 	must.NoError(t, codec.Append(&buf, sent))
 	test.LessEq(t, 200, buf.Len())
