--- a/pkg/operators/teams.go
+++ b/pkg/operators/teams.go
@@ -42,7 +42,7 @@
 	for _, usage := range se.Quota.Usages(se.Now()) {
 		usages[usage.Team] = usage
 	}
-	counters := se.Quota.Counters()
+	counters := se.Quota.CounterProcesses()
 	for _, team := range out.Teams {
 		team.Counter = counters[quota.GroupOf(team.Name)]
 		team.Part, team.Tokens = usages[team.Name].Share, usages[team.Name].Tokens
--- a/pkg/placement/compiled.go
+++ b/pkg/placement/compiled.go
@@ -128,7 +128,7 @@
 	return out
 }
 
-// moreSpecific is true if a is to be matched before b: exact paths come before prefixes,
+// moreSpecific reports whether a is to be matched before b: exact paths come before prefixes,
 // long paths before short ones, and a certain method before any method.
 func moreSpecific(a, b *CompiledKind) bool {
 	if a.isExact != b.isExact {
@@ -143,8 +143,8 @@
 // Service returns the compiled service, or nil.
 func (c *Compiled) Service(name string) *CompiledService { return c.services[name] }
 
-// Services returns the number of services.
-func (c *Compiled) Services() int { return len(c.services) }
+// ServiceCount returns the number of services.
+func (c *Compiled) ServiceCount() int { return len(c.services) }
 
 // Match returns the most specific kind for a method and path, or nil.
 func (c *CompiledService) Match(method, path string) *CompiledKind {
@@ -166,7 +166,7 @@
 	return strings.HasPrefix(path, c.prefix)
 }
 
-// Allows is true if calls of this kind may be handled in the data centre.
+// Allows reports whether calls of this kind may be handled in the data centre.
 func (c *CompiledKind) Allows(dataCentre string) bool {
 	if c.anywhere {
 		return true
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -130,7 +130,7 @@
 	pl.updateLog(old, received)
 	pl.offers = nil
 	pl.World.View.SetPlacement(compiled)
-	pl.Log.Event(events.PlacementInForce, events.F("version", compiled.Version), events.F("services", compiled.Services()), events.F("routes", compiled.Routes.Len()), events.F("from_store", received.FromStore))
+	pl.Log.Event(events.PlacementInForce, events.F("version", compiled.Version), events.F("services", compiled.ServiceCount()), events.F("routes", compiled.Routes.Len()), events.F("from_store", received.FromStore))
 	state := pl.Control.State()
 	pl.World.Peers.EachRow(func(peer *link.Peer, _ *tables.PeerRow) { _ = peer.Send(state) })
 }
@@ -224,7 +224,7 @@
 	if pl.packedVersion == doc.Version && pl.packedDocument != nil {
 		return pl.packedDocument, nil
 	}
-	packed, err := doc.Pack()
+	packed, err := doc.EncodeCompressed()
 	if err != nil {
 		return nil, err
 	}
@@ -259,7 +259,7 @@
 func decodeUpdate(peer *link.Peer, update *wire.Update, base *placement.Document) (tables.ReceivedPlacement, error) {
 	out := tables.ReceivedPlacement{Hash: update.Hash, Peer: peer}
 	if update.From == 0 {
-		doc, err := placement.Unpack(update.Document, update.Hash)
+		doc, err := placement.DecodeCompressed(update.Document, update.Hash)
 		out.Document = doc
 		return out, err
 	}
