--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -135,7 +135,7 @@
 		Leave:         d.Leave,
 		Feed:          adapter.Feed, Registrar: adapter.Registrar,
 		Runner:   d.runner(),
-		Rollouts: adapter.Rollouts, RolloutLimits: adapter.Bounds.rollouts(),
+		PlanStore: adapter.Rollouts, RolloutLimits: adapter.Bounds.rollouts(),
 	}
 	if adapter.Feed == nil {
 		d.env.Evacuation = evacuation.NewRegister(opts.Platform)
@@ -143,7 +143,7 @@
 	}
 	if d.routed != nil {
 		d.env.RoutedRunner, d.env.Backend, d.env.Recorder = d.routed.runner, d.routed.lifecycle, d.routed.recorder
-		d.env.Trial = d.routed.runner.Trial()
+		d.env.Enforcer = d.routed.runner.Trial()
 	} else if d.Executor != nil && s.BackendServer.Version != "" {
 		d.beginTrial()
 	}
--- a/pkg/daemon/trial.go
+++ b/pkg/daemon/trial.go
@@ -17,6 +17,6 @@
 	lifecycle.RecordHeartbeat(d.Now(), backend.Heartbeat{InstanceID: s.VM.ID, Sequence: 1, Version: s.BackendServer.Version})
 	// The wall clock tells the processes of one VM's daemon apart.
 	recorder := rollout.NewRecorder(s.VM.ID, s.BackendServer.Service, uint64(time.Now().UnixNano()))
-	d.env.Backend, d.env.Recorder, d.env.Trial = lifecycle, recorder, enforcer.New(d.Common, lifecycle, recorder)
-	d.Executor.SetEnforcer(d.env.Trial)
+	d.env.Backend, d.env.Recorder, d.env.Enforcer = lifecycle, recorder, enforcer.New(d.Common, lifecycle, recorder)
+	d.Executor.SetEnforcer(d.env.Enforcer)
 }
--- a/pkg/systems/antientropy.go
+++ b/pkg/systems/antientropy.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// compareInterval is the least time between two requests for rows.
-	compareInterval = 500 * time.Millisecond
-	// initialCompareInterval replaces compareInterval while the table is initial
+	// requestInterval is the least time between two requests for rows.
+	requestInterval = 500 * time.Millisecond
+	// initialRequestInterval replaces compareInterval while the table is initial
 	// (hasInitialTable).
-	initialCompareInterval = 60 * time.Millisecond
+	initialRequestInterval = 60 * time.Millisecond
 	// settleTime is how long a peer's table must differ, while neither table changes,
 	// before rows are requested: a change that is still being passed on makes tables
 	// differ for a moment.
@@ -51,9 +51,9 @@
 	for _, received := range mail.PeerStates {
 		a.recordDigest(now, received)
 	}
-	interval := compareInterval
+	interval := requestInterval
 	if a.hasInitialTable() {
-		interval = initialCompareInterval
+		interval = initialRequestInterval
 	}
 	if a.timer.fires(now, interval) {
 		a.requestRows(now)
--- a/pkg/systems/converge_test.go
+++ b/pkg/systems/converge_test.go
@@ -17,7 +17,7 @@
 
 // gossipNode is a daemon that has only a table of members and links.
 type gossipNode struct {
-	spread *memberGossip
+	gossip *memberGossip
 	env    *Env
 	// byPeer holds the daemons at the other ends of its links.
 	byPeer map[*link.Peer]*gossipNode
@@ -29,7 +29,7 @@
 	c := common.NewCommon(events.Discard(), &s)
 	env := &Env{Common: c, World: tables.NewWorld(vm, dataCentre)}
 	env.World.Region = region
-	return &gossipNode{spread: &memberGossip{Env: env}, env: env, byPeer: map[*link.Peer]*gossipNode{}}
+	return &gossipNode{gossip: &memberGossip{Env: env}, env: env, byPeer: map[*link.Peer]*gossipNode{}}
 }
 
 func (n *gossipNode) members() *tables.Members { return n.env.World.Members }
@@ -50,7 +50,7 @@
 // returns whether anything was sent.
 func (n *gossipNode) gossipChanges(lost func() bool) bool {
 	changes := n.members().TakeChanges()
-	plan := n.spread.plan(n.spread.changesFromDaemons(changes))
+	plan := n.gossip.recordsByPeer(n.gossip.changesFromDaemons(changes))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
 		for _, row := range rows {
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -67,7 +67,7 @@
 	d.broadcastNew(own, received)
 	d.sendToNewLinks()
 	if !d.Backend.DeparturesKnown() {
-		d.learn(now)
+		d.readUntilKnown(now)
 	}
 }
 
@@ -140,8 +140,8 @@
 	})
 }
 
-// learn reads the departures from the store until the store or a peer has reported them.
-func (d *departures) learn(now int64) {
+// readUntilKnown reads the departures from the store until the store or a peer has reported them.
+func (d *departures) readUntilKnown(now int64) {
 	if time.Duration(now) > departuresTimeout {
 		d.Backend.RecordDeparturesKnown()
 		return
--- a/pkg/systems/evacuations_test.go
+++ b/pkg/systems/evacuations_test.go
@@ -66,7 +66,7 @@
 		}
 		a, b := evacuation.Change{DataCentre: "a", Evacuated: true}, evacuation.Change{DataCentre: "b", Evacuated: true}
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
-			update(4, a), update(6, b), fails(store.ErrHistoryGone), update(9, b), update(11, evacuation.Change{DataCentre: "b"}),
+			update(4, a), update(6, b), returnsError(store.ErrHistoryGone), update(9, b), update(11, evacuation.Change{DataCentre: "b"}),
 		}}
 		env, _ := startFollower(t, feed)
 		follower, system := newFeedFollower(env), &evacuations{Env: env}
--- a/pkg/systems/feedfollower_test.go
+++ b/pkg/systems/feedfollower_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func fails(err error) func(uint64) (placement.FeedUpdate, error) {
+func returnsError(err error) func(uint64) (placement.FeedUpdate, error) {
 	return func(uint64) (placement.FeedUpdate, error) { return placement.FeedUpdate{}, err }
 }
 
@@ -88,7 +88,7 @@
 func TestFeedFollowerNeverLowersTheVersion(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
-			returnsVersion(4, 10), returnsVersion(3, 11), fails(store.ErrHistoryGone), returnsVersion(2, 9), returnsVersion(6, 13),
+			returnsVersion(4, 10), returnsVersion(3, 11), returnsError(store.ErrHistoryGone), returnsVersion(2, 9), returnsVersion(6, 13),
 		}}
 		env, tick := startFollower(t, feed)
 		for range 40 {
@@ -141,7 +141,7 @@
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){returnsVersion(4, 10)}}
 		const refusals = 8
 		for range refusals {
-			feed.steps = append(feed.steps, fails(errors.New("down")))
+			feed.steps = append(feed.steps, returnsError(errors.New("down")))
 		}
 		env, tick := startFollower(t, feed)
 		for feed.count() < 2+refusals {
@@ -159,7 +159,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		feed := &scriptedFeed{}
 		for range 1000 {
-			feed.steps = append(feed.steps, fails(errors.New("down")))
+			feed.steps = append(feed.steps, returnsError(errors.New("down")))
 		}
 		_, tick := startFollower(t, feed)
 		tick(20 * time.Second)
--- a/pkg/systems/head.go
+++ b/pkg/systems/head.go
@@ -15,7 +15,7 @@
 // until they have a placement. Source: docs/design/placement.md.
 type headReader struct {
 	*Env
-	readDue intervalTimer
+	readTimer intervalTimer
 	// reading is true while a read is running.
 	reading atomic.Bool
 	// headOutage logs failed reads of the head and of the evacuated data centres,
@@ -25,7 +25,7 @@
 
 // Tick implements System.
 func (h *headReader) Tick(now int64, _ *tables.Mail) {
-	if !h.readDue.fires(now, h.Settings.Placement.HeadEvery) {
+	if !h.readTimer.fires(now, h.Settings.Placement.HeadEvery) {
 		return
 	}
 	if h.World.Placement != nil && !h.isPlatformReader() {
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -10,9 +10,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// heartbeatsPerHeard is how many heartbeats of a link there are per one that carries
+// heartbeatsPerHeardDataCentres is how many heartbeats of a link there are per one that carries
 // HeardDataCentres.
-const heartbeatsPerHeard = 4
+const heartbeatsPerHeardDataCentres = 4
 
 // heartbeats updates the state frame of this daemon and sends it on links without
 // traffic. A dead peer on a link with calls is detected by closeUnresponsive instead.
@@ -20,21 +20,21 @@
 	*Env
 	timer      intervalTimer
 	wasLeaving bool
-	pace       heartbeatPace
+	timing       heartbeatTiming
 	// proofTimer makes the state go to all peers, so that they learn how old the proof of
 	// the placement in force is (View.PlacementProvenAt).
 	proofTimer intervalTimer
 }
 
-// updatePace sets the heartbeat interval of idle links, which grows with the number of
+// updateTiming sets the heartbeat interval of idle links, which grows with the number of
 // members, as the number of links does. Links with calls do not rely on heartbeats
 // (closeUnresponsive).
-func (h *heartbeats) updatePace(now int64) {
+func (h *heartbeats) updateTiming(now int64) {
 	if h.DialOptions.HeartbeatTiming == nil {
 		return
 	}
-	interval, silence := h.pace.intervals(now, h.World.Members.Len(), h.Settings.Platform.FirstStart)
-	h.DialOptions.HeartbeatTiming.Set(interval*h.Settings.Links.Heartbeat/paceUnit, silence*h.Settings.Links.Heartbeat/paceUnit)
+	interval, silence := h.timing.intervals(now, h.World.Members.Len(), h.Settings.Platform.FirstStart)
+	h.DialOptions.HeartbeatTiming.Set(interval*h.Settings.Links.Heartbeat/unitsPerHeartbeat, silence*h.Settings.Links.Heartbeat/unitsPerHeartbeat)
 }
 
 // Tick implements System.
@@ -45,7 +45,7 @@
 		return
 	}
 	h.wasLeaving = h.World.View.Leaving()
-	h.updatePace(now)
+	h.updateTiming(now)
 	h.updateState(now)
 	h.send(time.Now(), startedLeaving || sendProof, h.Control.State(), h.heardDataCentres(now))
 }
@@ -67,7 +67,7 @@
 		}
 		level := h.proximityOf(peer)
 		state := &brief[level]
-		if row.HeartbeatsSent%heartbeatsPerHeard == 0 {
+		if row.HeartbeatsSent%heartbeatsPerHeardDataCentres == 0 {
 			state = &full[level]
 		}
 		row.HeartbeatsSent++
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -72,7 +72,7 @@
 			q.ownRows[content].lastCrashAt = now
 		}
 	}
-	if len(q.ownRows) == 0 || q.writing || now < q.writeDue.nextAt {
+	if len(q.ownRows) == 0 || q.writing || now < q.writeTimer.nextAt {
 		return
 	}
 	for content, row := range q.ownRows {
@@ -94,7 +94,7 @@
 // writeRow starts to write a row, or to delete it if crashes is empty.
 func (q *quarantines) writeRow(now int64, content quarantine.Fingerprint, crashes []quarantine.Crash) {
 	q.writing = true
-	q.writeDue.fires(now, heldWriteInterval)
+	q.writeTimer.fires(now, heldWriteInterval)
 	go func() {
 		ctx, cancel := context.WithTimeout(q.DaemonContext, q.Settings.Platform.Timeout)
 		defer cancel()
@@ -114,7 +114,7 @@
 	q.writing = false
 	if row := q.ownRows[content]; row != nil && err == nil {
 		row.savedCrashes = crashes
-		q.writeDue.nextAt = 0
+		q.writeTimer.nextAt = 0
 	}
 }
 
@@ -185,7 +185,7 @@
 	if now < int64(heldReadAfter) || q.shouldWaitForPeers(now) || now < int64(heldReadByAllAfter) && q.rankInDataCentre() >= heldReaders {
 		return
 	}
-	if !q.readDue.fires(now, q.readDelay/2+rand.N(q.readDelay)) || !q.reading.CompareAndSwap(false, true) {
+	if !q.readTimer.fires(now, q.readDelay/2+rand.N(q.readDelay)) || !q.reading.CompareAndSwap(false, true) {
 		return
 	}
 	q.readDelay = min(2*q.readDelay, heldReadDelayMax)
--- a/pkg/systems/membergossip.go
+++ b/pkg/systems/membergossip.go
@@ -53,7 +53,7 @@
 		changes = append(changes, change)
 	}
 	clear(g.pending)
-	for peer, rows := range g.plan(changes) {
+	for peer, rows := range g.recordsByPeer(changes) {
 		sendMembers(peer, rows)
 	}
 }
@@ -74,8 +74,8 @@
 	}
 }
 
-// plan selects the records to send over each link.
-func (g *memberGossip) plan(changes []tables.MemberChange) map[*link.Peer][]wire.Member {
+// recordsByPeer selects the records to send over each link.
+func (g *memberGossip) recordsByPeer(changes []tables.MemberChange) map[*link.Peer][]wire.Member {
 	out := map[*link.Peer][]wire.Member{}
 	if len(changes) == 0 {
 		return out
--- a/pkg/systems/membergossip_test.go
+++ b/pkg/systems/membergossip_test.go
@@ -39,7 +39,7 @@
 		{Record: wire.Member{VM: "there9", DataCentre: "there"}, From: far},
 	} {
 		reached := map[string]int{}
-		for peer, rows := range s.plan([]tables.MemberChange{f}) {
+		for peer, rows := range s.recordsByPeer([]tables.MemberChange{f}) {
 			if peer.Hello.DataCentre == "here" {
 				reached[peer.Hello.VM] += len(rows)
 			}
@@ -57,7 +57,7 @@
 	near := &link.Peer{Hello: wire.Hello{VM: "here5", DataCentre: "here"}}
 	crossed := map[string]int{}
 	for range daemons * rounds {
-		plan := s.plan([]tables.MemberChange{
+		plan := s.recordsByPeer([]tables.MemberChange{
 			{Record: wire.Member{VM: "own", DataCentre: "here"}, From: near},
 			{Record: wire.Member{VM: "foreign", DataCentre: "there"}, From: near},
 		})
@@ -98,7 +98,7 @@
 	from := &link.Peer{Hello: wire.Hello{VM: "a15", DataCentre: "a1", Region: "a"}}
 	crossed := map[string]int{}
 	for range daemons * rounds {
-		plan := s.plan([]tables.MemberChange{
+		plan := s.recordsByPeer([]tables.MemberChange{
 			{Record: wire.Member{VM: "own", DataCentre: "a1", Region: "a"}, From: from},
 			{Record: wire.Member{VM: "region", DataCentre: "a2", Region: "a"}, From: from},
 			{Record: wire.Member{VM: "other", DataCentre: "b1", Region: "b"}, From: from},
@@ -126,7 +126,7 @@
 	s := gossipFleet(gossipRelays)
 	for range 100 {
 		sent := 0
-		for peer, rows := range s.plan([]tables.MemberChange{{Record: wire.Member{VM: "vm", DataCentre: "here"}}}) {
+		for peer, rows := range s.recordsByPeer([]tables.MemberChange{{Record: wire.Member{VM: "vm", DataCentre: "here"}}}) {
 			if peer.Hello.DataCentre == "there" {
 				sent += len(rows)
 			}
--- a/pkg/systems/placements.go
+++ b/pkg/systems/placements.go
@@ -21,7 +21,7 @@
 // decreases.
 type placements struct {
 	*Env
-	pullDue intervalTimer
+	pullTimer intervalTimer
 	// offers are the newest placements that peers sent while this daemon had none, by
 	// the peer's data centre.
 	offers map[string]tables.ReceivedPlacement
@@ -55,7 +55,7 @@
 		pl.Log.Event(events.PlacementRejected, events.F("version", u.Update.Version), events.F("peer", u.Peer.Hello.VM), events.F("cause", err))
 		return
 	}
-	pl.pullDue.nextAt = 0
+	pl.pullTimer.nextAt = 0
 	pl.acceptIfNewer(received)
 }
 
@@ -178,10 +178,10 @@
 			best, bestRow = peer, row
 		}
 	})
-	if best == nil || (now < pl.pullDue.nextAt && bestRow.PlacementPulledAt != 0) {
+	if best == nil || (now < pl.pullTimer.nextAt && bestRow.PlacementPulledAt != 0) {
 		return
 	}
-	pl.pullDue.nextAt = now + int64(pullRetryAfter)
+	pl.pullTimer.nextAt = now + int64(pullRetryAfter)
 	bestRow.PlacementPulledAt = now
 	_ = best.Send(&wire.Pull{Have: have})
 }
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -153,7 +153,7 @@
 // stopped; without it, the version that the order names gets no requests. If the
 // service runs somewhere, its watchers read the plan and send it to the other daemons.
 func (p *planRows) readMissingPlans(now int64) {
-	if p.Rollouts == nil {
+	if p.PlanStore == nil {
 		return
 	}
 	for _, order := range p.World.Rollouts.Snapshot().Orders.List {
@@ -197,14 +197,14 @@
 
 // read starts to read the plan of a service.
 func (p *planRows) read(service string) {
-	p.call(service, false, func(ctx context.Context) (rollout.StoredPlan, error) { return p.Rollouts.Read(ctx, service) })
+	p.call(service, false, func(ctx context.Context) (rollout.StoredPlan, error) { return p.PlanStore.Read(ctx, service) })
 }
 
 // write starts to write a plan. The write conflicts unless the row in the store has the
 // version plan.Revision.
 func (p *planRows) write(plan rollout.Plan) {
 	p.call(plan.Service, true, func(ctx context.Context) (rollout.StoredPlan, error) {
-		return rollout.StoredPlan{}, p.Rollouts.Write(ctx, plan)
+		return rollout.StoredPlan{}, p.PlanStore.Write(ctx, plan)
 	})
 }
 
--- a/pkg/systems/planrows_test.go
+++ b/pkg/systems/planrows_test.go
@@ -20,7 +20,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
 		env.DaemonContext = t.Context()
-		env.Rollouts = &fakeRegister{}
+		env.PlanStore = &fakePlanStore{}
 		tracker := newRolloutTracker(env)
 		watcher := newRolloutWatcher(env, tracker)
 		mail := tables.Mail{RolloutOrders: testOrders(9, testOrder("nobody", 8))}
@@ -30,7 +30,7 @@
 			synctest.Wait()
 			mail = env.World.Inbox.Take()
 		}
-		test.LessEq(t, 4, env.Rollouts.(*fakeRegister).reads)
+		test.LessEq(t, 4, env.PlanStore.(*fakePlanStore).reads)
 	})
 }
 
@@ -53,23 +53,23 @@
 	test.Eq(t, maxWatchers, readers)
 }
 
-// unreadableRegister is a register whose row cannot be decoded. It counts the reads.
-type unreadableRegister struct{ reads int }
+// unreadablePlanStore is a register whose row cannot be decoded. It counts the reads.
+type unreadablePlanStore struct{ reads int }
 
-func (u *unreadableRegister) Read(context.Context, string) (rollout.StoredPlan, error) {
+func (u *unreadablePlanStore) Read(context.Context, string) (rollout.StoredPlan, error) {
 	u.reads++
 	return rollout.StoredPlan{}, errors.Wrap(rollout.ErrUnreadablePlan, "of a later release")
 }
 
-func (u *unreadableRegister) Write(context.Context, rollout.Plan) error { return nil }
+func (u *unreadablePlanStore) Write(context.Context, rollout.Plan) error { return nil }
 
 // TestUnreadablePlanIsRarelyRead: a watcher reads it at most ten times in the first
 // minute and three times in the next.
 func TestUnreadablePlanIsRarelyRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := &unreadableRegister{}
-		env, tracker, watcher := newTestWatcher(t, &fakeRegister{})
-		env.Rollouts = register
+		register := &unreadablePlanStore{}
+		env, tracker, watcher := newTestWatcher(t, &fakePlanStore{})
+		env.PlanStore = register
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, time.Minute)
 		test.LessEq(t, 10, register.reads)
 		register.reads = 0
@@ -78,14 +78,14 @@
 	})
 }
 
-// runningClockRegister is a fakeRegister whose clock advances.
-type runningClockRegister struct {
-	fakeRegister
+// runningClockPlanStore is a fakeRegister whose clock advances.
+type runningClockPlanStore struct {
+	fakePlanStore
 	began time.Time
 }
 
-func (c *runningClockRegister) Read(ctx context.Context, s string) (rollout.StoredPlan, error) {
-	out, err := c.fakeRegister.Read(ctx, s)
+func (c *runningClockPlanStore) Read(ctx context.Context, s string) (rollout.StoredPlan, error) {
+	out, err := c.fakePlanStore.Read(ctx, s)
 	out.Now += time.Since(c.began)
 	return out, err
 }
@@ -95,9 +95,9 @@
 // forever, and the roll-out must end.
 func TestDeletedPlanIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := &runningClockRegister{began: time.Now()}
-		env, tracker, watcher := newTestWatcher(t, &register.fakeRegister)
-		env.Rollouts = register
+		register := &runningClockPlanStore{began: time.Now()}
+		env, tracker, watcher := newTestWatcher(t, &register.fakePlanStore)
+		env.PlanStore = register
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, time.Second)
 		register.row = rollout.Plan{}
 		runFor(env, tracker, watcher, tables.Mail{}, 70*time.Second)
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -22,9 +22,9 @@
 	// isInformed is true once this daemon has received the crashes that other daemons
 	// knew before its start.
 	isInformed bool
-	// greetedLinks is the number of links ever added when the new ones were last
+	// sentAtAddedCount is the number of links ever added when the new ones were last
 	// greeted (greetNewLinks).
-	greetedLinks uint64
+	sentAtAddedCount uint64
 	// loggedHeld are the contents that were last logged as held.
 	loggedHeld map[quarantine.Fingerprint]struct{}
 	// ownRows are the contents that ran when this VM's backend server crashed. This
@@ -32,14 +32,14 @@
 	ownRows map[quarantine.Fingerprint]*heldRow
 	// writing is true while a row is written, writeDue is when the next may be.
 	writing  bool
-	writeDue intervalTimer
+	writeTimer intervalTimer
 	// reading is true while the rows are read, readDue is when they may be read again,
 	// and readDelay is the mean delay after that read.
 	reading   atomic.Bool
-	readDue   intervalTimer
+	readTimer   intervalTimer
 	readDelay time.Duration
-	// releaseCheckDue is when to check again whether held contents may run again.
-	releaseCheckDue intervalTimer
+	// releaseCheckTimer is when to check again whether held contents may run again.
+	releaseCheckTimer intervalTimer
 }
 
 // releaseCheckInterval is the time between two checks whether held contents may run
@@ -65,7 +65,7 @@
 		q.isInformed = q.isInformed || p.Frame.Informed
 	}
 	q.sendReports(own, received)
-	q.greetNewLinks(now)
+	q.sendToNewLinks(now)
 	q.logHeldChanges(now, &own, &received)
 	if mail.StoreRestored {
 		for _, row := range q.ownRows {
@@ -119,13 +119,13 @@
 	})
 }
 
-// greetNewLinks sends all known crashes and completions over each new link, once this
+// sendToNewLinks sends all known crashes and completions over each new link, once this
 // daemon is informed.
-func (q *quarantines) greetNewLinks(now int64) {
-	if !q.isInformed || q.greetedLinks == q.World.Peers.AddedCount() {
+func (q *quarantines) sendToNewLinks(now int64) {
+	if !q.isInformed || q.sentAtAddedCount == q.World.Peers.AddedCount() {
 		return
 	}
-	q.greetedLinks = q.World.Peers.AddedCount()
+	q.sentAtAddedCount = q.World.Peers.AddedCount()
 	all := q.Quarantine.Snapshot(now)
 	frame := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: true}
 	q.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	if len(own.Completions)+len(received.Completions) == 0 && !q.releaseCheckDue.fires(now, releaseCheckInterval) {
+	if len(own.Completions)+len(received.Completions) == 0 && !q.releaseCheckTimer.fires(now, releaseCheckInterval) {
 		return
 	}
 	for content := range q.loggedHeld {
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -203,9 +203,9 @@
 	})
 }
 
-// TestNewLinksAreGreetedOnceInformed: a daemon that does not know the earlier crashes
+// TestOnlyAnInformedDaemonSendsCrashesOverNewLinks: a daemon that does not know the earlier crashes
 // sends none over its links.
-func TestNewLinksAreGreetedOnceInformed(t *testing.T) {
+func TestOnlyAnInformedDaemonSendsCrashesOverNewLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
 		platform.SetFaults(fakestore.Faults{Down: true})
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -32,11 +32,11 @@
 	// isMemberCountKnown is true once this daemon knows how many daemons share the
 	// limits.
 	isMemberCountKnown bool
-	// drawnMemberChanges and drawnUnreachedChanges are the change counts of the members
+	// chosenAtMemberChanges and chosenAtUnreachedChanges are the change counts of the members
 	// and of the unreached endpoints when the counters were last chosen. hasDrawn is
 	// true once they have been.
-	drawnMemberChanges, drawnUnreachedChanges uint64
-	hasDrawn                                  bool
+	chosenAtMemberChanges, chosenAtUnreachedChanges uint64
+	hasChosen                                  bool
 	// liveMembers is the number of members that were not leaving at that time.
 	liveMembers uint32
 	// rankedFrom is the state of the links from which ranked was computed.
@@ -88,10 +88,10 @@
 // them too: it may be running and use its share.
 func (q *quotas) chooseCounters() {
 	changes := q.World.Members.ChangeCount()
-	if q.hasDrawn && changes == q.drawnMemberChanges && q.drawnUnreachedChanges == q.World.UnreachedChanges {
+	if q.hasChosen && changes == q.chosenAtMemberChanges && q.chosenAtUnreachedChanges == q.World.UnreachedChanges {
 		return
 	}
-	q.hasDrawn, q.drawnMemberChanges, q.drawnUnreachedChanges = true, changes, q.World.UnreachedChanges
+	q.hasChosen, q.chosenAtMemberChanges, q.chosenAtUnreachedChanges = true, changes, q.World.UnreachedChanges
 	q.liveMembers = 0
 	var reachable []*tables.Endpoint
 	q.World.Members.EachRow(func(row int) {
--- a/pkg/systems/regions_test.go
+++ b/pkg/systems/regions_test.go
@@ -78,7 +78,7 @@
 		for again := true; again; {
 			again = false
 			for _, n := range nodes {
-				sent, over := n.spreadChanges(isSeparated)
+				sent, over := n.gossipAndCountCrossing(isSeparated)
 				again, crossed = again || sent, crossed+over
 			}
 		}
@@ -139,10 +139,10 @@
 	}
 }
 
-// spreadChanges sends the changes of n's table of members to its peers. It returns
+// gossipAndCountCrossing sends the changes of n's table of members to its peers. It returns
 // whether it sent any, and how many rows went to daemons for which isSeparated is true.
-func (n *gossipNode) spreadChanges(isSeparated func(a, b *gossipNode) bool) (sent bool, crossed int) {
-	plan := n.spread.plan(n.spread.changesFromDaemons(n.members().TakeChanges()))
+func (n *gossipNode) gossipAndCountCrossing(isSeparated func(a, b *gossipNode) bool) (sent bool, crossed int) {
+	plan := n.gossip.recordsByPeer(n.gossip.changesFromDaemons(n.members().TakeChanges()))
 	for peer, rows := range plan {
 		to := n.byPeer[peer]
 		if isSeparated(n, to) {
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -35,7 +35,7 @@
 	// to the service. passed is the one that may run now; a member that has not reported
 	// its version yet may still show that its version is new.
 	admitted backendInstance
-	passed   backendInstance
+	permitted   backendInstance
 	// firstSeen is when each version of the service was first seen, in nanoseconds.
 	// seenChanges is the change count of the service's members at the last look.
 	firstSeen   map[string]int64
@@ -50,7 +50,7 @@
 	// logged reason why it refuses requests.
 	inForce      rollout.Guard
 	loggedReason string
-	reportDue    intervalTimer
+	reportTimer    intervalTimer
 }
 
 // backendInstance is an incarnation of the backend server, with its version.
@@ -58,9 +58,9 @@
 
 func newRolloutGuard(env *Env, tracker *rolloutTracker, watcher *rolloutWatcher) *rolloutGuard {
 	g := &rolloutGuard{Env: env, tracker: tracker, watcher: watcher, firstSeen: map[string]int64{}}
-	if env.Trial != nil && env.RolloutLimits.StopWithin > 0 {
+	if env.Enforcer != nil && env.RolloutLimits.StopWithin > 0 {
 		g.inForce.BlockReason, g.loggedReason = noBackendSeen, noBackendSeen
-		env.Trial.SetGuard(&rollout.Guard{BlockReason: noBackendSeen})
+		env.Enforcer.SetGuard(&rollout.Guard{BlockReason: noBackendSeen})
 	}
 	return g
 }
@@ -71,7 +71,7 @@
 
 // Tick implements System.
 func (g *rolloutGuard) Tick(now int64, _ *tables.Mail) {
-	if g.Trial == nil || g.Backend == nil {
+	if g.Enforcer == nil || g.Backend == nil {
 		return
 	}
 	service := g.Settings.BackendServer.Service
@@ -82,8 +82,8 @@
 	if reason == "" {
 		reason = g.unwatchedReason(now, service)
 	}
-	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, BlockReason: reason, Instance: g.passed.name})
-	if g.reportDue.fires(now, reportInterval) {
+	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, BlockReason: reason, Instance: g.permitted.name})
+	if g.reportTimer.fires(now, reportInterval) {
 		g.sendReport(now, service)
 	}
 }
@@ -93,9 +93,9 @@
 func (g *rolloutGuard) enforce(guard rollout.Guard) {
 	if guard != g.inForce {
 		g.inForce = guard
-		g.Trial.SetGuard(&guard)
+		g.Enforcer.SetGuard(&guard)
 	}
-	reason := g.Trial.RefusalReason()
+	reason := g.Enforcer.RefusalReason()
 	if reason == g.loggedReason {
 		return
 	}
@@ -113,7 +113,7 @@
 	own := backendInstance{name: current.String(), version: g.Backend.Version()}
 	switch {
 	case g.RolloutLimits.StopWithin <= 0 || own.name != "" && own == g.admitted:
-		g.passed = g.admitted
+		g.permitted = g.admitted
 		return ""
 	case own.name == "":
 		return noBackendSeen
@@ -135,7 +135,7 @@
 			return "no other daemon has reported yet which roll-outs there are"
 		}
 	}
-	g.passed = own
+	g.permitted = own
 	if !early || !g.areOtherVersionsUnknown(service) {
 		g.admitted = own
 	}
--- a/pkg/systems/rolloutlinks_test.go
+++ b/pkg/systems/rolloutlinks_test.go
@@ -17,10 +17,10 @@
 
 // newTestWatcher returns the only watcher of service "s". The backend server of its VM has
 // version v1.
-func newTestWatcher(t *testing.T, register *fakeRegister) (*Env, *rolloutTracker, *rolloutWatcher) {
+func newTestWatcher(t *testing.T, register *fakePlanStore) (*Env, *rolloutTracker, *rolloutWatcher) {
 	env := testEnv()
 	env.DaemonContext = t.Context()
-	env.Rollouts = register
+	env.PlanStore = register
 	env.RolloutLimits = rollout.Limits{MaxBadShare: 0.1, StopWithin: 5 * time.Second}
 	env.Settings.BackendServer.Service = "s"
 	env.Backend = backend.NewLifecycle(true, nil)
@@ -47,7 +47,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		plan := testPlan("s", 8, 12, rollout.Switching)
 		plan.Since, plan.Began, plan.Deadline, plan.Slots = time.Hour-time.Second, time.Hour-50*time.Second, time.Hour+10*time.Second, 36
-		register := &fakeRegister{row: plan}
+		register := &fakePlanStore{row: plan}
 		env, tracker, watcher := newTestWatcher(t, register)
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
@@ -65,7 +65,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		plan := testPlan("s", 8, 12, rollout.Switching)
 		plan.Since, plan.Began, plan.Deadline, plan.Slots = time.Hour-time.Second, time.Hour-50*time.Second, time.Hour+10*time.Second, 36
-		register := &fakeRegister{row: plan}
+		register := &fakePlanStore{row: plan}
 		env, tracker, watcher := newTestWatcher(t, register)
 		tracker.apply(rollout.Update{Orders: *testOrders(9, testOrder("s", 8)), Plans: []rollout.Plan{plan}}, nil)
 		for _, vm := range []string{"b", "c", "d"} {
@@ -90,7 +90,7 @@
 		plan := testPlan("s", 8, 12, rollout.Canary)
 		plan.Canaries = []string{"b"}
 		plan.Since, plan.Began, plan.Deadline = time.Hour-time.Second, time.Hour-5*time.Second, time.Hour+50*time.Second
-		register := &fakeRegister{row: plan}
+		register := &fakePlanStore{row: plan}
 		env, tracker, watcher := newTestWatcher(t, register)
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
@@ -105,7 +105,7 @@
 // linkSettleTime.
 func TestFirstPlanWaitsForVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := &fakeRegister{}
+		register := &fakePlanStore{}
 		env, tracker, watcher := newTestWatcher(t, register)
 		env.World.Members.Merge(1, nil, wire.Member{VM: env.World.VM, Service: "s", Version: "v2", Revision: 1, Slots: 12})
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Slots: 12})
@@ -123,7 +123,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		plan := testPlan("s", 8, 12, rollout.Canary)
 		plan.Since, plan.Began, plan.Deadline = time.Hour-time.Second, time.Hour-55*time.Second, time.Hour+5*time.Second
-		register := &fakeRegister{row: plan}
+		register := &fakePlanStore{row: plan}
 		env, tracker, watcher := newTestWatcher(t, register)
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, 5*time.Second)
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -188,7 +188,7 @@
 		ro.logStop(service, from)
 		ro.logPlan(service, from)
 	}
-	frame := &wire.RolloutNews{Update: updateAbout(book.Snapshot(), changed)}
+	frame := &wire.RolloutNews{Update: updateFor(book.Snapshot(), changed)}
 	ro.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		// Heartbeats that are on their way still have the old digest. They must not cause
 		// another transfer.
@@ -199,9 +199,9 @@
 	})
 }
 
-// updateAbout returns the part of a snapshot that concerns some services: their plans and
+// updateFor returns the part of a snapshot that concerns some services: their plans and
 // stops, and the whole set of orders, since orders are exchanged as one set.
-func updateAbout(snapshot rollout.Update, services []string) rollout.Update {
+func updateFor(snapshot rollout.Update, services []string) rollout.Update {
 	out := rollout.Update{Orders: snapshot.Orders}
 	for i := range snapshot.Plans {
 		if slices.Contains(services, snapshot.Plans[i].Service) {
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -76,7 +76,7 @@
 			return rollout.OrderChange{Service: service, Order: &order}
 		}
 		feed := &scriptedFeed{steps: []func(uint64) (placement.FeedUpdate, error){
-			update(4, written("a", 3)), update(6, written("b", 6)), fails(store.ErrHistoryGone),
+			update(4, written("a", 3)), update(6, written("b", 6)), returnsError(store.ErrHistoryGone),
 			update(9, written("b", 6), written("c", 8)), update(11, rollout.OrderChange{Service: "b"}),
 		}}
 		env, _ := startFollower(t, feed)
@@ -91,8 +91,8 @@
 	})
 }
 
-// fakeRegister is a register whose writes fail as the test says. It counts the calls.
-type fakeRegister struct {
+// fakePlanStore is a register whose writes fail as the test says. It counts the calls.
+type fakePlanStore struct {
 	mu     sync.Mutex
 	row    rollout.Plan
 	writes int
@@ -103,14 +103,14 @@
 	reads        int
 }
 
-func (f *fakeRegister) Read(context.Context, string) (rollout.StoredPlan, error) {
+func (f *fakePlanStore) Read(context.Context, string) (rollout.StoredPlan, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.reads++
 	return rollout.StoredPlan{Plan: f.row, Now: time.Hour}, nil
 }
 
-func (f *fakeRegister) Write(_ context.Context, p rollout.Plan) error {
+func (f *fakePlanStore) Write(_ context.Context, p rollout.Plan) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.writes++
@@ -138,8 +138,8 @@
 			env := testEnv()
 			env.DaemonContext = t.Context()
 			env.Settings.BackendServer.Service = "s"
-			register := &fakeRegister{writeErrs: c.writeErrs, writeApplies: c.writeApplies}
-			env.Rollouts = register
+			register := &fakePlanStore{writeErrs: c.writeErrs, writeApplies: c.writeApplies}
+			env.PlanStore = register
 			rows := newPlanRows(env)
 			applyResults := func() {
 				synctest.Wait()
@@ -170,7 +170,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		env := testEnv()
 		env.DaemonContext = t.Context()
-		env.Rollouts = &fakeRegister{row: testPlan("s", 8, 12, rollout.Completed)}
+		env.PlanStore = &fakePlanStore{row: testPlan("s", 8, 12, rollout.Completed)}
 		tracker := newRolloutTracker(env)
 		watcher := newRolloutWatcher(env, tracker)
 		mail := tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}
@@ -182,7 +182,7 @@
 		}
 		test.True(t, env.World.View.RolloutTraffic("s").PermitsAny("v2", "x"))
 		test.False(t, env.World.View.RolloutTraffic("s").PermitsAny("v1", "x"))
-		test.Eq(t, 1, env.Rollouts.(*fakeRegister).reads)
+		test.Eq(t, 1, env.PlanStore.(*fakePlanStore).reads)
 	})
 }
 
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -16,9 +16,9 @@
 	// maxWatchers is the number of watchers of a roll-out. Two of them may be down at
 	// once.
 	maxWatchers = 3
-	// turnDelay times its rank is how long a watcher waits for those of lower rank to
+	// writeDelayPerRank times its rank is how long a watcher waits for those of lower rank to
 	// write a plan that is due. A write to a healthy store takes some 10 ms.
-	turnDelay = 400 * time.Millisecond
+	writeDelayPerRank = 400 * time.Millisecond
 	// evaluationInterval is the time between two evaluations of the evidence. Each executor
 	// sends four reports a second.
 	evaluationInterval = 50 * time.Millisecond
@@ -53,7 +53,7 @@
 	orderBegunAt int64
 	// inFlightPeaks are the recent peaks of requests in flight, by VM.
 	inFlightPeaks map[string]inFlightPeak
-	evaluationDue intervalTimer
+	evaluationTimer intervalTimer
 	// nextPlanDueSince is since when a plan has been due after the one with revision
 	// nextPlanDueAfter; 0: none is due.
 	nextPlanDueSince int64
@@ -71,7 +71,7 @@
 func (w *rolloutWatcher) Tick(now int64, mail *tables.Mail) {
 	w.plans.applyResults(now, mail.RolloutPlanResults)
 	w.plans.readMissingPlans(now)
-	if w.Rollouts == nil || w.Backend == nil {
+	if w.PlanStore == nil || w.Backend == nil {
 		return
 	}
 	service := w.Settings.BackendServer.Service
@@ -85,7 +85,7 @@
 	for _, r := range mail.RolloutReports {
 		w.recordReport(now, r)
 	}
-	if !w.evaluationDue.fires(now, evaluationInterval) {
+	if !w.evaluationTimer.fires(now, evaluationInterval) {
 		return
 	}
 	w.chooseWatchers(service, order)
@@ -203,7 +203,7 @@
 	if w.nextPlanDueSince == 0 || w.nextPlanDueAfter != plan.Revision {
 		w.nextPlanDueSince, w.nextPlanDueAfter = now, plan.Revision
 	}
-	if now-w.nextPlanDueSince < int64(w.rank)*int64(turnDelay) {
+	if now-w.nextPlanDueSince < int64(w.rank)*int64(writeDelayPerRank) {
 		return
 	}
 	next.Revision = w.plans.baseRevision(plan)
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -45,9 +45,9 @@
 	// RoutedRunner runs routed requests on this VM's backend server; nil if the daemon
 	// takes none.
 	RoutedRunner *runner.Runner
-	// Trial applies a roll-out to this VM's backend server; nil if it takes no part in
+	// Enforcer applies a roll-out to this VM's backend server; nil if it takes no part in
 	// roll-outs.
-	Trial *enforcer.Enforcer
+	Enforcer *enforcer.Enforcer
 	// Backend tracks this VM's backend server: its process, its version and whether it
 	// accepts requests; nil if it is not tracked.
 	Backend *backend.Lifecycle
@@ -55,10 +55,10 @@
 	Evacuation *evacuation.Register
 	// Orders reads the orders of roll-outs from the store; nil if there is a Feed.
 	Orders *rollout.OrderStore
-	// Rollouts stores the plans of roll-outs; nil if this daemon carries none out.
+	// PlanStore stores the plans of roll-outs; nil if this daemon carries none out.
 	// RolloutLimits are the platform's limits for them, the zero value if it has none.
 	// Recorder counts the outcomes of requests during a roll-out.
-	Rollouts      rollout.PlanStore
+	PlanStore      rollout.PlanStore
 	RolloutLimits rollout.Limits
 	Recorder      *rollout.Recorder
 	// Feed delivers placement documents, evacuations and roll-out orders that operators
--- a/pkg/systems/vmlist.go
+++ b/pkg/systems/vmlist.go
@@ -32,10 +32,10 @@
 // firstListInterval is the longest time between two attempts to read the whole list.
 const firstListInterval = time.Second
 
-// readsPerNeighbourRead is how many reads of a reader there are per one of the next data
+// readsPerNextDataCentreRead is how many reads of a reader there are per one of the next data
 // centre's part. A data centre that has failed as a whole has no readers left that could
 // notice it.
-const readsPerNeighbourRead = 5
+const readsPerNextDataCentreRead = 5
 
 // At the first start of the fleet all daemons write their entries at the same moment, so
 // a list that is read at once is nearly empty. Daemons therefore read it after a random
@@ -56,7 +56,7 @@
 		return
 	}
 	if v.timer.fires(now, v.Settings.Platform.VMListEvery) && v.isPlatformReader() {
-		v.startRead(v.nextPart())
+		v.startRead(v.nextDataCentre())
 	}
 }
 
@@ -106,12 +106,12 @@
 	}
 }
 
-// nextPart returns the data centre whose part is read next: the own one, and sometimes
+// nextDataCentre returns the data centre whose part is read next: the own one, and sometimes
 // the one after it by name.
-func (v *vmListReader) nextPart() string {
+func (v *vmListReader) nextDataCentre() string {
 	v.reads++
 	own := v.World.DataCentre
-	if v.reads%readsPerNeighbourRead != 0 {
+	if v.reads%readsPerNextDataCentreRead != 0 {
 		return own
 	}
 	first, next := own, ""
