--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -134,7 +134,7 @@
 		SweepOnceRows: claims.Sweep,
 		Leave:         d.Leave,
 		Feed:          adapter.Feed, Registrar: adapter.Registrar,
-		Runner:   d.runner(),
+		Runner:    d.runner(),
 		PlanStore: adapter.Rollouts, RolloutLimits: adapter.Bounds.rollouts(),
 	}
 	if adapter.Feed == nil {
--- a/pkg/systems/antientropy.go
+++ b/pkg/systems/antientropy.go
@@ -12,14 +12,14 @@
 const (
 	// requestInterval is the least time between two requests for rows.
 	requestInterval = 500 * time.Millisecond
-	// initialRequestInterval replaces compareInterval while the table is initial
+	// initialRequestInterval replaces requestInterval while the table is initial
 	// (hasInitialTable).
 	initialRequestInterval = 60 * time.Millisecond
 	// settleTime is how long a peer's table must differ, while neither table changes,
 	// before rows are requested: a change that is still being passed on makes tables
 	// differ for a moment.
 	settleTime = 1500 * time.Millisecond
-	// maxExtraWait bounds the random time by which settleTime is longer for a peer in
+	// maxExtraWait bounds the random time that is added to settleTime for a peer in
 	// another data centre. If all daemons of a data centre lack the same row, the first
 	// one that requests it passes it on to the others, which saves traffic between data
 	// centres.
@@ -60,7 +60,8 @@
 	}
 }
 
-// recordDigest records the digest of a peer's table, and since when it differs from the own.
+// recordDigest records the digest of a peer's table, and since when it differs from the
+// own.
 func (a *antiEntropy) recordDigest(now int64, received tables.PeerState) {
 	row := a.World.Peers.GetOrAdd(received.Peer)
 	switch {
@@ -76,7 +77,8 @@
 	}
 }
 
-// requestRows requests the differing rows from the peer that has been due for the longest time.
+// requestRows requests the differing rows from the peer whose settle time ended longest
+// ago, if there is one.
 func (a *antiEntropy) requestRows(now int64) {
 	var chosen *link.Peer
 	var longestOverdue int64
--- a/pkg/systems/control.go
+++ b/pkg/systems/control.go
@@ -61,12 +61,12 @@
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.LinkEvents = append(m.LinkEvents, e) })
 }
 
-// PeerState implements link.Handler. The systems run at once if the peer is leaving or knows a
-// newer placement or evacuation.
+// PeerState implements link.Handler. The systems run at once if the peer is leaving or
+// knows a newer placement or evacuation.
 func (c *Control) PeerState(peer *link.Peer, state *wire.State) {
 	urgent := state.Leaving || state.Placement > c.placementVersion() || c.hasNewerEvacuation(state)
-	n := tables.PeerState{Peer: peer, State: state, At: c.Now()}
-	c.World.Inbox.Post(urgent, func(m *tables.Mail) { m.PeerStates = append(m.PeerStates, n) })
+	s := tables.PeerState{Peer: peer, State: state, At: c.Now()}
+	c.World.Inbox.Post(urgent, func(m *tables.Mail) { m.PeerStates = append(m.PeerStates, s) })
 }
 
 // hasNewerEvacuation reports whether a peer's state contains a newer set of evacuated
@@ -113,11 +113,11 @@
 	c.World.Inbox.Post(true, func(m *tables.Mail) { m.PeerDepartures = append(m.PeerDepartures, d) })
 }
 
-// RolloutNews implements link.Handler. The systems run at once because the news may
-// contain the stop of a roll-out.
-func (c *Control) RolloutNews(peer *link.Peer, news *wire.RolloutNews) {
-	n := tables.PeerRolloutUpdate{Peer: peer, Update: news.Update}
-	c.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutUpdates = append(m.RolloutUpdates, n) })
+// RolloutNews implements link.Handler. The systems run at once because the frame
+// may contain the stop of a roll-out.
+func (c *Control) RolloutNews(peer *link.Peer, frame *wire.RolloutNews) {
+	u := tables.PeerRolloutUpdate{Peer: peer, Update: frame.Update}
+	c.World.Inbox.Post(true, func(m *tables.Mail) { m.RolloutUpdates = append(m.RolloutUpdates, u) })
 }
 
 // RolloutReport implements link.Handler.
--- a/pkg/systems/converge_test.go
+++ b/pkg/systems/converge_test.go
@@ -50,8 +50,8 @@
 // returns whether anything was sent.
 func (n *gossipNode) gossipChanges(lost func() bool) bool {
 	changes := n.members().TakeChanges()
-	plan := n.gossip.recordsByPeer(n.gossip.changesFromDaemons(changes))
-	for peer, rows := range plan {
+	records := n.gossip.recordsByPeer(n.gossip.changesFromDaemons(changes))
+	for peer, rows := range records {
 		to := n.byPeer[peer]
 		for _, row := range rows {
 			if !lost() {
@@ -59,7 +59,7 @@
 			}
 		}
 	}
-	return len(plan) > 0
+	return len(records) > 0
 }
 
 // TestTablesOfAFleetConverge checks that antiEntropy recovers the records that gossip did
@@ -103,8 +103,8 @@
 func drawFleet(t *rapid.T) []*gossipNode {
 	var nodes []*gossipNode
 	var first *gossipNode
-	// One region for all, two regions of two data centres, one apart from the other
-	// three, each its own, or no regions.
+	// The regions of the data centres: one for all, two with two data centres each, two
+	// with three and one, one for each data centre, or none.
 	regions := rapid.SampledFrom([][]string{
 		{"r0", "r0", "r0", "r0"}, {"r0", "r0", "r1", "r1"}, {"r0", "r0", "r0", "r1"}, {"r0", "r1", "r1", "r1"},
 		{"r0", "r1", "r2", "r3"}, {"", "", "", ""},
--- a/pkg/systems/departures.go
+++ b/pkg/systems/departures.go
@@ -71,8 +71,8 @@
 	}
 }
 
-// add records a departure and forgets those older than departureRetention. It returns added,
-// extended by the id if that is new.
+// add records a departure and forgets those older than departureRetention. It returns
+// added, with the id appended if that is new.
 func (d *departures) add(now int64, added []string, id string) []string {
 	if _, known := d.World.Departures[id]; known {
 		return added
@@ -86,8 +86,8 @@
 	return append(added, id)
 }
 
-// merge records the departures that a peer or the store reported, and appends the new ones to
-// added.
+// merge records the departures that a peer or the store reported, and appends the new
+// ones to added.
 func (d *departures) merge(now int64, added []string, frame *wire.Departures) []string {
 	for _, id := range frame.IDs {
 		d.Backend.RecordDeparture(now, backend.ParseIncarnation(id))
@@ -140,7 +140,8 @@
 	})
 }
 
-// readUntilKnown reads the departures from the store until the store or a peer has reported them.
+// readUntilKnown reads the departures from the store until the store or a peer has
+// reported them.
 func (d *departures) readUntilKnown(now int64) {
 	if time.Duration(now) > departuresTimeout {
 		d.Backend.RecordDeparturesKnown()
--- a/pkg/systems/feedfollower.go
+++ b/pkg/systems/feedfollower.go
@@ -29,8 +29,8 @@
 	feedTimeoutMargin = 1500 * time.Millisecond
 	// minLeadWait, maxLeadWait and leadTimeoutMargin are the same for the lead follower.
 	// All requests that were open when the store stopped responding may hang; with these
-	// times the lead followers ask again within three seconds of the store's return,
-	// which is what platforms allow a VM to be back in contact.
+	// times the lead followers ask again within three seconds of the store's return. That
+	// is the time within which platforms require a VM to be in contact again.
 	minLeadWait       = 1800 * time.Millisecond
 	maxLeadWait       = 2300 * time.Millisecond
 	leadTimeoutMargin = 700 * time.Millisecond
@@ -41,7 +41,8 @@
 	minFeedBackoff = 100 * time.Millisecond
 	maxFeedBackoff = 2 * time.Second
 	maxLeadBackoff = time.Second
-	// followCheckInterval is the time between two checks whether this daemon must follow.
+	// followCheckInterval is the time between two checks whether this daemon must follow
+	// the feed.
 	followCheckInterval = 300 * time.Millisecond
 	// firstStartFollowDelay is when daemons begin to follow the feed at the first start
 	// of the fleet. By then they know each other, so that only the highest ranked do.
@@ -284,14 +285,14 @@
 func (f *feedFollower) waitAndTimeout() (wait, timeout time.Duration) {
 	if f.isLead.Load() {
 		wait = minLeadWait + rand.N(maxLeadWait-minLeadWait)
-		if proof := f.proofReadInterval(); proof > 0 {
-			wait = min(wait, proof)
+		if readInterval := f.proofReadInterval(); readInterval > 0 {
+			wait = min(wait, readInterval)
 		}
 		return wait, wait + leadTimeoutMargin
 	}
 	wait = minFeedWait + rand.N(maxFeedWait-minFeedWait)
-	if proof := f.proofReadInterval(); proof > 0 {
-		wait = min(wait, proof)
+	if readInterval := f.proofReadInterval(); readInterval > 0 {
+		wait = min(wait, readInterval)
 	}
 	return wait, wait + feedTimeoutMargin
 }
--- a/pkg/systems/feedfollower_test.go
+++ b/pkg/systems/feedfollower_test.go
@@ -68,7 +68,7 @@
 }
 
 // startFollower makes a daemon with a feed follower and the placements system. tick runs
-// both for a time.
+// both for a duration of fake time.
 func startFollower(t *testing.T, feed *scriptedFeed) (env *Env, tick func(time.Duration)) {
 	env = testEnv()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/pkg/systems/firststart_test.go
+++ b/pkg/systems/firststart_test.go
@@ -42,7 +42,8 @@
 	return nil
 }
 
-// newStartEnv makes a daemon that reads list. run runs its systems for a time.
+// newStartEnv makes a daemon that reads list. run runs its systems for a duration of fake
+// time.
 func newStartEnv(t *testing.T, first bool, list *countingVMList) (env *Env, run func(time.Duration)) {
 	env = testEnv()
 	env.Settings.Platform.FirstStart = first
@@ -188,14 +189,14 @@
 // daemon requests it from another data centre, not all.
 func TestAntiEntropyAsksPeersOfItsDataCentreFirst(t *testing.T) {
 	env := testEnv()
-	c := &antiEntropy{Env: env, extraWait: time.Second}
+	a := &antiEntropy{Env: env, extraWait: time.Second}
 	near := &link.Peer{Hello: wire.Hello{DataCentre: "here"}}
 	far := &link.Peer{Hello: wire.Hello{DataCentre: "there"}}
-	test.Eq(t, 0, c.settleTimeFor(near), test.Sprint("the table is initial"))
-	test.Eq(t, sameDataCentreHeadStart, c.settleTimeFor(far))
+	test.Eq(t, 0, a.settleTimeFor(near), test.Sprint("the table is initial"))
+	test.Eq(t, sameDataCentreHeadStart, a.settleTimeFor(far))
 	addMembers(env, 3)
-	test.Eq(t, settleTime, c.settleTimeFor(near))
-	test.Eq(t, settleTime+time.Second, c.settleTimeFor(far))
+	test.Eq(t, settleTime, a.settleTimeFor(near))
+	test.Eq(t, settleTime+time.Second, a.settleTimeFor(far))
 }
 
 // TestOnceSweeperDoesNotSweepAtStart: a daemon that has just started knows no other
--- a/pkg/systems/gateticker.go
+++ b/pkg/systems/gateticker.go
@@ -2,8 +2,8 @@
 
 import "github.com/rushramp/rushramp/pkg/tables"
 
-// gateTicker starts waiting requests after a gate's limit has risen without a request
-// ending.
+// gateTicker lets the gates start waiting requests at each tick. Otherwise they would only
+// do so when a request ends, even if a gate's limit has risen meanwhile.
 type gateTicker struct{ *Env }
 
 // Tick implements System.
--- a/pkg/systems/heartbeats.go
+++ b/pkg/systems/heartbeats.go
@@ -10,8 +10,8 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// heartbeatsPerHeardDataCentres is how many heartbeats of a link there are per one that carries
-// HeardDataCentres.
+// heartbeatsPerHeardDataCentres is the interval, in heartbeats, at which a heartbeat of a
+// link also contains HeardDataCentres.
 const heartbeatsPerHeardDataCentres = 4
 
 // heartbeats updates the state frame of this daemon and sends it on links without
@@ -20,9 +20,9 @@
 	*Env
 	timer      intervalTimer
 	wasLeaving bool
-	timing       heartbeatTiming
-	// proofTimer makes the state go to all peers, so that they learn how old the proof of
-	// the placement in force is (View.PlacementProvenAt).
+	timing     heartbeatTiming
+	// proofTimer is due when the state must be sent to all peers, so that they learn when
+	// the placement in force was last known to be the newest (View.PlacementProvenAt).
 	proofTimer intervalTimer
 }
 
@@ -52,7 +52,8 @@
 
 // send sends the state to the peers whose heartbeat is due, or to all peers. Each frame
 // contains how long the link may be idle, which depends on the peer's proximity; every
-// fourth also contains when the data centres were last heard of.
+// one in heartbeatsPerHeardDataCentres also contains when the data centres were last
+// heard of.
 func (h *heartbeats) send(at time.Time, all bool, state *wire.State, heardDataCentres []wire.HeardDataCentre) {
 	var brief, full [proximity.Count]wire.State
 	for level := range proximity.Count {
--- a/pkg/systems/heartbeattiming_test.go
+++ b/pkg/systems/heartbeattiming_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestHeartbeatIntervalGrowsWithTheFleet checks that a small fleet uses the interval in
-// the settings, and that no interval exceeds maxPace.
+// the settings, and that no interval exceeds maxInterval.
 func TestHeartbeatIntervalGrowsWithTheFleet(t *testing.T) {
 	for members, want := range map[int]time.Duration{1: unitsPerHeartbeat, 13: unitsPerHeartbeat, 61: 61, 295: maxInterval, 21_000: maxInterval} {
 		interval, silence := heartbeatTiming{}.intervals(1, members, false)
--- a/pkg/systems/links.go
+++ b/pkg/systems/links.go
@@ -21,12 +21,13 @@
 )
 
 // links opens and closes the links of this daemon: to the subset of each service that
-// this entry was asked for, and to a small sample of other daemons. Source:
+// its callers request, and to a small sample of other daemons. Source:
 // docs/design/members.md.
 type links struct {
 	*Env
-	clients  map[*tables.Endpoint]*link.Client
-	dials    *dialLimiter
+	clients map[*tables.Endpoint]*link.Client
+	dials   *dialLimiter
+	// redialAt is when an endpoint may be dialled again, in nanoseconds.
 	redialAt map[*tables.Endpoint]int64
 	// failures is the number of consecutive failed dials and lost links of an endpoint.
 	failures    map[*tables.Endpoint]int
--- a/pkg/systems/membergossip_test.go
+++ b/pkg/systems/membergossip_test.go
@@ -12,8 +12,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// gossipFleet makes a daemon with two links to each of some other members in its own data
-// centre and in another one.
+// gossipFleet returns the memberGossip system of a daemon. The daemon has two links to
+// each other member; each is the number of those in its own data centre and in another
+// one.
 func gossipFleet(each int) *memberGossip {
 	env := testEnv()
 	for _, dataCentre := range []string{"here", "there"} {
@@ -57,11 +58,11 @@
 	near := &link.Peer{Hello: wire.Hello{VM: "here5", DataCentre: "here"}}
 	crossed := map[string]int{}
 	for range daemons * rounds {
-		plan := s.recordsByPeer([]tables.MemberChange{
+		records := s.recordsByPeer([]tables.MemberChange{
 			{Record: wire.Member{VM: "own", DataCentre: "here"}, From: near},
 			{Record: wire.Member{VM: "foreign", DataCentre: "there"}, From: near},
 		})
-		for peer, rows := range plan {
+		for peer, rows := range records {
 			for _, row := range rows {
 				if peer.Hello.DataCentre == "there" {
 					crossed[row.VM]++
@@ -73,8 +74,9 @@
 	test.Eq(t, 0, crossed["foreign"])
 }
 
-// regionFleet makes a daemon in the data centre a1 of region a, with links to some
-// daemons of each data centre of the regions a and b, two in each.
+// regionFleet returns the memberGossip system of a daemon in the data centre a1 of region
+// a. The regions a and b have two data centres each. The daemon has links to as many
+// daemons of each data centre as each says.
 func regionFleet(each int) *memberGossip {
 	env := testEnv()
 	env.World.DataCentre, env.World.Region = "a1", "a"
@@ -98,12 +100,12 @@
 	from := &link.Peer{Hello: wire.Hello{VM: "a15", DataCentre: "a1", Region: "a"}}
 	crossed := map[string]int{}
 	for range daemons * rounds {
-		plan := s.recordsByPeer([]tables.MemberChange{
+		records := s.recordsByPeer([]tables.MemberChange{
 			{Record: wire.Member{VM: "own", DataCentre: "a1", Region: "a"}, From: from},
 			{Record: wire.Member{VM: "region", DataCentre: "a2", Region: "a"}, From: from},
 			{Record: wire.Member{VM: "other", DataCentre: "b1", Region: "b"}, From: from},
 		})
-		for peer, rows := range plan {
+		for peer, rows := range records {
 			for _, row := range rows {
 				crossed[row.VM+" to "+s.proximityOf(peer).String()]++
 			}
--- a/pkg/systems/placements_test.go
+++ b/pkg/systems/placements_test.go
@@ -95,12 +95,12 @@
 }
 
 func TestSubsetIsStableAndEven(t *testing.T) {
-	const workers, entries, size = 30, 1000, 16
+	const backends, entries, size = 30, 1000, 16
 	kind := placement.Compile(documentOf(1)).Service("s").Match("GET", "/")
 	counts := map[string]int{}
 	for e := range entries {
 		w := tables.NewWorld("entry-"+string(rune(e)), "here")
-		for i := range workers {
+		for i := range backends {
 			w.Members.Merge(1, nil, wire.Member{VM: "worker-" + string(rune('A'+i)), Started: 1, DataCentre: "here", Service: "s"})
 		}
 		before := Subset(w, settings.Choosing{Subset: size, Near: size}, kind)
@@ -122,7 +122,7 @@
 	for _, n := range counts {
 		most = max(most, n)
 	}
-	overMean := float64(most) * workers / (entries * size)
+	overMean := float64(most) * backends / (entries * size)
 	t.Logf("most over mean: %.3f", overMean)
 	test.Less(t, 1.15, overMean)
 }
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -177,9 +177,9 @@
 }
 
 // isPlanReader reports whether no reachable member runs the service, and this daemon is
-// one of the first of the fleet by rendezvous hash on the service's name.
+// one of the first maxWatchers of the fleet by rendezvous hash on the service's name.
 func (p *planRows) isPlanReader(service string) bool {
-	isRun, ahead := false, 0
+	isRunning, rank := false, 0
 	own := utils.Rendezvous(service, p.World.VM)
 	p.World.Members.EachRow(func(row int) {
 		endpoint := p.World.Members.Endpoint[row]
@@ -187,12 +187,12 @@
 		if p.World.Members.Leaving(row) || unreached {
 			return
 		}
-		isRun = isRun || endpoint.Service == service
+		isRunning = isRunning || endpoint.Service == service
 		if utils.Rendezvous(service, endpoint.VM) > own {
-			ahead++
+			rank++
 		}
 	})
-	return !isRun && ahead < maxWatchers
+	return !isRunning && rank < maxWatchers
 }
 
 // read starts to read the plan of a service.
--- a/pkg/systems/planrows_test.go
+++ b/pkg/systems/planrows_test.go
@@ -53,7 +53,7 @@
 	test.Eq(t, maxWatchers, readers)
 }
 
-// unreadablePlanStore is a register whose row cannot be decoded. It counts the reads.
+// unreadablePlanStore is a PlanStore whose row cannot be decoded. It counts the reads.
 type unreadablePlanStore struct{ reads int }
 
 func (u *unreadablePlanStore) Read(context.Context, string) (rollout.StoredPlan, error) {
@@ -67,18 +67,18 @@
 // minute and three times in the next.
 func TestUnreadablePlanIsRarelyRead(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := &unreadablePlanStore{}
+		planStore := &unreadablePlanStore{}
 		env, tracker, watcher := newTestWatcher(t, &fakePlanStore{})
-		env.PlanStore = register
+		env.PlanStore = planStore
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, time.Minute)
-		test.LessEq(t, 10, register.reads)
-		register.reads = 0
+		test.LessEq(t, 10, planStore.reads)
+		planStore.reads = 0
 		runFor(env, tracker, watcher, tables.Mail{}, time.Minute)
-		test.LessEq(t, 3, register.reads)
+		test.LessEq(t, 3, planStore.reads)
 	})
 }
 
-// runningClockPlanStore is a fakeRegister whose clock advances.
+// runningClockPlanStore is a fakePlanStore whose clock advances.
 type runningClockPlanStore struct {
 	fakePlanStore
 	began time.Time
@@ -95,16 +95,16 @@
 // forever, and the roll-out must end.
 func TestDeletedPlanIsWrittenAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := &runningClockPlanStore{began: time.Now()}
-		env, tracker, watcher := newTestWatcher(t, &register.fakePlanStore)
-		env.PlanStore = register
+		planStore := &runningClockPlanStore{began: time.Now()}
+		env, tracker, watcher := newTestWatcher(t, &planStore.fakePlanStore)
+		env.PlanStore = planStore
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, time.Second)
-		register.row = rollout.Plan{}
+		planStore.row = rollout.Plan{}
 		runFor(env, tracker, watcher, tables.Mail{}, 70*time.Second)
-		writes, reads := register.writes, register.reads
+		writes, reads := planStore.writes, planStore.reads
 		runFor(env, tracker, watcher, tables.Mail{}, 60*time.Second)
-		t.Log("calls in a minute after the deadline:", register.writes-writes, "writes,", register.reads-reads, "reads; row:", register.row.Phase, register.row.Order)
-		test.LessEq(t, 10, register.writes-writes)
-		test.True(t, register.row.Phase.Ended() && register.row.Order == 8)
+		t.Log("calls in a minute after the deadline:", planStore.writes-writes, "writes,", planStore.reads-reads, "reads; row:", planStore.row.Phase, planStore.row.Order)
+		test.LessEq(t, 10, planStore.writes-writes)
+		test.True(t, planStore.row.Phase.Ended() && planStore.row.Order == 8)
 	})
 }
--- a/pkg/systems/proof.go
+++ b/pkg/systems/proof.go
@@ -30,15 +30,16 @@
 
 const (
 	// proofReadsPerPeriod is how often a follower of the feed reads the store within the
-	// setting teams.revoke_within. proofStatesPerPeriod is how often each daemon sends the
-	// age of its proof to all peers within that time. With these values a proof that
-	// passes through two daemons is younger than half of the setting.
+	// setting teams.revoke_within. proofStatesPerPeriod is how often each daemon sends
+	// PlacementProofAgeMS, the time since PlacementProvenAt, to all peers within the
+	// setting. With these values the age of a proof that passes through two daemons is
+	// less than half of the setting.
 	proofReadsPerPeriod  = 6
 	proofStatesPerPeriod = 8
 )
 
-// proofReadInterval returns the longest time between two reads of the feed that keeps
-// the proof young enough; 0: no proof is needed.
+// proofReadInterval returns the longest time allowed between two reads of the feed, so
+// that PlacementProvenAt is recent enough for teams' keys; 0: no limit.
 func (e *Env) proofReadInterval() time.Duration {
 	return e.Settings.Teams.RevokeWithin / proofReadsPerPeriod
 }
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -22,23 +22,23 @@
 	// isInformed is true once this daemon has received the crashes that other daemons
 	// knew before its start.
 	isInformed bool
-	// sentAtAddedCount is the number of links ever added when the new ones were last
-	// greeted (greetNewLinks).
+	// sentAtAddedCount is the value of Peers.AddedCount when all crashes and completions
+	// were last sent over the new links.
 	sentAtAddedCount uint64
 	// loggedHeld are the contents that were last logged as held.
 	loggedHeld map[quarantine.Fingerprint]struct{}
 	// ownRows are the contents that ran when this VM's backend server crashed. This
 	// daemon writes their rows in the store.
 	ownRows map[quarantine.Fingerprint]*heldRow
-	// writing is true while a row is written, writeDue is when the next may be.
-	writing  bool
+	// writing is true while a row is written, writeTimer is due when the next may be.
+	writing    bool
 	writeTimer intervalTimer
-	// reading is true while the rows are read, readDue is when they may be read again,
-	// and readDelay is the mean delay after that read.
+	// reading is true while the rows are read, readTimer is due when they may be read
+	// again, and readDelay is the mean delay after that read.
 	reading   atomic.Bool
-	readTimer   intervalTimer
+	readTimer intervalTimer
 	readDelay time.Duration
-	// releaseCheckTimer is when to check again whether held contents may run again.
+	// releaseCheckTimer is due when to check again whether held contents may run again.
 	releaseCheckTimer intervalTimer
 }
 
@@ -133,7 +133,7 @@
 			return
 		}
 		row.QuarantinesSent = true
-		// An error needs no handling: the end of a closed link is reported as an event.
+		// A closed link is removed from the table by its LinkEvent.
 		_ = peer.Send(frame)
 	})
 }
--- a/pkg/systems/quarantines_test.go
+++ b/pkg/systems/quarantines_test.go
@@ -34,27 +34,27 @@
 }
 
 // tick runs the system twice, and waits for what it started each time.
-func (h *quarantineNode) tick() {
+func (n *quarantineNode) tick() {
 	for range 2 {
-		mail := h.World.Inbox.Take()
-		h.system.Tick(h.Now(), &mail)
+		mail := n.World.Inbox.Take()
+		n.system.Tick(n.Now(), &mail)
 		for _, query := range mail.Queries {
-			query(h.World)
+			query(n.World)
 		}
 		synctest.Wait()
 	}
 }
 
 // receiveFrom sends the daemon all crashes and completions that another one knows.
-func (h *quarantineNode) receiveFrom(from *quarantineNode) {
+func (n *quarantineNode) receiveFrom(from *quarantineNode) {
 	all := from.Quarantine.Snapshot(from.Now())
 	frame := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: from.system.isInformed}
-	h.Control.Quarantine(nil, frame)
-	h.tick()
+	n.Control.Quarantine(nil, frame)
+	n.tick()
 }
 
-func (h *quarantineNode) holds(content quarantine.Fingerprint) bool {
-	_, held := h.Quarantine.Held(h.Now(), content)
+func (n *quarantineNode) holds(content quarantine.Fingerprint) bool {
+	_, held := n.Quarantine.Held(n.Now(), content)
 	return held
 }
 
@@ -180,45 +180,45 @@
 		platform := fakestore.New()
 		readers := 0
 		for n := range daemons {
-			h := newQuarantineNode(t, platform, false)
-			h.World.VM = fmt.Sprint("here", n)
+			node := newQuarantineNode(t, platform, false)
+			node.World.VM = fmt.Sprint("here", n)
 			for other := range daemons {
 				if other != n {
-					h.World.Members.Merge(1, nil, wire.Member{VM: fmt.Sprint("here", other), Started: 1, DataCentre: "here", Service: "s"})
+					node.World.Members.Merge(1, nil, wire.Member{VM: fmt.Sprint("here", other), Started: 1, DataCentre: "here", Service: "s"})
 				}
 			}
 			time.Sleep(heldReadAfter)
-			h.tick()
-			h.tick()
-			if h.system.isInformed {
+			node.tick()
+			node.tick()
+			if node.system.isInformed {
 				readers++
 				continue
 			}
 			time.Sleep(heldReadByAllAfter)
-			h.tick()
-			h.tick()
-			test.True(t, h.system.isInformed)
+			node.tick()
+			node.tick()
+			test.True(t, node.system.isInformed)
 		}
 		test.Eq(t, heldReaders, readers)
 	})
 }
 
-// TestOnlyAnInformedDaemonSendsCrashesOverNewLinks: a daemon that does not know the earlier crashes
-// sends none over its links.
+// TestOnlyAnInformedDaemonSendsCrashesOverNewLinks: a daemon that does not know the
+// earlier crashes sends none over its links.
 func TestOnlyAnInformedDaemonSendsCrashesOverNewLinks(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		platform := fakestore.New()
 		platform.SetFaults(fakestore.Faults{Down: true})
-		h := newQuarantineNode(t, platform, false)
+		node := newQuarantineNode(t, platform, false)
 		peer := &link.Peer{Conn: link.NewClosedConn()}
-		h.World.Peers.GetOrAdd(peer)
-		h.tick()
-		test.False(t, h.World.Peers.GetOrAdd(peer).QuarantinesSent)
-		h.World.Inbox.Post(true, func(m *tables.Mail) {
+		node.World.Peers.GetOrAdd(peer)
+		node.tick()
+		test.False(t, node.World.Peers.GetOrAdd(peer).QuarantinesSent)
+		node.World.Inbox.Post(true, func(m *tables.Mail) {
 			m.PeerQuarantines = append(m.PeerQuarantines, tables.PeerQuarantine{Frame: &wire.Quarantine{Informed: true}})
 		})
-		h.tick()
-		test.True(t, h.World.Peers.GetOrAdd(peer).QuarantinesSent)
+		node.tick()
+		test.True(t, node.World.Peers.GetOrAdd(peer).QuarantinesSent)
 	})
 }
 
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -32,11 +32,11 @@
 	// isMemberCountKnown is true once this daemon knows how many daemons share the
 	// limits.
 	isMemberCountKnown bool
-	// chosenAtMemberChanges and chosenAtUnreachedChanges are the change counts of the members
-	// and of the unreached endpoints when the counters were last chosen. hasDrawn is
-	// true once they have been.
+	// chosenAtMemberChanges and chosenAtUnreachedChanges are the change counts of the
+	// members and of the unreached endpoints when the counters were last chosen.
+	// hasChosen is true once they have been chosen.
 	chosenAtMemberChanges, chosenAtUnreachedChanges uint64
-	hasChosen                                  bool
+	hasChosen                                       bool
 	// liveMembers is the number of members that were not leaving at that time.
 	liveMembers uint32
 	// rankedFrom is the state of the links from which ranked was computed.
@@ -178,8 +178,7 @@
 		byVM[vm] = candidate{vm: vm, leaving: row.Leaving, incarnation: incarnation, peer: quota.Peer{
 			Process: processID(peer), Link: peer,
 			Send: func(ask *quota.Ask) {
-				// An error needs no handling: the end of a closed link is reported as an
-				// event.
+				// A closed link is removed from the table by its LinkEvent.
 				_ = peer.Send(&wire.QuotaAsk{Ask: *ask})
 			},
 		}}
--- a/pkg/systems/regions_test.go
+++ b/pkg/systems/regions_test.go
@@ -74,7 +74,7 @@
 		}
 		n.members().TakeChanges()
 	}
-	spreadAll := func() (crossed int) {
+	gossipAll := func() (crossed int) {
 		for again := true; again; {
 			again = false
 			for _, n := range nodes {
@@ -84,10 +84,10 @@
 		}
 		return crossed
 	}
-	// settle also lets daemons request the rows that random spreading did not bring them
+	// settle also lets daemons request the rows that gossip did not bring them
 	// from peers of their own region.
 	settle := func() (crossed int) {
-		crossed = spreadAll()
+		crossed = gossipAll()
 		for _, n := range nodes {
 			for _, peer := range nodes {
 				if !isSeparated(n, peer) && n.members().Digest() != peer.members().Digest() {
@@ -95,7 +95,7 @@
 				}
 			}
 		}
-		return crossed + spreadAll()
+		return crossed + gossipAll()
 	}
 	for _, n := range nodes {
 		n.members().Merge(2, nil, memberRow(n, 2))
@@ -139,11 +139,12 @@
 	}
 }
 
-// gossipAndCountCrossing sends the changes of n's table of members to its peers. It returns
-// whether it sent any, and how many rows went to daemons for which isSeparated is true.
+// gossipAndCountCrossing sends the changes of n's table of members to its peers. It
+// returns whether it sent any, and how many rows went to daemons for which isSeparated is
+// true.
 func (n *gossipNode) gossipAndCountCrossing(isSeparated func(a, b *gossipNode) bool) (sent bool, crossed int) {
-	plan := n.gossip.recordsByPeer(n.gossip.changesFromDaemons(n.members().TakeChanges()))
-	for peer, rows := range plan {
+	records := n.gossip.recordsByPeer(n.gossip.changesFromDaemons(n.members().TakeChanges()))
+	for peer, rows := range records {
 		to := n.byPeer[peer]
 		if isSeparated(n, to) {
 			crossed += len(rows)
@@ -152,7 +153,7 @@
 			to.members().Merge(1, peerOf(n), row)
 		}
 	}
-	return len(plan) > 0, crossed
+	return len(records) > 0, crossed
 }
 
 // TestFewDaemonsOfARegionFollowTheFeed, whatever their data centres. In a deployment with
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -32,25 +32,26 @@
 	tracker *rolloutTracker
 	watcher *rolloutWatcher
 	// admitted is the backend server that was admitted for good: its version is not new
-	// to the service. passed is the one that may run now; a member that has not reported
-	// its version yet may still show that its version is new.
-	admitted backendInstance
-	permitted   backendInstance
+	// to the service. permitted is the one that may run requests now. It is not admitted
+	// yet if its version may prove new once all members have reported theirs.
+	admitted  backendInstance
+	permitted backendInstance
 	// firstSeen is when each version of the service was first seen, in nanoseconds.
-	// seenChanges is the change count of the service's members at the last look.
+	// seenChanges is the ServiceChangeCount of the table of members when firstSeen was
+	// last updated.
 	firstSeen   map[string]int64
 	seenChanges uint64
-	// current is the backend server that newVersionReason last looked at, currentSince
-	// is when it appeared.
+	// current is the backend server that newVersionReason last checked, currentSince is
+	// when it first checked that one, in nanoseconds.
 	current      backendInstance
 	currentSince int64
 	// watchedAt is when a watcher last had a link to this daemon, or none was needed.
 	watchedAt int64
-	// inForce is the guard that was last given to the executor, loggedReason the last
-	// logged reason why it refuses requests.
+	// inForce is the guard that was last given to the Enforcer, loggedReason the last
+	// logged reason why the executor refuses requests.
 	inForce      rollout.Guard
 	loggedReason string
-	reportTimer    intervalTimer
+	reportTimer  intervalTimer
 }
 
 // backendInstance is an incarnation of the backend server, with its version.
@@ -88,7 +89,7 @@
 	}
 }
 
-// enforce gives a changed guard to the executor, and logs a changed reason for refusing
+// enforce gives a changed guard to the Enforcer, and logs a changed reason for refusing
 // requests.
 func (g *rolloutGuard) enforce(guard rollout.Guard) {
 	if guard != g.inForce {
@@ -104,10 +105,11 @@
 		events.F("version", g.Backend.Version()), events.F("revision", guard.Revision), events.F("in_flight", g.requestsInFlight()))
 }
 
-// newVersionReason returns why the backend server must wait, as its version may be new
-// to the service and the order for its roll-out not yet received; empty: it need not
-// wait. It need not wait if the service has no backend server of another version, or if
-// a known roll-out concerns its version: then the roll-out decides.
+// newVersionReason returns why the backend server must not run requests yet: its version
+// may be new to the service, and the order for its roll-out may not have been received.
+// It returns an empty string if the backend server need not wait, which is also so if the
+// service has no backend server of another version, or if a known roll-out concerns its
+// version and so decides.
 func (g *rolloutGuard) newVersionReason(now int64, service string) string {
 	current, _ := g.Backend.Current()
 	own := backendInstance{name: current.String(), version: g.Backend.Version()}
@@ -192,9 +194,10 @@
 	return found
 }
 
-// unwatchedReason returns why a backend server on trial must wait, or empty: without a
-// link, no watcher sees its failures. While the roll-out is switching it need not wait:
-// the old backend servers refuse requests then, so the service would have none left.
+// unwatchedReason returns why a backend server on trial must not run requests, or an
+// empty string if it may. Without a link, no watcher sees its failures. While the
+// roll-out is switching it may run them in any case: the old backend servers refuse
+// requests then, so the service would have none left.
 func (g *rolloutGuard) unwatchedReason(now int64, service string) string {
 	order, _ := g.World.Rollouts.Order(service)
 	plan, _ := g.World.Rollouts.Plan(service)
--- a/pkg/systems/rolloutlinks.go
+++ b/pkg/systems/rolloutlinks.go
@@ -33,10 +33,10 @@
 	}
 }
 
-// mustWaitForLinks reports whether this watcher must not write next, the plan that it
-// has decided on: the decision may only reflect that its own links are not open, as
-// after a restart or while it is cut off. A watcher with links decides then. Some
-// decisions need no links:
+// mustWaitForLinks reports whether this watcher must wait for links before it writes
+// the plan next. It may have decided on next only because its own links are not open, as
+// after a restart or while it is cut off; a watcher with links then decides instead.
+// Some decisions need no links:
 //   - A finding against the version, and the cancellation of an order.
 //   - The first canaries, which do no harm.
 //   - The first plan for an order, unless old versions may be missing in it since
--- a/pkg/systems/rolloutlinks_test.go
+++ b/pkg/systems/rolloutlinks_test.go
@@ -17,10 +17,10 @@
 
 // newTestWatcher returns the only watcher of service "s". The backend server of its VM has
 // version v1.
-func newTestWatcher(t *testing.T, register *fakePlanStore) (*Env, *rolloutTracker, *rolloutWatcher) {
+func newTestWatcher(t *testing.T, planStore *fakePlanStore) (*Env, *rolloutTracker, *rolloutWatcher) {
 	env := testEnv()
 	env.DaemonContext = t.Context()
-	env.PlanStore = register
+	env.PlanStore = planStore
 	env.RolloutLimits = rollout.Limits{MaxBadShare: 0.1, StopWithin: 5 * time.Second}
 	env.Settings.BackendServer.Service = "s"
 	env.Backend = backend.NewLifecycle(true, nil)
@@ -47,15 +47,15 @@
 	synctest.Test(t, func(t *testing.T) {
 		plan := testPlan("s", 8, 12, rollout.Switching)
 		plan.Since, plan.Began, plan.Deadline, plan.Slots = time.Hour-time.Second, time.Hour-50*time.Second, time.Hour+10*time.Second, 36
-		register := &fakePlanStore{row: plan}
-		env, tracker, watcher := newTestWatcher(t, register)
+		planStore := &fakePlanStore{row: plan}
+		env, tracker, watcher := newTestWatcher(t, planStore)
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 		}
 		t.Log("rank before:", watcher.rank)
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, 1300*time.Millisecond)
-		t.Log("rank:", watcher.rank, "writes:", register.writes, "cause:", register.row.Cause)
-		test.Eq(t, rollout.Switching, register.row.Phase)
+		t.Log("rank:", watcher.rank, "writes:", planStore.writes, "cause:", planStore.row.Cause)
+		test.Eq(t, rollout.Switching, planStore.row.Phase)
 	})
 }
 
@@ -65,21 +65,21 @@
 	synctest.Test(t, func(t *testing.T) {
 		plan := testPlan("s", 8, 12, rollout.Switching)
 		plan.Since, plan.Began, plan.Deadline, plan.Slots = time.Hour-time.Second, time.Hour-50*time.Second, time.Hour+10*time.Second, 36
-		register := &fakePlanStore{row: plan}
-		env, tracker, watcher := newTestWatcher(t, register)
+		planStore := &fakePlanStore{row: plan}
+		env, tracker, watcher := newTestWatcher(t, planStore)
 		tracker.apply(rollout.Update{Orders: *testOrders(9, testOrder("s", 8)), Plans: []rollout.Plan{plan}}, nil)
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 			env.World.Peers.GetOrAdd(&link.Peer{Hello: wire.Hello{VM: vm}})
 		}
 		runFor(env, tracker, watcher, tables.Mail{}, time.Second)
-		must.Eq(t, 0, register.writes, must.Sprintf("cause %s, peers %d", register.row.Cause, env.World.Peers.Len()))
+		must.Eq(t, 0, planStore.writes, must.Sprintf("cause %s, peers %d", planStore.row.Cause, env.World.Peers.Len()))
 		// The peers have no connection, so the links are removed directly.
 		env.World.Peers.EachRow(func(p *link.Peer, _ *tables.PeerRow) { env.World.Peers.Remove(p) })
 		runFor(env, tracker, watcher, tables.Mail{}, 500*time.Millisecond)
-		test.Eq(t, 0, register.writes, test.Sprintf("cause %s, half a second after the links were lost", register.row.Cause))
+		test.Eq(t, 0, planStore.writes, test.Sprintf("cause %s, half a second after the links were lost", planStore.row.Cause))
 		runFor(env, tracker, watcher, tables.Mail{}, 4*time.Second)
-		test.Eq(t, 0, register.writes, test.Sprintf("cause %s, long after the links were lost", register.row.Cause))
+		test.Eq(t, 0, planStore.writes, test.Sprintf("cause %s, long after the links were lost", planStore.row.Cause))
 	})
 }
 
@@ -90,13 +90,13 @@
 		plan := testPlan("s", 8, 12, rollout.Canary)
 		plan.Canaries = []string{"b"}
 		plan.Since, plan.Began, plan.Deadline = time.Hour-time.Second, time.Hour-5*time.Second, time.Hour+50*time.Second
-		register := &fakePlanStore{row: plan}
-		env, tracker, watcher := newTestWatcher(t, register)
+		planStore := &fakePlanStore{row: plan}
+		env, tracker, watcher := newTestWatcher(t, planStore)
 		for _, vm := range []string{"b", "c", "d"} {
 			env.World.Members.Merge(1, nil, wire.Member{VM: vm, Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 		}
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, 1300*time.Millisecond)
-		test.Eq(t, []string{"b"}, register.row.Canaries, test.Sprintf("rank %d, %d writes", watcher.rank, register.writes))
+		test.Eq(t, []string{"b"}, planStore.row.Canaries, test.Sprintf("rank %d, %d writes", watcher.rank, planStore.writes))
 	})
 }
 
@@ -105,15 +105,15 @@
 // linkSettleTime.
 func TestFirstPlanWaitsForVersions(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		register := &fakePlanStore{}
-		env, tracker, watcher := newTestWatcher(t, register)
+		planStore := &fakePlanStore{}
+		env, tracker, watcher := newTestWatcher(t, planStore)
 		env.World.Members.Merge(1, nil, wire.Member{VM: env.World.VM, Service: "s", Version: "v2", Revision: 1, Slots: 12})
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Slots: 12})
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, linkSettleTime/2)
-		test.Eq(t, 0, register.writes)
+		test.Eq(t, 0, planStore.writes)
 		runFor(env, tracker, watcher, tables.Mail{}, 2*linkSettleTime)
-		test.Eq(t, 1, register.writes)
-		test.Eq(t, rollout.Waiting, register.row.Phase)
+		test.Eq(t, 1, planStore.writes)
+		test.Eq(t, rollout.Waiting, planStore.row.Phase)
 	})
 }
 
@@ -123,11 +123,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		plan := testPlan("s", 8, 12, rollout.Canary)
 		plan.Since, plan.Began, plan.Deadline = time.Hour-time.Second, time.Hour-55*time.Second, time.Hour+5*time.Second
-		register := &fakePlanStore{row: plan}
-		env, tracker, watcher := newTestWatcher(t, register)
+		planStore := &fakePlanStore{row: plan}
+		env, tracker, watcher := newTestWatcher(t, planStore)
 		env.World.Members.Merge(1, nil, wire.Member{VM: "b", Service: "s", Version: "v2", State: wire.MemberLive, Backend: wire.BackendLive, Slots: 12})
 		runFor(env, tracker, watcher, tables.Mail{RolloutOrders: testOrders(9, testOrder("s", 8))}, 5*time.Second)
-		test.Eq(t, rollout.RolledBack, register.row.Phase)
-		test.Less(t, plan.Deadline, register.row.Since)
+		test.Eq(t, rollout.RolledBack, planStore.row.Phase)
+		test.Less(t, plan.Deadline, planStore.row.Since)
 	})
 }
--- a/pkg/systems/rollouts.go
+++ b/pkg/systems/rollouts.go
@@ -13,9 +13,9 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// updateResendAfter is how long all that is known of roll-outs is not sent again to a
-// peer whose digest remains different. The peer may run a release that does not support
-// roll-outs.
+// updateResendAfter is the least time before all that is known of roll-outs is sent again
+// to a peer whose digest remains different, for instance because it runs a release that
+// does not support roll-outs.
 const updateResendAfter = 2 * time.Second
 
 // rolloutTracker keeps what is known of roll-outs (World.Rollouts) up to date from the
@@ -37,9 +37,9 @@
 	startedAt int64
 }
 
-// soleVersion is the only version of a service's members and since when it has been;
-// version is empty if there are several or one is not known. changes is the change count
-// of the members that it was computed from.
+// soleVersion is the only version of a service's members; version is empty if there are
+// several or one is not known. since is when that was first seen, in nanoseconds. changes
+// is the service's change count in the table of members when version was computed.
 type soleVersion struct {
 	changes uint64
 	version string
@@ -131,9 +131,10 @@
 	}
 	since := sole.since
 	if service != ro.Settings.BackendServer.Service {
-		// Of another service this daemon is only an entry, and watches its versions only
-		// from its order on. It must not refuse requests during the delay, so the delay
-		// counts from this daemon's start. The executors of the service enforce it.
+		// This daemon is only an entry for another service, and tracks the versions of
+		// that service only once there is an order for it. It must not refuse requests
+		// during the delay, so the delay counts from this daemon's start. The executors
+		// of the service enforce the whole delay.
 		since = ro.startedAt
 	}
 	if now-since < int64(soleVersionDelay) {
@@ -170,10 +171,10 @@
 // apply merges an update into World.Rollouts, publishes the result, and sends what
 // changed to the peers. from is the peer that sent the update, or nil.
 func (ro *rolloutTracker) apply(update rollout.Update, from *link.Peer) {
-	book := ro.World.Rollouts
-	digest, oldOrders := book.Digest(), book.Snapshot().Orders
-	changed := book.Merge(update)
-	if book.Digest() == digest {
+	replica := ro.World.Rollouts
+	digest, oldOrders := replica.Digest(), replica.Snapshot().Orders
+	changed := replica.Merge(update)
+	if replica.Digest() == digest {
 		return
 	}
 	ro.publish()
@@ -188,11 +189,11 @@
 		ro.logStop(service, from)
 		ro.logPlan(service, from)
 	}
-	frame := &wire.RolloutNews{Update: updateFor(book.Snapshot(), changed)}
+	frame := &wire.RolloutNews{Update: updateFor(replica.Snapshot(), changed)}
 	ro.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
 		// Heartbeats that are on their way still have the old digest. They must not cause
 		// another transfer.
-		row.RolloutsSentDigest, row.RolloutsSentAt = book.Digest(), ro.now
+		row.RolloutsSentDigest, row.RolloutsSentAt = replica.Digest(), ro.now
 		if peer != from {
 			_ = peer.Send(frame)
 		}
@@ -219,18 +220,18 @@
 // publish publishes the traffic rules of all roll-outs for the handling of requests, and
 // the digest for heartbeats.
 func (ro *rolloutTracker) publish() {
-	book := ro.World.Rollouts
+	replica := ro.World.Rollouts
 	view := &tables.RolloutView{Traffic: map[string]*rollout.TrafficPolicy{}}
-	snapshot := book.Snapshot()
+	snapshot := replica.Snapshot()
 	if len(snapshot.Orders.List)+len(snapshot.Plans)+len(snapshot.Stops) > 0 {
-		view.Digest = book.Digest()
+		view.Digest = replica.Digest()
 	}
 	for _, o := range snapshot.Orders.List {
-		view.Traffic[o.Service] = book.Traffic(o.Service)
+		view.Traffic[o.Service] = replica.Traffic(o.Service)
 	}
 	for i := range snapshot.Plans {
 		service := snapshot.Plans[i].Service
-		view.Traffic[service] = book.Traffic(service)
+		view.Traffic[service] = replica.Traffic(service)
 	}
 	ro.World.View.SetRollouts(view)
 }
--- a/pkg/systems/rollouts_test.go
+++ b/pkg/systems/rollouts_test.go
@@ -91,7 +91,7 @@
 	})
 }
 
-// fakePlanStore is a register whose writes fail as the test says. It counts the calls.
+// fakePlanStore is a PlanStore whose writes fail as the test says. It counts the calls.
 type fakePlanStore struct {
 	mu     sync.Mutex
 	row    rollout.Plan
@@ -138,8 +138,8 @@
 			env := testEnv()
 			env.DaemonContext = t.Context()
 			env.Settings.BackendServer.Service = "s"
-			register := &fakePlanStore{writeErrs: c.writeErrs, writeApplies: c.writeApplies}
-			env.PlanStore = register
+			planStore := &fakePlanStore{writeErrs: c.writeErrs, writeApplies: c.writeApplies}
+			env.PlanStore = planStore
 			rows := newPlanRows(env)
 			applyResults := func() {
 				synctest.Wait()
@@ -157,8 +157,8 @@
 			test.False(t, rows.ensureRead(env.Now(), "s"), test.Sprint(name))
 			applyResults()
 			test.True(t, rows.ensureRead(env.Now(), "s"), test.Sprint(name))
-			test.Eq(t, 2, register.reads, test.Sprint(name))
-			test.Eq(t, 1, register.writes, test.Sprint(name))
+			test.Eq(t, 2, planStore.reads, test.Sprint(name))
+			test.Eq(t, 1, planStore.writes, test.Sprint(name))
 			test.Between(t, time.Hour, rows.storeNow(env.Now()), time.Hour+2*planRetryDelayMax, test.Sprint(name))
 		})
 	}
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -16,11 +16,12 @@
 	// maxWatchers is the number of watchers of a roll-out. Two of them may be down at
 	// once.
 	maxWatchers = 3
-	// writeDelayPerRank times its rank is how long a watcher waits for those of lower rank to
-	// write a plan that is due. A write to a healthy store takes some 10 ms.
+	// writeDelayPerRank is the delay with which a watcher writes a plan that is due,
+	// multiplied by its rank, so that watchers of lower rank can write it first. A write
+	// to a healthy store takes some 10 ms.
 	writeDelayPerRank = 400 * time.Millisecond
-	// evaluationInterval is the time between two evaluations of the evidence. Each executor
-	// sends four reports a second.
+	// evaluationInterval is the time between two evaluations of the evidence. Each
+	// executor sends four reports a second.
 	evaluationInterval = 50 * time.Millisecond
 	// unreachableAfter is how long a member must have had no link to this daemon to count
 	// as unreachable. Opening links again after a restart takes less.
@@ -46,13 +47,13 @@
 	lastLinkedAt map[string]int64
 	// everLinked are the VMs that ever had a link with this daemon.
 	everLinked map[string]bool
-	// unlinkedAt is when this daemon last had no link to another member of the service
-	// although there was one.
+	// unlinkedAt is when this daemon last had no link to any other member of the service
+	// although the service had one.
 	unlinkedAt int64
 	// orderBegunAt is when this daemon began to evaluate evaluatedOrder, in nanoseconds.
 	orderBegunAt int64
 	// inFlightPeaks are the recent peaks of requests in flight, by VM.
-	inFlightPeaks map[string]inFlightPeak
+	inFlightPeaks   map[string]inFlightPeak
 	evaluationTimer intervalTimer
 	// nextPlanDueSince is since when a plan has been due after the one with revision
 	// nextPlanDueAfter; 0: none is due.
@@ -188,8 +189,9 @@
 	return verdict
 }
 
-// decide decides on the next plan, and writes it if one is due. A watcher of a higher
-// rank writes it only if those before it have not done so in time.
+// decide decides on the next plan, and writes it if one is due. A watcher
+// waits writeDelayPerRank for each one of lower rank, and writes the plan only if none of
+// them has done so.
 func (w *rolloutWatcher) decide(now int64, service string, order rollout.Order, plan rollout.Plan, verdict rollout.Verdict) {
 	if !w.plans.ensureRead(now, service) {
 		return
--- a/pkg/systems/rowsweeper.go
+++ b/pkg/systems/rowsweeper.go
@@ -25,9 +25,9 @@
 )
 
 // rowSweeper deletes outdated rows under a prefix of the store: those that the previous
-// sweep has seen unchanged. It cannot go by time, since rows carry none and the clocks of
-// VMs differ. One daemon per data centre sweeps; if several do, each row is still deleted
-// once.
+// sweep has seen unchanged. It does not compute the age of a row, since rows contain no
+// time and the clocks of VMs differ. One daemon per data centre sweeps; if several do,
+// each row is still deleted once.
 type rowSweeper struct {
 	*Env
 	prefix string
--- a/pkg/systems/sample_test.go
+++ b/pkg/systems/sample_test.go
@@ -12,7 +12,7 @@
 )
 
 // countFollowers returns how many daemons take themselves for followers of the feed in a
-// data centre of some size, if each has links to its sample and to some other daemons.
+// data centre of size daemons, if each has links to its sample and to others more.
 func countFollowers(size, others int) (count int) {
 	for self := range size {
 		env := testEnv()
--- a/pkg/systems/systems.go
+++ b/pkg/systems/systems.go
@@ -58,12 +58,12 @@
 	// PlanStore stores the plans of roll-outs; nil if this daemon carries none out.
 	// RolloutLimits are the platform's limits for them, the zero value if it has none.
 	// Recorder counts the outcomes of requests during a roll-out.
-	PlanStore      rollout.PlanStore
+	PlanStore     rollout.PlanStore
 	RolloutLimits rollout.Limits
 	Recorder      *rollout.Recorder
 	// Feed delivers placement documents, evacuations and roll-out orders that operators
-	// write to the store themselves. If it is nil, rushramp's own head in the store is
-	// read instead.
+	// write to the store themselves. If it is nil, the systems read the placement head
+	// that rushramp writes to the store instead.
 	Feed placement.Feed
 	// Registrar writes this VM's entry to the list of VMs; nil if the platform maintains
 	// the list.
@@ -72,8 +72,8 @@
 	DialOptions link.DialOptions
 	// DaemonContext is cancelled when the daemon stops.
 	DaemonContext context.Context
-	// SweepOnceRows deletes old rows of never-repeat calls from the store and returns how
-	// many; nil if nothing is to be swept.
+	// SweepOnceRows deletes expired rows of never-repeat calls from the store and returns
+	// how many; nil if nothing is to be swept.
 	SweepOnceRows func(ctx context.Context) (deleted int, err error)
 	// Leave starts to drain the daemon and returns at once.
 	Leave func()
--- a/pkg/systems/vmlist.go
+++ b/pkg/systems/vmlist.go
@@ -11,7 +11,8 @@
 )
 
 // vmListReader reads the platform's list of VMs. A daemon that has just started reads the
-// whole list; after that the readers of a data centre read the part of this data centre.
+// whole list; after that the readers of a data centre read only the entries of one data
+// centre at a time, mostly their own.
 type vmListReader struct {
 	*Env
 	firstTimer intervalTimer
@@ -22,7 +23,7 @@
 	// listRead is true once the whole list was read, or is not needed because peers sent
 	// the members.
 	listRead atomic.Bool
-	// reads counts the reads of parts.
+	// reads counts the reads of one data centre's entries.
 	reads int
 	// firstReadAt is when the list is first read at the first start of the fleet, in
 	// nanoseconds.
@@ -32,9 +33,9 @@
 // firstListInterval is the longest time between two attempts to read the whole list.
 const firstListInterval = time.Second
 
-// readsPerNextDataCentreRead is how many reads of a reader there are per one of the next data
-// centre's part. A data centre that has failed as a whole has no readers left that could
-// notice it.
+// readsPerNextDataCentreRead is the interval, in reads, at which a reader reads the
+// entries of the next data centre instead of its own. A data centre that has failed as a
+// whole has no readers left that could notice it.
 const readsPerNextDataCentreRead = 5
 
 // At the first start of the fleet all daemons write their entries at the same moment, so
@@ -66,15 +67,17 @@
 	if !v.firstTimer.fires(now, min(interval, firstListInterval)) {
 		return
 	}
-	// While the table fills, too many daemons take themselves for readers, so parts are
-	// read only one interval later.
+	// While the table fills, too many daemons take themselves for readers, so the next
+	// read follows only one interval later.
 	v.timer.nextAt = now + int64(interval)
 	v.startRead("")
 }
 
-func (v *vmListReader) startRead(part string) {
+// startRead reads the entries of a data centre, or the whole list if dataCentre is empty,
+// unless a read is running.
+func (v *vmListReader) startRead(dataCentre string) {
 	if v.reading.CompareAndSwap(false, true) {
-		go v.read(part)
+		go v.read(dataCentre)
 	}
 }
 
@@ -106,8 +109,8 @@
 	}
 }
 
-// nextDataCentre returns the data centre whose part is read next: the own one, and sometimes
-// the one after it by name.
+// nextDataCentre returns the data centre whose entries are read next: the own one, and
+// once in readsPerNextDataCentreRead reads the one after it by name.
 func (v *vmListReader) nextDataCentre() string {
 	v.reads++
 	own := v.World.DataCentre
@@ -130,16 +133,16 @@
 	return next
 }
 
-func (v *vmListReader) read(part string) {
+func (v *vmListReader) read(dataCentre string) {
 	defer v.reading.Store(false)
 	ctx, cancel := context.WithTimeout(v.DaemonContext, v.Settings.Platform.Timeout)
 	defer cancel()
-	vms, err := v.Platform.VMs(ctx, part)
+	vms, err := v.Platform.VMs(ctx, dataCentre)
 	v.outage.Record(err)
 	if err != nil {
 		return
 	}
 	v.listRead.Store(true)
-	list := &tables.VMList{DataCentre: part, VMs: vms}
+	list := &tables.VMList{DataCentre: dataCentre, VMs: vms}
 	v.World.Inbox.Post(false, func(m *tables.Mail) { m.VMList = list })
 }
