--- a/pkg/systems/heartbeattiming.go
+++ b/pkg/systems/heartbeattiming.go
@@ -10,10 +10,11 @@
 	// unitsPerHeartbeat is the setting links.heartbeat in the unit of the intervals
 	// here, which is 1/32 of it.
 	unitsPerHeartbeat = 32
-	// maxInterval is the longest heartbeat interval of idle links, for a large fleet, in
-	// units of links.heartbeat/unitsPerHeartbeat. Departures and placement versions do
-	// not wait for a heartbeat, and closeUnresponsive checks links with calls.
-	maxInterval = 4 * unitsPerHeartbeat
+	// maxHeartbeatInterval is the longest heartbeat interval of idle links, for a large
+	// fleet, in units of links.heartbeat/unitsPerHeartbeat. Departures and placement
+	// versions do not wait for a heartbeat, and closeUnresponsive checks links with
+	// calls.
+	maxHeartbeatInterval = 4 * unitsPerHeartbeat
 	// largeFleetAssumedFor is for how long after the first start the fleet counts as
 	// large. Its size is not known until links are open, and with links.heartbeat as the
 	// interval most of the traffic between data centres would be heartbeats.
@@ -31,12 +32,12 @@
 // firstStart is true at the first start of the fleet.
 func (heartbeatTiming) intervals(now int64, members int, firstStart bool) (interval, silence time.Duration) {
 	if firstStart && now < int64(largeFleetAssumedFor) {
-		return maxInterval, link.MaxMissedHeartbeats * maxInterval
+		return maxHeartbeatInterval, link.MaxMissedHeartbeats * maxHeartbeatInterval
 	}
-	interval = intervalFor(members)
+	interval = heartbeatIntervalFor(members)
 	return interval, link.MaxMissedHeartbeats * interval
 }
 
-func intervalFor(members int) time.Duration {
-	return time.Duration(min(max(members, unitsPerHeartbeat), maxInterval))
+func heartbeatIntervalFor(members int) time.Duration {
+	return time.Duration(min(max(members, unitsPerHeartbeat), maxHeartbeatInterval))
 }
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -189,9 +189,9 @@
 	return verdict
 }
 
-// decide decides on the next plan, and writes it if one is due. A watcher
-// waits writeDelayPerRank for each one of lower rank, and writes the plan only if none of
-// them has done so.
+// decide decides on the next plan, and writes it if one is due. A watcher waits
+// writeDelayPerRank for each one of lower rank, and writes the plan only if none of them
+// has done so.
 func (w *rolloutWatcher) decide(now int64, service string, order rollout.Order, plan rollout.Plan, verdict rollout.Verdict) {
 	if !w.plans.ensureRead(now, service) {
 		return
