--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -138,8 +138,8 @@
 		SweepOnceRows: claims.Sweep,
 		Leave:         d.Leave,
 		Feed:          adapter.Feed, Registrar: adapter.Registrar,
-		Runner:   d.callRunner(),
-		Rollouts: adapter.Rollouts, RolloutLimits: adapter.Bounds.rolloutLimits(),
+		Runner:    d.callRunner(),
+		PlanStore: adapter.Rollouts, RolloutLimits: adapter.Bounds.rolloutLimits(),
 	}
 	if adapter.Feed == nil {
 		d.env.Evacuation = evacuation.NewRegister(opts.Platform)
@@ -147,7 +147,7 @@
 	}
 	if d.routed != nil {
 		d.env.RoutedRunner, d.env.Backend, d.env.Recorder = d.routed.runner, d.routed.lifecycle, d.routed.recorder
-		d.env.Trial = d.routed.runner.Enforcer()
+		d.env.Enforcer = d.routed.runner.Enforcer()
 	} else if d.Executor != nil && s.BackendServer.Version != "" {
 		d.setUpEnforcer()
 	}
--- a/pkg/systems/planrows.go
+++ b/pkg/systems/planrows.go
@@ -153,7 +153,7 @@
 // stopped; without it, the version that the order names gets no requests. If the
 // service runs somewhere, its watchers read the plan and send it to the other daemons.
 func (p *planRows) readMissingPlans(now int64) {
-	if p.Rollouts == nil {
+	if p.PlanStore == nil {
 		return
 	}
 	for _, order := range p.World.Rollouts.Snapshot().Orders.List {
@@ -177,9 +177,9 @@
 }
 
 // isPlanReader reports whether no reachable member runs the service, and this daemon is
-// one of the first of the fleet by rendezvous hash on the service's name.
+// one of the first maxWatchers of the fleet by rendezvous hash on the service's name.
 func (p *planRows) isPlanReader(service string) bool {
-	isRun, ahead := false, 0
+	isRunning, rank := false, 0
 	own := utils.RendezvousWeight(service, p.World.VM)
 	p.World.Members.EachRow(func(row int) {
 		endpoint := p.World.Members.Endpoint[row]
@@ -187,24 +187,24 @@
 		if p.World.Members.Leaving(row) || unreached {
 			return
 		}
-		isRun = isRun || endpoint.Service == service
+		isRunning = isRunning || endpoint.Service == service
 		if utils.RendezvousWeight(service, endpoint.VM) > own {
-			ahead++
+			rank++
 		}
 	})
-	return !isRun && ahead < maxWatchers
+	return !isRunning && rank < maxWatchers
 }
 
 // read starts to read the plan of a service.
 func (p *planRows) read(service string) {
-	p.call(service, false, func(ctx context.Context) (rollout.StoredPlan, error) { return p.Rollouts.Read(ctx, service) })
+	p.call(service, false, func(ctx context.Context) (rollout.StoredPlan, error) { return p.PlanStore.Read(ctx, service) })
 }
 
 // write starts to write a plan. The write conflicts unless the row in the store has the
 // version plan.Revision.
 func (p *planRows) write(plan rollout.Plan) {
 	p.call(plan.Service, true, func(ctx context.Context) (rollout.StoredPlan, error) {
-		return rollout.StoredPlan{}, p.Rollouts.Write(ctx, plan)
+		return rollout.StoredPlan{}, p.PlanStore.Write(ctx, plan)
 	})
 }
 
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -22,24 +22,24 @@
 	// isInformed is true once this daemon has received the crashes that other daemons
 	// knew before its start.
 	isInformed bool
-	// greetedLinks is the number of links ever added when the new ones were last
-	// greeted (greetNewLinks).
-	greetedLinks uint64
+	// sentAtAddedCount is the value of Peers.AddedCount when all crashes and completions
+	// were last sent over the new links.
+	sentAtAddedCount uint64
 	// loggedHeld are the contents that were last logged as held.
 	loggedHeld map[quarantine.Fingerprint]struct{}
 	// ownRows are the contents that ran when this VM's backend server crashed. This
 	// daemon writes their rows in the store.
 	ownRows map[quarantine.Fingerprint]*heldRow
-	// writing is true while a row is written, writeDue is when the next may be.
-	writing  bool
-	writeDue intervalTimer
-	// reading is true while the rows are read, readDue is when they may be read again,
-	// and readDelay is the mean delay after that read.
+	// writing is true while a row is written, writeTimer is due when the next may be.
+	writing    bool
+	writeTimer intervalTimer
+	// reading is true while the rows are read, readTimer is due when they may be read
+	// again, and readDelay is the mean delay after that read.
 	reading   atomic.Bool
-	readDue   intervalTimer
+	readTimer intervalTimer
 	readDelay time.Duration
-	// releaseCheckDue is when to check again whether held contents may run again.
-	releaseCheckDue intervalTimer
+	// releaseCheckTimer is due when to check again whether held contents may run again.
+	releaseCheckTimer intervalTimer
 }
 
 // releaseCheckInterval is the time between two checks whether held contents may run
@@ -65,7 +65,7 @@
 		q.isInformed = q.isInformed || p.Frame.Informed
 	}
 	q.sendReports(own, received)
-	q.greetNewLinks(now)
+	q.sendToNewLinks(now)
 	q.logHeldChanges(now, &own, &received)
 	if mail.StoreRestored {
 		for _, row := range q.ownRows {
@@ -119,13 +119,13 @@
 	})
 }
 
-// greetNewLinks sends all known crashes and completions over each new link, once this
+// sendToNewLinks sends all known crashes and completions over each new link, once this
 // daemon is informed.
-func (q *quarantines) greetNewLinks(now int64) {
-	if !q.isInformed || q.greetedLinks == q.World.Peers.AddedCount() {
+func (q *quarantines) sendToNewLinks(now int64) {
+	if !q.isInformed || q.sentAtAddedCount == q.World.Peers.AddedCount() {
 		return
 	}
-	q.greetedLinks = q.World.Peers.AddedCount()
+	q.sentAtAddedCount = q.World.Peers.AddedCount()
 	all := q.Quarantine.Snapshot(now)
 	frame := &wire.Quarantine{Crashes: all.Crashes, Completions: all.Completions, Informed: true}
 	q.World.Peers.EachRow(func(peer *link.Peer, row *tables.PeerRow) {
@@ -133,7 +133,7 @@
 			return
 		}
 		row.QuarantinesSent = true
-		// An error needs no handling: the end of a closed link is reported as an event.
+		// A closed link is removed from the table by its LinkEvent.
 		_ = peer.Send(frame)
 	})
 }
@@ -147,7 +147,7 @@
 			}
 		}
 	}
-	if len(own.Completions)+len(received.Completions) == 0 && !q.releaseCheckDue.fires(now, releaseCheckInterval) {
+	if len(own.Completions)+len(received.Completions) == 0 && !q.releaseCheckTimer.fires(now, releaseCheckInterval) {
 		return
 	}
 	for content := range q.loggedHeld {
--- a/pkg/systems/quotas.go
+++ b/pkg/systems/quotas.go
@@ -32,11 +32,11 @@
 	// isMemberCountKnown is true once this daemon knows how many daemons share the
 	// limits.
 	isMemberCountKnown bool
-	// drawnMemberChanges and drawnUnreachedChanges are the change counts of the members
-	// and of the unreached endpoints when the counters were last chosen. hasDrawn is
-	// true once they have been.
-	drawnMemberChanges, drawnUnreachedChanges uint64
-	hasDrawn                                  bool
+	// chosenAtMemberChanges and chosenAtUnreachedChanges are the change counts of the
+	// members and of the unreached endpoints when the counters were last chosen.
+	// hasChosen is true once they have been chosen.
+	chosenAtMemberChanges, chosenAtUnreachedChanges uint64
+	hasChosen                                       bool
 	// liveMembers is the number of members that were not leaving at that time.
 	liveMembers uint32
 	// rankedFrom is the state of the links from which ranked was computed.
@@ -88,10 +88,10 @@
 // them too: it may be running and use its share.
 func (q *quotas) chooseCounters() {
 	changes := q.World.Members.ChangeCount()
-	if q.hasDrawn && changes == q.drawnMemberChanges && q.drawnUnreachedChanges == q.World.UnreachedChanges {
+	if q.hasChosen && changes == q.chosenAtMemberChanges && q.chosenAtUnreachedChanges == q.World.UnreachedChanges {
 		return
 	}
-	q.hasDrawn, q.drawnMemberChanges, q.drawnUnreachedChanges = true, changes, q.World.UnreachedChanges
+	q.hasChosen, q.chosenAtMemberChanges, q.chosenAtUnreachedChanges = true, changes, q.World.UnreachedChanges
 	q.liveMembers = 0
 	var reachable []*tables.Endpoint
 	q.World.Members.EachRow(func(row int) {
@@ -178,8 +178,7 @@
 		byVM[vm] = candidate{vm: vm, leaving: row.Leaving, incarnation: incarnation, peer: quota.Peer{
 			Process: processID(peer), Link: peer,
 			Send: func(ask *quota.Ask) {
-				// An error needs no handling: the end of a closed link is reported as an
-				// event.
+				// A closed link is removed from the table by its LinkEvent.
 				_ = peer.Send(&wire.QuotaAsk{Ask: *ask})
 			},
 		}}
--- a/pkg/systems/rolloutguard.go
+++ b/pkg/systems/rolloutguard.go
@@ -32,25 +32,26 @@
 	tracker *rolloutTracker
 	watcher *rolloutWatcher
 	// admitted is the backend server that was admitted for good: its version is not new
-	// to the service. passed is the one that may run now; a member that has not reported
-	// its version yet may still show that its version is new.
-	admitted backendInstance
-	passed   backendInstance
+	// to the service. permitted is the one that may run requests now. It is not admitted
+	// yet if its version may prove new once all members have reported theirs.
+	admitted  backendInstance
+	permitted backendInstance
 	// firstSeen is when each version of the service was first seen, in nanoseconds.
-	// seenChanges is the change count of the service's members at the last look.
+	// seenChanges is the ServiceChangeCount of the table of members when firstSeen was
+	// last updated.
 	firstSeen   map[string]int64
 	seenChanges uint64
-	// current is the backend server that newVersionReason last looked at, currentSince
-	// is when it appeared.
+	// current is the backend server that newVersionReason last checked, currentSince is
+	// when it first checked that one, in nanoseconds.
 	current      backendInstance
 	currentSince int64
 	// watchedAt is when a watcher last had a link to this daemon, or none was needed.
 	watchedAt int64
-	// inForce is the guard that was last given to the executor, loggedReason the last
-	// logged reason why it refuses requests.
+	// inForce is the guard that was last given to the Enforcer, loggedReason the last
+	// logged reason why the executor refuses requests.
 	inForce      rollout.Guard
 	loggedReason string
-	reportDue    intervalTimer
+	reportTimer  intervalTimer
 }
 
 // backendInstance is an incarnation of the backend server, with its version.
@@ -58,9 +59,9 @@
 
 func newRolloutGuard(env *Env, tracker *rolloutTracker, watcher *rolloutWatcher) *rolloutGuard {
 	g := &rolloutGuard{Env: env, tracker: tracker, watcher: watcher, firstSeen: map[string]int64{}}
-	if env.Trial != nil && env.RolloutLimits.StopWithin > 0 {
+	if env.Enforcer != nil && env.RolloutLimits.StopWithin > 0 {
 		g.inForce.BlockReason, g.loggedReason = noBackendSeen, noBackendSeen
-		env.Trial.SetGuard(&rollout.Guard{BlockReason: noBackendSeen})
+		env.Enforcer.SetGuard(&rollout.Guard{BlockReason: noBackendSeen})
 	}
 	return g
 }
@@ -71,7 +72,7 @@
 
 // Tick implements System.
 func (g *rolloutGuard) Tick(now int64, _ *tables.Mail) {
-	if g.Trial == nil || g.Backend == nil {
+	if g.Enforcer == nil || g.Backend == nil {
 		return
 	}
 	service := g.Settings.BackendServer.Service
@@ -82,20 +83,20 @@
 	if reason == "" {
 		reason = g.unwatchedReason(now, service)
 	}
-	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, BlockReason: reason, Instance: g.passed.name})
-	if g.reportDue.fires(now, reportInterval) {
+	g.enforce(rollout.Guard{Traffic: g.World.Rollouts.Traffic(service), Revision: plan.Revision, BlockReason: reason, Instance: g.permitted.name})
+	if g.reportTimer.fires(now, reportInterval) {
 		g.sendReport(now, service)
 	}
 }
 
-// enforce gives a changed guard to the executor, and logs a changed reason for refusing
+// enforce gives a changed guard to the Enforcer, and logs a changed reason for refusing
 // requests.
 func (g *rolloutGuard) enforce(guard rollout.Guard) {
 	if guard != g.inForce {
 		g.inForce = guard
-		g.Trial.SetGuard(&guard)
+		g.Enforcer.SetGuard(&guard)
 	}
-	reason := g.Trial.RefusalReason()
+	reason := g.Enforcer.RefusalReason()
 	if reason == g.loggedReason {
 		return
 	}
@@ -104,16 +105,17 @@
 		events.F("version", g.Backend.Version()), events.F("revision", guard.Revision), events.F("in_flight", g.requestsInFlight()))
 }
 
-// newVersionReason returns why the backend server must wait, as its version may be new
-// to the service and the order for its roll-out not yet received; empty: it need not
-// wait. It need not wait if the service has no backend server of another version, or if
-// a known roll-out concerns its version: then the roll-out decides.
+// newVersionReason returns why the backend server must not run requests yet: its version
+// may be new to the service, and the order for its roll-out may not have been received.
+// It returns an empty string if the backend server need not wait, which is also so if the
+// service has no backend server of another version, or if a known roll-out concerns its
+// version and so decides.
 func (g *rolloutGuard) newVersionReason(now int64, service string) string {
 	current, _ := g.Backend.Current()
 	own := backendInstance{name: current.String(), version: g.Backend.Version()}
 	switch {
 	case g.RolloutLimits.StopWithin <= 0 || own.name != "" && own == g.admitted:
-		g.passed = g.admitted
+		g.permitted = g.admitted
 		return ""
 	case own.name == "":
 		return noBackendSeen
@@ -135,7 +137,7 @@
 			return "no other daemon has reported yet which roll-outs there are"
 		}
 	}
-	g.passed = own
+	g.permitted = own
 	if !early || !g.areOtherVersionsUnknown(service) {
 		g.admitted = own
 	}
@@ -192,9 +194,10 @@
 	return found
 }
 
-// unwatchedReason returns why a backend server on trial must wait, or empty: without a
-// link, no watcher sees its failures. While the roll-out is switching it need not wait:
-// the old backend servers refuse requests then, so the service would have none left.
+// unwatchedReason returns why a backend server on trial must not run requests, or an
+// empty string if it may. Without a link, no watcher sees its failures. While the
+// roll-out is switching it may run them in any case: the old backend servers refuse
+// requests then, so the service would have none left.
 func (g *rolloutGuard) unwatchedReason(now int64, service string) string {
 	order, _ := g.World.Rollouts.Order(service)
 	plan, _ := g.World.Rollouts.Plan(service)
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -16,11 +16,12 @@
 	// maxWatchers is the number of watchers of a roll-out. Two of them may be down at
 	// once.
 	maxWatchers = 3
-	// turnDelay times its rank is how long a watcher waits for those of lower rank to
-	// write a plan that is due. A write to a healthy store takes some 10 ms.
-	turnDelay = 400 * time.Millisecond
-	// evaluationInterval is the time between two evaluations of the evidence. Each executor
-	// sends four reports a second.
+	// writeDelayPerRank is the delay with which a watcher writes a plan that is due,
+	// multiplied by its rank, so that watchers of lower rank can write it first. A write
+	// to a healthy store takes some 10 ms.
+	writeDelayPerRank = 400 * time.Millisecond
+	// evaluationInterval is the time between two evaluations of the evidence. Each
+	// executor sends four reports a second.
 	evaluationInterval = 50 * time.Millisecond
 	// unreachableAfter is how long a member must have had no link to this daemon to count
 	// as unreachable. Opening links again after a restart takes less.
@@ -46,14 +47,14 @@
 	lastLinkedAt map[string]int64
 	// everLinked are the VMs that ever had a link with this daemon.
 	everLinked map[string]bool
-	// unlinkedAt is when this daemon last had no link to another member of the service
-	// although there was one.
+	// unlinkedAt is when this daemon last had no link to any other member of the service
+	// although the service had one.
 	unlinkedAt int64
 	// orderBegunAt is when this daemon began to evaluate evaluatedOrder, in nanoseconds.
 	orderBegunAt int64
 	// inFlightPeaks are the recent peaks of requests in flight, by VM.
-	inFlightPeaks map[string]inFlightPeak
-	evaluationDue intervalTimer
+	inFlightPeaks   map[string]inFlightPeak
+	evaluationTimer intervalTimer
 	// nextPlanDueSince is since when a plan has been due after the one with revision
 	// nextPlanDueAfter; 0: none is due.
 	nextPlanDueSince int64
@@ -71,7 +72,7 @@
 func (w *rolloutWatcher) Tick(now int64, mail *tables.Mail) {
 	w.plans.applyResults(now, mail.RolloutPlanResults)
 	w.plans.readMissingPlans(now)
-	if w.Rollouts == nil || w.Backend == nil {
+	if w.PlanStore == nil || w.Backend == nil {
 		return
 	}
 	service := w.Settings.BackendServer.Service
@@ -85,7 +86,7 @@
 	for _, r := range mail.RolloutReports {
 		w.recordReport(now, r)
 	}
-	if !w.evaluationDue.fires(now, evaluationInterval) {
+	if !w.evaluationTimer.fires(now, evaluationInterval) {
 		return
 	}
 	w.chooseWatchers(service, order)
@@ -188,8 +189,9 @@
 	return verdict
 }
 
-// decide decides on the next plan, and writes it if one is due. A watcher of a higher
-// rank writes it only if those before it have not done so in time.
+// decide decides on the next plan, and writes it if one is due. A watcher waits
+// writeDelayPerRank for each one of lower rank, and writes the plan only if none of them
+// has done so.
 func (w *rolloutWatcher) decide(now int64, service string, order rollout.Order, plan rollout.Plan, verdict rollout.Verdict) {
 	if !w.plans.ensureRead(now, service) {
 		return
@@ -203,7 +205,7 @@
 	if w.nextPlanDueSince == 0 || w.nextPlanDueAfter != plan.Revision {
 		w.nextPlanDueSince, w.nextPlanDueAfter = now, plan.Revision
 	}
-	if now-w.nextPlanDueSince < int64(w.rank)*int64(turnDelay) {
+	if now-w.nextPlanDueSince < int64(w.rank)*int64(writeDelayPerRank) {
 		return
 	}
 	next.Revision = w.plans.baseRevision(plan)
