--- a/pkg/atmostonce/claims_test.go
+++ b/pkg/atmostonce/claims_test.go
@@ -66,12 +66,12 @@
 	executors  []*Claims
 	requests   []*request
 	inTransit  []*request
-	permits    []heldPermit
+	permits    []unusedPermit
 	runsPerKey map[string]int
 }
 
-// heldPermit is the permit of an executor for a request that has not run yet.
-type heldPermit struct {
+// unusedPermit is the permit of an executor for a request that has not run yet.
+type unusedPermit struct {
 	request *request
 	permit  executor.Permit
 }
@@ -111,9 +111,9 @@
 	permit, result := by.Claim(r.call, hi.body(r), time.Now().Add(time.Second))
 	switch {
 	case permit != nil:
-		hi.permits = append(hi.permits, heldPermit{r, permit})
+		hi.permits = append(hi.permits, unusedPermit{r, permit})
 	case result.Answer != nil:
-		r.tell("answered")
+		r.recordTold("answered")
 	case result.Refusal.Kind == errkind.KeyMoved && r.told == "":
 		// The entry still waits, and tries again in the next generation.
 		moved := *r.call
@@ -121,12 +121,12 @@
 		r.call = &moved
 		hi.inTransit = append(hi.inTransit, r)
 	case result.Refusal.Kind != errkind.KeyMoved:
-		r.tell(result.Refusal.Ran.String())
+		r.recordTold(result.Refusal.Ran.String())
 	}
 }
 
-// tell records what the caller is told first.
-func (r *request) tell(what string) {
+// recordTold records what the caller is told first.
+func (r *request) recordTold(what string) {
 	if r.told == "" {
 		r.told = what
 	}
@@ -144,14 +144,14 @@
 	hi.modes()
 	if hi.choose(4) == 0 {
 		h.permit.Finish(nil, errkind.RanNo)
-		h.request.tell("no")
+		h.request.recordTold("no")
 		return
 	}
 	h.request.runs++
 	hi.runsPerKey[h.request.call.Key]++
 	if hi.choose(2) == 0 {
 		h.permit.Finish(&call.Answer{Status: 200, Body: []byte("done")}, errkind.RanMaybe)
-		h.request.tell("answered")
+		h.request.recordTold("answered")
 	}
 }
 
@@ -171,11 +171,11 @@
 	result := hi.executors[0].Seal(r.call, hi.body(r), errkind.New(errkind.LinkLost, "silent"))
 	switch {
 	case result.Answer != nil:
-		r.tell("answered")
+		r.recordTold("answered")
 	case result.Refusal.Kind == errkind.KeyMoved:
-		r.tell("no")
+		r.recordTold("no")
 	default:
-		r.tell(result.Refusal.Ran.String())
+		r.recordTold(result.Refusal.Ran.String())
 	}
 }
 
--- a/pkg/events/catalogue.go
+++ b/pkg/events/catalogue.go
@@ -13,8 +13,8 @@
 	Info
 	Warn
 	Error
-	// nothing is above all levels: a Log with this minimum writes nothing.
-	nothing
+	// off is above all levels: a Log with this minimum writes nothing.
+	off
 )
 
 var levelNames = [...]string{"debug", "info", "warn", "error"}
@@ -29,75 +29,75 @@
 // 6xx calls that may never be repeated, 70x and 710 platform, 76x pipelined requests on a
 // connection, 774 and 78x roll-outs.
 const (
-	DaemonStarted        ID = 101
-	DaemonReady          ID = 102
-	DaemonDraining       ID = 103
-	DaemonStopped        ID = 104
-	ListenerFailed       ID = 105
-	SettingsRead         ID = 106
-	SettingsRefused      ID = 107
-	LinesDropped         ID = 108
-	VMSuspended          ID = 109
-	LinkUp               ID = 201
-	LinkDown             ID = 202
-	LinkBadFrame         ID = 203
-	LinkRefused          ID = 204
-	LinkSurplus          ID = 205
-	LinkTraffic          ID = 206
-	PlacementInForce     ID = 301
-	PlacementRejected    ID = 302
-	PlacementChanged     ID = 303
-	PlacementUnsure      ID = 304
-	EvacuationChanged    ID = 305
-	EvacuationOrdered    ID = 306
-	MemberJoined         ID = 401
-	MemberLeaving        ID = 402
-	MemberGone           ID = 403
-	CallFault            ID = 501
-	BackendDown          ID = 502
-	BackendUp            ID = 503
-	RequestFailed        ID = 504
-	BackendState         ID = 505
-	RequestAnswered      ID = 506
-	RunEnded             ID = 507
-	RunRefused           ID = 508
-	RunAbandoned         ID = 509
-	SpeedChanged         ID = 510
-	SlotsChanged         ID = 511
-	RetryBudgetEmpty     ID = 512
-	ChecksPaused         ID = 513
-	ChecksResumed        ID = 514
-	LimitChanged         ID = 515
-	BackendCold          ID = 516
-	BackendEnded         ID = 517
-	ContentHeld          ID = 518
-	ContentReleased      ID = 519
-	InvalidRecord        ID = 520
-	QuotaCounterChanged  ID = 521
-	ClaimLost            ID = 601
-	ClaimVoided          ID = 602
-	ClaimUnknown         ID = 603
-	PlatformDown         ID = 701
-	PlatformUp           ID = 702
-	FeedReopened         ID = 703
-	FeedHistoryLost      ID = 704
-	DocumentRefused      ID = 705
-	DepartureNotStored   ID = 706
-	StoreCalls           ID = 707
-	RowsNotSwept         ID = 708
-	HeldRequestNotStored ID = 709
-	StoreRestored        ID = 710
-	PipelineAborted      ID = 760
-	PipelineFault        ID = 761
-	RolloutRefused       ID = 780
-	RolloutOrderChanged  ID = 781
-	RolloutPhase         ID = 782
-	RolloutStopped       ID = 783
-	RolloutRowFailed     ID = 784
-	RolloutGuard         ID = 785
-	RolloutWatch         ID = 786
-	RolloutDecided       ID = 787
-	RolloutOrderWritten  ID = 774
+	DaemonStarted       ID = 101
+	DaemonReady         ID = 102
+	DaemonDraining      ID = 103
+	DaemonStopped       ID = 104
+	ListenerFailed      ID = 105
+	SettingsRead        ID = 106
+	SettingsRefused     ID = 107
+	LinesDropped        ID = 108
+	VMSuspended         ID = 109
+	LinkUp              ID = 201
+	LinkDown            ID = 202
+	LinkBadFrame        ID = 203
+	LinkRefused         ID = 204
+	LinkSurplus         ID = 205
+	LinkTraffic         ID = 206
+	PlacementInForce    ID = 301
+	PlacementRejected   ID = 302
+	PlacementChanged    ID = 303
+	PlacementUnsure     ID = 304
+	EvacuationChanged   ID = 305
+	EvacuationOrdered   ID = 306
+	MemberJoined        ID = 401
+	MemberLeaving       ID = 402
+	MemberGone          ID = 403
+	CallFault           ID = 501
+	BackendDown         ID = 502
+	BackendUp           ID = 503
+	RequestFailed       ID = 504
+	BackendState        ID = 505
+	RequestAnswered     ID = 506
+	RunEnded            ID = 507
+	RunRefused          ID = 508
+	RunAbandoned        ID = 509
+	SpeedChanged        ID = 510
+	SlotsChanged        ID = 511
+	RetryBudgetEmpty    ID = 512
+	ChecksPaused        ID = 513
+	ChecksResumed       ID = 514
+	LimitChanged        ID = 515
+	BackendCold         ID = 516
+	BackendEnded        ID = 517
+	ContentQuarantined  ID = 518
+	ContentReleased     ID = 519
+	InvalidRecord       ID = 520
+	QuotaCounterChanged ID = 521
+	ClaimLost           ID = 601
+	ClaimVoided         ID = 602
+	ClaimUnknown        ID = 603
+	PlatformDown        ID = 701
+	PlatformUp          ID = 702
+	FeedReopened        ID = 703
+	FeedHistoryLost     ID = 704
+	DocumentRefused     ID = 705
+	DepartureNotStored  ID = 706
+	StoreCalls          ID = 707
+	RowsNotSwept        ID = 708
+	QuarantineNotStored ID = 709
+	StoreRestored       ID = 710
+	PipelineAborted     ID = 760
+	PipelineFault       ID = 761
+	RolloutRefused      ID = 780
+	RolloutOrderChanged ID = 781
+	RolloutPhase        ID = 782
+	RolloutStopped      ID = 783
+	RolloutRowFailed    ID = 784
+	RolloutGuard        ID = 785
+	RolloutRankChanged  ID = 786
+	RolloutDecided      ID = 787
+	RolloutOrderWritten ID = 774
 )
 
 // Entry is the catalogue's entry of an event.
@@ -159,7 +159,7 @@
 		{LimitChanged, Info, "limit on concurrent runs changed", false, "The gate has measured how many runs at once the backend server handles before they slow one another down.", "Nothing."},
 		{BackendCold, Info, "backend server became cold, or is warm again", false, "The backend server has started or become available again. While it is cold, at most most_starts requests start there per second (0: no limit).", "Nothing; requests that cannot start in time go elsewhere, or are refused."},
 		{BackendEnded, Warn, "backend server's process ended while it ran requests", false, "The connections of its running requests broke, and it refuses new ones; contents lists the id of each of these requests and the fingerprint of its content.", "Check the log of the backend server. A content that is in several such lines ends each backend server that runs it: find its request by the id in event 504."},
-		{ContentHeld, Warn, "requests of one content are held back", false, "Each backend server that ran a request of this content ended, and none has completed one since.", "Find such a request by its content in events 517 and 504, and fix what ends the backend server. The content may run again after the time in field left."},
+		{ContentQuarantined, Warn, "requests of one content are held back", false, "Each backend server that ran a request of this content ended, and none has completed one since.", "Find such a request by its content in events 517 and 504, and fix what ends the backend server. The content may run again after the time in field left."},
 		{ContentReleased, Info, "requests of one content run again", false, "The time has passed, or a backend server has completed such a request; field why says which.", "Nothing."},
 		{InvalidRecord, Warn, "invalid announcement or store row ignored", false, "An announcement, or a row of the store, lacks a field, has a field of the wrong type, holds an unknown state or service, or cannot be decoded.", "Field what names the sender or the row: find out which program writes it. Its content is not used; other announcements and rows still are."},
 		{QuotaCounterChanged, Debug, "another daemon counts the requests of teams", false, "The daemon that counted the requests of a group of teams cannot be reached, or one with a higher rank is back; counter is the VM and process of the new one.", "Nothing for a single one. While it repeats within seconds, teams may be refused below their limit: check the network between the named VMs."},
@@ -174,7 +174,7 @@
 		{DepartureNotStored, Warn, "departure was not written to the store", false, "The store did not answer in time; peers were told.", "Check the platform's store."},
 		{StoreCalls, Info, "calls to the platform's store", true, "Every ten seconds, if there were any: the calls since the last such line, by purpose and result.", "Nothing; many calls while the store answers mean that there are few links, or that links end often."},
 		{RowsNotSwept, Warn, "old rows were not deleted in the store", false, "The store did not answer in time or refused; field rows names the rows.", "Nothing for a single one: the next sweep deletes them. If it repeats, check the platform's store: the named table grows."},
-		{HeldRequestNotStored, Warn, "held request was not written to the store", false, "The store did not answer in time, or a row there cannot be decoded; peers were told.", "Nothing for a single one: it is written again. If it repeats, check the platform's store: if all daemons restart at once, they let the content run again."},
+		{QuarantineNotStored, Warn, "held request was not written to the store", false, "The store did not answer in time, or a row there cannot be decoded; peers were told.", "Nothing for a single one: it is written again. If it repeats, check the platform's store: if all daemons restart at once, they let the content run again."},
 		{StoreRestored, Warn, "store was restored from an older copy", false, "The era in the store's answers has increased: everything written after the copy is lost.", "Repeat the operators' writes since the copy. Daemons write their entries, departures and held requests again, and keep the placement that is in force."},
 		{PipelineAborted, Info, "connection closed with unanswered pipelined requests", true, "A caller's connection ended while requests on it were unanswered, or bytes after them unread: the caller closed it, a write to the caller failed, or an earlier answer closed it.", "Nothing; many such lines mean that callers disconnect early, or send requests to a daemon that is leaving."},
 		{PipelineFault, Error, "internal error while handling a pipelined request", false, "A bug in rushramp; the connection was closed without an answer.", "Report it with this line."},
@@ -185,7 +185,7 @@
 		{RolloutStopped, Warn, "roll-out's new version is worse, it receives no more requests", false, "A daemon that evaluates the roll-out found from the reports of executors that the version is worse than the old ones; cause names the route, the figures and the test.", "Check the failures and run times of the version on that route."},
 		{RolloutRowFailed, Warn, "roll-out's row was not read or written", false, "The store did not answer, or another daemon wrote first (conflict); the row is read again before the next write.", "If it repeats, check the platform's store."},
 		{RolloutGuard, Info, "backend server's part in a roll-out changed", false, "The executor now refuses or accepts requests for its backend server: the plan of the roll-out says so, or the backend server's version is new and its order may not have arrived yet, or no daemon that evaluates the roll-out receives this daemon's reports.", "Nothing; field why says which, revision is that of the plan."},
-		{RolloutWatch, Info, "daemon's rank in a roll-out changed", false, "This daemon is now, or is no longer, one of the three that evaluate the roll-out of its service; the one of rank 0 writes the plan.", "Nothing."},
+		{RolloutRankChanged, Info, "daemon's rank in a roll-out changed", false, "This daemon is now, or is no longer, one of the three that evaluate the roll-out of its service; the one of rank 0 writes the plan.", "Nothing."},
 		{RolloutDecided, Info, "roll-out's next plan decided", false, "This daemon writes a new plan to the store; the line holds the figures for the decision.", "Nothing."},
 	}
 }
--- a/pkg/events/log.go
+++ b/pkg/events/log.go
@@ -53,7 +53,7 @@
 }
 
 // Discard returns a Log that writes nothing.
-func Discard() *Log { return NewLog(io.Discard, nothing) }
+func Discard() *Log { return NewLog(io.Discard, off) }
 
 // chargingWriter passes on encoded lines, one per Write, and charges the budget for each
 // line that was accepted.
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -121,9 +121,9 @@
 // Tick starts queued calls if the gate allows more at once than before, and refuses
 // queued calls for which the backend server has become too slow.
 func (e *Executor) Tick() {
-	start, sendBack := e.gate.Tick(e.Now())
+	start, overMaxCost := e.gate.Tick(e.Now())
 	e.startJobs(start)
-	for _, job := range sendBack {
+	for _, job := range overMaxCost {
 		job.RefuseOverMaxCost()
 	}
 }
@@ -163,7 +163,7 @@
 		return func() {}
 	}
 	r.kind = kind
-	r.job = gate.Job{Class: kind.Class, Deadline: r.deadline, MaxCost: c.MaxCost, Start: r.start, RefuseOverMaxCost: r.sendBack}
+	r.job = gate.Job{Class: kind.Class, Deadline: r.deadline, MaxCost: c.MaxCost, Start: r.start, RefuseOverMaxCost: r.refuseOverMaxCost}
 	admitted, refusal := e.gate.Admit(now, &r.job)
 	switch {
 	case refusal != nil:
@@ -337,8 +337,8 @@
 	}
 }
 
-// sendBack refuses a call that Tick took out of the gate's queue.
-func (r *run) sendBack() {
+// refuseOverMaxCost refuses a call that Tick took out of the gate's queue.
+func (r *run) refuseOverMaxCost() {
 	r.stopQueueTimer()
 	r.refuse(errkind.New(errkind.Overloaded, "the backend server has slowed down since the call was queued"))
 }
--- a/pkg/ingress/conn_reader.go
+++ b/pkg/ingress/conn_reader.go
@@ -53,12 +53,13 @@
 	// bytesAfterHead counts the bytes that http.Server has read since the end of the
 	// head.
 	bytesAfterHead int64
-	// readingDirectly is true while a Read waits for the connection itself. readAhead is
-	// true once the connection is to be read ahead, pumping once pump does so. Where a
-	// Read waits for the connection, pump starts after it.
-	readingDirectly bool
-	readAhead       bool
-	pumping         bool
+	// readingDirectly is true while a Read waits for the connection itself.
+	// readAheadWanted is true once startReadAhead has been called, readAheadRunning once
+	// readAheadLoop has started. If a Read is waiting for the connection, the loop starts
+	// when that Read ends.
+	readingDirectly  bool
+	readAheadWanted  bool
+	readAheadRunning bool
 	// watching is true while a request waits to start or runs. moreBytes gets a value
 	// when bytes arrive behind that request.
 	watching  bool
@@ -91,7 +92,7 @@
 			return r.readBuffered(p), nil
 		case r.err != nil:
 			return 0, r.err
-		case !r.pumping:
+		case !r.readAheadRunning:
 			return r.readDirectly(p)
 		case r.deadlineExceeded():
 			return 0, os.ErrDeadlineExceeded
@@ -103,7 +104,7 @@
 // readBuffered returns bytes that were read ahead.
 func (r *connReader) readBuffered(p []byte) int {
 	first := &r.chunks[0]
-	n := r.endAtHead(p[:copy(p, first.data)])
+	n := r.bytesUpToHeadEnd(p[:copy(p, first.data)])
 	r.arrivedAt = first.arrivedAt
 	first.data = first.data[n:]
 	r.bufferedBytes -= n
@@ -115,8 +116,8 @@
 	return n
 }
 
-// readDirectly reads from the connection while pump does not run. It releases the lock
-// during the read, and buffers the bytes that arrive behind the end of a head.
+// readDirectly reads from the connection while readAheadLoop does not run. It releases
+// the lock during the read, and buffers the bytes that arrive behind the end of a head.
 func (r *connReader) readDirectly(p []byte) (int, error) {
 	r.readingDirectly = true
 	r.mu.Unlock()
@@ -126,7 +127,7 @@
 	if err != nil && !isTimeout(err) {
 		r.fail(err)
 	}
-	if r.readAhead {
+	if r.readAheadWanted {
 		r.startReadAhead()
 	}
 	if r.stopped {
@@ -137,7 +138,7 @@
 		return 0, err
 	}
 	r.arrivedAt = time.Now()
-	returned := r.endAtHead(p[:n])
+	returned := r.bytesUpToHeadEnd(p[:n])
 	if returned < n {
 		r.buffer(p[returned:n])
 	}
@@ -147,9 +148,9 @@
 	return returned, nil
 }
 
-// endAtHead returns how many bytes of p a Read returns: those up to the end of the head
-// where it is in p, all of them otherwise.
-func (r *connReader) endAtHead(p []byte) int {
+// bytesUpToHeadEnd returns how many bytes of p a Read returns: those up to the end of the
+// head if the head ends in p, all of them otherwise.
+func (r *connReader) bytesUpToHeadEnd(p []byte) int {
 	if !r.inHead {
 		r.bytesAfterHead += int64(len(p))
 		return len(p)
@@ -197,7 +198,7 @@
 func (r *connReader) isReadAhead() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.readAhead
+	return r.readAheadWanted
 }
 
 // lastArrival returns when the bytes arrived that http.Server read last.
@@ -244,7 +245,7 @@
 	return r.err != nil, r.unreadBytes
 }
 
-// SetReadDeadline sets the deadline of Read. The reads of pump have none.
+// SetReadDeadline sets the deadline of Read. The reads of readAheadLoop have none.
 func (r *connReader) SetReadDeadline(t time.Time) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -252,14 +253,14 @@
 	if r.stopped {
 		return nil
 	}
-	if !r.pumping {
+	if !r.readAheadRunning {
 		return r.conn.SetReadDeadline(t)
 	}
 	r.resetDeadlineTimer()
 	return nil
 }
 
-// resetDeadlineTimer makes a Read that waits for pump return at the deadline.
+// resetDeadlineTimer makes a Read that waits for readAheadLoop return at the deadline.
 func (r *connReader) resetDeadlineTimer() {
 	if r.deadlineTimer != nil {
 		r.deadlineTimer.Stop()
--- a/pkg/ingress/pipelining.go
+++ b/pkg/ingress/pipelining.go
@@ -158,9 +158,9 @@
 	c.closeNow()
 }
 
-// logPipelineCut logs that a connection has closed with unanswered requests or unread
+// logPipelineAborted logs that a connection has closed with unanswered requests or unread
 // bytes.
-func (s *Server) logPipelineCut(unanswered, unreadBytes int) {
+func (s *Server) logPipelineAborted(unanswered, unreadBytes int) {
 	s.Log.Event(events.PipelineAborted, events.F("unanswered", unanswered), events.F("unread_bytes", unreadBytes))
 }
 
--- a/pkg/ingress/read_ahead.go
+++ b/pkg/ingress/read_ahead.go
@@ -15,22 +15,22 @@
 	r.startReadAhead()
 }
 
-// startReadAhead starts pump, unless it runs, the connection has ended, or a Read waits
-// for the connection. In the last case, that Read starts pump when it ends.
+// startReadAhead starts readAheadLoop, unless it runs, the connection has ended, or a Read
+// waits for the connection. In the last case, that Read starts the loop when it ends.
 func (r *connReader) startReadAhead() {
-	r.readAhead = true
-	if r.pumping || r.readingDirectly || r.err != nil {
+	r.readAheadWanted = true
+	if r.readAheadRunning || r.readingDirectly || r.err != nil {
 		return
 	}
-	r.pumping = true
+	r.readAheadRunning = true
 	_ = r.conn.SetReadDeadline(time.Time{})
 	r.resetDeadlineTimer()
-	go r.pump()
+	go r.readAheadLoop()
 }
 
-// pump reads ahead until the connection ends. While the buffer is full, it waits. After
-// stop it discards what it reads, and only watches for the end of the connection.
-func (r *connReader) pump() {
+// readAheadLoop reads ahead until the connection ends. While the buffer is full, it waits.
+// After stop it discards what it reads, and only watches for the end of the connection.
+func (r *connReader) readAheadLoop() {
 	buf := make([]byte, maxReadBytes)
 	for {
 		n, err := r.conn.Read(buf)
--- a/pkg/ingress/server.go
+++ b/pkg/ingress/server.go
@@ -83,7 +83,7 @@
 	s.acceptor = newAcceptor(l, s, s.limits)
 	s.acceptor.hooks = connHooks{
 		pipelineLimits:    PipelineLimits{MaxRequests: limits.PipelinedRequests, MaxBytes: limits.PipelinedBytes},
-		keepAlivesStopped: s.keepAlivesStopped.Load, onClosed: s.logPipelineCut,
+		keepAlivesStopped: s.keepAlivesStopped.Load, onClosed: s.logPipelineAborted,
 	}
 	go s.acceptor.run()
 	return nil
--- a/pkg/store/instrumented_test.go
+++ b/pkg/store/instrumented_test.go
@@ -10,13 +10,13 @@
 	"github.com/shoenig/test"
 )
 
-// failing is a Platform whose Get always returns err.
-type failing struct {
+// failingPlatform is a Platform whose Get always returns err.
+type failingPlatform struct {
 	Platform
 	err error
 }
 
-func (f *failing) Get(context.Context, string) (Row, error) { return Row{}, f.err }
+func (f *failingPlatform) Get(context.Context, string) (Row, error) { return Row{}, f.err }
 
 func TestCallsAreCountedByResult(t *testing.T) {
 	set := metrics.NewSet()
@@ -24,7 +24,7 @@
 		nil: "ok", errors.Wrap(ErrNotFound, "x"): "not_found", ErrConflict: "conflict",
 		ErrHistoryGone: "history_gone", context.DeadlineExceeded: "timeout", errors.New("503"): "failed",
 	} {
-		_, got := NewInstrumented(&failing{err: err}, set).Get(t.Context(), "k")
+		_, got := NewInstrumented(&failingPlatform{err: err}, set).Get(t.Context(), "k")
 		test.True(t, got == err)
 		var out bytes.Buffer
 		set.WritePrometheus(&out)
--- a/pkg/systems/heldrows.go
+++ b/pkg/systems/heldrows.go
@@ -100,7 +100,7 @@
 		defer cancel()
 		err := q.updateRow(ctx, content, crashes)
 		if err != nil {
-			q.Log.Event(events.HeldRequestNotStored, events.F("content", content), events.F("cause", err))
+			q.Log.Event(events.QuarantineNotStored, events.F("content", content), events.F("cause", err))
 		}
 		q.World.Inbox.Post(true, func(m *tables.Mail) {
 			m.Queries = append(m.Queries, func(*tables.World) { q.finishWrite(content, len(crashes), err) })
@@ -202,7 +202,7 @@
 	err := scanAll(ctx, q.Platform, heldKeyPrefix, func(row store.Row) {
 		crashes, err := parseHeldRow(time.Now(), row)
 		if err != nil {
-			q.Log.Event(events.HeldRequestNotStored, events.F("row", row.Key), events.F("cause", err))
+			q.Log.Event(events.QuarantineNotStored, events.F("row", row.Key), events.F("cause", err))
 			return
 		}
 		frame.Crashes = append(frame.Crashes, crashes...)
--- a/pkg/systems/quarantines.go
+++ b/pkg/systems/quarantines.go
@@ -165,7 +165,7 @@
 		return
 	}
 	q.loggedHeld[content] = struct{}{}
-	q.Log.Event(events.ContentHeld, events.F("content", content),
+	q.Log.Event(events.ContentQuarantined, events.F("content", content),
 		events.F("crashes", len(q.Quarantine.CrashesAgainst(now, content))), events.F("left", events.Milliseconds(left)))
 }
 
--- a/pkg/systems/rolloutwatch.go
+++ b/pkg/systems/rolloutwatch.go
@@ -134,7 +134,7 @@
 		return
 	}
 	w.rank = rank
-	w.Log.Event(events.RolloutWatch, events.F("service", w.Settings.BackendServer.Service), events.F("rank", rank), events.F("order", order.Revision))
+	w.Log.Event(events.RolloutRankChanged, events.F("service", w.Settings.BackendServer.Service), events.F("rank", rank), events.F("order", order.Revision))
 }
 
 // beginOrder creates a new evaluator if the order has changed. Earlier reports that were
