--- a/pkg/executor/backendclient.go
+++ b/pkg/executor/backendclient.go
@@ -34,7 +34,7 @@
 const cancelTimeout = 200 * time.Millisecond
 
 // idleTimeout is the time after which an unused connection is closed. It is shorter than
-// the idle time-out of most servers, so that the server seldom closes the connection first.
+// the idle timeout of most servers, so that the server seldom closes the connection first.
 const idleTimeout = 5 * time.Second
 
 // errDial is the cause of an error of opening a connection: the call was not run.
--- a/pkg/executor/crash_test.go
+++ b/pkg/executor/crash_test.go
@@ -20,8 +20,8 @@
 	crashing.URI = "/subset/fatal"
 	var runs atomic.Int64
 	for range 2 {
-		// The stand-in that start created goes on listening, so each process of the
-		// backend server gets an address of its own.
+		// The stand-in that start created keeps its address, so each simulated process
+		// of the backend server listens at a new one.
 		address := addresses.Next().Address(9000)
 		e.Settings.BackendServer.Address, e.backend.settings.Address = address, address
 		listener, err := net.Listen("tcp", address)
--- a/pkg/executor/executor.go
+++ b/pkg/executor/executor.go
@@ -118,8 +118,8 @@
 // Stamp returns the current load.
 func (e *Executor) Stamp() wire.Stamp { return e.gate.Stamp(e.Now()) }
 
-// Tick starts queued calls if the gate allows more at once than before, and refuses
-// queued calls for which the backend server has become too slow.
+// Tick starts queued calls if the gate allows more concurrent calls than before, and
+// refuses queued calls whose expected time has grown far beyond their MaxCost.
 func (e *Executor) Tick() {
 	start, overMaxCost := e.gate.Tick(e.Now())
 	e.startJobs(start)
@@ -136,7 +136,7 @@
 	kind     *placement.CompiledKind
 	// id identifies the call to the backend server.
 	id string
-	// deadline is a time of the executor's steady clock, in nanoseconds.
+	// deadline is a time of the executor's monotonic clock, in nanoseconds.
 	deadline int64
 	job      gate.Job
 	done     func(call.Result)
@@ -177,7 +177,7 @@
 }
 
 // checkCall returns the kind of the call, or an error if this executor must not run it.
-// The entry's view of the placement may be out of date.
+// The entry may have another version of the placement.
 func (e *Executor) checkCall(c *wire.Call) (*placement.CompiledKind, *errkind.Error) {
 	if e.leaving.Load() {
 		return nil, errkind.New(errkind.Leaving, "the executor is leaving")
@@ -346,7 +346,7 @@
 // refuse ends the call with an error.
 func (r *run) refuse(refusal *errkind.Error) { r.end(call.Result{Refusal: refusal}) }
 
-// end passes the result to done, the first time that it is called.
+// end passes the result to done. Later calls of end have no effect.
 func (r *run) end(result call.Result) {
 	if !r.ended.CompareAndSwap(false, true) {
 		return
--- a/pkg/executor/rollout_test.go
+++ b/pkg/executor/rollout_test.go
@@ -59,7 +59,8 @@
 	test.NotNil(t, executeSubset(e).Answer)
 }
 
-// TestRunsAreCountedWhileARollOutIsKnown: only runs while a roll-out is known are counted.
+// TestRunsAreCountedWhileARollOutIsKnown: runs before the enforcer knows of a roll-out are
+// not counted.
 func TestRunsAreCountedWhileARollOutIsKnown(t *testing.T) {
 	e, b := start(t, nil)
 	en, recorder := newEnforcer(e, "v1")
