--- a/pkg/events/buffer.go
+++ b/pkg/events/buffer.go
@@ -12,8 +12,8 @@
 // dropped.
 var errBufferFull = errors.New("the log's buffer is full")
 
-// buffer holds lines until they are written to out, which may block. It uses at most twice
-// the memory of max: for the waiting lines and for those being written.
+// buffer holds lines until they are written to out, which may block. It uses at most
+// 2*max bytes: max for the waiting lines and max for those being written.
 type buffer struct {
 	out io.Writer
 	max int
@@ -98,7 +98,7 @@
 	return out
 }
 
-// close waits until all lines are written, at most for the time-out.
+// close waits until all lines are written, at most for the timeout.
 func (b *buffer) close(timeout time.Duration) {
 	b.once.Do(func() { close(b.closing) })
 	timer := time.NewTimer(timeout)
--- a/pkg/events/log.go
+++ b/pkg/events/log.go
@@ -186,7 +186,7 @@
 	return l.budget.total.Load()
 }
 
-// Close waits until the lines in the buffer are written, at most for the time-out.
+// Close waits until the lines in the buffer are written, at most for the timeout.
 func (l *Log) Close(timeout time.Duration) {
 	if l.buffer == nil {
 		return
--- a/pkg/events/log_test.go
+++ b/pkg/events/log_test.go
@@ -131,7 +131,7 @@
 		test.Between(t, 2*sent-200, log.Dropped(), 2*sent)
 		began := time.Now()
 		log.Close(time.Second)
-		test.Eq(t, time.Second, time.Since(began), test.Sprint("Close waits for its time-out, not for the output"))
+		test.Eq(t, time.Second, time.Since(began), test.Sprint("Close waits for its timeout, not for the output"))
 		close(output.unblock)
 	})
 }
