--- a/pkg/atmostonce/claims.go
+++ b/pkg/atmostonce/claims.go
@@ -120,7 +120,8 @@
 	return cl.rowResult(stored.Version, found, own.RequestDigest)
 }
 
-// rowResult returns the result that the row of a key gives a call with this request digest.
+// rowResult returns the result of a call with this request digest if found, the row of its
+// key with this version, prevents the claim or the seal.
 func (cl *Claims) rowResult(version uint64, found Row, digest string) call.Result {
 	expired := found.State != Claimed && time.Since(found.At) > cl.ttl
 	switch {
--- a/pkg/atmostonce/claims_test.go
+++ b/pkg/atmostonce/claims_test.go
@@ -32,8 +32,8 @@
 type request struct {
 	id   int
 	call *wire.Call
-	// told is "answered", or the Ran of the refusal that the caller received; empty while it
-	// waits.
+	// told is "answered", or the Ran of the refusal that the caller received; empty while
+	// the caller waits.
 	told string
 	// runs counts how often a backend server ran the call.
 	runs int
@@ -125,7 +125,7 @@
 	}
 }
 
-// recordTold records what the caller is told first.
+// recordTold records what the caller is told, unless it was told something before.
 func (r *request) recordTold(what string) {
 	if r.told == "" {
 		r.told = what
@@ -155,7 +155,7 @@
 	}
 }
 
-// sealOne lets an entry that hears nothing of its executor seal the key.
+// sealOne lets an entry that gets no result from its executor seal the key.
 func (hi *history) sealOne() {
 	var open []*request
 	for _, r := range hi.requests {
@@ -179,7 +179,7 @@
 	}
 }
 
-// arrive applies a delayed write.
+// applyLateWrite applies one of the writes that the store delayed.
 func (hi *history) applyLateWrite() {
 	if late := hi.table.Late(); late > 0 {
 		hi.table.Arrive(hi.choose(late))
--- a/pkg/atmostonce/writer.go
+++ b/pkg/atmostonce/writer.go
@@ -47,7 +47,8 @@
 	return &writer{Common: c, table: table, timeout: timeout, outage: events.NewOutage(c.Log, "table service")}
 }
 
-// pendingWrite is a queued write. done has room for its result.
+// pendingWrite is a queued write. done is buffered, so that sending the result never
+// blocks.
 type pendingWrite struct {
 	write store.Write
 	done  chan writeResult
@@ -61,8 +62,8 @@
 	err    error
 }
 
-// writeAndWait sends a write and waits for its result until the deadline, at most for the
-// time-out.
+// writeAndWait sends a write and waits for its result until the deadline or for the
+// timeout, whichever ends first.
 func (w *writer) writeAndWait(write store.Write, deadline time.Time) writeResult {
 	p := &pendingWrite{write: write, done: make(chan writeResult, 1)}
 	if !w.enqueue(p) {
@@ -170,11 +171,11 @@
 }
 
 // timerSlack is the delay with which timers of a running process may fire. A request that
-// takes longer than its time-out and this delay shows that the process was paused.
+// takes longer than its timeout and this delay shows that the process was paused.
 const timerSlack = 20 * time.Millisecond
 
 // wasPaused reports whether the process was paused during a request of this duration. The
-// time-out of such a request does not show that the table service is down.
+// timeout of such a request does not show that the table service is down.
 func (w *writer) wasPaused(duration time.Duration) bool {
 	return duration > w.timeout+timerSlack
 }
--- a/pkg/atmostonce/writer_test.go
+++ b/pkg/atmostonce/writer_test.go
@@ -15,7 +15,7 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// slowTable fails its first batch with a time-out, and answers the others at once.
+// slowTable fails its first batch with a timeout, and answers the others at once.
 type slowTable struct {
 	store.Table
 	// delay is the time that the first batch takes.
@@ -33,7 +33,7 @@
 }
 
 // TestATimeoutDuringAPauseDoesNotMarkTheStoreDown: the store counts as down if a request ends
-// at its time-out, but not if it takes much longer, as it does if the process is paused.
+// at its timeout, but not if it takes much longer, as it does if the process is paused.
 func TestATimeoutDuringAPauseDoesNotMarkTheStoreDown(t *testing.T) {
 	const timeout = 500 * time.Millisecond
 	for delay, refused := range map[time.Duration]bool{timeout: true, timeout + timeout/4: false, 3 * timeout: false} {
--- a/pkg/httpserver/server.go
+++ b/pkg/httpserver/server.go
@@ -1,6 +1,6 @@
-// Package httpserver starts hertz servers the way this project needs them: without
-// signal handling of their own, with an error when the address cannot be opened, and
-// with a stop that gives requests in flight a short time to end.
+// Package httpserver starts hertz servers that do not handle signals, return an error when
+// their address cannot be opened, and give requests in flight a short time to end when they
+// stop.
 package httpserver
 
 import (
