--- a/pkg/ingress/answer_bytes_test.go
+++ b/pkg/ingress/answer_bytes_test.go
@@ -16,7 +16,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// answerWith ends the run of a request with any result.
+// answerWith ends the run of a request with the result.
 func (b *fakeBackend) answerWith(t *testing.T, id string, result call.Result) {
 	t.Helper()
 	b.mu.Lock()
@@ -46,7 +46,7 @@
 	return out.String()
 }
 
-// TestDetachedAnswersEqualThoseOfHTTPServer byte for byte.
+// TestDetachedAnswersEqualThoseOfHTTPServer compares the answers byte for byte.
 func TestDetachedAnswersEqualThoseOfHTTPServer(t *testing.T) {
 	for _, method := range []string{"GET", "HEAD", "OPTIONS", "DELETE", "POST"} {
 		for _, status := range []int{42, 100, 101, 103, 199, 200, 204, 205, 206, 299, 301, 304, 404, 418, 599, 799, 1000} {
@@ -100,7 +100,7 @@
 	}
 }
 
-// TestInvalidStatusIsNotPassedOn: it would make a malformed status line.
+// TestInvalidStatusIsNotPassedOn: an invalid status would make a malformed status line.
 func TestInvalidStatusIsNotPassedOn(t *testing.T) {
 	for _, status := range []int{7, 42, 1000} {
 		bad := call.Result{Offered: true, Answer: &call.Answer{Status: status, Body: []byte("x")}}
--- a/pkg/ingress/answer_queue.go
+++ b/pkg/ingress/answer_queue.go
@@ -166,8 +166,8 @@
 	return len(q.queue) == 0 && !q.writing
 }
 
-// isFinished reports whether no further answer is written on the connection. After the
-// end of reading, an answer that is still in the queue is written before that.
+// isFinished reports whether no further answer will be written on the connection: it has
+// closed, or reading has ended and all queued answers are written.
 func (q *answerQueue) isFinished() bool {
 	q.mu.Lock()
 	defer q.mu.Unlock()
--- a/pkg/ingress/conn.go
+++ b/pkg/ingress/conn.go
@@ -79,7 +79,7 @@
 	return context.WithValue(c.ctx, connContextKey{}, c)
 }
 
-// connOf returns the connection of a request, or nil where it is no pipelinedConn.
+// connOf returns the connection of a request, or nil if it is not a pipelinedConn.
 func connOf(r *http.Request) *pipelinedConn {
 	c, _ := r.Context().Value(connContextKey{}).(*pipelinedConn)
 	return c
--- a/pkg/ingress/conn_reader.go
+++ b/pkg/ingress/conn_reader.go
@@ -169,7 +169,7 @@
 }
 
 // watch is called when http.Server has read a request whose body has bodyLength bytes.
-// From then on moreBytes tells of bytes behind it. A body of unknown length (below 0)
+// From then on, moreBytes gets a value when bytes arrive behind that request. A body of unknown length (below 0)
 // counts as followed by more bytes, because http.Server may have read them together with
 // the last piece of the body.
 func (r *connReader) watch(bodyLength int64) {
--- a/pkg/ingress/disconnect_and_stop_test.go
+++ b/pkg/ingress/disconnect_and_stop_test.go
@@ -14,8 +14,8 @@
 	"github.com/rushramp/rushramp/pkg/routing"
 )
 
-// TestDisconnectCancelsAllRuns also checks that no request starts that waits or is not
-// read yet.
+// TestDisconnectCancelsAllRuns also checks that requests that wait, or that are not read
+// yet, never start.
 func TestDisconnectCancelsAllRuns(t *testing.T) {
 	for name, s := range map[string]struct {
 		text, startedIDs string
@@ -40,8 +40,8 @@
 	}
 }
 
-// TestDisconnectBehindAFullBufferIsNoticedOnceItHasSpace: a pipe is no socket, so that
-// peerClosed cannot notice the disconnect before that.
+// TestDisconnectBehindAFullBufferIsNoticedOnceItHasSpace: an in-memory pipe is not a
+// socket, so peerClosed cannot notice the disconnect while the buffer is full.
 func TestDisconnectBehindAFullBufferIsNoticedOnceItHasSpace(t *testing.T) {
 	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 4096}, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
@@ -78,7 +78,8 @@
 	})
 }
 
-// TestNoRequestStartsAfterTheClosingAnswer: such a request counts as not read.
+// TestNoRequestStartsAfterTheClosingAnswer: a request behind the answer that closes the
+// connection counts as not read.
 func TestNoRequestStartsAfterTheClosingAnswer(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
@@ -94,8 +95,8 @@
 	})
 }
 
-// TestCloseWaitsForRunningPipelines until its context ends. Then it closes the connections
-// that are left.
+// TestCloseWaitsForRunningPipelines: Close waits until its context ends, and then closes
+// the connections that are left.
 func TestCloseWaitsForRunningPipelines(t *testing.T) {
 	withPipeline(t, PipelineLimits{MaxRequests: 3, MaxBytes: 64 << 10}, func(t *testing.T, env *pipelineEnv) {
 		full, stuck, idle := env.caller(), env.caller(), env.caller()
--- a/pkg/ingress/framing_test.go
+++ b/pkg/ingress/framing_test.go
@@ -164,8 +164,8 @@
 	}
 }
 
-// TestHeadTimeoutStartsWithTheFirstByteOfTheHead, like that of http.Server, also while
-// earlier requests are unanswered.
+// TestHeadTimeoutStartsWithTheFirstByteOfTheHead: as in http.Server, the time before that
+// byte does not count, even while earlier requests are unanswered.
 func TestHeadTimeoutStartsWithTheFirstByteOfTheHead(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
--- a/pkg/ingress/head_end.go
+++ b/pkg/ingress/head_end.go
@@ -6,12 +6,13 @@
 type headEndFinder struct {
 	// lineEnded is true after a newline, and after carriage returns that follow it.
 	lineEnded bool
-	// any is true once any byte of the head has been seen. Empty lines before the head
-	// do not end it.
+	// any is true once a byte other than a line ending has been seen. Empty lines
+	// before the head do not end it.
 	any bool
 }
 
-// find returns the index behind the end of the head, or 0 when it is not in p.
+// find returns the number of bytes of p up to and including the end of the head, or 0 if
+// the head does not end in p.
 func (h *headEndFinder) find(p []byte) int {
 	for i, b := range p {
 		switch {
--- a/pkg/ingress/limited_server.go
+++ b/pkg/ingress/limited_server.go
@@ -74,7 +74,7 @@
 	retired bool
 }
 
-// newLimitedServer starts a server.
+// newLimitedServer returns a server that serves the connections passed to serveConn.
 func newLimitedServer(limits connLimits, addr net.Addr, handler http.Handler, hooks connHooks) *limitedServer {
 	s := &limitedServer{
 		limits: limits, addr: addr, hooks: hooks, conns: make(chan net.Conn),
--- a/pkg/ingress/pipelining_test.go
+++ b/pkg/ingress/pipelining_test.go
@@ -74,8 +74,8 @@
 	})
 }
 
-// TestRequestsBehindANonRepeatableOneRunConcurrently, even if all of them arrive in one
-// piece with its body.
+// TestRequestsBehindANonRepeatableOneRunConcurrently: this holds even if all of them arrive
+// in one piece with the body of the non-repeatable request.
 func TestRequestsBehindANonRepeatableOneRunConcurrently(t *testing.T) {
 	withPipeline(t, eightConcurrent, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
@@ -242,8 +242,8 @@
 	})
 }
 
-// TestRouteChangeDuringTheWaitApplies: c runs alone, because its route is no longer
-// repeatable.
+// TestRouteChangeDuringTheWaitApplies: request c starts after a and b are answered, because
+// its route has become non-repeatable while it waited.
 func TestRouteChangeDuringTheWaitApplies(t *testing.T) {
 	withPipeline(t, PipelineLimits{MaxRequests: 2, MaxBytes: 64 << 10}, func(t *testing.T, env *pipelineEnv) {
 		c := env.caller()
--- a/pkg/ingress/team_key_test.go
+++ b/pkg/ingress/team_key_test.go
@@ -23,8 +23,8 @@
 	}
 }
 
-// TestTeamHeadersOfCallersAreDropped in any spelling, and also when there are several of
-// them.
+// TestTeamHeadersOfCallersAreDropped: team headers are dropped in any spelling, and also
+// when a request has several of them.
 func TestTeamHeadersOfCallersAreDropped(t *testing.T) {
 	var seen wire.Call
 	_, address := newServer(t, func(c *wire.Call, _ []byte) call.Result {
