--- a/pkg/atmostonce/claims_test.go
+++ b/pkg/atmostonce/claims_test.go
@@ -32,8 +32,8 @@
 type request struct {
 	id   int
 	call *wire.Call
-	// told is "answered", or the Ran of the refusal that the caller received; empty while it
-	// waits.
+	// told is "answered", or the Ran of the refusal that the caller received; empty while
+	// the caller waits.
 	told string
 	// runs counts how often a backend server ran the call.
 	runs int
@@ -66,12 +66,12 @@
 	executors  []*Claims
 	requests   []*request
 	inTransit  []*request
-	permits    []heldPermit
+	permits    []unusedPermit
 	runsPerKey map[string]int
 }
 
-// heldPermit is the permit of an executor for a request that has not run yet.
-type heldPermit struct {
+// unusedPermit is the permit of an executor for a request that has not run yet.
+type unusedPermit struct {
 	request *request
 	permit  executor.Permit
 }
@@ -111,9 +111,9 @@
 	permit, result := by.Claim(r.call, hi.body(r), time.Now().Add(time.Second))
 	switch {
 	case permit != nil:
-		hi.permits = append(hi.permits, heldPermit{r, permit})
+		hi.permits = append(hi.permits, unusedPermit{r, permit})
 	case result.Answer != nil:
-		r.tell("answered")
+		r.recordTold("answered")
 	case result.Refusal.Kind == errkind.KeyMoved && r.told == "":
 		// The entry still waits, and tries again in the next generation.
 		moved := *r.call
@@ -121,12 +121,12 @@
 		r.call = &moved
 		hi.inTransit = append(hi.inTransit, r)
 	case result.Refusal.Kind != errkind.KeyMoved:
-		r.tell(result.Refusal.Ran.String())
+		r.recordTold(result.Refusal.Ran.String())
 	}
 }
 
-// tell records what the caller is told first.
-func (r *request) tell(what string) {
+// recordTold records what the caller is told, unless it was told something before.
+func (r *request) recordTold(what string) {
 	if r.told == "" {
 		r.told = what
 	}
@@ -144,18 +144,18 @@
 	hi.modes()
 	if hi.choose(4) == 0 {
 		h.permit.Finish(nil, errkind.RanNo)
-		h.request.tell("no")
+		h.request.recordTold("no")
 		return
 	}
 	h.request.runs++
 	hi.runsPerKey[h.request.call.Key]++
 	if hi.choose(2) == 0 {
 		h.permit.Finish(&call.Answer{Status: 200, Body: []byte("done")}, errkind.RanMaybe)
-		h.request.tell("answered")
+		h.request.recordTold("answered")
 	}
 }
 
-// sealOne lets an entry that hears nothing of its executor seal the key.
+// sealOne lets an entry that gets no result from its executor seal the key.
 func (hi *history) sealOne() {
 	var open []*request
 	for _, r := range hi.requests {
@@ -171,15 +171,15 @@
 	result := hi.executors[0].Seal(r.call, hi.body(r), errkind.New(errkind.LinkLost, "silent"))
 	switch {
 	case result.Answer != nil:
-		r.tell("answered")
+		r.recordTold("answered")
 	case result.Refusal.Kind == errkind.KeyMoved:
-		r.tell("no")
+		r.recordTold("no")
 	default:
-		r.tell(result.Refusal.Ran.String())
+		r.recordTold(result.Refusal.Ran.String())
 	}
 }
 
-// arrive applies a delayed write.
+// applyLateWrite applies one of the writes that the store delayed.
 func (hi *history) applyLateWrite() {
 	if late := hi.table.Pending(); late > 0 {
 		hi.table.ApplyPending(hi.choose(late))
--- a/pkg/events/log.go
+++ b/pkg/events/log.go
@@ -53,7 +53,7 @@
 }
 
 // Discard returns a Log that writes nothing.
-func Discard() *Log { return NewLog(io.Discard, nothing) }
+func Discard() *Log { return NewLog(io.Discard, off) }
 
 // chargingWriter passes on encoded lines, one per Write, and charges the budget for each
 // line that was accepted.
@@ -186,7 +186,7 @@
 	return l.budget.total.Load()
 }
 
-// Close waits until the lines in the buffer are written, at most for the time-out.
+// Close waits until the lines in the buffer are written, at most for the timeout.
 func (l *Log) Close(timeout time.Duration) {
 	if l.buffer == nil {
 		return
