--- a/pkg/daemon/adapter.go
+++ b/pkg/daemon/adapter.go
@@ -52,8 +52,8 @@
 // httpForm is the value of settings platform.form for rushramp's own HTTP interface.
 const httpForm = "http"
 
-// errVersionInSettings refuses the setting backend_server.version where the backend server
-// announces its version.
+// errVersionInSettings is the error for the setting backend_server.version on a daemon whose
+// backend server announces its version.
 var errVersionInSettings = errors.New("backend_server.version: backend servers of routed requests announce their version. Leave it out, or leave out listen.routed.")
 
 // adapter returns the adapter that settings platform.form names.
--- a/pkg/daemon/bounds.go
+++ b/pkg/daemon/bounds.go
@@ -31,7 +31,7 @@
 	LimitSlack  float64
 	LimitWindow time.Duration
 	// RevokeWithin is the time after which all daemons must refuse a revoked key, including
-	// those that the network has cut off; 0: those may accept it.
+	// those that the network has cut off. If it is 0, the latter may still accept the key.
 	RevokeWithin time.Duration
 }
 
--- a/pkg/daemon/daemon.go
+++ b/pkg/daemon/daemon.go
@@ -176,7 +176,7 @@
 	d.World.Inbox.Post(true, func(m *tables.Mail) { m.StoreRestored = true })
 }
 
-// dialFrom returns a dialler whose connections come from the IP number that the daemon
+// dialFrom returns a dialler whose connections come from the IP address that the daemon
 // listens on, so that peers see which VM a link comes from.
 func dialFrom(listen string) link.Dial {
 	// Heartbeats detect dead links. TCP keep-alive probes as frequent as these would cost
@@ -287,8 +287,8 @@
 }
 
 // drainInOrder first drains the listener of routed requests and then tells other daemons
-// that this one is leaving, so that they use its backend server until then. It ends when no
-// call is in flight or the drain's bound has passed.
+// that this one is leaving. Other daemons may use its backend server while the listener
+// drains. The drain ends when no call is in flight or Drain.Bound has passed.
 func (d *Daemon) drainInOrder(startedAt time.Time) {
 	if d.routed != nil {
 		d.routed.drain(startedAt)
@@ -304,8 +304,8 @@
 // drainPollInterval is the time between two checks for calls in flight during a drain.
 const drainPollInterval = 5 * time.Millisecond
 
-// awaitCalls waits for Drain.Linger and until no call is in flight, for Drain.Bound at most.
-// It then closes drained.
+// awaitCalls waits at least Drain.Linger after startedAt and then until no call is in flight
+// or Drain.Bound has passed. It then closes drained.
 func (d *Daemon) awaitCalls(startedAt time.Time) {
 	defer close(d.drained)
 	bound := d.Settings.Drain.Bound
--- a/pkg/operators/evacuate.go
+++ b/pkg/operators/evacuate.go
@@ -15,7 +15,7 @@
 // allServices stands for all services in the rights of an operator.
 const allServices = "*"
 
-// Evacuate implements the call of the schema.
+// Evacuate implements api.OperatorsServer.
 func (se *Server) Evacuate(ctx context.Context, in *api.EvacuateRequest) (*api.EvacuateResponse, error) {
 	if se.Evacuation == nil {
 		return nil, status.Error(codes.Unimplemented, "operators of this platform evacuate a data centre in its store; see docs/operators/evacuation.md")
--- a/pkg/operators/rollout.go
+++ b/pkg/operators/rollout.go
@@ -19,7 +19,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// StartRollout implements the call of the schema.
+// StartRollout implements api.OperatorsServer.
 func (se *Server) StartRollout(ctx context.Context, in *api.StartRolloutRequest) (*api.RolloutsResponse, error) {
 	request := rollout.OrderRequest{
 		ID: in.GetChangeId(), Service: in.GetService(), Version: in.GetVersion(),
@@ -38,7 +38,7 @@
 	return se.changeOrders(ctx, author, request)
 }
 
-// CancelRollout implements the call of the schema.
+// CancelRollout implements api.OperatorsServer.
 func (se *Server) CancelRollout(ctx context.Context, in *api.CancelRolloutRequest) (*api.RolloutsResponse, error) {
 	request := rollout.OrderRequest{ID: in.GetChangeId(), Service: in.GetService()}
 	author, err := se.checkRolloutRight(ctx, in.GetAuthor(), request)
@@ -48,7 +48,7 @@
 	return se.changeOrders(ctx, author, request)
 }
 
-// GetRollouts implements the call of the schema.
+// GetRollouts implements api.OperatorsServer.
 func (se *Server) GetRollouts(ctx context.Context, in *api.GetRolloutsRequest) (*api.RolloutsResponse, error) {
 	out := &api.RolloutsResponse{}
 	answered := se.World.Inbox.RunQuery(ctx.Done(), func(w *tables.World) {
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -78,7 +78,7 @@
 	return nil, status.Error(codes.Unavailable, "this daemon has no placement yet; try again shortly or ask another daemon")
 }
 
-// GetPlacement implements the call of the schema.
+// GetPlacement implements api.OperatorsServer.
 func (se *Server) GetPlacement(context.Context, *api.GetPlacementRequest) (*api.GetPlacementResponse, error) {
 	doc, err := se.current()
 	if err != nil {
@@ -91,7 +91,7 @@
 	return &api.GetPlacementResponse{Version: doc.Version, Hash: hash, Services: DocumentToAPI(doc)}, nil
 }
 
-// ApplyPlacement implements the call of the schema.
+// ApplyPlacement implements api.OperatorsServer.
 func (se *Server) ApplyPlacement(ctx context.Context, in *api.ApplyPlacementRequest) (*api.ApplyPlacementResponse, error) {
 	changes, err := ChangesFromAPI(in.GetChanges())
 	if err != nil {
@@ -116,7 +116,7 @@
 	return out.GetVersion(), err
 }
 
-// Rollback implements the call of the schema.
+// Rollback implements api.OperatorsServer.
 func (se *Server) Rollback(ctx context.Context, in *api.RollbackRequest) (*api.ApplyPlacementResponse, error) {
 	base, err := se.base(ctx, in.GetBaseVersion())
 	if err != nil {
@@ -251,7 +251,7 @@
 	return false
 }
 
-// History implements the call of the schema.
+// History implements api.OperatorsServer.
 func (se *Server) History(ctx context.Context, in *api.HistoryRequest) (*api.HistoryResponse, error) {
 	const maxEntries = 1000
 	limit := int(in.GetLimit())
@@ -272,7 +272,7 @@
 	return out, nil
 }
 
-// Drain implements the call of the schema.
+// Drain implements api.OperatorsServer.
 func (se *Server) Drain(_ *api.DrainRequest, stream grpc.ServerStreamingServer[api.DrainProgress]) error {
 	se.Leave()
 	ticker := time.NewTicker(progressInterval)
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -18,7 +18,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Status implements the call of the schema.
+// Status implements api.OperatorsServer.
 func (se *Server) Status(ctx context.Context, _ *api.StatusRequest) (*api.StatusResponse, error) {
 	out := &api.StatusResponse{
 		Vm: se.Settings.VM.ID, DataCentre: se.Settings.VM.DataCentre, Service: se.Settings.BackendServer.Service,
@@ -69,7 +69,7 @@
 	Cost(req *choose.Request, i int) time.Duration
 }
 
-// Explain implements the call of the schema.
+// Explain implements api.OperatorsServer.
 func (se *Server) Explain(ctx context.Context, in *api.ExplainRequest) (*api.ExplainResponse, error) {
 	current := se.World.View.Placement()
 	if current == nil {
--- a/pkg/operators/teams.go
+++ b/pkg/operators/teams.go
@@ -11,7 +11,7 @@
 	"github.com/rushramp/rushramp/pkg/quota"
 )
 
-// GetTeams implements the call of the schema.
+// GetTeams implements api.OperatorsServer.
 func (se *Server) GetTeams(context.Context, *api.GetTeamsRequest) (*api.TeamsResponse, error) {
 	current := se.World.View.Placement()
 	if current == nil {
