--- a/pkg/daemon/health.go
+++ b/pkg/daemon/health.go
@@ -13,9 +13,9 @@
 const (
 	// probeTimeout is the timeout of one health check.
 	probeTimeout = 400 * time.Millisecond
-	// seekInterval is the time between two health checks while the backend server may not
+	// notAcceptingInterval is the time between two health checks while the backend server may not
 	// get requests or no placement names the health path.
-	seekInterval = 60 * time.Millisecond
+	notAcceptingInterval = 60 * time.Millisecond
 	// idleAfter is the time without a request after which the interval of the health checks
 	// is idleFactor times as long.
 	idleAfter  = 500 * time.Millisecond
@@ -47,7 +47,7 @@
 	now := r.daemon.Now()
 	interval := healthInterval(r.daemon.Settings.Routing.HealthEvery, r.runner.IdleFor(now))
 	if r.healthPath() == "" {
-		return seekInterval
+		return notAcceptingInterval
 	}
 	_, accepting := r.lifecycle.Accepting()
 	if age := r.load.Age(now); accepting && age < interval {
@@ -55,7 +55,7 @@
 	}
 	r.forceCheck(ctx)
 	if !accepting {
-		return seekInterval
+		return notAcceptingInterval
 	}
 	return interval
 }
