--- a/pkg/daemon/metrics.go
+++ b/pkg/daemon/metrics.go
@@ -52,9 +52,9 @@
 	d.Metrics.NewGauge("rushramp_placement_age_seconds", d.placementAge)
 	d.Metrics.NewGauge("rushramp_log_lines_left_out", func() float64 { return float64(d.Log.Dropped()) })
 	d.Metrics.NewGauge("rushramp_members", func() float64 { return float64(d.World.View.MemberCount()) })
-	d.Metrics.NewGauge("rushramp_placement_unsure", func() float64 { return toFloat(d.World.View.PlacementUnsure()) })
-	d.Metrics.NewGauge("rushramp_store_stale", func() float64 { return toFloat(d.World.View.StoreStale()) })
-	d.Metrics.NewGauge("rushramp_leaving", func() float64 { return toFloat(d.World.View.Leaving()) })
+	d.Metrics.NewGauge("rushramp_placement_unsure", func() float64 { return boolToFloat(d.World.View.PlacementUnsure()) })
+	d.Metrics.NewGauge("rushramp_store_stale", func() float64 { return boolToFloat(d.World.View.StoreStale()) })
+	d.Metrics.NewGauge("rushramp_leaving", func() float64 { return boolToFloat(d.World.View.Leaving()) })
 	if d.Executor == nil {
 		return
 	}
@@ -72,7 +72,7 @@
 	return time.Since(at).Seconds()
 }
 
-func toFloat(b bool) float64 {
+func boolToFloat(b bool) float64 {
 	if b {
 		return 1
 	}
--- a/pkg/operatorcli/placement.go
+++ b/pkg/operatorcli/placement.go
@@ -117,13 +117,13 @@
 		fmt.Fprintln(out, "nothing to change")
 	}
 	for _, c := range changes {
-		fmt.Fprintln(out, describe(c))
+		fmt.Fprintln(out, describeChange(c))
 	}
 	return nil
 }
 
-// describe returns the line that shows a change to operators.
-func describe(c placement.Change) string {
+// describeChange returns the line that shows a change to operators.
+func describeChange(c placement.Change) string {
 	if c.Op == placement.RemoveKind {
 		return fmt.Sprintf("remove %s/%s", c.Service, c.Kind.Name)
 	}
@@ -203,8 +203,8 @@
 const (
 	// pollInterval is the time between two requests for the status.
 	pollInterval = 50 * time.Millisecond
-	// maxWait is how long apply and rollback wait for a version to be in force.
-	maxWait = 5 * time.Second
+	// maxInForceWait is how long apply and rollback wait for a version to be in force.
+	maxInForceWait = 5 * time.Second
 )
 
 // waitInForce waits until a version is in force in all data centres with members that the
@@ -218,7 +218,7 @@
 			return errors.Wrapf(err, "version %d was accepted, but where it is in force is not known", version)
 		}
 		states = statesByDataCentre(answer, version)
-		if allInForce(states) || time.Since(startedAt) > maxWait {
+		if allInForce(states) || time.Since(startedAt) > maxInForceWait {
 			break
 		}
 		time.Sleep(pollInterval)
@@ -269,7 +269,7 @@
 			return err
 		}
 		for _, c := range changes {
-			fmt.Fprintln(out, "  "+describe(c))
+			fmt.Fprintln(out, "  "+describeChange(c))
 		}
 	}
 	return nil
--- a/pkg/operators/rollout.go
+++ b/pkg/operators/rollout.go
@@ -94,7 +94,7 @@
 			services[m.Service] = true
 			if m.Service == service {
 				members++
-				versioned += toInt(m.Version != "")
+				versioned += boolToInt(m.Version != "")
 			}
 		})
 	})
@@ -110,7 +110,7 @@
 	return nil
 }
 
-func toInt(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -28,8 +28,8 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// progressInterval is the time between two reports of a drain.
-const progressInterval = 100 * time.Millisecond
+// drainProgressInterval is the time between two reports of a drain.
+const drainProgressInterval = 100 * time.Millisecond
 
 // Server implements the operators' gRPC service at one daemon.
 type Server struct {
@@ -275,7 +275,7 @@
 // Drain implements api.OperatorsServer.
 func (se *Server) Drain(_ *api.DrainRequest, stream grpc.ServerStreamingServer[api.DrainProgress]) error {
 	se.Leave()
-	ticker := time.NewTicker(progressInterval)
+	ticker := time.NewTicker(drainProgressInterval)
 	defer ticker.Stop()
 	for {
 		inFlight := se.InFlight()
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -107,7 +107,7 @@
 		vm := &w.Members.Record[row]
 		c := &api.Candidate{Vm: vm.VM, DataCentre: vm.DataCentre, ExpectedUs: -1, Version: vm.Version}
 		c.Reason = reason(w, row, kind, inSubset[vm.VM])
-		c.Eligible = c.Reason == eligible || c.Reason == onTrial
+		c.Eligible = c.Reason == reasonEligible || c.Reason == reasonCanary
 		load := w.Members.Endpoint[row].Load.Snapshot(req.Now)
 		c.InFlight, c.Outstanding, c.ServiceTimeUs = load.InFlight, load.Outstanding, load.ServiceTime.Microseconds()
 		if cost, ok := estimates[vm.VM]; ok {
@@ -135,8 +135,8 @@
 
 // The reasons of members that may get a call.
 const (
-	eligible = "a candidate"
-	onTrial  = "a candidate for the few calls that try its version"
+	reasonEligible = "a candidate"
+	reasonCanary  = "a candidate for the few calls that try its version"
 )
 
 // reason returns why a member may get calls of a kind, or why it may not.
@@ -160,9 +160,9 @@
 	case w.Members.Endpoint[row].Runner() == nil:
 		return "there is no link to it yet"
 	case runsTarget:
-		return onTrial
+		return reasonCanary
 	}
-	return eligible
+	return reasonEligible
 }
 
 // verdict says what happens to calls of a kind that has these candidates.
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -95,7 +95,7 @@
 		scanner := bufio.NewScanner(in)
 		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
-			if line, ok := parse(request, scanner.Text()); ok {
+			if line, ok := parseLine(request, scanner.Text()); ok {
 				out.Lines = append(out.Lines, line)
 			}
 		}
@@ -111,12 +111,12 @@
 	return out, nil
 }
 
-// firstKey is the key of the first field of each log line, with the equals sign.
-const firstKey = "ts="
+// timestampPrefix is the key of the first field of each log line, with the equals sign.
+const timestampPrefix = "ts="
 
-// parse parses one line; ok is false if it is not about the request.
-func parse(request, text string) (line Line, ok bool) {
-	at := strings.Index(text, firstKey)
+// parseLine parses one line; ok is false if it is not about the request.
+func parseLine(request, text string) (line Line, ok bool) {
+	at := strings.Index(text, timestampPrefix)
 	if at < 0 || !strings.Contains(text, "request="+request) {
 		return line, false
 	}
