--- a/pkg/settings/load.go
+++ b/pkg/settings/load.go
@@ -82,7 +82,7 @@
 
 type fieldErrors []fieldError
 
-// Error implements error with one line a field.
+// Error implements error. The text has one line per field.
 func (f fieldErrors) Error() string {
 	lines := make([]string, 0, len(f))
 	for _, field := range f {
@@ -91,8 +91,8 @@
 	return strings.Join(lines, "\n")
 }
 
-// fieldError is the error of one field. The decoder finds the line of the field by its
-// method StructField.
+// fieldError is the error of one field. The YAML decoder calls StructField, a method of the
+// embedded validator.FieldError, to find the line of the field.
 type fieldError struct {
 	validator.FieldError
 	root string
@@ -107,7 +107,7 @@
 	return fmt.Sprintf("%s: %v is not allowed. %s", path, f.Value(), advice(f.Tag(), f.Param()))
 }
 
-// advice says how to correct a value that the validate tag refuses.
+// advice returns a sentence on how to correct a value that the validate tag refuses.
 func advice(tag, param string) string {
 	switch tag {
 	case "required":
--- a/pkg/settings/settings.go
+++ b/pkg/settings/settings.go
@@ -60,7 +60,7 @@
 	DataCentre string `yaml:"data_centre" validate:"required"`
 }
 
-// Listen holds the addresses of the listeners, each an IP number and a port.
+// Listen holds the addresses of the listeners, each an IP address and a port.
 type Listen struct {
 	// HTTP requests of callers.
 	Callers string `yaml:"callers" validate:"required,ip_port"`
@@ -144,7 +144,7 @@
 	LooksPerSecond int `yaml:"looks_per_second" validate:"min=0"`
 	// Number of requests per second that the gate starts at a cold backend server, as a multiple of the service's cold_rate in the placement.
 	ColdFactor float64 `yaml:"cold_factor" validate:"min=0"`
-	// Number of requests per second that the gate may start at a cold backend server in addition to that.
+	// Number of requests per second that the gate may start at a cold backend server in addition to those of cold_factor.
 	ColdSlack float64 `yaml:"cold_slack" validate:"min=0"`
 	// Time for which a draining daemon still accepts routed requests, so that callers notice that it is not ready.
 	Linger time.Duration `yaml:"linger" validate:"min=0"`
@@ -164,7 +164,7 @@
 type Links struct {
 	// Time without traffic after which a daemon sends a heartbeat on a link. A link ends after three missed heartbeats. With more than 32 VMs both times grow with the number of VMs, up to four times.
 	Heartbeat time.Duration `yaml:"heartbeat" validate:"min=50ms"`
-	// VMs whose daemons a new daemon asks for the members and the placement, each as an IP number and a port. The port is ignored: links use the port of listen.links, which is the same on all VMs.
+	// VMs whose daemons a new daemon asks for the members and the placement, each as an IP address and a port. The port is ignored: links use the port of listen.links, which is the same on all VMs.
 	Seeds []string `yaml:"seeds" validate:"dive,ip_port"`
 }
 
@@ -192,7 +192,7 @@
 	QueueTime time.Duration `yaml:"queue_time" validate:"min=0"`
 	// Order in which waiting calls start.
 	Order string `yaml:"order" validate:"oneof=fifo edf priority slack"`
-	// Whether the gate runs fewer calls than there are slots while a noisy neighbour slows the backend server down.
+	// Whether the gate runs fewer calls than it has slots while a noisy neighbour slows the backend server down.
 	Adaptive bool `yaml:"adaptive"`
 }
 
@@ -230,7 +230,7 @@
 	HeadReaders int `yaml:"head_readers" validate:"min=1,max=10"`
 	// Number of daemons that follow the store's feed of placements, if it has one: per data centre or, with several regions, per region.
 	FeedReaders int `yaml:"feed_readers" validate:"min=1,max=1000"`
-	// Time after which calls of strict kinds are refused if no news arrived from the store or from readers in other data centres.
+	// Time after which calls of strict kinds are refused if nothing arrived from the store or from readers in other data centres.
 	UnsureAfter time.Duration `yaml:"unsure_after" validate:"min=100ms"`
 	// How calls are answered outside the allowed data centres of their kind.
 	Misplaced string `yaml:"misplaced" validate:"oneof=redirect refuse"`
@@ -246,7 +246,7 @@
 type Limits struct {
 	// Maximum size of the body of a request or an answer, in bytes.
 	MaxBodyBytes int `yaml:"max_body_bytes" validate:"min=1024"`
-	// Maximum bytes of request bodies that this daemon holds in memory, at its entry and its executor together. At least limits.max_body_bytes. Requests beyond that are refused and do not run.
+	// Maximum bytes of request bodies that this daemon holds in memory, at its entry and its executor together. At least limits.max_body_bytes. Requests beyond this limit are refused and do not run.
 	BodiesBytes int `yaml:"bodies_bytes" validate:"min=1024"`
 	// Maximum size of the headers of a request, in bytes.
 	MaxHeaderBytes int `yaml:"max_header_bytes" validate:"min=1024"`
@@ -254,7 +254,7 @@
 	PipelinedRequests int `yaml:"pipelined_requests" validate:"min=1"`
 	// Maximum bytes that are buffered per connection for routed requests and answers that wait for earlier answers, and maximum bytes that are read ahead.
 	PipelinedBytes int `yaml:"pipelined_bytes" validate:"min=4096"`
-	// Maximum number of calls in flight per IP number of a caller.
+	// Maximum number of calls in flight per IP address of a caller.
 	CallsPerCaller int `yaml:"calls_per_caller" validate:"min=1"`
 	// Maximum number of links that are accepted from other daemons.
 	Links int `yaml:"links" validate:"min=1"`
@@ -326,10 +326,10 @@
 		},
 		Measurement: Measurement{BytesPerSecond: 15000},
 		Limits: Limits{
-			// The smallest processes of users have 184 MB of memory and use 17 MB without
-			// large bodies. The garbage collector may let the held bytes double.
+			// The smallest daemon processes have 184 MB of memory and use 17 MB of it without
+			// large bodies. The garbage collector may let the memory for held bodies double.
 			MaxBodyBytes: 8 << 20, BodiesBytes: 64 << 20, MaxHeaderBytes: 16 << 10,
-			// Callers of users have up to 3 unanswered requests per connection, with answers
+			// Callers have up to 3 unanswered requests per connection, with answers
 			// of up to 30 kB, and up to 26 connections per daemon. These hold at most 26 x
 			// (256 kB read ahead + 256 kB + 3 x 30 kB), 16 MB of the 184 MB.
 			PipelinedRequests: 16, PipelinedBytes: 256 << 10,
