--- a/pkg/daemon/health.go
+++ b/pkg/daemon/health.go
@@ -13,8 +13,8 @@
 const (
 	// probeTimeout is the timeout of one health check.
 	probeTimeout = 400 * time.Millisecond
-	// notAcceptingInterval is the time between two health checks while the backend server may not
-	// get requests or no placement names the health path.
+	// notAcceptingInterval is the time between two health checks while the backend server
+	// may not get requests or no placement names the health path.
 	notAcceptingInterval = 60 * time.Millisecond
 	// idleAfter is the time without a request after which the interval of the health checks
 	// is idleFactor times as long.
--- a/pkg/operators/rollout.go
+++ b/pkg/operators/rollout.go
@@ -117,7 +117,8 @@
 	return 0
 }
 
-// changeOrders writes an operator's change to the store and puts it in force here.
+// changeOrders writes an operator's order or cancellation to the store and puts it in force
+// at this daemon.
 func (se *Server) changeOrders(ctx context.Context, author string, request rollout.OrderRequest) (*api.RolloutsResponse, error) {
 	orders, err := se.Orders.Apply(ctx, request)
 	if err != nil {
--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -28,7 +28,7 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// drainProgressInterval is the time between two reports of a drain.
+// drainProgressInterval is the time between two progress messages of a drain.
 const drainProgressInterval = 100 * time.Millisecond
 
 // Server implements the operators' gRPC service at one daemon.
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -64,7 +64,7 @@
 	sort.Slice(out.Members, func(i, j int) bool { return out.Members[i].Vm < out.Members[j].Vm })
 }
 
-// costEstimator is a policy that can estimate the time of a call at a candidate.
+// costEstimator is a choose.Policy that can estimate the time of a call at a candidate.
 type costEstimator interface {
 	Cost(req *choose.Request, i int) time.Duration
 }
@@ -133,10 +133,10 @@
 	return out
 }
 
-// The reasons of members that may get a call.
+// The reasons that reason returns for members that may get a call.
 const (
 	reasonEligible = "a candidate"
-	reasonCanary  = "a candidate for the few calls that try its version"
+	reasonCanary   = "a candidate for the few calls that try its version"
 )
 
 // reason returns why a member may get calls of a kind, or why it may not.
--- a/pkg/operators/teams.go
+++ b/pkg/operators/teams.go
@@ -33,8 +33,8 @@
 	return out, nil
 }
 
-// fillUsage adds the numbers of granted and refused requests and, for each team, its counter,
-// this daemon's share of its limit, and the tokens held here.
+// fillUsage adds the numbers of granted and refused requests and, for each team, the process
+// that counts its requests, this daemon's share of its limit, and the tokens held here.
 func (se *Server) fillUsage(out *api.TeamsResponse) {
 	stats := se.Quota.Stats()
 	out.Granted, out.Refused, out.Unsure = stats.Granted, stats.Refused, stats.Unsure
