--- a/pkg/operatorcli/command.go
+++ b/pkg/operatorcli/command.go
@@ -78,8 +78,8 @@
 	return ""
 }
 
-// call connects to the daemon and runs request. It returns errors of the daemon as a
-// callError.
+// call connects to the daemon and runs request. It returns an error of the daemon as a
+// *callError.
 func (o *options) call(request func(ctx context.Context, client api.OperatorsClient) error) error {
 	reloader, err := certs.NewReloader(o.tls)
 	if err != nil {
@@ -111,7 +111,7 @@
 // ExitCode implements the interface that cli.ExitCode looks for.
 func (c *callError) ExitCode() int { return c.code }
 
-// explainError turns a gRPC status into a callError. It returns other errors as they are.
+// explainError turns a gRPC status into a *callError. It returns other errors unchanged.
 func (o *options) explainError(err error) error {
 	s, ok := status.FromError(err)
 	if err == nil || !ok {
--- a/pkg/operatorcli/placement.go
+++ b/pkg/operatorcli/placement.go
@@ -57,8 +57,8 @@
 	return err
 }
 
-// readPlacement reads the file of a wanted placement. Its version is that of the placement
-// it was edited from.
+// readPlacement reads a wanted placement from a file. Its version is that of the placement
+// from which the file was edited.
 func readPlacement(path string) (*placement.Document, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/pkg/operatorcli/teams.go
+++ b/pkg/operatorcli/teams.go
@@ -50,7 +50,7 @@
 }
 
 // proofAge formats the time since the placement was last confirmed to be the one in
-// force; below 0: it never was.
+// force. A negative time means that it never was.
 func proofAge(ms int64) string {
 	if ms < 0 {
 		return "none yet"
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -39,7 +39,7 @@
 	Value string `json:"value"`
 }
 
-// Value returns the value of a field; empty if the line does not have it.
+// Value returns the value of a field, or "" if the line does not have it.
 func (l *Line) Value(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// duration returns the value of a field as a duration; 0 if it is not one.
+// duration returns the value of a field as a duration, or 0 if it cannot be parsed.
 func (l *Line) duration(key string) time.Duration {
 	d, err := time.ParseDuration(l.Value(key))
 	if err != nil {
