--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -70,8 +70,8 @@
 	return server.Stop, nil
 }
 
-// current returns the placement in force.
-func (se *Server) current() (*placement.Document, error) {
+// currentDocument returns the placement in force.
+func (se *Server) currentDocument() (*placement.Document, error) {
 	if p := se.World.View.Placement(); p != nil {
 		return p.Document, nil
 	}
@@ -80,7 +80,7 @@
 
 // GetPlacement implements api.OperatorsServer.
 func (se *Server) GetPlacement(context.Context, *api.GetPlacementRequest) (*api.GetPlacementResponse, error) {
-	doc, err := se.current()
+	doc, err := se.currentDocument()
 	if err != nil {
 		return nil, err
 	}
@@ -97,7 +97,7 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	base, err := se.base(ctx, in.GetBaseVersion())
+	base, err := se.baseDocument(ctx, in.GetBaseVersion())
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 
 // Apply commits changes of the placement in force here and returns the new version.
 func (se *Server) Apply(ctx context.Context, changeID, author string, changes []placement.Change) (uint64, error) {
-	base, err := se.current()
+	base, err := se.currentDocument()
 	if err != nil {
 		return 0, err
 	}
@@ -118,7 +118,7 @@
 
 // Rollback implements api.OperatorsServer.
 func (se *Server) Rollback(ctx context.Context, in *api.RollbackRequest) (*api.ApplyPlacementResponse, error) {
-	base, err := se.base(ctx, in.GetBaseVersion())
+	base, err := se.baseDocument(ctx, in.GetBaseVersion())
 	if err != nil {
 		return nil, err
 	}
@@ -132,10 +132,10 @@
 	})
 }
 
-// base returns the placement version that an operator's change is based on, which may be
+// baseDocument returns the placement version that an operator's change is based on, which may be
 // older or newer than the one in force here.
-func (se *Server) base(ctx context.Context, version uint64) (*placement.Document, error) {
-	doc, err := se.current()
+func (se *Server) baseDocument(ctx context.Context, version uint64) (*placement.Document, error) {
+	doc, err := se.currentDocument()
 	if err == nil && doc.Version == version {
 		return doc, nil
 	}
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -106,7 +106,7 @@
 	w.Members.EachRowOfService(kind.Service, func(row int) {
 		vm := &w.Members.Record[row]
 		c := &api.Candidate{Vm: vm.VM, DataCentre: vm.DataCentre, ExpectedUs: -1, Version: vm.Version}
-		c.Reason = reason(w, row, kind, inSubset[vm.VM])
+		c.Reason = candidateReason(w, row, kind, inSubset[vm.VM])
 		c.Eligible = c.Reason == reasonEligible || c.Reason == reasonCanary
 		load := w.Members.Endpoint[row].Load.Snapshot(req.Now)
 		c.InFlight, c.Outstanding, c.ServiceTimeUs = load.InFlight, load.Outstanding, load.ServiceTime.Microseconds()
@@ -133,14 +133,14 @@
 	return out
 }
 
-// The reasons that reason returns for members that may get a call.
+// The reasons that candidateReason returns for members that may get a call.
 const (
 	reasonEligible = "a candidate"
 	reasonCanary   = "a candidate for the few calls that try its version"
 )
 
-// reason returns why a member may get calls of a kind, or why it may not.
-func reason(w *tables.World, row int, kind *placement.CompiledKind, inSubset bool) string {
+// candidateReason returns why a member may get calls of a kind, or why it may not.
+func candidateReason(w *tables.World, row int, kind *placement.CompiledKind, inSubset bool) string {
 	traffic, version := w.View.RolloutTraffic(kind.Service), w.Members.Record[row].Version
 	runsOld := traffic.Permits(rollout.LaneOld, version, w.Members.Record[row].VM)
 	runsTarget := !runsOld && traffic.Permits(rollout.LaneTarget, version, w.Members.Record[row].VM)
