--- a/pkg/operators/server.go
+++ b/pkg/operators/server.go
@@ -28,8 +28,8 @@
 	"github.com/rushramp/rushramp/pkg/tables"
 )
 
-// progressInterval is the time between two reports of a drain.
-const progressInterval = 100 * time.Millisecond
+// drainProgressInterval is the time between two progress messages of a drain.
+const drainProgressInterval = 100 * time.Millisecond
 
 // Server implements the operators' gRPC service at one daemon.
 type Server struct {
@@ -70,17 +70,17 @@
 	return server.Stop, nil
 }
 
-// current returns the placement in force.
-func (se *Server) current() (*placement.Document, error) {
+// currentDocument returns the placement in force.
+func (se *Server) currentDocument() (*placement.Document, error) {
 	if p := se.World.View.Placement(); p != nil {
 		return p.Document, nil
 	}
 	return nil, status.Error(codes.Unavailable, "this daemon has no placement yet; try again shortly or ask another daemon")
 }
 
-// GetPlacement implements the call of the schema.
+// GetPlacement implements api.OperatorsServer.
 func (se *Server) GetPlacement(context.Context, *api.GetPlacementRequest) (*api.GetPlacementResponse, error) {
-	doc, err := se.current()
+	doc, err := se.currentDocument()
 	if err != nil {
 		return nil, err
 	}
@@ -91,13 +91,13 @@
 	return &api.GetPlacementResponse{Version: doc.Version, Hash: hash, Services: DocumentToAPI(doc)}, nil
 }
 
-// ApplyPlacement implements the call of the schema.
+// ApplyPlacement implements api.OperatorsServer.
 func (se *Server) ApplyPlacement(ctx context.Context, in *api.ApplyPlacementRequest) (*api.ApplyPlacementResponse, error) {
 	changes, err := ChangesFromAPI(in.GetChanges())
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	base, err := se.base(ctx, in.GetBaseVersion())
+	base, err := se.baseDocument(ctx, in.GetBaseVersion())
 	if err != nil {
 		return nil, err
 	}
@@ -108,7 +108,7 @@
 
 // Apply commits changes of the placement in force here and returns the new version.
 func (se *Server) Apply(ctx context.Context, changeID, author string, changes []placement.Change) (uint64, error) {
-	base, err := se.current()
+	base, err := se.currentDocument()
 	if err != nil {
 		return 0, err
 	}
@@ -116,9 +116,9 @@
 	return out.GetVersion(), err
 }
 
-// Rollback implements the call of the schema.
+// Rollback implements api.OperatorsServer.
 func (se *Server) Rollback(ctx context.Context, in *api.RollbackRequest) (*api.ApplyPlacementResponse, error) {
-	base, err := se.base(ctx, in.GetBaseVersion())
+	base, err := se.baseDocument(ctx, in.GetBaseVersion())
 	if err != nil {
 		return nil, err
 	}
@@ -132,10 +132,10 @@
 	})
 }
 
-// base returns the placement version that an operator's change is based on, which may be
+// baseDocument returns the placement version that an operator's change is based on, which may be
 // older or newer than the one in force here.
-func (se *Server) base(ctx context.Context, version uint64) (*placement.Document, error) {
-	doc, err := se.current()
+func (se *Server) baseDocument(ctx context.Context, version uint64) (*placement.Document, error) {
+	doc, err := se.currentDocument()
 	if err == nil && doc.Version == version {
 		return doc, nil
 	}
@@ -251,7 +251,7 @@
 	return false
 }
 
-// History implements the call of the schema.
+// History implements api.OperatorsServer.
 func (se *Server) History(ctx context.Context, in *api.HistoryRequest) (*api.HistoryResponse, error) {
 	const maxEntries = 1000
 	limit := int(in.GetLimit())
@@ -272,10 +272,10 @@
 	return out, nil
 }
 
-// Drain implements the call of the schema.
+// Drain implements api.OperatorsServer.
 func (se *Server) Drain(_ *api.DrainRequest, stream grpc.ServerStreamingServer[api.DrainProgress]) error {
 	se.Leave()
-	ticker := time.NewTicker(progressInterval)
+	ticker := time.NewTicker(drainProgressInterval)
 	defer ticker.Stop()
 	for {
 		inFlight := se.InFlight()
--- a/pkg/operators/status.go
+++ b/pkg/operators/status.go
@@ -18,7 +18,7 @@
 	"github.com/rushramp/rushramp/pkg/wire"
 )
 
-// Status implements the call of the schema.
+// Status implements api.OperatorsServer.
 func (se *Server) Status(ctx context.Context, _ *api.StatusRequest) (*api.StatusResponse, error) {
 	out := &api.StatusResponse{
 		Vm: se.Settings.VM.ID, DataCentre: se.Settings.VM.DataCentre, Service: se.Settings.BackendServer.Service,
@@ -64,12 +64,12 @@
 	sort.Slice(out.Members, func(i, j int) bool { return out.Members[i].Vm < out.Members[j].Vm })
 }
 
-// costEstimator is a policy that can estimate the time of a call at a candidate.
+// costEstimator is a choose.Policy that can estimate the time of a call at a candidate.
 type costEstimator interface {
 	Cost(req *choose.Request, i int) time.Duration
 }
 
-// Explain implements the call of the schema.
+// Explain implements api.OperatorsServer.
 func (se *Server) Explain(ctx context.Context, in *api.ExplainRequest) (*api.ExplainResponse, error) {
 	current := se.World.View.Placement()
 	if current == nil {
@@ -106,8 +106,8 @@
 	w.Members.EachRowOfService(kind.Service, func(row int) {
 		vm := &w.Members.Record[row]
 		c := &api.Candidate{Vm: vm.VM, DataCentre: vm.DataCentre, ExpectedUs: -1, Version: vm.Version}
-		c.Reason = reason(w, row, kind, inSubset[vm.VM])
-		c.Eligible = c.Reason == eligible || c.Reason == onTrial
+		c.Reason = candidateReason(w, row, kind, inSubset[vm.VM])
+		c.Eligible = c.Reason == reasonEligible || c.Reason == reasonCanary
 		load := w.Members.Endpoint[row].Load.Snapshot(req.Now)
 		c.InFlight, c.Outstanding, c.ServiceTimeUs = load.InFlight, load.Outstanding, load.ServiceTime.Microseconds()
 		if cost, ok := estimates[vm.VM]; ok {
@@ -133,14 +133,14 @@
 	return out
 }
 
-// The reasons of members that may get a call.
+// The reasons that candidateReason returns for members that may get a call.
 const (
-	eligible = "a candidate"
-	onTrial  = "a candidate for the few calls that try its version"
+	reasonEligible = "a candidate"
+	reasonCanary   = "a candidate for the few calls that try its version"
 )
 
-// reason returns why a member may get calls of a kind, or why it may not.
-func reason(w *tables.World, row int, kind *placement.CompiledKind, inSubset bool) string {
+// candidateReason returns why a member may get calls of a kind, or why it may not.
+func candidateReason(w *tables.World, row int, kind *placement.CompiledKind, inSubset bool) string {
 	traffic, version := w.View.RolloutTraffic(kind.Service), w.Members.Record[row].Version
 	runsOld := traffic.Permits(rollout.LaneOld, version, w.Members.Record[row].VM)
 	runsTarget := !runsOld && traffic.Permits(rollout.LaneTarget, version, w.Members.Record[row].VM)
@@ -160,9 +160,9 @@
 	case w.Members.Endpoint[row].Runner() == nil:
 		return "there is no link to it yet"
 	case runsTarget:
-		return onTrial
+		return reasonCanary
 	}
-	return eligible
+	return reasonEligible
 }
 
 // verdict says what happens to calls of a kind that has these candidates.
--- a/pkg/trace/trace.go
+++ b/pkg/trace/trace.go
@@ -39,7 +39,7 @@
 	Value string `json:"value"`
 }
 
-// Value returns the value of a field; empty if the line does not have it.
+// Value returns the value of a field, or "" if the line does not have it.
 func (l *Line) Value(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -49,7 +49,7 @@
 	return ""
 }
 
-// duration returns the value of a field as a duration; 0 if it is not one.
+// duration returns the value of a field as a duration, or 0 if it cannot be parsed.
 func (l *Line) duration(key string) time.Duration {
 	d, err := time.ParseDuration(l.Value(key))
 	if err != nil {
@@ -95,7 +95,7 @@
 		scanner := bufio.NewScanner(in)
 		scanner.Buffer(nil, maxLineBytes)
 		for scanner.Scan() {
-			if line, ok := parse(request, scanner.Text()); ok {
+			if line, ok := parseLine(request, scanner.Text()); ok {
 				out.Lines = append(out.Lines, line)
 			}
 		}
@@ -111,12 +111,12 @@
 	return out, nil
 }
 
-// firstKey is the key of the first field of each log line, with the equals sign.
-const firstKey = "ts="
+// timestampPrefix is the key of the first field of each log line, with the equals sign.
+const timestampPrefix = "ts="
 
-// parse parses one line; ok is false if it is not about the request.
-func parse(request, text string) (line Line, ok bool) {
-	at := strings.Index(text, firstKey)
+// parseLine parses one line; ok is false if it is not about the request.
+func parseLine(request, text string) (line Line, ok bool) {
+	at := strings.Index(text, timestampPrefix)
 	if at < 0 || !strings.Contains(text, "request="+request) {
 		return line, false
 	}
