--- a/pkg/bench/violations.go
+++ b/pkg/bench/violations.go
@@ -24,7 +24,8 @@
 	FalseNotRun int `json:"false_not_run"`
 	// WrongPlace counts runs in a data centre that the placement did not allow.
 	WrongPlace int `json:"wrong_place"`
-	// CutByDrain counts calls in flight that a planned stop cut off.
+	// CutByDrain counts calls that were still in flight after the drain of a
+	// planned stop and were cut off.
 	CutByDrain int `json:"cut_by_drain"`
 	// WorkAfterLeaving counts planned stops after which the server received a
 	// call later than maxWorkAfterLeave.
@@ -42,7 +43,7 @@
 		v.CutByDrain + v.WorkAfterLeaving + v.ConfigReverts + v.BudgetOverruns
 }
 
-// callRuns is what the ledgers of all backend servers record of a call.
+// callRuns holds the runs of one call in the ledgers of all backend servers.
 type callRuns struct {
 	times int
 	runs  []runRecord
@@ -160,8 +161,8 @@
 	return false
 }
 
-// mergeLedgers combines the ledgers of all backend servers into the runs by
-// call id and the number of runs by Idempotency-Key.
+// mergeLedgers combines the ledgers of all backend servers. calls maps a call id
+// to its runs, keys an Idempotency-Key to its number of runs.
 func (c *cluster) mergeLedgers() (calls map[string]callRuns, keys map[string]int) {
 	calls, keys = map[string]callRuns{}, map[string]int{}
 	for _, n := range c.nodes {
--- a/pkg/burn/command.go
+++ b/pkg/burn/command.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// takeSamples appends one sample, or with --watch as many as --times says, and
-// saves the file after each. It fails when no daemon answers.
+// takeSamples appends one sample to samples, or --times samples when --watch is
+// set, and saves the samples file after each. It fails when no daemon answers.
 func (o *options) takeSamples(objectives *Objectives, samples []Sample) ([]Sample, error) {
 	count := 1
 	if o.watch > 0 {
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -6,8 +6,8 @@
 )
 
 // window is a time span over which a burn rate is computed. An alarm needs a
-// high rate in both windows of a pair: the long window shows that much of the
-// budget is gone, the short one that the burn still goes on. Source: "The Site
+// high rate in both windows of a pair: in the long window, because much of the
+// budget is spent, and in the short one, because the errors continue. Source: "The Site
 // Reliability Workbook", chapter 5.
 type window struct {
 	name string
@@ -21,8 +21,8 @@
 	{"6h", 6 * time.Hour},
 }
 
-// Burn is the burn rate of one objective in one window. A rate of 1 spends
-// exactly the error budget.
+// Burn is the burn rate of one objective in one window. At a rate of 1, the
+// share of bad calls is exactly what the objective permits.
 type Burn struct {
 	Window string `json:"window"`
 	// Covers is the time between the samples used; it is shorter than Window
@@ -39,7 +39,7 @@
 	Name  string  `json:"name"`
 	Calls float64 `json:"calls"`
 	Bad   float64 `json:"bad"`
-	// Share is its part of the objective's bad calls.
+	// Share is Bad as a fraction of all bad calls of the objective.
 	Share float64 `json:"share"`
 }
 
@@ -47,8 +47,8 @@
 type ObjectiveReport struct {
 	Objective Objective `json:"objective"`
 	Burns     []Burn    `json:"burns"`
-	// BudgetLeft is the unspent share of the longest window's error budget; it
-	// is negative when the budget is overspent.
+	// BudgetLeft is the unspent fraction of the longest window's error budget;
+	// it is negative when the budget is overspent.
 	BudgetLeft float64 `json:"budget_left"`
 	// Alarm is "fast" or "slow" when both windows of that pair burn too fast,
 	// and empty otherwise.
@@ -114,7 +114,7 @@
 	return out
 }
 
-// The burn rates that raise an alarm, for a budget of one month.
+// The burn rates above which an alarm is raised, for a budget of one month.
 const (
 	fastBurn = 14.4
 	slowBurn = 6
@@ -142,8 +142,9 @@
 	return out
 }
 
-// increase returns what was counted between two samples. A count that went down
-// belongs to a restarted daemon, which counts from 0 again.
+// increase returns the histograms of the calls between two samples. A bucket
+// whose count decreased belongs to a restarted daemon, which counts from 0
+// again.
 func increase(first, last Sample) []CallHistogram {
 	before := map[string]map[string]float64{}
 	for i := range first.Histograms {
@@ -182,8 +183,8 @@
 	return calls, bad
 }
 
-// contributions groups the objective's calls by the name that by returns, most
-// bad calls first.
+// contributions groups the objective's calls by the name that by returns. The
+// group with the most bad calls comes first.
 func contributions(o Objective, histograms []CallHistogram, by func(*CallHistogram) string) []Contribution {
 	byName := map[string]*Contribution{}
 	totalBad := 0.0
--- a/pkg/burn/sample.go
+++ b/pkg/burn/sample.go
@@ -44,6 +44,7 @@
 	StartTimes map[string]float64 `json:"starts"`
 }
 
+// readTimeout limits the scrape of one daemon.
 const readTimeout = 2 * time.Second
 
 // TakeSample scrapes all daemons. Those that do not answer are listed in
@@ -121,11 +122,12 @@
 	}
 }
 
-// sampleRetention is a little longer than the longest window.
+// sampleRetention is a little longer than the longest window, so that a sample
+// from before the start of that window is kept.
 const sampleRetention = 7 * time.Hour
 
-// SaveSamples replaces the file with those samples that are still needed for a
-// window at the time now.
+// SaveSamples replaces the file at path with the samples that are at most
+// sampleRetention old at the time now.
 func SaveSamples(path string, samples []Sample, now time.Time) error {
 	temporary := path + ".new"
 	file, err := os.Create(temporary)
@@ -156,14 +158,14 @@
 	if h.Outcome != answered {
 		return 0
 	}
-	// Buckets are about a tenth wide. The bucket that d falls into counts as
-	// within d: its upper bound is at most a tenth above d.
+	// The upper bound of a bucket is about 1.1 times its lower bound. The
+	// bucket that contains d counts as within d.
 	const bucketWidth = 1.1
 	return h.countUpTo(d.Seconds() * bucketWidth)
 }
 
-// countUpTo returns the number of calls in the buckets up to an upper bound in
-// seconds.
+// countUpTo returns the number of calls in the buckets whose upper bound is at
+// most the given number of seconds.
 func (h *CallHistogram) countUpTo(seconds float64) float64 {
 	sum := 0.0
 	for bound, n := range h.Buckets {
