--- a/pkg/burn/command.go
+++ b/pkg/burn/command.go
@@ -149,7 +149,7 @@
 	if err != nil {
 		return errors.Wrap(err, "write the HTML report")
 	}
-	if err := page.Execute(file, viewOf(r)); err != nil {
+	if err := page.Execute(file, newView(r)); err != nil {
 		_ = file.Close()
 		return errors.Wrap(err, "write the HTML report")
 	}
--- a/pkg/burn/html.go
+++ b/pkg/burn/html.go
@@ -47,11 +47,11 @@
 // Percent returns BudgetLeft in percent.
 func (l objectiveView) Percent() float64 { return 100 * l.BudgetLeft }
 
-func viewOf(r *Report) view {
+func newView(r *Report) view {
 	out := view{At: r.At.UTC().Format(time.RFC1123), Samples: r.Samples, Missing: r.Missing}
 	for _, l := range r.Objectives {
 		out.Lines = append(out.Lines, objectiveView{
-			ObjectiveReport: l, Name: l.Objective.Service + " / " + l.Objective.Kind, State: cssClass(&l), Plot: plotOf(&l),
+			ObjectiveReport: l, Name: l.Objective.Service + " / " + l.Objective.Kind, State: cssClass(&l), Plot: plotBadShares(&l),
 			Groups: []groupView{{"Data centre", l.DataCentres}, {"Backend server", l.Servers}, {"Outcome", l.Outcomes}},
 		})
 	}
@@ -74,10 +74,10 @@
 	plotHeight = 5 * vg.Centimeter
 )
 
-// plotOf draws the share of bad calls over time next to the share that the
+// plotBadShares draws the share of bad calls over time next to the share that the
 // objective allows. It returns an empty string when there is too little to draw
 // or drawing fails.
-func plotOf(l *ObjectiveReport) template.HTML {
+func plotBadShares(l *ObjectiveReport) template.HTML {
 	if len(l.Points) < 2 {
 		return ""
 	}
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -11,7 +11,7 @@
 // Reliability Workbook", chapter 5.
 type window struct {
 	name string
-	long time.Duration
+	length time.Duration
 }
 
 var windows = []window{
@@ -94,7 +94,7 @@
 	rates := map[string]float64{}
 	var longest []CallHistogram
 	for _, w := range windows {
-		first := windowStart(samples, last.At.Add(-w.long))
+		first := windowStart(samples, last.At.Add(-w.length))
 		increased := increase(first, last)
 		calls, bad := countBad(o, increased)
 		b := Burn{Window: w.name, Covers: last.At.Sub(first.At).Round(time.Second).String(), Calls: calls, Bad: bad}
--- a/pkg/burn/sample.go
+++ b/pkg/burn/sample.go
@@ -58,7 +58,7 @@
 			out.Missing = append(out.Missing, d)
 			continue
 		}
-		histograms, started := parse(resp.Body)
+		histograms, started := parseMetrics(resp.Body)
 		_ = resp.Body.Close()
 		out.Histograms = append(out.Histograms, histograms...)
 		out.StartTimes[d] = started
@@ -69,9 +69,9 @@
 // bucketLine matches a histogram bucket in the daemons' metrics output.
 var bucketLine = regexp.MustCompile(`^rushramp_served_seconds_bucket\{service="([^"]*)",kind="([^"]*)",data_centre="([^"]*)",server="([^"]*)",outcome="([^"]*)",vmrange="[^"]*\.\.\.([^"]*)"\} (\S+)$`)
 
-// parse reads a daemon's metrics output. started is the process start time in
+// parseMetrics reads a daemon's metrics output. started is the process start time in
 // Unix seconds.
-func parse(text io.Reader) (out []CallHistogram, started float64) {
+func parseMetrics(text io.Reader) (out []CallHistogram, started float64) {
 	histograms := map[string]*CallHistogram{}
 	scanner := bufio.NewScanner(text)
 	for scanner.Scan() {
