--- a/pkg/bench/faultkinds.go
+++ b/pkg/bench/faultkinds.go
@@ -42,7 +42,7 @@
 // onBackend sets faults of a random backend server.
 func onBackend(f backend.Faults) func(*faultRun, *rand.Rand) func() {
 	return func(fr *faultRun, rnd *rand.Rand) func() {
-		n := fr.randomWorker(rnd)
+		n := fr.randomServerNode(rnd)
 		n.backend.SetFaults(f)
 		return func() { n.backend.SetFaults(backend.Faults{}) }
 	}
@@ -56,8 +56,8 @@
 	}
 }
 
-// randomWorker returns a random node with a backend server.
-func (fr *faultRun) randomWorker(rnd *rand.Rand) *node {
+// randomServerNode returns a random node with a backend server.
+func (fr *faultRun) randomServerNode(rnd *rand.Rand) *node {
 	var out []*node
 	for _, n := range fr.cluster.nodes {
 		if n.backend != nil {
@@ -88,7 +88,7 @@
 // drain stops a daemon as in a planned stop, under load, and starts it again.
 // It counts calls cut off and work that began too late.
 func (fr *faultRun) drain(rnd *rand.Rand) func() {
-	n := fr.randomWorker(rnd)
+	n := fr.randomServerNode(rnd)
 	if !fr.reserve(n) {
 		return func() {}
 	}
@@ -113,7 +113,7 @@
 
 // kill stops a daemon while calls are in flight, and starts it again.
 func (fr *faultRun) kill(rnd *rand.Rand) func() {
-	n := fr.randomWorker(rnd)
+	n := fr.randomServerNode(rnd)
 	if !fr.reserve(n) {
 		return func() {}
 	}
@@ -123,7 +123,7 @@
 
 // replace stops a daemon and starts it again as a new VM of the same name.
 func (fr *faultRun) replace(rnd *rand.Rand) func() {
-	n := fr.randomWorker(rnd)
+	n := fr.randomServerNode(rnd)
 	if !fr.reserve(n) {
 		return func() {}
 	}
@@ -164,7 +164,7 @@
 // freeze holds all traffic over links from and to a daemon without closing
 // connections. To the other daemons it looks like a paused process.
 func (fr *faultRun) freeze(rnd *rand.Rand) func() {
-	vm := fr.randomWorker(rnd).vm.ID
+	vm := fr.randomServerNode(rnd).vm.ID
 	fr.cluster.network.hold(vm, "")
 	fr.cluster.network.hold("", vm)
 	return func() {
@@ -237,7 +237,7 @@
 
 // flapVMList omits a live VM from the platform's list for a while.
 func (fr *faultRun) flapVMList(rnd *rand.Rand) func() {
-	n := fr.randomWorker(rnd)
+	n := fr.randomServerNode(rnd)
 	fr.changeVMs(func() { n.unlisted = true })
 	return func() { fr.changeVMs(func() { n.unlisted = false }) }
 }
--- a/pkg/bench/faults.go
+++ b/pkg/bench/faults.go
@@ -184,12 +184,12 @@
 		Deployment: fr.cluster.deployment.Name, Seed: seed, Faults: fr.faultCounts,
 		Races: fr.races, RacesLost: fr.racesLost, Outcomes: map[string]int{}, Violations: fr.violations,
 	}
-	found, err := countViolations(fr.cluster, fr.outcomes)
+	counted, err := countViolations(fr.cluster, fr.outcomes)
 	if err != nil {
 		return nil, err
 	}
-	out.Crossed, out.Truncated, out.Doubled = found.Crossed, found.Truncated, found.Doubled
-	out.FalseNotRun, out.WrongPlace, out.BudgetOverruns = found.FalseNotRun, found.WrongPlace, found.BudgetOverruns
+	out.Crossed, out.Truncated, out.Doubled = counted.Crossed, counted.Truncated, counted.Doubled
+	out.FalseNotRun, out.WrongPlace, out.BudgetOverruns = counted.FalseNotRun, counted.WrongPlace, counted.BudgetOverruns
 	for i := range fr.outcomes {
 		o := &fr.outcomes[i]
 		out.Calls++
--- a/pkg/bench/loadslopes.go
+++ b/pkg/bench/loadslopes.go
@@ -50,7 +50,7 @@
 	time.Sleep(settleTime)
 	arrivals := drawArrivals(c.deployment, opts.Duration, opts.Seed)
 	before, traffic, used, began := c.counters(), c.traffic(), processCPUTime(), time.Now()
-	c.sendArrivals(arrivals, policy == directName)
+	c.sendArrivals(arrivals, policy == directPolicy)
 	seconds := time.Since(began).Seconds()
 	after := c.counters()
 	return loadCost{
@@ -73,7 +73,7 @@
 		if err != nil {
 			return nil, err
 		}
-		direct, err := measureLoadCost(rate, false, directName)
+		direct, err := measureLoadCost(rate, false, directPolicy)
 		if err != nil {
 			return nil, err
 		}
--- a/pkg/bench/report.go
+++ b/pkg/bench/report.go
@@ -148,11 +148,11 @@
 	after := c.counters()
 	out.fillCounters(before, after, len(arrivals))
 	out.AddedP99 = after.addedP99.Microseconds()
-	promises, err := countViolations(c, outcomes)
+	violations, err := countViolations(c, outcomes)
 	if err != nil {
 		return nil, err
 	}
-	out.Violations = promises
+	out.Violations = violations
 	out.fillServerShares(c)
 	out.ControlCPU = idle
 	out.RSS = residentMB() / float64(len(c.nodes))
--- a/pkg/bench/run.go
+++ b/pkg/bench/run.go
@@ -34,8 +34,8 @@
 	Seed   uint64
 	// SkipIdle leaves out the measurement of control before the load.
 	SkipIdle bool
-	// Change adapts the daemons' settings, after Policy; may be nil.
-	Change func(*settings.Settings)
+	// AdaptSettings adapts the daemons' settings, after Policy; may be nil.
+	AdaptSettings func(*settings.Settings)
 }
 
 // outcome is the result of a call as seen by its caller.
@@ -92,7 +92,7 @@
 	arrivals := drawArrivals(d, opts.Duration, opts.Seed)
 	before := c.counters()
 	stopShape := startShape(c)
-	outcomes := c.sendArrivals(arrivals, opts.Policy == directName)
+	outcomes := c.sendArrivals(arrivals, opts.Policy == directPolicy)
 	stopShape()
 	time.Sleep(settleTime)
 	return newReport(c, opts, arrivals, outcomes, before, idle)
@@ -110,7 +110,7 @@
 		return clusterOptions{}, err
 	}
 	out := clusterOptions{adaptSettings: func(s *settings.Settings) {
-		if name != "" && name != oracleName {
+		if name != "" && name != oraclePolicy {
 			s.Choosing.Policy = name
 		}
 		if soft != nil {
@@ -118,11 +118,11 @@
 		}
 		// An error would have been returned by the first call above.
 		_ = applySettings(assignments, s)
-		if opts.Change != nil {
-			opts.Change(s)
+		if opts.AdaptSettings != nil {
+			opts.AdaptSettings(s)
 		}
 	}}
-	if name == oracleName {
+	if name == oraclePolicy {
 		out.newPolicy = newOracle
 	}
 	return out, nil
@@ -147,8 +147,8 @@
 
 // Policy names that exist in the bench only.
 const (
-	oracleName = "oracle"
-	directName = "direct"
+	oraclePolicy = "oracle"
+	directPolicy = "direct"
 )
 
 // splitPolicy parses "name", "name+soft" or "name-soft". soft is nil when the
@@ -156,18 +156,18 @@
 func splitPolicy(text string) (name string, soft *bool, err error) {
 	on, off := true, false
 	switch {
-	case text == "" || text == directName:
+	case text == "" || text == directPolicy:
 		return "", nil, nil
 	case len(text) > 5 && text[len(text)-5:] == "+soft":
 		name, soft = text[:len(text)-5], &on
 	case len(text) > 5 && text[len(text)-5:] == "-soft":
 		name, soft = text[:len(text)-5], &off
-	case text == oracleName:
+	case text == oraclePolicy:
 		return text, &off, nil
 	default:
 		name = text
 	}
-	if name == oracleName {
+	if name == oraclePolicy {
 		return name, soft, nil
 	}
 	_, err = choose.New(name, choose.Options{})
