--- a/pkg/bench/cluster.go
+++ b/pkg/bench/cluster.go
@@ -205,6 +205,7 @@
 
 func (c *cluster) endpointOf(address string) endpoint { return c.endpoints[address] }
 
+// readyTimeout limits each wait for all daemons to reach a state.
 const readyTimeout = 30 * time.Second
 
 func (c *cluster) waitReady() error {
@@ -219,8 +220,8 @@
 	})
 }
 
-// waitFor polls until ready returns true. It returns an error that names what
-// after the timeout.
+// waitFor polls until ready returns true. After the timeout it returns an error
+// that contains what, a description of the awaited state.
 func waitFor(timeout time.Duration, what string, ready func() bool) error {
 	const poll = 2 * time.Millisecond
 	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(poll) {
--- a/pkg/bench/command.go
+++ b/pkg/bench/command.go
@@ -17,7 +17,7 @@
 )
 
 // ErrViolations is returned when a run violated at least one guarantee.
-var ErrViolations = errors.New("guarantees were violated; see the counts of broken promises above")
+var ErrViolations = errors.New("guarantees were violated; see the violation counts above")
 
 // NewCommand returns the root command of rushramp-bench.
 func NewCommand() *cobra.Command {
@@ -49,10 +49,11 @@
 	cmd.Flags().StringVar(&f.profile, "profile", "", "file for a CPU profile of the whole command")
 }
 
-// gcPercent is the GOGC value of the bench.
+// gcPercent is the garbage collection target (GOGC) of the bench, in percent.
 const gcPercent = 400
 
-// withProfile runs do, and writes a CPU profile of it when --profile is set.
+// withProfile sets gcPercent and runs do. It writes a CPU profile of do when
+// --profile is set.
 func (f *flags) withProfile(do func() error) error {
 	// The stand-ins and the load allocate memory that a daemon alone would not.
 	// Rare garbage collection keeps that cost out of the daemons' CPU time.
@@ -168,7 +169,7 @@
 }
 
 func printViolations(out io.Writer, v *Violations) {
-	fmt.Fprintf(out, "promises broken: crossed %d, truncated %d, doubled %d, false not-run %d, wrong place %d, cut by drain %d, work after leaving %d, config reverts %d, budget overruns %d\n",
+	fmt.Fprintf(out, "violations: crossed %d, truncated %d, doubled %d, false not-run %d, wrong place %d, cut by drain %d, work after leaving %d, config reverts %d, budget overruns %d\n",
 		v.Crossed, v.Truncated, v.Doubled, v.FalseNotRun, v.WrongPlace, v.CutByDrain, v.WorkAfterLeaving, v.ConfigReverts, v.BudgetOverruns)
 }
 
@@ -193,7 +194,7 @@
 	f := &flags{}
 	cmd := &cobra.Command{
 		Use:   "compare FILE [FILE...]",
-		Short: "Run policies in turn on the same arrivals, and print each figure as a ratio to the oracle's",
+		Short: "Run policies in turn on the same arrivals, and compare each with the first",
 		Args:  cobra.MinimumNArgs(1),
 		RunE: func(cmd *cobra.Command, args []string) error {
 			return f.withProfile(func() error { return compareAll(cmd.OutOrStdout(), args, f) })
--- a/pkg/bench/faultkinds.go
+++ b/pkg/bench/faultkinds.go
@@ -86,7 +86,8 @@
 }
 
 // drain stops a daemon as in a planned stop, under load, and starts it again.
-// It counts calls cut off and work that began too late.
+// It records the calls that were cut off at the end of the drain, and whether
+// the server still received calls later than maxWorkAfterLeave.
 func (fr *faultRun) drain(rnd *rand.Rand) func() {
 	n := fr.randomServerNode(rnd)
 	if !fr.reserve(n) {
@@ -121,7 +122,8 @@
 	return func() { fr.restart(n) }
 }
 
-// replace stops a daemon and starts it again as a new VM of the same name.
+// replace stops a daemon and starts it again as a new VM with the same id. The
+// VM is not on the platform's list in between.
 func (fr *faultRun) replace(rnd *rand.Rand) func() {
 	n := fr.randomServerNode(rnd)
 	if !fr.reserve(n) {
--- a/pkg/bench/faultload.go
+++ b/pkg/bench/faultload.go
@@ -14,8 +14,8 @@
 	// neverRepeatLoadFactor raises the load of never-repeat kinds, which are
 	// the ones that faults endanger most.
 	neverRepeatLoadFactor = 2
-	// callerRetries is how often a caller sends a never-repeat call again, with
-	// the same key, after it got no answer.
+	// callerRetries is the maximum number of times that a caller sends a
+	// never-repeat call again, with the same key, after it got no answer.
 	callerRetries = 3
 	// callerRetryDelay is the pause before each retry.
 	callerRetryDelay = 60 * time.Millisecond
--- a/pkg/bench/faults.go
+++ b/pkg/bench/faults.go
@@ -15,7 +15,8 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// Durations and numbers of the phases.
+// Durations and numbers of the phases. In each phase, one or two faults are
+// injected.
 const (
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 1200 * time.Millisecond
@@ -254,7 +255,7 @@
 			neverRepeat += r.NeverRepeat
 		}
 	}
-	fmt.Fprintf(out, "%d never-repeat calls in all, %d promises broken\n", neverRepeat, violations)
+	fmt.Fprintf(out, "%d never-repeat calls in all, %d violations\n", neverRepeat, violations)
 	if violations > 0 {
 		return ErrViolations
 	}
--- a/pkg/bench/precise/clock.go
+++ b/pkg/bench/precise/clock.go
@@ -1,4 +1,4 @@
-// Package precise provides timers that fire within some ten microseconds. On an
+// Package precise provides timers that fire within about ten microseconds. On an
 // idle machine the runtime's timers are late by half a millisecond or more,
 // which is as long as the latencies that the bench measures. A running Clock
 // uses part of one core.
--- a/pkg/bench/ratios.go
+++ b/pkg/bench/ratios.go
@@ -22,7 +22,8 @@
 	rt.reports[policy] = append(rt.reports[policy], r)
 }
 
-// median returns the median of a figure over the seeds of a policy.
+// median returns the median of a policy's figure over all seeds; 0 when there
+// are no reports.
 func (rt *ratioTable) median(policy string, figure func(*Report) float64) float64 {
 	var values []float64
 	for _, r := range rt.reports[policy] {
@@ -50,7 +51,7 @@
 func (rt *ratioTable) print(out io.Writer, name string, seeds int) {
 	fmt.Fprintf(out, "%s, median of %d seeds; ratios to %s of the same seed\n", name, seeds, rt.policies[0])
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
-	fmt.Fprintln(w, "policy\twait p50 ms\twait p99 ms\twait p99.9 ms\tp99 ratio\tp99.9 ratio\trefusals\tretries\thedges\tnot run\tfailed\tbytes/s\tbroken\t")
+	fmt.Fprintln(w, "policy\twait p50 ms\twait p99 ms\twait p99.9 ms\tp99 ratio\tp99.9 ratio\trefusals\tretries\thedges\tnot run\tfailed\tbytes/s\tviolations\t")
 	for _, policy := range rt.policies {
 		median := func(figure func(*Report) float64) float64 { return rt.median(policy, figure) }
 		violations := 0
--- a/pkg/bench/report.go
+++ b/pkg/bench/report.go
@@ -90,8 +90,8 @@
 	return &statsCollector{latency: newHistogram(), wait: newHistogram(), added: newHistogram()}
 }
 
-// add counts a call. network is the network time to leave out of the added
-// time.
+// add records a call. The time network is subtracted from the added time of the
+// call.
 func (sc *statsCollector) add(o *outcome, network time.Duration) {
 	stats := &sc.stats
 	stats.Calls++
--- a/pkg/bench/run.go
+++ b/pkg/bench/run.go
@@ -98,7 +98,7 @@
 	return newReport(c, opts, arrivals, outcomes, before, idle)
 }
 
-// policyOptions translates Options.Policy and Options.Change into cluster
+// policyOptions translates Options.Policy and Options.AdaptSettings into cluster
 // options.
 func policyOptions(opts Options) (clusterOptions, error) {
 	text, assignments, _ := strings.Cut(opts.Policy, ":")
@@ -190,6 +190,7 @@
 	return &caller{http: c}, nil
 }
 
+// callerTimeout is how long a caller waits for the result of a call.
 const callerTimeout = 30 * time.Second
 
 // send sends a call to address and waits for the result. to is the daemon of
--- a/pkg/bench/slopes.go
+++ b/pkg/bench/slopes.go
@@ -66,7 +66,7 @@
 
 func printSlopes(out io.Writer, slopes []*series) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "figure\tunit\tpoints (size:value)\tbase\tslope\tfarthest point\t")
+	fmt.Fprintln(w, "figure\tunit\tpoints (size:value)\tbase\tslope\tmax residual\t")
 	for _, s := range slopes {
 		s.print(w)
 	}
