--- a/pkg/standin/backend/backend.go
+++ b/pkg/standin/backend/backend.go
@@ -13,8 +13,8 @@
 
 // Faults sets how the stand-in misbehaves. The zero value is no fault.
 type Faults struct {
-	// Speed scales how fast calls run: 1 is normal, 0.1 is ten times slower. 0
-	// means 1.
+	// Speed is the speed of calls relative to normal: 0.1 is ten times slower,
+	// and 0 means 1.
 	Speed float64 `yaml:"speed" json:"speed"`
 	// FailFast answers each call at once with status 500, without running it.
 	FailFast bool `yaml:"fail_fast" json:"fail_fast"`
@@ -26,12 +26,14 @@
 	CutAnswers bool `yaml:"cut_answers" json:"cut_answers"`
 }
 
-// Options sets the size and the start-up behaviour of the stand-in.
+// Options sets the number of slots, the cold start and the timers of the
+// stand-in.
 type Options struct {
 	// Slots is the number of calls that run at the same time; calls beyond it
 	// are shed with status 503.
 	Slots int
-	// ColdFor is how long the stand-in runs at ColdSpeed after its start.
+	// ColdFor is how long the stand-in runs calls at ColdSpeed, a factor on
+	// Faults.Speed, after its start.
 	ColdFor   time.Duration
 	ColdSpeed float64
 	// After returns a channel that is closed after the duration; nil uses the
@@ -126,8 +128,9 @@
 	return speed, b.changed, 0
 }
 
-// work waits until the nominal service time has been worked off at the speed of
-// each moment. It returns false when ctx ends first.
+// work simulates a call with the given service time at normal speed: it waits
+// that time divided by the current speed, and adapts when the speed changes. It
+// returns false when ctx ends first.
 func (b *Backend) work(ctx context.Context, nominal time.Duration) bool {
 	left := float64(nominal)
 	for left > 0 {
--- a/pkg/standin/command.go
+++ b/pkg/standin/command.go
@@ -17,8 +17,8 @@
 	"github.com/rushramp/rushramp/pkg/store"
 )
 
-// NewCommand returns the root command of rushramp-standin, with more as
-// additional subcommands for other platforms' stand-ins.
+// NewCommand returns the root command of rushramp-standin. The commands in more,
+// such as the stand-ins of other platforms, become further subcommands.
 func NewCommand(more ...*cobra.Command) *cobra.Command {
 	root := &cobra.Command{
 		Use:           "rushramp-standin",
--- a/pkg/standin/fakestore/flaky.go
+++ b/pkg/standin/fakestore/flaky.go
@@ -26,7 +26,7 @@
 )
 
 // Flaky is a Store whose next Get, Batch and Transact requests succeed or fail
-// as scripted, for tests that run through a history step by step. It is safe
+// as scripted, for tests that fail chosen requests. It is safe
 // for concurrent use.
 type Flaky struct {
 	*Store
--- a/test/faultproxy/proxy.go
+++ b/test/faultproxy/proxy.go
@@ -1,6 +1,6 @@
 // Package faultproxy is a TCP proxy for tests that delays, throttles, cuts and
-// holds traffic. Faults are set per client IP number, since each process in the
-// tests has a loopback address of its own.
+// holds traffic. Faults are set per client IP address, because each process in
+// the tests has a loopback address of its own.
 package faultproxy
 
 import (
@@ -15,8 +15,8 @@
 type Fault struct {
 	// Cut closes all connections and refuses new ones.
 	Cut bool
-	// HoldIn stops delivery to the target, HoldOut from it, without closing
-	// connections.
+	// HoldIn stops delivery from client to target, HoldOut from target to
+	// client. The connections stay open.
 	HoldIn  bool
 	HoldOut bool
 	// Delay is added in each direction.
@@ -40,7 +40,8 @@
 // AllClients selects the fault of clients that have none of their own.
 const AllClients = ""
 
-// Start starts a proxy that listens on address and forwards to target.
+// Start starts a proxy that listens on address and forwards to target. It fails
+// when it cannot listen on address.
 func Start(address, target string) (*Proxy, error) {
 	listener, err := net.Listen("tcp", address)
 	if err != nil {
@@ -52,7 +53,8 @@
 	return p, nil
 }
 
-// SetFault replaces the fault of a client IP number, or of AllClients.
+// SetFault replaces the fault of the client with an IP address, or of
+// AllClients.
 func (p *Proxy) SetFault(clientIP string, f Fault) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -130,6 +132,7 @@
 	delete(p.conns, conn)
 }
 
+// bufferSize is the maximum number of bytes that are copied at once.
 const bufferSize = 16 << 10
 
 // copyWithFaults copies one direction of a connection until it ends.
