--- a/pkg/bench/report.go
+++ b/pkg/bench/report.go
@@ -59,11 +59,12 @@
 	StoreReads  int64 `json:"store_reads"`
 }
 
-// Overhead is the cost of control and of load measurement, per daemon.
+// Overhead is the cost of the control plane and of load measurement, per daemon.
 type Overhead struct {
 	MeasureBytes    float64 `json:"measure_bytes_per_s"`
 	MeasureMessages float64 `json:"measure_msgs_per_s"`
-	// ControlCPU is measured before the load begins, in percent of a core.
+	// ControlCPU is the CPU time used before the load begins, in percent of a
+	// core.
 	ControlCPU float64 `json:"control_cpu_percent"`
 	// RSS is the process's resident memory in MiB divided by the number of
 	// daemons; it includes the stand-ins and the load.
--- a/pkg/bench/run.go
+++ b/pkg/bench/run.go
@@ -32,7 +32,7 @@
 	// ":section.field=value;..." at the end changes settings.
 	Policy string
 	Seed   uint64
-	// SkipIdle leaves out the measurement of control before the load.
+	// SkipIdle skips measuring the control-plane cost before the load.
 	SkipIdle bool
 	// AdaptSettings adapts the daemons' settings, after Policy; may be nil.
 	AdaptSettings func(*settings.Settings)
@@ -66,7 +66,7 @@
 // become idle.
 const settleTime = 300 * time.Millisecond
 
-// idleWindow is how long the cost of control is measured before the load
+// idleWindow is how long the control-plane cost is measured before the load
 // begins.
 const idleWindow = time.Second
 
--- a/pkg/bench/slopes.go
+++ b/pkg/bench/slopes.go
@@ -77,7 +77,7 @@
 	f := &flags{}
 	cmd := &cobra.Command{
 		Use:       "slopes daemons|members|services|changes|calls|claims",
-		Short:     "Measure how the cost of control grows, for docs/CAPACITY.md",
+		Short:     "Measure how the control-plane cost grows, for docs/CAPACITY.md",
 		Args:      cobra.MatchAll(cobra.ExactArgs(1), cobra.OnlyValidArgs),
 		ValidArgs: []string{"daemons", "members", "services", "changes", "calls", "claims"},
 		RunE: func(cmd *cobra.Command, args []string) error {
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// controlWindow is how long the cost of control is measured at each point.
+// controlWindow is how long the control-plane cost is measured at each point.
 const controlWindow = 4 * time.Second
 
 // daemonsOnly returns a deployment of daemons without backend servers or load.
@@ -132,7 +132,7 @@
 	return out
 }
 
-// controlCost is the cost of control without calls: cpu in percent of a core,
+// controlCost is what daemons spend on the control plane while no calls run: cpu in percent of a core,
 // rssMB, links, and bytes and messages per second are per daemon; reads per
 // second are of all daemons.
 type controlCost struct {
@@ -172,7 +172,8 @@
 	return out
 }
 
-// measureDaemons measures the cost of control with a growing number of daemons.
+// measureDaemons measures the control-plane cost with a growing number of
+// daemons.
 func measureDaemons() ([]*series, error) {
 	cpu := &series{name: "control processor time a daemon", unit: "% of a core", sizeUnit: "daemon"}
 	rss := &series{name: "memory a daemon (whole process shared out)", unit: "MB", sizeUnit: "daemon"}
@@ -329,8 +330,8 @@
 	return []*series{median, worst, bytes, writes}, nil
 }
 
-// changeCost is the cost of one change, without the cost of control that also
-// occurs without changes. bytes are per daemon.
+// changeCost is the cost of one change, without the control-plane cost that
+// also occurs without changes. bytes are per daemon.
 type changeCost struct{ bytes, writes float64 }
 
 // changeTimes applies changes through different daemons, one after the other,
--- a/pkg/burn/report.go
+++ b/pkg/burn/report.go
@@ -10,7 +10,7 @@
 // budget is spent, and in the short one, because the errors continue. Source: "The Site
 // Reliability Workbook", chapter 5.
 type window struct {
-	name string
+	name   string
 	length time.Duration
 }
 
--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -35,6 +35,8 @@
 	waitFor(ts, "the platform", func() bool { _, status := get("http://" + sc.platform + "/control/counts"); return status == 200 })
 }
 
+// workerSettings is the format of a worker's settings file. Its last value is the
+// text of further settings.
 const workerSettings = `
 vm: {id: %s, region: test, data_centre: %s}
 listen: {callers: %q, links: %q, operators: %q, metrics: %q}
@@ -136,7 +138,7 @@
 	}
 }
 
-// cmdRestart starts a worker's daemon again after it ended, on the same VM.
+// cmdRestart starts a worker's daemon again with the same settings file.
 func cmdRestart(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, neg, args, 1, "restart WORKER")
 	scenarioOf(ts).startDaemon(ts, args[0])
@@ -224,8 +226,8 @@
 	ts.Check(os.WriteFile(ts.MkAbs("objectives.yaml"), []byte(text), 0o644))
 }
 
-// cmdFault sets the faults of a stand-in, or the state that the platform
-// reports for a worker.
+// cmdFault sets the faults of a stand-in, or with state= the VM state that the
+// platform reports for a worker. Faults that are not named are cleared.
 func cmdFault(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, neg, args, 1, "fault platform|WORKER [name=value ...]")
 	sc := scenarioOf(ts)
--- a/test/expect_test.go
+++ b/test/expect_test.go
@@ -8,10 +8,10 @@
 	"github.com/rogpeppe/go-internal/testscript"
 )
 
-// cmdExpect compares the last answer, a ledger, a metric or a load with an
-// expected value.
+// cmdExpect compares an actual value with the expected one: of the last answer, a
+// ledger, a daemon's state, a metric or a load.
 func cmdExpect(ts *testscript.TestScript, neg bool, args []string) {
-	requireArgs(ts, false, args, 2, "[!] expect status|error|ran|header|body|runs|load ...")
+	requireArgs(ts, false, args, 2, "[!] expect status|error|ran|header|body|runs|ended|member|metric|load ...")
 	holds, got := evaluate(ts, scenarioOf(ts), args)
 	if holds == neg {
 		ts.Fatalf("expect %v: got %s", args, got)
@@ -41,7 +41,7 @@
 	})
 }
 
-// evaluate reports whether an expectation holds, and the actual value.
+// evaluate reports whether an expectation holds, and returns the actual value.
 func evaluate(ts *testscript.TestScript, sc *scenario, args []string) (holds bool, got string) {
 	switch args[0] {
 	case "status":
