--- a/test/commands_test.go
+++ b/test/commands_test.go
@@ -129,11 +129,11 @@
 	w.proxy.SetFault(faultproxy.AllClients, f)
 	// Links that the worker dialled itself pass through the other workers'
 	// proxies, where in and out are swapped.
-	back := f
-	back.HoldIn, back.HoldOut = f.HoldOut, f.HoldIn
+	reverse := f
+	reverse.HoldIn, reverse.HoldOut = f.HoldOut, f.HoldIn
 	for _, other := range sc.workers {
 		if other != w {
-			other.proxy.SetFault(w.address.IP(), back)
+			other.proxy.SetFault(w.address.IP(), reverse)
 		}
 	}
 }
--- a/test/expect_test.go
+++ b/test/expect_test.go
@@ -23,17 +23,17 @@
 func cmdEventually(ts *testscript.TestScript, neg bool, args []string) {
 	requireArgs(ts, neg, args, 2, "eventually EXPECTATION [-- call ...]")
 	sc := scenarioOf(ts)
-	var again []string
+	var callWords []string
 	for i, word := range args {
 		if word == "--" {
-			again = args[i+2:]
+			callWords = args[i+2:]
 			args = args[:i]
 			break
 		}
 	}
 	waitFor(ts, strings.Join(args, " "), func() bool {
-		if again != nil {
-			c := parseCall(ts, sc, again)
+		if callWords != nil {
+			c := parseCall(ts, sc, callWords)
 			sc.last = sc.send(c.to, c.method, c.service, c.path, c.id, c.headers, c.body)
 		}
 		holds, _ := evaluate(ts, sc, args)
--- a/tools/gendocs/settings.go
+++ b/tools/gendocs/settings.go
@@ -36,9 +36,9 @@
 
 // section writes the plain fields of a struct, then its nested sections.
 func (w *sectionWriter) section(path string, v reflect.Value) {
-	title, under := "Top level", ""
+	title, prefix := "Top level", ""
 	if path != "" {
-		title, under = "`"+path+"`", path+"."
+		title, prefix = "`"+path+"`", path+"."
 	}
 	fmt.Fprintf(w.out, "## %s\n\n| field | default | allowed | meaning |\n|---|---|---|---|\n", title)
 	for i := range v.NumField() {
@@ -46,13 +46,13 @@
 		if isSection(field.Type) {
 			continue
 		}
-		fmt.Fprintf(w.out, "| `%s%s` | %s | %s | %s |\n", under, field.Tag.Get("yaml"), defaultOf(v.Field(i)),
+		fmt.Fprintf(w.out, "| `%s%s` | %s | %s | %s |\n", prefix, field.Tag.Get("yaml"), defaultOf(v.Field(i)),
 			allowedOf(field.Tag.Get("validate")), w.comments[v.Type().Name()+"."+field.Name])
 	}
 	w.out.WriteString("\n")
 	for i := range v.NumField() {
 		if field := v.Type().Field(i); isSection(field.Type) {
-			w.section(under+field.Tag.Get("yaml"), v.Field(i))
+			w.section(prefix+field.Tag.Get("yaml"), v.Field(i))
 		}
 	}
 }
