--- a/pkg/burn/sample.go
+++ b/pkg/burn/sample.go
@@ -158,8 +158,8 @@
 	if h.Outcome != answered {
 		return 0
 	}
-	// The upper bound of a bucket is about 1.1 times its lower bound. The
-	// bucket that contains d counts as within d.
+	// Buckets whose upper bound is at most bucketWidth times d count as within
+	// d, so that most of the time the bucket that contains d does.
 	const bucketWidth = 1.1
 	return h.countUpTo(d.Seconds() * bucketWidth)
 }
