--- a/pkg/bench/faults.go
+++ b/pkg/bench/faults.go
@@ -15,7 +15,8 @@
 	"github.com/rushramp/rushramp/pkg/settings"
 )
 
-// Durations and numbers of the phases.
+// Durations and numbers of the phases. In each phase, one or two faults are
+// injected.
 const (
 	minFaultDuration = 300 * time.Millisecond
 	maxFaultDuration = 1200 * time.Millisecond
@@ -184,12 +185,12 @@
 		Deployment: fr.cluster.deployment.Name, Seed: seed, Faults: fr.faultCounts,
 		Races: fr.races, RacesLost: fr.racesLost, Outcomes: map[string]int{}, Violations: fr.violations,
 	}
-	found, err := countViolations(fr.cluster, fr.outcomes)
+	counted, err := countViolations(fr.cluster, fr.outcomes)
 	if err != nil {
 		return nil, err
 	}
-	out.Crossed, out.Truncated, out.Doubled = found.Crossed, found.Truncated, found.Doubled
-	out.FalseNotRun, out.WrongPlace, out.BudgetOverruns = found.FalseNotRun, found.WrongPlace, found.BudgetOverruns
+	out.Crossed, out.Truncated, out.Doubled = counted.Crossed, counted.Truncated, counted.Doubled
+	out.FalseNotRun, out.WrongPlace, out.BudgetOverruns = counted.FalseNotRun, counted.WrongPlace, counted.BudgetOverruns
 	for i := range fr.outcomes {
 		o := &fr.outcomes[i]
 		out.Calls++
@@ -254,7 +255,7 @@
 			neverRepeat += r.NeverRepeat
 		}
 	}
-	fmt.Fprintf(out, "%d never-repeat calls in all, %d promises broken\n", neverRepeat, violations)
+	fmt.Fprintf(out, "%d never-repeat calls in all, %d violations\n", neverRepeat, violations)
 	if violations > 0 {
 		return ErrViolations
 	}
--- a/pkg/bench/report.go
+++ b/pkg/bench/report.go
@@ -59,11 +59,12 @@
 	StoreReads  int64 `json:"store_reads"`
 }
 
-// Overhead is the cost of control and of load measurement, per daemon.
+// Overhead is the cost of the control plane and of load measurement, per daemon.
 type Overhead struct {
 	MeasureBytes    float64 `json:"measure_bytes_per_s"`
 	MeasureMessages float64 `json:"measure_msgs_per_s"`
-	// ControlCPU is measured before the load begins, in percent of a core.
+	// ControlCPU is the CPU time used before the load begins, in percent of a
+	// core.
 	ControlCPU float64 `json:"control_cpu_percent"`
 	// RSS is the process's resident memory in MiB divided by the number of
 	// daemons; it includes the stand-ins and the load.
@@ -90,8 +91,8 @@
 	return &statsCollector{latency: newHistogram(), wait: newHistogram(), added: newHistogram()}
 }
 
-// add counts a call. network is the network time to leave out of the added
-// time.
+// add records a call. The time network is subtracted from the added time of the
+// call.
 func (sc *statsCollector) add(o *outcome, network time.Duration) {
 	stats := &sc.stats
 	stats.Calls++
@@ -148,11 +149,11 @@
 	after := c.counters()
 	out.fillCounters(before, after, len(arrivals))
 	out.AddedP99 = after.addedP99.Microseconds()
-	promises, err := countViolations(c, outcomes)
+	violations, err := countViolations(c, outcomes)
 	if err != nil {
 		return nil, err
 	}
-	out.Violations = promises
+	out.Violations = violations
 	out.fillServerShares(c)
 	out.ControlCPU = idle
 	out.RSS = residentMB() / float64(len(c.nodes))
--- a/pkg/burn/command.go
+++ b/pkg/burn/command.go
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// takeSamples appends one sample, or with --watch as many as --times says, and
-// saves the file after each. It fails when no daemon answers.
+// takeSamples appends one sample to samples, or --times samples when --watch is
+// set, and saves the samples file after each. It fails when no daemon answers.
 func (o *options) takeSamples(objectives *Objectives, samples []Sample) ([]Sample, error) {
 	count := 1
 	if o.watch > 0 {
@@ -149,7 +149,7 @@
 	if err != nil {
 		return errors.Wrap(err, "write the HTML report")
 	}
-	if err := page.Execute(file, viewOf(r)); err != nil {
+	if err := page.Execute(file, newView(r)); err != nil {
 		_ = file.Close()
 		return errors.Wrap(err, "write the HTML report")
 	}
--- a/pkg/burn/sample.go
+++ b/pkg/burn/sample.go
@@ -44,6 +44,7 @@
 	StartTimes map[string]float64 `json:"starts"`
 }
 
+// readTimeout limits the scrape of one daemon.
 const readTimeout = 2 * time.Second
 
 // TakeSample scrapes all daemons. Those that do not answer are listed in
@@ -57,7 +58,7 @@
 			out.Missing = append(out.Missing, d)
 			continue
 		}
-		histograms, started := parse(resp.Body)
+		histograms, started := parseMetrics(resp.Body)
 		_ = resp.Body.Close()
 		out.Histograms = append(out.Histograms, histograms...)
 		out.StartTimes[d] = started
@@ -68,9 +69,9 @@
 // bucketLine matches a histogram bucket in the daemons' metrics output.
 var bucketLine = regexp.MustCompile(`^rushramp_served_seconds_bucket\{service="([^"]*)",kind="([^"]*)",data_centre="([^"]*)",server="([^"]*)",outcome="([^"]*)",vmrange="[^"]*\.\.\.([^"]*)"\} (\S+)$`)
 
-// parse reads a daemon's metrics output. started is the process start time in
+// parseMetrics reads a daemon's metrics output. started is the process start time in
 // Unix seconds.
-func parse(text io.Reader) (out []CallHistogram, started float64) {
+func parseMetrics(text io.Reader) (out []CallHistogram, started float64) {
 	histograms := map[string]*CallHistogram{}
 	scanner := bufio.NewScanner(text)
 	for scanner.Scan() {
@@ -121,11 +122,12 @@
 	}
 }
 
-// sampleRetention is a little longer than the longest window.
+// sampleRetention is a little longer than the longest window, so that a sample
+// from before the start of that window is kept.
 const sampleRetention = 7 * time.Hour
 
-// SaveSamples replaces the file with those samples that are still needed for a
-// window at the time now.
+// SaveSamples replaces the file at path with the samples that are at most
+// sampleRetention old at the time now.
 func SaveSamples(path string, samples []Sample, now time.Time) error {
 	temporary := path + ".new"
 	file, err := os.Create(temporary)
@@ -156,14 +158,14 @@
 	if h.Outcome != answered {
 		return 0
 	}
-	// Buckets are about a tenth wide. The bucket that d falls into counts as
-	// within d: its upper bound is at most a tenth above d.
+	// Buckets whose upper bound is at most bucketWidth times d count as within
+	// d, so that most of the time the bucket that contains d does.
 	const bucketWidth = 1.1
 	return h.countUpTo(d.Seconds() * bucketWidth)
 }
 
-// countUpTo returns the number of calls in the buckets up to an upper bound in
-// seconds.
+// countUpTo returns the number of calls in the buckets whose upper bound is at
+// most the given number of seconds.
 func (h *CallHistogram) countUpTo(seconds float64) float64 {
 	sum := 0.0
 	for bound, n := range h.Buckets {
